--- a/entry/routing/routing.go
+++ b/entry/routing/routing.go
@@ -67,7 +67,7 @@
 			table:  balance.NewTable(balance.DefaultConfig(), string(r.failureDomain)),
 			budget: retry.NewBudget(retry.DefaultConfig(), r.now()),
 		}
-		s.table.SetFronts(r.fronts)
+		s.table.SetFrontCount(r.fronts)
 		r.services[name] = s
 	}
 	return s
@@ -82,7 +82,7 @@
 	}
 	r.fronts = count
 	for _, s := range r.services {
-		s.table.SetFronts(count)
+		s.table.SetFrontCount(count)
 	}
 }
 
@@ -92,8 +92,8 @@
 	defer r.mu.Unlock()
 	for name, declared := range snapshot.Services {
 		config := balance.DefaultConfig()
-		config.FirstToken = declared.FirstToken
-		config.TokenGap = declared.TokenGap
+		config.FirstTokenObjective = declared.FirstToken
+		config.TokenGapObjective = declared.TokenGap
 		r.service(name).table.ApplyConfig(config)
 	}
 }
@@ -112,8 +112,8 @@
 	r.service(c.Group.Service).table.Put(now, balance.Candidate{
 		ID: string(c.Group.ID), Ready: c.Group.State == vm.Serving && c.MayServe(),
 		InFlight: c.Status.Load.InFlight, Queued: c.Status.Load.Queued, Limit: c.Status.Load.Limit,
-		FirstToken: c.Status.Load.FirstToken, Gap: c.Status.Load.TokenGap,
-		FailureDomain: string(c.Position.FailureDomain), SinceServing: since, Report: c.Report,
+		FirstToken: c.Status.Load.FirstToken, TokenGap: c.Status.Load.TokenGap,
+		FailureDomain: string(c.Position.FailureDomain), ServingFor: since, ReportID: c.Report,
 	})
 }
 
--- a/policy/balance/choose.go
+++ b/policy/balance/choose.go
@@ -100,14 +100,14 @@
 
 // bound is the load from which affinity passes a group over.
 func (t *Table) bound() float64 {
-	return max(t.config.FreeLoad, (1+t.config.BoundSlack)*t.mean())
+	return max(t.config.MinLoadBound, (1+t.config.BoundSlack)*t.mean())
 }
 
 // affine returns the group of a prefix, or the less loaded of two if it is spread over several; -1 if all
 // are at the bound.
 func (t *Table) affine(now time.Duration, prefix uint64, bound float64, tried *triedSet, random *rand.Rand) (int, Reason) {
 	share := t.popular.share(now, prefix)
-	places := int(math.Ceil(share * t.config.HotSpread * float64(len(t.open))))
+	places := int(math.Ceil(share * t.config.SpreadFactor * float64(len(t.open))))
 	if places <= 1 {
 		return t.firstBelow(bound, prefix, tried)
 	}
@@ -184,7 +184,7 @@
 		return -1
 	}
 	fair := float64(len(t.avoided)) / float64(t.ready)
-	if random.Float64() >= fair*t.config.SlowTrial {
+	if random.Float64() >= fair*t.config.SlowTrialShare {
 		return -1
 	}
 	i := pick(t.avoided, random.IntN(len(t.avoided)), tried)
--- a/policy/balance/config.go
+++ b/policy/balance/config.go
@@ -22,27 +22,27 @@
 	// BoundSlack: a group that is loaded by more than this share above the mean is passed over by
 	// affinity. 0.05 to 2.
 	BoundSlack float64
-	// FreeLoad is the load, as a share of a group's limit, below which affinity never passes it over.
+	// MinLoadBound is the load, as a share of a group's limit, below which affinity never passes it over.
 	// 0.1 to 1.
-	FreeLoad float64
+	MinLoadBound float64
 	// NearLoad is the load below which a request without a prefix stays in its front's failure domain, even
 	// if others are less loaded. 0 to 1.
 	NearLoad float64
-	// HotSpread: a prefix is spread over this many times the groups that its share of the requests calls
+	// SpreadFactor: a prefix is spread over this many times the groups that its share of the requests calls
 	// for. 1 to 30.
-	HotSpread float64
-	// SlowFirstToken and SlowGap: a group whose first tokens or gaps between tokens are this many times
+	SpreadFactor float64
+	// SlowFirstTokenFactor and SlowGap: a group whose first tokens or gaps between tokens are this many times
 	// the median of the service's groups is slow. 1.2 to 20.
-	SlowFirstToken float64
-	SlowGap        float64
-	// FirstToken and TokenGap are the service's objectives. A group whose average is below half of them is
+	SlowFirstTokenFactor float64
+	SlowTokenGapFactor   float64
+	// FirstTokenObjective and TokenGapObjective are the service's objectives. A group whose average is below half of them is
 	// not slow, whatever the others do. 0: no objective.
-	FirstToken, TokenGap time.Duration
+	FirstTokenObjective, TokenGapObjective time.Duration
 	// MaxSlowShare is the largest share of the ready groups that is avoided as slow. 0 to 0.5.
 	MaxSlowShare float64
-	// SlowTrial is the share of its fair part of the requests that an avoided group is still given, to see
+	// SlowTrialShare is the share of its fair part of the requests that an avoided group is still given, to see
 	// whether it recovered. 0.01 to 1.
-	SlowTrial float64
+	SlowTrialShare float64
 	// SlowStart is the ramp of a new group.
 	SlowStart shift.Ramp
 }
@@ -50,17 +50,17 @@
 // DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
-		BoundSlack:     0.25,
-		FreeLoad:       0.9,
-		NearLoad:       0.6,
-		HotSpread:      10,
-		SlowFirstToken: 3,
-		SlowGap:        2,
-		MaxSlowShare:   0.1,
-		SlowTrial:      0.05,
-		FirstToken:     640 * time.Millisecond,
-		TokenGap:       79 * time.Millisecond,
-		SlowStart:      shift.DefaultRamp(),
+		BoundSlack:           0.25,
+		MinLoadBound:         0.9,
+		NearLoad:             0.6,
+		SpreadFactor:         10,
+		SlowFirstTokenFactor: 3,
+		SlowTokenGapFactor:   2,
+		MaxSlowShare:         0.1,
+		SlowTrialShare:       0.05,
+		FirstTokenObjective:  640 * time.Millisecond,
+		TokenGapObjective:    79 * time.Millisecond,
+		SlowStart:            shift.DefaultRamp(),
 	}
 }
 
@@ -71,13 +71,13 @@
 		value, lo, hi float64
 	}{
 		{"BoundSlack", c.BoundSlack, 0.05, 2},
-		{"FreeLoad", c.FreeLoad, 0.1, 1},
+		{"MinLoadBound", c.MinLoadBound, 0.1, 1},
 		{"NearLoad", c.NearLoad, 0, 1},
-		{"HotSpread", c.HotSpread, 1, 30},
-		{"SlowFirstToken", c.SlowFirstToken, 1.2, 20},
-		{"SlowGap", c.SlowGap, 1.2, 20},
+		{"SpreadFactor", c.SpreadFactor, 1, 30},
+		{"SlowFirstTokenFactor", c.SlowFirstTokenFactor, 1.2, 20},
+		{"SlowTokenGapFactor", c.SlowTokenGapFactor, 1.2, 20},
 		{"MaxSlowShare", c.MaxSlowShare, 0, 0.5},
-		{"SlowTrial", c.SlowTrial, 0.01, 1},
+		{"SlowTrialShare", c.SlowTrialShare, 0.01, 1},
 	}
 	for _, r := range ranges {
 		if !(r.value >= r.lo && r.value <= r.hi) {
--- a/policy/balance/figures_test.go
+++ b/policy/balance/figures_test.go
@@ -23,7 +23,7 @@
 func balanced(name string, change func(*Table)) contender {
 	return contender{name, func(s scenario, front int) chooser {
 		t := NewTable(DefaultConfig(), fmt.Sprint(front%3))
-		t.SetFronts(s.fronts)
+		t.SetFrontCount(s.fronts)
 		if change != nil {
 			change(t)
 		}
@@ -41,13 +41,13 @@
 	}
 	rivals = []contender{
 		baseline("rendezvous without a bound", rendezvous),
-		balanced("without a spread", func(t *Table) { t.config.HotSpread = 1e-9 }),
-		balanced("spread 1", func(t *Table) { t.config.HotSpread = 1 }),
-		balanced("spread 3", func(t *Table) { t.config.HotSpread = 3 }),
-		balanced("spread 100", func(t *Table) { t.config.HotSpread = 100 }),
+		balanced("without a spread", func(t *Table) { t.config.SpreadFactor = 1e-9 }),
+		balanced("spread 1", func(t *Table) { t.config.SpreadFactor = 1 }),
+		balanced("spread 3", func(t *Table) { t.config.SpreadFactor = 3 }),
+		balanced("spread 100", func(t *Table) { t.config.SpreadFactor = 100 }),
 		balanced("slack 0.1", func(t *Table) { t.config.BoundSlack = 0.1 }),
 		balanced("slack 1", func(t *Table) { t.config.BoundSlack = 1 }),
-		balanced("free load 0.5", func(t *Table) { t.config.FreeLoad = 0.5 }),
+		balanced("free load 0.5", func(t *Table) { t.config.MinLoadBound = 0.5 }),
 		balanced("reports not corrected", func(t *Table) { t.correction = 0 }),
 		balanced("corrected by own requests", func(t *Table) { t.correction = 1 }),
 		balanced("corrected by own times fronts", func(t *Table) { t.correction *= t.correction }),
--- a/policy/balance/model_test.go
+++ b/policy/balance/model_test.go
@@ -199,11 +199,11 @@
 		}
 		report := report{c.now + reportLag, i, Candidate{
 			ID: fmt.Sprint("group-", i), Ready: e.up, InFlight: e.inFlight(), Queued: len(e.queue), Limit: int(e.limit),
-			FirstToken: seconds(e.firstToken), Gap: seconds(1 / max(e.rate, 1e-3)),
-			FailureDomain: fmt.Sprint(e.domain), SinceServing: c.now - e.servingSince,
+			FirstToken: seconds(e.firstToken), TokenGap: seconds(1 / max(e.rate, 1e-3)),
+			FailureDomain: fmt.Sprint(e.domain), ServingFor: c.now - e.servingSince,
 		}}
 		if e.steps < minSteps {
-			report.c.FirstToken, report.c.Gap = 0, 0
+			report.c.FirstToken, report.c.TokenGap = 0, 0
 		}
 		if c.report != nil {
 			c.report(i, &report.c)
--- a/policy/balance/scenario_test.go
+++ b/policy/balance/scenario_test.go
@@ -97,7 +97,7 @@
 	wrong        = named("20 of 50 wrongly measured 10x", func(s *scenario) {
 		s.report = func(i int, c *Candidate) {
 			if i < 20 {
-				c.Gap *= 10
+				c.TokenGap *= 10
 			}
 		}
 	})
--- a/policy/balance/slow.go
+++ b/policy/balance/slow.go
@@ -37,14 +37,14 @@
 // findSlow decides which groups are avoided.
 func (t *Table) findSlow(now time.Duration) {
 	firstToken := t.median(func(g *group) time.Duration { return g.FirstToken })
-	gap := t.median(func(g *group) time.Duration { return g.Gap })
+	gap := t.median(func(g *group) time.Duration { return g.TokenGap })
 	t.avoided = t.avoided[:0]
 	for i := range t.groups {
 		g := &t.groups[i]
 		g.avoided = false
 		g.slowness = max(
-			slowness(g.FirstToken, firstToken, t.config.SlowFirstToken, t.config.FirstToken),
-			slowness(g.Gap, gap, t.config.SlowGap, t.config.TokenGap),
+			slowness(g.FirstToken, firstToken, t.config.SlowFirstTokenFactor, t.config.FirstTokenObjective),
+			slowness(g.TokenGap, gap, t.config.SlowTokenGapFactor, t.config.TokenGapObjective),
 		)
 		if g.looksSlow(now) && g.Ready {
 			t.avoided = append(t.avoided, i)
--- a/policy/balance/spillover_test.go
+++ b/policy/balance/spillover_test.go
@@ -17,9 +17,9 @@
 
 func (s strictWhenFull) choose(now time.Duration, prefix uint64, r *rand.Rand) int {
 	s.table.refresh(now)
-	s.table.config.FreeLoad = DefaultConfig().FreeLoad
+	s.table.config.MinLoadBound = DefaultConfig().MinLoadBound
 	if s.table.mean() >= 1 {
-		s.table.config.FreeLoad = noBound
+		s.table.config.MinLoadBound = noBound
 	}
 	return s.ours.choose(now, prefix, r)
 }
@@ -27,8 +27,8 @@
 // Strict priority, as message queues have it: the first consumer that matches takes everything, also when
 // it is at its capacity; consumers with the same subscription are merged.
 var strictness = []contender{
-	balanced("strict: the first group only", func(t *Table) { t.config.FreeLoad, t.config.HotSpread = noBound, 1e-9 }),
-	balanced("strict, a popular prefix's groups merged", func(t *Table) { t.config.FreeLoad = noBound }),
+	balanced("strict: the first group only", func(t *Table) { t.config.MinLoadBound, t.config.SpreadFactor = noBound, 1e-9 }),
+	balanced("strict, a popular prefix's groups merged", func(t *Table) { t.config.MinLoadBound = noBound }),
 	{"strict while saturated, else spill-over", func(s scenario, front int) chooser {
 		return strictWhenFull{chosen.build(s, front).(ours)}
 	}},
--- a/policy/balance/table.go
+++ b/policy/balance/table.go
@@ -17,9 +17,9 @@
 	"time"
 )
 
-// RefreshEvery is how often medians, slow groups and ramps are worked out anew. Reports come about once a
+// RefreshInterval is how often medians, slow groups and ramps are worked out anew. Reports come about once a
 // second, so that nothing is gained by more, and the sorting costs more than a decision.
-const RefreshEvery = 500 * time.Millisecond
+const RefreshInterval = 500 * time.Millisecond
 
 // DefaultLimit stands in for the limit of a group that has reported none yet.
 const DefaultLimit = 8
@@ -33,16 +33,16 @@
 	// InFlight and Queued are the requests at work on it and waiting at its home. Limit is how many the
 	// home lets work at once; 0 means not known.
 	InFlight, Queued, Limit int
-	// FirstToken and Gap are moving averages of the time from the sending to the first token, and of the
+	// FirstToken and TokenGap are moving averages of the time from the sending to the first token, and of the
 	// gap between tokens; 0 means not known.
-	FirstToken, Gap time.Duration
+	FirstToken, TokenGap time.Duration
 	// FailureDomain is that of the group's head.
 	FailureDomain string
-	// SinceServing is how long the group has served, as of the report.
-	SinceServing time.Duration
-	// Report tells one report of the group from another: if a Put brings the one that is known, with
+	// ServingFor is how long the group has served, as of the report.
+	ServingFor time.Duration
+	// ReportID tells one report of the group from another: if a Put brings the one that is known, with
 	// something else changed, the load is as old as it was. 0: each Put is a new report.
-	Report uint64
+	ReportID uint64
 }
 
 // group is a candidate and what the front adds to it.
@@ -93,8 +93,8 @@
 	t.stale = true
 }
 
-// SetFronts tells how many fronts share the load.
-func (t *Table) SetFronts(count int) {
+// SetFrontCount tells how many fronts share the load.
+func (t *Table) SetFrontCount(count int) {
 	t.correction = correction(count)
 	t.stale = true
 }
@@ -115,11 +115,11 @@
 	g := &t.groups[i]
 	moved := !known || g.Ready != c.Ready || g.FailureDomain != c.FailureDomain
 	before := g.work(t.correction)
-	if c.Report == 0 || c.Report != g.Report {
+	if c.ReportID == 0 || c.ReportID != g.ReportID {
 		g.ownReported = g.own
 	}
 	g.Candidate = c
-	g.servingSince = now - c.SinceServing
+	g.servingSince = now - c.ServingFor
 	if moved {
 		t.stale = true
 		return
@@ -180,7 +180,7 @@
 
 // refresh works out what does not change with each request. It allocates only while the table grows.
 func (t *Table) refresh(now time.Duration) {
-	if !t.stale && now-t.refreshed < RefreshEvery {
+	if !t.stale && now-t.refreshed < RefreshInterval {
 		return
 	}
 	t.stale = false
--- a/policy/balance/table_test.go
+++ b/policy/balance/table_test.go
@@ -18,8 +18,8 @@
 	t := NewTable(DefaultConfig(), "0")
 	for i := range count {
 		t.Put(0, Candidate{
-			ID: fmt.Sprint("group-", i), Ready: true, Limit: 16, SinceServing: time.Hour,
-			FirstToken: 100 * ms, Gap: 20 * ms, FailureDomain: fmt.Sprint(i % 3),
+			ID: fmt.Sprint("group-", i), Ready: true, Limit: 16, ServingFor: time.Hour,
+			FirstToken: 100 * ms, TokenGap: 20 * ms, FailureDomain: fmt.Sprint(i % 3),
 		})
 	}
 	return t
@@ -57,7 +57,7 @@
 		}
 		Expect(t.Choose(0, Request{Prefix: 7}, r).Reason).To(Equal(Spilled))
 		again := t.groups[t.index[first.ID]].Candidate
-		again.Report = 1
+		again.ReportID = 1
 		t.Put(0, again)
 		for range 15 {
 			t.Begin(first.ID)
@@ -88,15 +88,15 @@
 	It("avoids a slow group only while the others can carry its part", func() {
 		t := filled(20)
 		slow := t.groups[4].Candidate
-		slow.Gap = 500 * ms
+		slow.TokenGap = 500 * ms
 		t.Put(0, slow)
-		t.refresh(RefreshEvery)
+		t.refresh(RefreshInterval)
 		Expect(t.avoided).To(ConsistOf(4))
 		for _, g := range t.groups {
 			g.InFlight = 13
 			t.Put(0, g.Candidate)
 		}
-		t.refresh(2 * RefreshEvery)
+		t.refresh(2 * RefreshInterval)
 		Expect(t.avoided).To(BeEmpty())
 	})
 
@@ -131,7 +131,7 @@
 		Expect(errors.Is(c.Check(), ErrRange)).To(BeTrue())
 	},
 		Entry("no slack", func(c *Config) { c.BoundSlack = 0 }),
-		Entry("not a number", func(c *Config) { c.FreeLoad = math.NaN() }),
+		Entry("not a number", func(c *Config) { c.MinLoadBound = math.NaN() }),
 		Entry("all may be slow", func(c *Config) { c.MaxSlowShare = 1 }),
 		Entry("ramp", func(c *Config) { c.SlowStart.Floor = 0 }),
 	)
@@ -157,7 +157,7 @@
 				default:
 					c := Candidate{ID: id, Ready: rapid.Bool().Draw(t, "ready"), FailureDomain: rapid.SampledFrom([]string{"0", "1"}).Draw(t, "domain")}
 					c.InFlight, c.Limit = rapid.IntRange(0, 99).Draw(t, "in flight"), rapid.IntRange(0, 32).Draw(t, "limit")
-					c.Gap = time.Duration(rapid.IntRange(0, 1000).Draw(t, "gap")) * ms
+					c.TokenGap = time.Duration(rapid.IntRange(0, 1000).Draw(t, "gap")) * ms
 					table.Put(at, c)
 					known[id] = c
 				}
@@ -248,7 +248,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				t.refresh(time.Duration(i) * RefreshEvery)
+				t.refresh(time.Duration(i) * RefreshInterval)
 			}
 		})
 	}
