--- a/policy/balance/config.go
+++ b/policy/balance/config.go
@@ -1,8 +1,7 @@
-// Load pattern of this file: none; it holds the thresholds of the package, which name theirs, and keeps a
-// configured one within the range where the decision still works. Out of it, an operator would notice a
-// balancer that has silently become another one: a MaxSlowShare of 1 empties the service when a measure
-// is wrong, and a BoundSlack of 0 passes a group over on every request. Ranges end where the figures in
-// docs/measurements/group-choice.md show the decision turning into one of its baselines.
+// The ranges keep each threshold where the decision still works. Outside them the balancer silently degrades
+// into one of the baselines of docs/measurements/group-choice.md: with a MaxSlowShare of 1, wrong measurements
+// take every group of the service out of use, and with a BoundSlack of 0 affinity passes over a group on every
+// request.
 
 package balance
 
@@ -14,40 +13,40 @@
 	"github.com/skylarkpond/skylarkpond/policy/shift"
 )
 
-// ErrRange is wrapped by the error of every configuration value out of its range.
+// ErrRange is wrapped by the errors of Check for values out of range.
 var ErrRange = errors.New("value out of range")
 
-// Config holds what an operator may set for a service.
+// Config holds the settings of a service's balancer.
 type Config struct {
-	// BoundSlack: a group that is loaded by more than this share above the mean is passed over by
-	// affinity. 0.05 to 2.
+	// BoundSlack is by how much a group's load may exceed the mean load, as a share of the mean, before
+	// affinity passes over the group. 0.05 to 2.
 	BoundSlack float64
-	// MinLoadBound is the load, as a share of a group's limit, below which affinity never passes it over.
-	// 0.1 to 1.
+	// MinLoadBound is the load, as a share of a group's limit, below which affinity never passes over the
+	// group, however low the mean is. 0.1 to 1.
 	MinLoadBound float64
 	// NearLoad is the load below which a request without a prefix stays in its front's failure domain, even
-	// if others are less loaded. 0 to 1.
+	// if groups elsewhere are less loaded. 0 to 1.
 	NearLoad float64
-	// SpreadFactor: a prefix is spread over this many times the groups that its share of the requests calls
-	// for. 1 to 30.
+	// SpreadFactor multiplies the number of groups that a popular prefix is spread over: it gets this many
+	// times the groups that its share of the requests calls for. 1 to 30.
 	SpreadFactor float64
-	// SlowFirstTokenFactor and SlowGap: a group whose first tokens or gaps between tokens are this many times
-	// the median of the service's groups is slow. 1.2 to 20.
+	// SlowFirstTokenFactor and SlowTokenGapFactor are the multiples of the median over the service's groups
+	// at which a group's time to first token, or its gap between tokens, makes it slow. 1.2 to 20.
 	SlowFirstTokenFactor float64
 	SlowTokenGapFactor   float64
-	// FirstTokenObjective and TokenGapObjective are the service's objectives. A group whose average is below half of them is
-	// not slow, whatever the others do. 0: no objective.
+	// FirstTokenObjective and TokenGapObjective are the service's latency objectives. A group whose average
+	// is below half of them is not slow, however fast the others are. 0: no objective.
 	FirstTokenObjective, TokenGapObjective time.Duration
-	// MaxSlowShare is the largest share of the ready groups that is avoided as slow. 0 to 0.5.
+	// MaxSlowShare is the largest share of the ready groups that may be avoided as slow. 0 to 0.5.
 	MaxSlowShare float64
-	// SlowTrialShare is the share of its fair part of the requests that an avoided group is still given, to see
-	// whether it recovered. 0.01 to 1.
+	// SlowTrialShare is the share of its fair part of the requests that an avoided group still gets, so that
+	// its recovery is noticed. 0.01 to 1.
 	SlowTrialShare float64
-	// SlowStart is the ramp of a new group.
+	// SlowStart ramps up the load of a new group.
 	SlowStart shift.Ramp
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
 		BoundSlack:           0.25,
--- a/policy/balance/model_test.go
+++ b/policy/balance/model_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// The model: fronts that choose on late reports, homes with a limit and a bounded queue, and engines that
-// batch continuously and cache prefixes. It advances in steps of virtual time.
+// The simulation models fronts that choose by late reports, homes with a limit and a bounded queue, and engines
+// with continuous batching and a prefix cache. It advances in steps of virtual time.
 const (
 	step          = 10 * time.Millisecond
 	prefillRate   = 20_000.0 // tokens a second
-	stepBase      = 0.015    // seconds of a decoding step, and more with each request in the batch
+	stepBase      = 0.015    // seconds of a decoding step, plus stepPerBatch for each request in the batch
 	stepPerBatch  = 0.0004
 	prefixTokens  = 800
 	suffixTokens  = 200
@@ -25,53 +25,53 @@
 	maxLimit      = 32
 	gapObjective  = 79 * time.Millisecond
 	deadline      = 20 * time.Second
-	minSteps      = 200 // before a home reports its averages
-	// replicaRate is what a replica does at its limit if every prefix hits: the capacity that useful work
-	// is a share of. One request takes 10 ms of prefill, and 100 tokens at a batch of 32.
+	minSteps      = 200 // decoding steps before a home reports its averages
+	// replicaRate is the requests per second of a replica at its limit if every prefix hits the cache. Goodput
+	// is a share of this capacity. A request takes 10 ms of prefill, and 100 tokens at a batch of 32.
 	replicaRate = 1 / (suffixTokens/prefillRate + outputTokens*(stepBase+stepPerBatch*maxLimit)/maxLimit)
 )
 
-type job struct {
-	arrived, started, first, way time.Duration
-	prefix                       uint64
-	prefill                      float64 // tokens left
-	output                       float64
-	finish                       float64 // on the engine's count of tokens per request
-	front                        int
+type request struct {
+	arrived, started, first, networkDelay time.Duration
+	prefix                                uint64
+	prefill                               float64 // tokens left
+	output                                float64
+	finish                                float64 // value of engine.tokens at which the request ends
+	front                                 int
 }
 
-type byFinish []*job
+type byFinish []*request
 
 func (h byFinish) Len() int           { return len(h) }
 func (h byFinish) Less(i, j int) bool { return h[i].finish < h[j].finish }
 func (h byFinish) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *byFinish) Push(x any)        { *h = append(*h, x.(*job)) }
+func (h *byFinish) Push(x any)        { *h = append(*h, x.(*request)) }
 func (h *byFinish) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// engine is a group: its home's queue and limit, and the batching engine.
+// engine models a group: its home's queue and limit, and the batching engine.
 type engine struct {
 	speed           float64
 	up              bool
 	servingSince    time.Duration
 	limit           float64
-	queue, prefills []*job
+	queue, prefills []*request
 	decoding        byFinish
-	tokens          float64 // tokens that a request in the batch from the start would have
+	tokens          float64 // tokens that a request in the batch since the start would have
 	cached          []uint64
 	firstToken      float64 // moving average, seconds
-	rate            float64 // moving average, tokens a second of a request in the batch
-	steps           int     // that the averages are over
+	rate            float64 // moving average, tokens per second of a request in the batch
+	steps           int     // decoding steps that the averages cover
 	domain          int
 }
 
 func (e *engine) inFlight() int { return len(e.prefills) + len(e.decoding) }
 
-// hit says whether a prefix is cached, and makes it the one used last.
-func (e *engine) hit(prefix uint64) bool {
+// touchPrefix says whether a prefix is cached, and makes it the most recently used one.
+func (e *engine) touchPrefix(prefix uint64) bool {
 	i := slices.Index(e.cached, prefix)
 	found := i >= 0
 	if found {
@@ -88,9 +88,9 @@
 	load     func(at time.Duration) float64 // as a share of the capacity of all replicas
 	prefix   func(at time.Duration, r *rand.Rand) uint64
 	events   func(at time.Duration, engines []*engine)
-	report   func(i int, c *Candidate) // makes a wrong report
+	report   func(i int, c *Candidate) // falsifies a report
 	length   time.Duration
-	from, to time.Duration // requests that arrived in it are counted
+	from, to time.Duration // only requests that arrive in this window are counted
 	replicas int
 	fronts   int
 	interval time.Duration // of reports
@@ -106,15 +106,17 @@
 }
 
 type result struct {
-	sent, refused, late, hits, prefixed, done, crawled, crossed int
-	first                                                       []float64 // seconds
-	byEngine                                                    []int
-	onFirst                                                     []float64 // seconds to the first token on engine 0
-	capacity                                                    float64
-	tokens                                                      float64
+	sent, refused, late, hits, prefixed, done, overGap, crossDomain int
+	firstTokens                                                     []float64 // seconds
+	byEngine                                                        []int
+	firstTokensOnEngine0                                            []float64 // seconds to the first token, on engine 0
+	capacity                                                        float64
+	tokens                                                          float64
 }
 
-func (r *result) at(share float64) time.Duration { return quantile(r.first, share) }
+func (r *result) firstTokenQuantile(share float64) time.Duration {
+	return quantile(r.firstTokens, share)
+}
 
 func quantile(values []float64, share float64) time.Duration {
 	if len(values) == 0 {
@@ -124,18 +126,20 @@
 	return seconds(values[int(share*float64(len(values)-1))]).Round(time.Millisecond)
 }
 
-func (r *result) useful() float64   { return r.tokens / r.capacity }
+func (r *result) goodput() float64  { return r.tokens / r.capacity }
 func (r *result) hitShare() float64 { return float64(r.hits) / math.Max(1, float64(r.prefixed)) }
 func (r *result) lost() float64 {
 	return float64(r.refused+r.late) / math.Max(1, float64(r.sent))
 }
 
-func (r *result) crawledShare() float64 { return float64(r.crawled) / math.Max(1, float64(r.done)) }
-func (r *result) crossedShare() float64 { return float64(r.crossed) / math.Max(1, float64(r.sent)) }
+func (r *result) overGapShare() float64 { return float64(r.overGap) / math.Max(1, float64(r.done)) }
+func (r *result) crossDomainShare() float64 {
+	return float64(r.crossDomain) / math.Max(1, float64(r.sent))
+}
 
 func (r *result) String() string {
-	return fmt.Sprintf("%6d | %6d | %6d | %5.1f | %5.1f | %5.1f | %5.1f", r.at(0.5).Milliseconds(), r.at(0.95).Milliseconds(),
-		r.at(0.99).Milliseconds(), 100*r.useful(), 100*r.hitShare(), 100*r.lost(), 100*r.crawledShare())
+	return fmt.Sprintf("%6d | %6d | %6d | %5.1f | %5.1f | %5.1f | %5.1f", r.firstTokenQuantile(0.5).Milliseconds(), r.firstTokenQuantile(0.95).Milliseconds(),
+		r.firstTokenQuantile(0.99).Milliseconds(), 100*r.goodput(), 100*r.hitShare(), 100*r.lost(), 100*r.overGapShare())
 }
 
 type report struct {
@@ -155,11 +159,11 @@
 }
 
 const (
-	reportLag = 200 * time.Millisecond
-	nearCost  = 1500 * time.Microsecond // one way, to another failure domain
+	reportLag        = 200 * time.Millisecond
+	crossDomainDelay = 1500 * time.Microsecond // one way, to another failure domain
 )
 
-func play(s scenario, policy func(front int) chooser, seed uint64) *result {
+func simulate(s scenario, policy func(front int) chooser, seed uint64) *result {
 	c := &cluster{scenario: s, random: rand.New(rand.NewPCG(seed, 1))}
 	for i := range s.replicas {
 		c.engines = append(c.engines, &engine{speed: 1, up: true, servingSince: -time.Hour, limit: maxLimit, domain: i % 3})
@@ -189,7 +193,7 @@
 	return &c.result
 }
 
-func (c *cluster) counted(at time.Duration) bool { return at >= c.from && at < c.to }
+func (c *cluster) inMeasuredWindow(at time.Duration) bool { return at >= c.from && at < c.to }
 
 func (c *cluster) gossip() {
 	every := int(c.interval / step)
@@ -219,13 +223,13 @@
 }
 
 func (c *cluster) arrive() {
-	j := &job{arrived: c.now, front: c.random.IntN(c.fronts), prefix: c.prefix(c.now, c.random)}
+	j := &request{arrived: c.now, front: c.random.IntN(c.fronts), prefix: c.prefix(c.now, c.random)}
 	j.output = 1 + c.random.ExpFloat64()*(outputTokens-1)
 	j.prefill = suffixTokens
 	if c.uneven && c.random.IntN(2) == 0 {
-		j.front = j.front / 3 * 3 // half of the others enter in failure domain 0 as well
+		j.front = j.front / 3 * 3 // half of the requests that would enter elsewhere enter in failure domain 0
 	}
-	count := c.counted(c.now)
+	count := c.inMeasuredWindow(c.now)
 	if count {
 		c.result.sent++
 	}
@@ -243,17 +247,17 @@
 		return
 	}
 	if e.domain != j.front%3 {
-		j.way = 2 * nearCost
+		j.networkDelay = 2 * crossDomainDelay
 		if count {
-			c.result.crossed++
+			c.result.crossDomain++
 		}
 	}
 	c.policy[j.front].begin(i)
 	e.queue = append(e.queue, j)
 }
 
-func (c *cluster) refuse(j *job) {
-	if c.counted(j.arrived) {
+func (c *cluster) refuse(j *request) {
+	if c.inMeasuredWindow(j.arrived) {
 		c.result.refused++
 	}
 }
@@ -276,7 +280,7 @@
 		if len(e.decoding) > 0 {
 			share = 0.6
 		}
-		budget -= c.prefillSome(e, budget*share)
+		budget -= c.prefill(e, budget*share)
 	}
 	if len(e.decoding) == 0 {
 		return
@@ -287,21 +291,21 @@
 	e.steps++
 	e.rate += (rate - e.rate) * max(0.002, 1/float64(e.steps))
 	for len(e.decoding) > 0 && e.decoding[0].finish <= e.tokens {
-		c.done(i, e, heap.Pop(&e.decoding).(*job))
+		c.complete(i, e, heap.Pop(&e.decoding).(*request))
 	}
-	// The home's limit follows the gap objective, as far as it can be told from outside, within seconds.
+	// Approximates how a home adapts its limit to the token gap objective: within seconds.
 	want := (gapObjective.Seconds()*e.speed - stepBase) / stepPerBatch
 	e.limit += (math.Min(math.Max(want, 1), maxLimit) - e.limit) * 0.005
 }
 
-func (c *cluster) start(e *engine, j *job) {
+func (c *cluster) start(e *engine, j *request) {
 	j.started = c.now
 	if j.prefix != 0 {
-		hit := e.hit(j.prefix)
+		hit := e.touchPrefix(j.prefix)
 		if !hit {
 			j.prefill += prefixTokens
 		}
-		if c.counted(j.arrived) {
+		if c.inMeasuredWindow(j.arrived) {
 			c.result.prefixed++
 			if hit {
 				c.result.hits++
@@ -311,8 +315,8 @@
 	e.prefills = append(e.prefills, j)
 }
 
-// prefillSome works on prompts in order, and returns the time used.
-func (c *cluster) prefillSome(e *engine, budget float64) float64 {
+// prefill processes prompts in order and returns the time used.
+func (c *cluster) prefill(e *engine, budget float64) float64 {
 	left := budget
 	for left > 0 && len(e.prefills) > 0 {
 		j := e.prefills[0]
@@ -332,25 +336,25 @@
 			e.firstToken = (at - j.started).Seconds()
 		}
 		e.firstToken += ((at - j.started).Seconds() - e.firstToken) * 0.1
-		if first := (at - j.arrived + j.way).Seconds(); c.counted(j.arrived) {
-			c.result.first = append(c.result.first, first)
+		if first := (at - j.arrived + j.networkDelay).Seconds(); c.inMeasuredWindow(j.arrived) {
+			c.result.firstTokens = append(c.result.firstTokens, first)
 			if e == c.engines[0] {
-				c.result.onFirst = append(c.result.onFirst, first)
+				c.result.firstTokensOnEngine0 = append(c.result.firstTokensOnEngine0, first)
 			}
 		}
 	}
 	return budget - left
 }
 
-func (c *cluster) done(i int, e *engine, j *job) {
+func (c *cluster) complete(i int, e *engine, j *request) {
 	c.policy[j.front].end(i)
-	if c.counted(c.now) {
+	if c.inMeasuredWindow(c.now) {
 		c.result.capacity = (c.to - c.from).Seconds() * replicaRate * outputTokens * float64(c.replicas)
 		if c.now-j.arrived <= deadline {
 			c.result.tokens += j.output
 		}
 	}
-	if !c.counted(j.arrived) {
+	if !c.inMeasuredWindow(j.arrived) {
 		return
 	}
 	c.result.done++
@@ -358,19 +362,21 @@
 		c.result.late++
 	}
 	if (c.now - j.first).Seconds() > gapObjective.Seconds()*j.output {
-		c.result.crawled++
+		c.result.overGap++
 	}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// ours runs a Table.
-type ours struct{ table *Table }
+// tableChooser runs a Table.
+type tableChooser struct{ table *Table }
+
+func (o tableChooser) put(now time.Duration, _ int, c Candidate) { o.table.Put(now, c) }
+func (o tableChooser) begin(i int)                               { o.table.Begin(fmt.Sprint("group-", i)) }
 
-func (o ours) put(now time.Duration, _ int, c Candidate) { o.table.Put(now, c) }
-func (o ours) begin(i int)                               { o.table.Begin(fmt.Sprint("group-", i)) }
-func (o ours) end(i int)                                 { o.table.End(fmt.Sprint("group-", i)) }
-func (o ours) choose(now time.Duration, prefix uint64, r *rand.Rand) int {
+func (o tableChooser) end(i int) { o.table.End(fmt.Sprint("group-", i)) }
+
+func (o tableChooser) choose(now time.Duration, prefix uint64, r *rand.Rand) int {
 	choice := o.table.Choose(now, Request{Prefix: prefix}, r)
 	if choice.Reason == NoGroup {
 		return -1
@@ -378,13 +384,13 @@
 	return groupNumber(choice.ID)
 }
 
-// nearOnly knows the groups of its own failure domain only.
-type nearOnly struct {
-	ours
+// nearOnlyChooser knows only the groups of its own failure domain.
+type nearOnlyChooser struct {
+	tableChooser
 	domain int
 }
 
-func (n nearOnly) put(now time.Duration, i int, c Candidate) {
+func (n nearOnlyChooser) put(now time.Duration, i int, c Candidate) {
 	if c.FailureDomain == fmt.Sprint(n.domain) {
 		n.table.Put(now, c)
 	}
@@ -395,25 +401,25 @@
 	return i
 }
 
-// plain is a baseline: it knows what is ready and the last reports, and corrects nothing.
-type plain struct {
+// baselineChooser uses the ready groups and their last reports without any correction.
+type baselineChooser struct {
 	groups []Candidate
 	next   int
 	pick   picker
 }
 
-type picker func(p *plain, ready []int, prefix uint64, r *rand.Rand) int
+type picker func(p *baselineChooser, ready []int, prefix uint64, r *rand.Rand) int
 
-func (p *plain) begin(int) {}
-func (p *plain) end(int)   {}
-func (p *plain) put(_ time.Duration, i int, c Candidate) {
+func (p *baselineChooser) begin(int) {}
+func (p *baselineChooser) end(int)   {}
+func (p *baselineChooser) put(_ time.Duration, i int, c Candidate) {
 	for len(p.groups) <= i {
 		p.groups = append(p.groups, Candidate{})
 	}
 	p.groups[i] = c
 }
 
-func (p *plain) choose(_ time.Duration, prefix uint64, r *rand.Rand) int {
+func (p *baselineChooser) choose(_ time.Duration, prefix uint64, r *rand.Rand) int {
 	var ready []int
 	for i, c := range p.groups {
 		if c.Ready {
@@ -426,23 +432,25 @@
 	return p.pick(p, ready, prefix, r)
 }
 
-func roundRobin(p *plain, ready []int, _ uint64, r *rand.Rand) int {
+func roundRobin(p *baselineChooser, ready []int, _ uint64, r *rand.Rand) int {
 	if p.next == 0 {
-		p.next = 1 + r.IntN(len(ready)) // fronts do not start in step
+		p.next = 1 + r.IntN(len(ready)) // fronts start at different groups
 	}
 	p.next++
 	return ready[p.next%len(ready)]
 }
 
-func random(_ *plain, ready []int, _ uint64, r *rand.Rand) int { return ready[r.IntN(len(ready))] }
+func random(_ *baselineChooser, ready []int, _ uint64, r *rand.Rand) int {
+	return ready[r.IntN(len(ready))]
+}
 
-func leastLoaded(p *plain, ready []int, _ uint64, _ *rand.Rand) int {
+func leastLoaded(p *baselineChooser, ready []int, _ uint64, _ *rand.Rand) int {
 	return slices.MinFunc(ready, func(a, b int) int {
 		return p.groups[a].InFlight + p.groups[a].Queued - p.groups[b].InFlight - p.groups[b].Queued
 	})
 }
 
-func rendezvous(p *plain, ready []int, prefix uint64, _ *rand.Rand) int {
+func rendezvous(p *baselineChooser, ready []int, prefix uint64, _ *rand.Rand) int {
 	best, weight := -1, uint64(0)
 	for _, i := range ready {
 		if w := mix(prefix ^ hashID(p.groups[i].ID)); best < 0 || w > weight {
--- a/policy/balance/slow.go
+++ b/policy/balance/slow.go
@@ -1,17 +1,16 @@
-// Load pattern of this file: one group of many works at a fraction of its speed (a straggling member, a
-// throttled accelerator), and is not dead. Requests on it last longer, so that in a steady state it holds
-// more of them than others; without avoidance, each front keeps giving it a full part, and it becomes the
-// 95 in 100 of the service. An operator would notice first tokens of one group at several times the
-// median, and callers who complain although most groups idle.
+// One group of many may work at a fraction of its speed without being dead (a straggling member, a throttled
+// accelerator). Its requests last longer, so in a steady state it holds more of them than the others. Unless it is
+// avoided, each front keeps sending it a full part, and it determines the 95th percentile of the service: the times
+// to first token of one group are several times the median, and callers complain although most groups are idle.
 //
-// What a measure says may be wrong: a service with long prompts on some groups, or a home with a slow
-// clock. If all that look slow were avoided, the rest would carry everything and look slow next. So at
-// most MaxSlowShare of the ready groups are avoided, the slowest first, and none while the others are full.
+// Measurements may be wrong: some groups may get long prompts, or a home may have a slow clock. If every group
+// that looks slow were avoided, the rest would carry all the load and look slow next. So at most MaxSlowShare of
+// the ready groups are avoided, the slowest first, and none while the other groups are near capacity.
 //
-// Thresholds: gaps between tokens vary little between healthy groups (batch sizes do, by less than 2), so
-// that SlowGap is 2; first tokens vary with prompts and cache hits, so that SlowFirstToken is 3. A group
-// stays avoided until it is below slowExit of the threshold, and for slowHold at least, so that the
-// prefixes that moved off it do not move to and fro.
+// Thresholds: gaps between tokens vary little between healthy groups (by batch size, by a factor below 2), so
+// SlowTokenGapFactor is 2. Times to first token vary with prompts and cache hits, so SlowFirstTokenFactor is 3. A
+// group stays avoided until it is below slowExitFactor of the threshold, and for at least minAvoidance, so that the
+// prefixes that moved away from it do not move back and forth.
 
 package balance
 
@@ -22,20 +21,20 @@
 )
 
 const (
-	// minMeasured is how many groups must have a measure for the median to mean something.
-	minMeasured = 3
-	// slowExit times the threshold is where a slow group counts as healthy again.
-	slowExit = 0.75
-	// slowHold is for how long a group stays avoided at least: some tens of reports.
-	slowHold = 10 * time.Second
-	// slowObjective times the objective is what a slow group exceeds at least.
-	slowObjective = 0.5
-	// carryLoad is the mean load up to which the other groups are asked to carry what a slow one would.
-	carryLoad = 0.75
+	// minMeasuredGroups is how many groups must have a measurement for the median to be meaningful.
+	minMeasuredGroups = 3
+	// slowExitFactor times the threshold is the level below which a slow group counts as healthy again.
+	slowExitFactor = 0.75
+	// minAvoidance is how long a group stays slow at least: some tens of reports.
+	minAvoidance = 10 * time.Second
+	// minSlowObjectiveShare times the objective is the least threshold of a slow group.
+	minSlowObjectiveShare = 0.5
+	// maxTakeoverLoad is the mean load of the other groups up to which they take over the requests of a slow one.
+	maxTakeoverLoad = 0.75
 )
 
-// findSlow decides which groups are avoided.
-func (t *Table) findSlow(now time.Duration) {
+// updateAvoided decides which groups are avoided.
+func (t *Table) updateAvoided(now time.Duration) {
 	firstToken := t.median(func(g *group) time.Duration { return g.FirstToken })
 	gap := t.median(func(g *group) time.Duration { return g.TokenGap })
 	t.avoided = t.avoided[:0]
@@ -46,57 +45,59 @@
 			slowness(g.FirstToken, firstToken, t.config.SlowFirstTokenFactor, t.config.FirstTokenObjective),
 			slowness(g.TokenGap, gap, t.config.SlowTokenGapFactor, t.config.TokenGapObjective),
 		)
-		if g.looksSlow(now) && g.Ready {
+		if g.updateSlow(now) && g.Ready {
 			t.avoided = append(t.avoided, i)
 		}
 	}
 	slices.SortFunc(t.avoided, func(a, b int) int {
 		return cmp.Compare(t.groups[b].slowness, t.groups[a].slowness)
 	})
-	t.avoided = t.avoided[:t.avoidable()]
+	t.avoided = t.avoided[:t.avoidableCount()]
 	for _, i := range t.avoided {
 		t.groups[i].avoided = true
 	}
 }
 
-// looksSlow says whether the group is slow, with hysteresis.
-func (g *group) looksSlow(now time.Duration) bool {
+// updateSlow updates and returns whether the group is slow, with hysteresis.
+func (g *group) updateSlow(now time.Duration) bool {
 	switch {
 	case g.slowness >= 1 && !g.slow:
 		g.slow = true
 		g.slowSince = now
-	case g.slowness < slowExit && now-g.slowSince >= slowHold:
+	case g.slowness < slowExitFactor && now-g.slowSince >= minAvoidance:
 		g.slow = false
 	}
 	return g.slow
 }
 
-// avoidable returns how many of avoided, from the slowest on, the others can do without.
-func (t *Table) avoidable() int {
-	most := int(t.config.MaxSlowShare * float64(t.ready))
-	if most == 0 && t.config.MaxSlowShare > 0 && t.ready >= minMeasured {
-		most = 1
+// avoidableCount returns how many groups of t.avoided, which is sorted from the slowest on, may be avoided: the
+// other groups must be able to take over their requests.
+func (t *Table) avoidableCount() int {
+	limit := int(t.config.MaxSlowShare * float64(t.readyCount))
+	if limit == 0 && t.config.MaxSlowShare > 0 && t.readyCount >= minMeasuredGroups {
+		limit = 1
 	}
-	rest := t.capacity
+	remaining := t.capacity
 	for k, i := range t.avoided {
-		rest -= t.groups[i].capacity
-		if k >= most || t.work > carryLoad*rest {
+		remaining -= t.groups[i].capacity
+		if k >= limit || t.requests > maxTakeoverLoad*remaining {
 			return k
 		}
 	}
 	return len(t.avoided)
 }
 
-// slowness compares a measure with what makes it slow: 1 and more is slow.
+// slowness returns value as a multiple of the threshold at which a group is slow: it is slow from 1 on.
 func slowness(value, median time.Duration, factor float64, objective time.Duration) float64 {
-	threshold := max(factor*float64(median), slowObjective*float64(objective))
+	threshold := max(factor*float64(median), minSlowObjectiveShare*float64(objective))
 	if threshold == 0 || median == 0 {
 		return 0
 	}
 	return float64(value) / threshold
 }
 
-// median returns the median over the ready groups of a measure that is known, or 0 if too few are.
+// median returns the median of a measurement over the ready groups for which it is known, or 0 if there are fewer
+// than minMeasuredGroups.
 func (t *Table) median(measure func(*group) time.Duration) time.Duration {
 	t.scratch = t.scratch[:0]
 	for i := range t.groups {
@@ -105,7 +106,7 @@
 			t.scratch = append(t.scratch, float64(m))
 		}
 	}
-	if len(t.scratch) < minMeasured {
+	if len(t.scratch) < minMeasuredGroups {
 		return 0
 	}
 	slices.Sort(t.scratch)
--- a/policy/balance/slowstart_test.go
+++ b/policy/balance/slowstart_test.go
@@ -10,8 +10,9 @@
 	"github.com/skylarkpond/skylarkpond/policy/shift"
 )
 
-// joining makes the first engines serve from 15 s on only, with nothing cached.
-func joining(count int, warmup time.Duration) func(time.Duration, []*engine) {
+// startLater makes the first count engines serve only from 15 s on, with an empty cache and at 0.3 of their speed
+// during warmup.
+func startLater(count int, warmup time.Duration) func(time.Duration, []*engine) {
 	return func(at time.Duration, engines []*engine) {
 		for _, e := range engines[:count] {
 			e.up = at >= 15*sec
@@ -24,11 +25,11 @@
 	}
 }
 
-func joins(name string, count int, change func(*scenario)) scenario {
-	return named(name, func(s *scenario) {
-		s.load = constant(0.7)
-		s.events = joining(count, 0)
-		s.count(15*sec, 25*sec)
+func joinScenario(name string, count int, change func(*scenario)) scenario {
+	return newScenario(name, func(s *scenario) {
+		s.load = constantLoad(0.7)
+		s.events = startLater(count, 0)
+		s.measureBetween(15*sec, 25*sec)
 		if change != nil {
 			change(s)
 		}
@@ -36,44 +37,44 @@
 }
 
 var (
-	joined = joins("1 of 50 is new, at 0.7", 1, nil)
-	joins5 = joins("5 of 50 are new, at 0.8", 5, func(s *scenario) { s.load = constant(0.8) })
-	plain9 = joins("1 of 9 is new, no prefixes, at 0.7", 1, func(s *scenario) { s.prefix, s.replicas = noPrefix, 9 })
-	plain3 = joins("1 of 3 is new, no prefixes, at 0.5", 1, func(s *scenario) {
-		s.prefix, s.replicas, s.load = noPrefix, 3, constant(0.5)
+	oneNewOf50  = joinScenario("1 of 50 is new, at 0.7", 1, nil)
+	fiveNewOf50 = joinScenario("5 of 50 are new, at 0.8", 5, func(s *scenario) { s.load = constantLoad(0.8) })
+	oneNewOf9   = joinScenario("1 of 9 is new, no prefixes, at 0.7", 1, func(s *scenario) { s.prefix, s.replicas = noPrefix, 9 })
+	oneNewOf3   = joinScenario("1 of 3 is new, no prefixes, at 0.5", 1, func(s *scenario) {
+		s.prefix, s.replicas, s.load = noPrefix, 3, constantLoad(0.5)
 	})
-	warm1 = joins("1 of 50 is new, at 0.7, 5 s at 0.3 of its speed", 1, func(s *scenario) { s.events = joining(1, 5*sec) })
-	warm5 = joins("5 of 50 are new, at 0.8, 5 s at 0.3 of its speed", 5, func(s *scenario) {
-		s.load, s.events = constant(0.8), joining(5, 5*sec)
+	oneColdOf50  = joinScenario("1 of 50 is new, at 0.7, 5 s at 0.3 of its speed", 1, func(s *scenario) { s.events = startLater(1, 5*sec) })
+	fiveColdOf50 = joinScenario("5 of 50 are new, at 0.8, 5 s at 0.3 of its speed", 5, func(s *scenario) {
+		s.load, s.events = constantLoad(0.8), startLater(5, 5*sec)
 	})
-	warm9 = joins("1 of 9 is new, no prefixes, at 0.7, 5 s at 0.3 of its speed", 1, func(s *scenario) {
-		s.prefix, s.replicas, s.events = noPrefix, 9, joining(1, 5*sec)
+	oneColdOf9 = joinScenario("1 of 9 is new, no prefixes, at 0.7, 5 s at 0.3 of its speed", 1, func(s *scenario) {
+		s.prefix, s.replicas, s.events = noPrefix, 9, startLater(1, 5*sec)
 	})
-	allNew = joins("all 50 are new, at 0.7", 50, nil)
+	allNew = joinScenario("all 50 are new, at 0.7", 50, nil)
 )
 
-func ramped(name string, ramp shift.Ramp) contender {
-	return balanced(name, func(t *Table) { t.config.SlowStart = ramp })
+func rampVariant(name string, ramp shift.Ramp) variant {
+	return tableVariant(name, func(t *Table) { t.config.SlowStart = ramp })
 }
 
-var ramps = []contender{
-	ramped("no ramp", shift.Ramp{Floor: 1}),
-	ramped("5 s from 0.1", shift.Ramp{Floor: 0.1, Window: 5 * sec}),
-	ramped("20 s from 0.1", shift.Ramp{Floor: 0.1, Window: 20 * sec}),
-	ramped("10 s from 0.1 (default)", shift.DefaultRamp()),
-	ramped("60 s from 0.1", shift.Ramp{Floor: 0.1, Window: 60 * sec}),
-	ramped("20 s from 0.5", shift.Ramp{Floor: 0.5, Window: 20 * sec}),
-	baseline("least loaded", leastLoaded),
+var rampVariants = []variant{
+	rampVariant("no ramp", shift.Ramp{Floor: 1}),
+	rampVariant("5 s from 0.1", shift.Ramp{Floor: 0.1, Window: 5 * sec}),
+	rampVariant("20 s from 0.1", shift.Ramp{Floor: 0.1, Window: 20 * sec}),
+	rampVariant("10 s from 0.1 (default)", shift.DefaultRamp()),
+	rampVariant("60 s from 0.1", shift.Ramp{Floor: 0.1, Window: 60 * sec}),
+	rampVariant("20 s from 0.5", shift.Ramp{Floor: 0.5, Window: 20 * sec}),
+	baselineVariant("least loaded", leastLoaded),
 }
 
 // BenchmarkSlowStart prints the first table of docs/measurements/shifting.md.
 func BenchmarkSlowStart(b *testing.B) {
-	for _, s := range []scenario{joined, joins5, plain9, plain3, warm1, warm5, warm9, allNew} {
-		for _, c := range ramps {
+	for _, s := range []scenario{oneNewOf50, fiveNewOf50, oneNewOf9, oneNewOf3, oneColdOf50, fiveColdOf50, oneColdOf9, allNew} {
+		for _, c := range rampVariants {
 			b.Run(s.name+"/"+c.name, func(b *testing.B) {
 				for range b.N {
-					r := run(s, c)
-					b.Logf("| %s | %s | %s | %d | %d |", s.name, c.name, r, quantile(r.onFirst, 0.95).Milliseconds(), r.byEngine[0])
+					r := runVariant(s, c)
+					b.Logf("| %s | %s | %s | %d | %d |", s.name, c.name, r, quantile(r.firstTokensOnEngine0, 0.95).Milliseconds(), r.byEngine[0])
 				}
 			})
 		}
@@ -83,17 +84,17 @@
 var _ = Describe("A new group", func() {
 	// Five replicas of 50 were replaced, and their engines are slow for their first batches. Callers whose
 	// prefixes moved there wait seconds for a first token.
-	It("is given its part bit by bit", func() {
-		with, without := run(warm5, chosen), run(warm5, ramps[0])
+	It("receives its share of the load gradually", func() {
+		with, without := runVariant(fiveColdOf50, defaultVariant), runVariant(fiveColdOf50, rampVariants[0])
 		GinkgoWriter.Println(with, without)
-		Expect(with.at(0.99)).To(BeNumerically("<=", without.at(0.99)*6/10))
-		Expect(quantile(with.onFirst, 0.95)).To(BeNumerically("<=", quantile(without.onFirst, 0.95)*6/10))
-		Expect(with.useful()).To(BeNumerically(">=", without.useful()-0.01))
-		Expect(run(joined, chosen).at(0.95)).To(BeNumerically("<=", 110*ms))
-		Expect(run(joins5, chosen).at(0.95)).To(BeNumerically("<=", 700*ms))
+		Expect(with.firstTokenQuantile(0.99)).To(BeNumerically("<=", without.firstTokenQuantile(0.99)*6/10))
+		Expect(quantile(with.firstTokensOnEngine0, 0.95)).To(BeNumerically("<=", quantile(without.firstTokensOnEngine0, 0.95)*6/10))
+		Expect(with.goodput()).To(BeNumerically(">=", without.goodput()-0.01))
+		Expect(runVariant(oneNewOf50, defaultVariant).firstTokenQuantile(0.95)).To(BeNumerically("<=", 110*ms))
+		Expect(runVariant(fiveNewOf50, defaultVariant).firstTokenQuantile(0.95)).To(BeNumerically("<=", 700*ms))
 	})
 
-	It("is given its whole part where all are new", func() {
-		Expect(run(allNew, chosen).String()).To(Equal(run(allNew, ramps[0]).String()))
+	It("receives its full share if all groups are new", func() {
+		Expect(runVariant(allNew, defaultVariant).String()).To(Equal(runVariant(allNew, rampVariants[0]).String()))
 	})
 })
--- a/policy/balance/table.go
+++ b/policy/balance/table.go
@@ -1,15 +1,16 @@
-// Package balance chooses the group of VMs that a request goes to. A Table is what one front knows of the
-// groups of one service.
+// Package balance chooses the group of VMs that a request goes to.
 //
-// Load pattern of this file: load that is known late. Each group's home reports its load about once a
-// second by gossip, and many fronts choose at the same time. Without a correction, every front sends
-// everything that comes between two reports to the groups that were least loaded at the last one. An
-// operator would notice groups that swing between idle and full in step with the gossip interval, and
-// refusals at some homes while others have room.
+// An entry that receives requests from clients is a front. Each group has a home, the entry that queues and
+// dispatches its requests. A Table is one front's view of the groups of one service.
 //
-// What a front knows better than any report is what it sent itself: a Table adds its own requests begun
-// since the report, less those ended since, times Correction. It is above 1 because the other fronts did
-// about the same meanwhile (see correction).
+// Load is known late: each group's home reports it about once a second by gossip, and many fronts choose at the
+// same time. Without a correction, every front sends everything that arrives between two reports to the groups
+// that were least loaded at the last one. Groups then swing between idle and full in step with the gossip
+// interval, and some homes refuse requests while others have spare capacity.
+//
+// A front knows its own requests better than any report does: a Table adds those begun since the report and
+// subtracts those ended since, multiplied by a correction above 1, because the other fronts did about the same in
+// the meantime (see correction).
 package balance
 
 import (
@@ -17,83 +18,83 @@
 	"time"
 )
 
-// RefreshInterval is how often medians, slow groups and ramps are worked out anew. Reports come about once a
-// second, so that nothing is gained by more, and the sorting costs more than a decision.
+// RefreshInterval is how often medians, slow groups and slow-start ramps are recomputed. Reports come about once a
+// second, so a shorter interval gains nothing, and the sorting costs more than a choice.
 const RefreshInterval = 500 * time.Millisecond
 
-// DefaultLimit stands in for the limit of a group that has reported none yet.
+// DefaultLimit is used as the limit of a group that has not reported one yet.
 const DefaultLimit = 8
 
-// Candidate is the report of a group by its home.
+// Candidate is the state of a group as reported by its home.
 type Candidate struct {
-	// ID names the group, alike on all fronts.
+	// ID names the group. It is the same on all fronts.
 	ID string
-	// Ready says that the group serves and takes new work.
+	// Ready says that the group is serving and accepts new requests.
 	Ready bool
-	// InFlight and Queued are the requests at work on it and waiting at its home. Limit is how many the
-	// home lets work at once; 0 means not known.
+	// InFlight and Queued count the requests being processed by the group and those waiting at its home. Limit
+	// is how many the home allows in flight at once, or 0 if not known.
 	InFlight, Queued, Limit int
-	// FirstToken and TokenGap are moving averages of the time from the sending to the first token, and of the
-	// gap between tokens; 0 means not known.
+	// FirstToken and TokenGap are moving averages of the time from sending a request to its first token, and of
+	// the gap between tokens. 0: not known.
 	FirstToken, TokenGap time.Duration
-	// FailureDomain is that of the group's head.
+	// FailureDomain is the failure domain of the group's head.
 	FailureDomain string
-	// ServingFor is how long the group has served, as of the report.
+	// ServingFor is how long the group had been serving at the time of the report.
 	ServingFor time.Duration
-	// ReportID tells one report of the group from another: if a Put brings the one that is known, with
-	// something else changed, the load is as old as it was. 0: each Put is a new report.
+	// ReportID identifies the report. If a Put repeats the known ReportID with other fields changed, the load
+	// is as old as before. 0: each Put is a new report.
 	ReportID uint64
 }
 
-// group is a candidate and what the front adds to it.
+// group is a candidate and the front's own state of it.
 type group struct {
 	Candidate
 	servingSince time.Duration
-	// own counts the front's requests in progress on the group; ownReported is own when the report came.
-	own, ownReported int
-	capacity         float64
-	// slow says that the group looks slow, avoided that it is kept out of choices for it.
+	// ownInFlight counts the front's own requests in progress on the group; ownAtReport is its value when the
+	// last report arrived.
+	ownInFlight, ownAtReport int
+	capacity                 float64
+	// slow says that the group looks slow, avoided that choices leave it out for that reason.
 	slow, avoided bool
 	slowSince     time.Duration
 	slowness      float64
 }
 
-// Table holds the candidates of one service, as one front sees them. It is not safe for concurrent use.
+// Table holds the groups of one service as one front sees them. It is not safe for concurrent use.
 type Table struct {
 	config     Config
 	domain     string
 	correction float64
 	groups     []group
 	index      map[string]int
-	// hashes and loads mirror groups for the scan of a choice. The load of a group that is not ready or
-	// avoided is infinite.
+	// hashes and loads run parallel to groups, for the scan of a choice. The load of a group that is not ready,
+	// or is avoided, is infinite.
 	hashes []uint64
 	loads  []float64
-	// open lists the groups that a choice may fall on, near those of them in the front's failure domain,
-	// avoided the slow ones. scratch is room for the refresh.
-	open, near, avoided []int
-	scratch             []float64
-	// work and capacity are sums over open.
-	work, capacity float64
-	ready          int
-	refreshed      time.Duration
-	stale          bool
-	popular        popularity
+	// eligible holds the indexes of the groups that may be chosen, near those of them in the front's failure
+	// domain, avoided the slow ones. scratch is a buffer for refresh.
+	eligible, near, avoided []int
+	scratch                 []float64
+	// requests and capacity are sums over eligible.
+	requests, capacity float64
+	readyCount         int
+	refreshedAt        time.Duration
+	stale              bool
+	popular            popularity
 }
 
-// NewTable returns an empty table of a front in the given failure domain. The configuration has passed
-// Check.
+// NewTable returns an empty table for a front in the given failure domain. config must have passed Check.
 func NewTable(config Config, failureDomain string) *Table {
 	return &Table{config: config, domain: failureDomain, correction: 1, index: make(map[string]int), stale: true}
 }
 
-// ApplyConfig puts another configuration in force, from the next choice on.
+// ApplyConfig replaces the configuration, effective with the next choice.
 func (t *Table) ApplyConfig(config Config) {
 	t.config = config
 	t.stale = true
 }
 
-// SetFrontCount tells how many fronts share the load.
+// SetFrontCount sets the number of fronts that share the load.
 func (t *Table) SetFrontCount(count int) {
 	t.correction = correction(count)
 	t.stale = true
@@ -102,7 +103,7 @@
 // Len returns the number of groups.
 func (t *Table) Len() int { return len(t.groups) }
 
-// Put takes in a report of a group, new or known.
+// Put adds a group or updates it with a new report.
 func (t *Table) Put(now time.Duration, c Candidate) {
 	i, known := t.index[c.ID]
 	if !known {
@@ -113,21 +114,21 @@
 		t.loads = append(t.loads, math.Inf(1))
 	}
 	g := &t.groups[i]
-	moved := !known || g.Ready != c.Ready || g.FailureDomain != c.FailureDomain
-	before := g.work(t.correction)
+	eligibilityChanged := !known || g.Ready != c.Ready || g.FailureDomain != c.FailureDomain
+	before := g.estimatedRequests(t.correction)
 	if c.ReportID == 0 || c.ReportID != g.ReportID {
-		g.ownReported = g.own
+		g.ownAtReport = g.ownInFlight
 	}
 	g.Candidate = c
 	g.servingSince = now - c.ServingFor
-	if moved {
+	if eligibilityChanged {
 		t.stale = true
 		return
 	}
-	t.reload(i, before)
+	t.updateLoad(i, before)
 }
 
-// Remove forgets a group.
+// Remove drops a group.
 func (t *Table) Remove(id string) {
 	i, known := t.index[id]
 	if !known {
@@ -145,63 +146,64 @@
 }
 
 // Begin counts a request that the front sent to a group.
-func (t *Table) Begin(id string) { t.count(id, 1) }
+func (t *Table) Begin(id string) { t.addOwn(id, 1) }
 
 // End counts the end of a request that Begin counted, whatever its outcome.
-func (t *Table) End(id string) { t.count(id, -1) }
+func (t *Table) End(id string) { t.addOwn(id, -1) }
 
-func (t *Table) count(id string, change int) {
+func (t *Table) addOwn(id string, change int) {
 	i, known := t.index[id]
 	if !known {
 		return
 	}
 	g := &t.groups[i]
-	before := g.work(t.correction)
-	g.own = max(0, g.own+change)
-	t.reload(i, before)
+	before := g.estimatedRequests(t.correction)
+	g.ownInFlight = max(0, g.ownInFlight+change)
+	t.updateLoad(i, before)
 }
 
-// reload brings the load of an open group up to date; before is its work as last summed up.
-func (t *Table) reload(i int, before float64) {
+// updateLoad recomputes the load of an eligible group; before is its number of requests as last added to t.requests.
+func (t *Table) updateLoad(i int, before float64) {
 	if t.stale || math.IsInf(t.loads[i], 1) {
 		return
 	}
 	g := &t.groups[i]
-	after := g.work(t.correction)
-	t.work += after - before
+	after := g.estimatedRequests(t.correction)
+	t.requests += after - before
 	t.loads[i] = after / g.capacity
 }
 
-// work estimates the requests in progress and waiting now.
-func (g *group) work(correction float64) float64 {
+// estimatedRequests estimates the requests that are in flight or queued now.
+func (g *group) estimatedRequests(correction float64) float64 {
 	reported := float64(g.InFlight + g.Queued)
-	return max(0, reported+correction*float64(g.own-g.ownReported))
+	return max(0, reported+correction*float64(g.ownInFlight-g.ownAtReport))
 }
 
-// refresh works out what does not change with each request. It allocates only while the table grows.
+// refresh recomputes what does not change with each request, if it is stale or older than RefreshInterval. It
+// allocates only while the table grows.
 func (t *Table) refresh(now time.Duration) {
-	if !t.stale && now-t.refreshed < RefreshInterval {
+	if !t.stale && now-t.refreshedAt < RefreshInterval {
 		return
 	}
 	t.stale = false
-	t.refreshed = now
-	t.measure(now)
-	t.findSlow(now)
-	t.open, t.near = t.open[:0], t.near[:0]
-	t.work, t.capacity = 0, 0
+	t.refreshedAt = now
+	t.updateCapacities(now)
+	t.updateAvoided(now)
+	t.eligible, t.near = t.eligible[:0], t.near[:0]
+	t.requests, t.capacity = 0, 0
 	for i := range t.groups {
 		t.loads[i] = math.Inf(1)
 		if g := &t.groups[i]; g.Ready && !g.avoided {
-			t.admit(i)
+			t.addEligible(i)
 		}
 	}
 }
 
-// measure works out the capacity of each group, and sums up the ready ones. The ramp of new groups is taken
-// relative to the oldest: where all are new, as in a service or a front that just started, no older ones
-// could carry what they do not get.
-func (t *Table) measure(now time.Duration) {
-	t.ready, t.work, t.capacity = 0, 0, 0
+// updateCapacities computes the capacity of each group and the sums over the ready ones. The slow-start ramp is
+// taken relative to the oldest group: where all are new, as in a service or a front that just started, no older
+// groups could take over what the new ones do not get.
+func (t *Table) updateCapacities(now time.Duration) {
+	t.readyCount, t.requests, t.capacity = 0, 0, 0
 	oldest := 0.0
 	for i := range t.groups {
 		g := &t.groups[i]
@@ -218,38 +220,38 @@
 	for i := range t.groups {
 		g := &t.groups[i]
 		if g.Ready {
-			t.ready++
+			t.readyCount++
 			g.capacity /= oldest
-			t.work += g.work(t.correction)
+			t.requests += g.estimatedRequests(t.correction)
 			t.capacity += g.capacity
 		}
 	}
 }
 
-// admit lets choices fall on a group.
-func (t *Table) admit(i int) {
+// addEligible adds a group to those that may be chosen.
+func (t *Table) addEligible(i int) {
 	g := &t.groups[i]
-	work := g.work(t.correction)
+	work := g.estimatedRequests(t.correction)
 	t.loads[i] = work / g.capacity
-	t.work += work
+	t.requests += work
 	t.capacity += g.capacity
-	t.open = append(t.open, i)
+	t.eligible = append(t.eligible, i)
 	if g.FailureDomain == t.domain {
 		t.near = append(t.near, i)
 	}
 }
 
-// mean returns the load of all open groups together, as a share of their limits.
-func (t *Table) mean() float64 {
+// meanLoad returns the load of all eligible groups together, as a share of their capacity.
+func (t *Table) meanLoad() float64 {
 	if t.capacity == 0 {
 		return 0
 	}
-	return t.work / t.capacity
+	return t.requests / t.capacity
 }
 
-// correction returns by how much the front's own change since a report is multiplied. The other fronts
-// did about the same, which calls for their number; but one front's change is a small sample, and its
-// chance would be multiplied as well. The square root is between: with 13 fronts, the number itself costs
-// 2 to 10 in 100 hits, while 1 lets first tokens at 99 in 100 grow from 43 to 110 ms without prefixes,
-// and loses requests when a prefix becomes popular (docs/measurements/group-choice.md).
+// correction returns the factor applied to the front's own change since a report. The other fronts did about the
+// same, which suggests a factor of their number; but one front's change is a small sample, and its noise would be
+// multiplied as well. The square root lies between the two: with 13 fronts, the number itself costs 2 to 10 % of the
+// cache hits, while a factor of 1 lets the 99th percentile of the time to first token grow from 43 to 110 ms without
+// prefixes, and loses requests when a prefix becomes popular (docs/measurements/group-choice.md).
 func correction(fronts int) float64 { return math.Sqrt(float64(max(1, fronts))) }
--- a/policy/balance/table_test.go
+++ b/policy/balance/table_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// filled returns a table of ready, idle groups.
-func filled(count int) *Table {
+// newFilledTable returns a table of ready, idle groups.
+func newFilledTable(count int) *Table {
 	t := NewTable(DefaultConfig(), "0")
 	for i := range count {
 		t.Put(0, Candidate{
@@ -25,15 +25,15 @@
 	return t
 }
 
-func seeded() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 var _ = Describe("A table", func() {
-	It("orders the groups of a prefix alike on all fronts, and moves only what a lost group had", func() {
-		one, other := filled(20), NewTable(DefaultConfig(), "1")
+	It("orders the groups of a prefix the same way on all fronts, and moves only the prefixes of a removed group", func() {
+		one, other := newFilledTable(20), NewTable(DefaultConfig(), "1")
 		for i := 19; i >= 0; i-- {
 			other.Put(0, one.groups[i].Candidate)
 		}
-		r := seeded()
+		r := newRand()
 		before := map[uint64]string{}
 		for prefix := uint64(1); prefix <= 200; prefix++ {
 			before[prefix] = one.Choose(0, Request{Prefix: prefix}, r).ID
@@ -47,9 +47,9 @@
 		}
 	})
 
-	It("counts its own requests before a report does", func() {
-		t := filled(10)
-		r := seeded()
+	It("counts its own requests ahead of the next report", func() {
+		t := newFilledTable(10)
+		r := newRand()
 		first := t.Choose(0, Request{Prefix: 7}, r)
 		Expect(first.Reason).To(Equal(Affine))
 		for range 15 {
@@ -70,10 +70,10 @@
 		Expect(t.Choose(0, Request{Prefix: 7}, r)).To(Equal(first))
 	})
 
-	It("offers a new group little of its capacity", func() {
-		t := filled(10)
+	It("sends a new group only a small part of the requests", func() {
+		t := newFilledTable(10)
 		t.Put(0, Candidate{ID: "new", Ready: true, Limit: 16})
-		r := seeded()
+		r := newRand()
 		count := 0
 		for range 1000 {
 			choice := t.Choose(0, Request{}, r)
@@ -85,8 +85,8 @@
 		Expect(count).To(BeNumerically("~", 1000/101, 10))
 	})
 
-	It("avoids a slow group only while the others can carry its part", func() {
-		t := filled(20)
+	It("avoids a slow group only while the others can take over its requests", func() {
+		t := newFilledTable(20)
 		slow := t.groups[4].Candidate
 		slow.TokenGap = 500 * ms
 		t.Put(0, slow)
@@ -101,25 +101,25 @@
 	})
 
 	It("names a reason for each outcome", func() {
-		r := seeded()
+		r := newRand()
 		Expect(NewTable(DefaultConfig(), "0").Choose(0, Request{Prefix: 1}, r)).To(Equal(Choice{}))
-		t := filled(2)
+		t := newFilledTable(2)
 		Expect(t.Choose(0, Request{Tried: []string{"group-0"}}, r).ID).To(Equal("group-1"))
 		Expect(t.Choose(0, Request{Tried: []string{"group-0", "group-1"}}, r).Reason).To(Equal(NoGroup))
-		Expect(filled(9).Choose(0, Request{}, r).Reason).To(Equal(Near))
+		Expect(newFilledTable(9).Choose(0, Request{}, r).Reason).To(Equal(Near))
 		Expect(OnlySlow.String()).To(Equal("only-slow"))
 	})
 
-	It("spreads a prefix only once it is popular for sure", func() {
+	It("reports a share only for a prefix that is popular beyond chance", func() {
 		var p popularity
-		r := seeded()
+		r := newRand()
 		for i := range 2000 {
-			Expect(p.share(time.Duration(i)*30*ms, 100+r.Uint64N(600))).To(BeNumerically("<", 0.02))
+			Expect(p.observe(time.Duration(i)*30*ms, 100+r.Uint64N(600))).To(BeNumerically("<", 0.02))
 		}
 		share := 0.0
 		for i := range 40 {
-			p.share(60*sec, 100+r.Uint64N(600))
-			share = p.share(60*sec+time.Duration(i), 1)
+			p.observe(60*sec, 100+r.Uint64N(600))
+			share = p.observe(60*sec+time.Duration(i), 1)
 		}
 		Expect(share).To(BeNumerically("~", 0.4, 0.15))
 	})
@@ -130,14 +130,14 @@
 		change(&c)
 		Expect(errors.Is(c.Check(), ErrRange)).To(BeTrue())
 	},
-		Entry("no slack", func(c *Config) { c.BoundSlack = 0 }),
+		Entry("zero slack", func(c *Config) { c.BoundSlack = 0 }),
 		Entry("not a number", func(c *Config) { c.MinLoadBound = math.NaN() }),
 		Entry("all may be slow", func(c *Config) { c.MaxSlowShare = 1 }),
 		Entry("ramp", func(c *Config) { c.SlowStart.Floor = 0 }),
 	)
 
-	// Whatever homes report, wrongly or not, a wrong measure must not empty the service.
-	It("never chooses what it may not, nor avoids more than its share", func() {
+	// Wrong measurements reported by homes must not take all groups of a service out of use.
+	It("never chooses a group that is not ready or was tried, and avoids at most the configured share", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			table := NewTable(DefaultConfig(), "0")
 			r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -161,13 +161,13 @@
 					table.Put(at, c)
 					known[id] = c
 				}
-				check(t, table, known, at, r)
+				checkInvariants(t, table, known, at, r)
 			}
 		})
 	})
 })
 
-func check(t *rapid.T, table *Table, known map[string]Candidate, at time.Duration, r *rand.Rand) {
+func checkInvariants(t *rapid.T, table *Table, known map[string]Candidate, at time.Duration, r *rand.Rand) {
 	tried := []string{fmt.Sprint("group-", r.IntN(16))}
 	choice := table.Choose(at, Request{Prefix: r.Uint64N(3), Tried: tried}, r)
 	ready, choosable := 0, 0
@@ -189,23 +189,23 @@
 		t.Fatalf("avoids %d of %d", len(table.avoided), ready)
 	}
 	work := 0.0
-	for _, i := range table.open {
-		work += table.groups[i].work(table.correction)
+	for _, i := range table.eligible {
+		work += table.groups[i].estimatedRequests(table.correction)
 	}
-	if math.Abs(work-table.work) > 1e-6 {
-		t.Fatalf("sum of work is %v, not %v", table.work, work)
+	if math.Abs(work-table.requests) > 1e-6 {
+		t.Fatalf("sum of work is %v, not %v", table.requests, work)
 	}
 }
 
 var sizes = []int{53, 630, 5000}
 
-// BenchmarkChoose measures one decision, with what changes with it.
+// BenchmarkChoose measures one choice together with its Begin and End.
 func BenchmarkChoose(b *testing.B) {
 	for _, size := range sizes {
 		for _, kind := range []string{"prefix", "popular prefix", "no prefix", "least loaded scan"} {
 			b.Run(fmt.Sprintf("%s/%d", kind, size), func(b *testing.B) {
-				t := filled(size)
-				r := seeded()
+				t := newFilledTable(size)
+				r := newRand()
 				t.refresh(0)
 				b.ReportAllocs()
 				b.ResetTimer()
@@ -239,11 +239,11 @@
 	return best
 }
 
-// BenchmarkRefresh measures what happens twice a second, and BenchmarkPut what each report costs.
+// BenchmarkRefresh measures the refresh, which happens twice a second.
 func BenchmarkRefresh(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			t := filled(size)
+			t := newFilledTable(size)
 			t.refresh(0)
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -254,8 +254,9 @@
 	}
 }
 
+// BenchmarkPut measures the cost of a report.
 func BenchmarkPut(b *testing.B) {
-	t := filled(630)
+	t := newFilledTable(630)
 	t.refresh(0)
 	b.ReportAllocs()
 	for i := range b.N {
@@ -265,8 +266,8 @@
 
 func TestChooseAllocatesNothing(t *testing.T) {
 	for _, size := range sizes {
-		table := filled(size)
-		r := seeded()
+		table := newFilledTable(size)
+		r := newRand()
 		i := 0
 		allocations := testing.AllocsPerRun(200, func() {
 			i++
