--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -51,7 +51,7 @@
 // Directory is safe for concurrent use.
 type Directory struct {
 	deps     Deps
-	overload *policy.Overload // used by Run alone
+	overload *policy.OverloadDetector // used by Run alone
 
 	mu   sync.Mutex // guards what follows; a leaf lock
 	rand *rand.Rand
@@ -61,7 +61,7 @@
 
 // New returns a Directory.
 func New(deps Deps) *Directory {
-	return &Directory{deps: deps, overload: policy.NewOverload(deps.Overload), rand: deps.Rand}
+	return &Directory{deps: deps, overload: policy.NewOverloadDetector(deps.Overload), rand: deps.Rand}
 }
 
 // Answer is the body of the answer.
@@ -180,7 +180,7 @@
 	if until := now.Add(ttl); until.After(d.keptUntil) {
 		d.keptUntil = until
 	}
-	return policy.Choose(choice, candidates, caller, d.rand), policy.Keep(choice, ttl, d.rand)
+	return policy.Choose(choice, candidates, caller, d.rand), policy.JitterTTL(choice, ttl, d.rand)
 }
 
 // KeptUntil returns until when an answer given before now may be kept. A shorter time to live in newer
--- a/entry/directory/directory_test.go
+++ b/entry/directory/directory_test.go
@@ -57,7 +57,7 @@
 		Members: b.members, Rand: rand.New(rand.NewPCG(1, 1)), Choice: policy.DefaultConfig(),
 		TTL: func() time.Duration { return b.ttl }, Clock: func() time.Time { return b.now },
 		InProgress: func() int { return b.inProgress },
-		Overload:   policy.OverloadConfig{High: 10, Low: 5, After: time.Second, Calm: time.Second},
+		Overload:   policy.OverloadConfig{High: 10, Low: 5, EnterAfter: time.Second, LeaveAfter: time.Second},
 	})
 	return b
 }
--- a/policy/directory/choose.go
+++ b/policy/directory/choose.go
@@ -40,24 +40,24 @@
 	// Count is how many entries an answer holds. A caller needs one, and others to turn to: with six,
 	// the chance that all of them fail within the time that an answer is kept is that of a lost place.
 	Count int
-	// Elsewhere is how many of them stand in other failure domains than the first, since a domain
+	// OtherDomains is how many of them stand in other failure domains than the first, since a domain
 	// fails as a whole. Never all of them: the first is the nearest.
-	Elsewhere int
-	// CalmShare is the least share of usable entries that must not be overloaded for the others to be
+	OtherDomains int
+	// PanicThreshold is the least share of usable entries that must not be overloaded for the others to be
 	// left out. When more than half of all say so, the load is too high everywhere, and leaving
 	// them out would only crush the rest one after the other.
-	CalmShare float64
-	// NearShare is the least size of the caller's failure domain, as a share of an even split, for it to
+	PanicThreshold float64
+	// MinDomainShare is the least size of the caller's failure domain, as a share of an even split, for it to
 	// go first. A domain with one entry left can't take all its callers.
-	NearShare float64
-	// KeepSpread is the share by which the time to keep an answer varies, so that callers that were
+	MinDomainShare float64
+	// TTLJitter is the share by which the time to keep an answer varies, so that callers that were
 	// started together do not come back together.
-	KeepSpread float64
+	TTLJitter float64
 }
 
 // DefaultConfig returns the thresholds in use.
 func DefaultConfig() Config {
-	return Config{Count: 6, Elsewhere: 2, CalmShare: 0.5, NearShare: 0.5, KeepSpread: 0.2}
+	return Config{Count: 6, OtherDomains: 2, PanicThreshold: 0.5, MinDomainShare: 0.5, TTLJitter: 0.2}
 }
 
 // Choose returns the entries to tell the caller, best first. It returns none only if none is usable.
@@ -71,9 +71,9 @@
 	return cfg.spread(ranked)
 }
 
-// Keep returns how long an answer may be kept, at most ttl.
-func Keep(cfg Config, ttl time.Duration, r *rand.Rand) time.Duration {
-	return ttl - time.Duration(cfg.KeepSpread*r.Float64()*float64(ttl))
+// JitterTTL returns how long an answer may be kept, at most ttl.
+func JitterTTL(cfg Config, ttl time.Duration, r *rand.Rand) time.Duration {
+	return ttl - time.Duration(cfg.TTLJitter*r.Float64()*float64(ttl))
 }
 
 func usable(entries []Candidate) []Candidate {
@@ -92,7 +92,7 @@
 
 func (cfg Config) calm(entries []Candidate) []Candidate {
 	calm := filter(entries, func(e Candidate) bool { return !e.Overloaded })
-	if float64(len(calm)) < cfg.CalmShare*float64(len(entries)) {
+	if float64(len(calm)) < cfg.PanicThreshold*float64(len(entries)) {
 		return entries
 	}
 	return calm
@@ -117,7 +117,7 @@
 		sizes[e.FailureDomain]++
 	}
 	even := float64(len(inPlace)) / float64(max(1, len(sizes)))
-	return float64(sizes[domain]) >= cfg.NearShare*even && sizes[domain] > 0
+	return float64(sizes[domain]) >= cfg.MinDomainShare*even && sizes[domain] > 0
 }
 
 // spread takes the first of the ranked and, for the end, entries of other failure domains than the
@@ -137,7 +137,7 @@
 		}
 	}
 	elsewhere := append(fresh, other...)
-	elsewhere = elsewhere[:min(cfg.Elsewhere, cfg.Count-1, len(elsewhere))]
+	elsewhere = elsewhere[:min(cfg.OtherDomains, cfg.Count-1, len(elsewhere))]
 	taken := make(map[int]bool, len(elsewhere))
 	for _, i := range elsewhere {
 		taken[i] = true
--- a/policy/directory/choose_test.go
+++ b/policy/directory/choose_test.go
@@ -67,9 +67,9 @@
 func play(choose chooser, entries []Candidate, callers []Caller, high int, down func(Candidate) bool) outcome {
 	r := seeded(1)
 	entries = slices.Clone(entries)
-	overloads := make([]*Overload, len(entries))
+	overloads := make([]*OverloadDetector, len(entries))
 	for i := range entries {
-		overloads[i] = NewOverload(OverloadConfig{High: high, Low: high * 7 / 10, After: 2 * time.Second, Calm: 15 * time.Second})
+		overloads[i] = NewOverloadDetector(OverloadConfig{High: high, Low: high * 7 / 10, EnterAfter: 2 * time.Second, LeaveAfter: 15 * time.Second})
 	}
 	answers := make([][]Candidate, len(callers))
 	now := time.Duration(0)
@@ -87,7 +87,7 @@
 
 func nobody(Candidate) bool { return false }
 
-func judge(entries []Candidate, overloads []*Overload, loads map[string]int, now time.Duration) {
+func judge(entries []Candidate, overloads []*OverloadDetector, loads map[string]int, now time.Duration) {
 	for i := range entries {
 		entries[i].Overloaded = overloads[i].Observe(now, loads[entries[i].Name])
 	}
@@ -267,7 +267,7 @@
 		shortest, longest := time.Hour, time.Duration(0)
 		r := seeded(3)
 		for range 1000 {
-			keep := Keep(DefaultConfig(), time.Minute, r)
+			keep := JitterTTL(DefaultConfig(), time.Minute, r)
 			shortest, longest = min(shortest, keep), max(longest, keep)
 		}
 		Expect(shortest).To(BeNumerically("~", 48*time.Second, time.Second))
@@ -275,7 +275,7 @@
 	})
 
 	It("calls an entry overloaded only when it lasts, and calm only when that lasts", func() {
-		o := NewOverload(OverloadConfig{High: 10, Low: 7, After: 2 * time.Second, Calm: 15 * time.Second})
+		o := NewOverloadDetector(OverloadConfig{High: 10, Low: 7, EnterAfter: 2 * time.Second, LeaveAfter: 15 * time.Second})
 		for _, step := range []struct {
 			at         time.Duration
 			inProgress int
--- a/policy/directory/overload.go
+++ b/policy/directory/overload.go
@@ -9,39 +9,39 @@
 	// High is the number of requests in progress at and above which an entry is overloaded, Low the one
 	// below which it no longer is.
 	High, Low int
-	// After is how long it must last, and Calm how long it must be over. Each change is told to all
+	// EnterAfter is how long it must last, and LeaveAfter how long it must be over. Each change is told to all
 	// entries and takes a few seconds to reach them, and callers act on it only when they ask again;
 	// one that flips faster than that would swing load to and fro.
-	After, Calm time.Duration
+	EnterAfter, LeaveAfter time.Duration
 }
 
 // DefaultOverloadConfig returns the thresholds in use. At the peak, 12,000 requests a second of some ten
 // seconds each are 360 in progress at each of 330 entries; three times that is no spread of chance.
 func DefaultOverloadConfig() OverloadConfig {
-	return OverloadConfig{High: 1000, Low: 700, After: 2 * time.Second, Calm: 15 * time.Second}
+	return OverloadConfig{High: 1000, Low: 700, EnterAfter: 2 * time.Second, LeaveAfter: 15 * time.Second}
 }
 
-// Overload says whether this entry should be left out of answers.
+// OverloadDetector says whether this entry should be left out of answers.
 //
 // Load pattern: few callers with many requests each, who all drew the same entry, or callers that sit
 // mostly in one failure domain. Without it the entry stays in answers until its callers time out.
-type Overload struct {
+type OverloadDetector struct {
 	cfg   OverloadConfig
 	on    bool
 	since time.Duration // since when the requests in progress ask for the other state
 	asks  bool
 }
 
-// NewOverload returns an Overload that is off.
-func NewOverload(cfg OverloadConfig) *Overload { return &Overload{cfg: cfg} }
+// NewOverloadDetector returns an Overload that is off.
+func NewOverloadDetector(cfg OverloadConfig) *OverloadDetector { return &OverloadDetector{cfg: cfg} }
 
 // Observe takes in the requests in progress at now and returns the state.
-func (o *Overload) Observe(now time.Duration, inProgress int) bool {
+func (o *OverloadDetector) Observe(now time.Duration, inProgress int) bool {
 	asks := inProgress >= o.cfg.High
-	wait := o.cfg.After
+	wait := o.cfg.EnterAfter
 	if o.on {
 		asks = inProgress < o.cfg.Low
-		wait = o.cfg.Calm
+		wait = o.cfg.LeaveAfter
 	}
 	if !asks {
 		o.asks = false
