--- a/policy/balance/figures_test.go
+++ b/policy/balance/figures_test.go
@@ -18,7 +18,7 @@
 
 // baselineVariant runs a policy without a Table.
 func baselineVariant(name string, pick picker) variant {
-	return variant{name, func(scenario, int) chooser { return &baselineChooser{pick: pick} }}
+	return variant{name, func(scenario, int) chooser { return &baseline{pick: pick} }}
 }
 
 // tableVariant runs a Table with a changed configuration.
@@ -92,13 +92,13 @@
 		It("holds its bounds and beats the baselines: "+b.name, func() {
 			r := runVariant(b.scenario, defaultVariant)
 			GinkgoWriter.Println(b.name, r)
-			Expect(r.firstTokenQuantile(0.95)).To(BeNumerically("<=", b.p95))
+			Expect(r.ttftQuantile(0.95)).To(BeNumerically("<=", b.p95))
 			Expect(r.goodput()).To(BeNumerically(">=", b.goodput))
 			Expect(r.hitShare()).To(BeNumerically(">=", b.hits))
 			Expect(r.lost()).To(BeNumerically("<=", b.lost))
 			for _, c := range baselines {
 				plain := runVariant(b.scenario, c)
-				Expect(r.firstTokenQuantile(0.95)).To(BeNumerically("<=", plain.firstTokenQuantile(0.95)), c.name)
+				Expect(r.ttftQuantile(0.95)).To(BeNumerically("<=", plain.ttftQuantile(0.95)), c.name)
 				Expect(r.lost()).To(BeNumerically("<=", plain.lost()), c.name)
 			}
 		})
@@ -116,8 +116,8 @@
 	It("stays in the failure domain while it has spare capacity, and leaves it before requests are lost", func() {
 		quiet := unevenEntry
 		quiet.load = constantLoad(0.3)
-		Expect(runVariant(quiet, defaultVariant).crossDomainShare()).To(BeNumerically("<=", 0.05))
-		Expect(runVariant(unevenEntry, defaultVariant).crossDomainShare()).To(BeNumerically("<=", 0.4))
+		Expect(runVariant(quiet, defaultVariant).remoteShare()).To(BeNumerically("<=", 0.05))
+		Expect(runVariant(unevenEntry, defaultVariant).remoteShare()).To(BeNumerically("<=", 0.4))
 		Expect(runVariant(unevenEntry, defaultVariant).lost()).To(BeNumerically("<=", runVariant(unevenEntry, nearOnlyVariant).lost()/10))
 	})
 })
@@ -133,7 +133,7 @@
 			b.Run(s.name+"/"+c.name, func(b *testing.B) {
 				for range b.N {
 					r := runVariant(s, c)
-					b.Logf("| %s | %s | %s | %4.1f |", s.name, c.name, r, 100*r.crossDomainShare())
+					b.Logf("| %s | %s | %s | %4.1f |", s.name, c.name, r, 100*r.remoteShare())
 				}
 			})
 		}
--- a/policy/balance/model_test.go
+++ b/policy/balance/model_test.go
@@ -106,17 +106,15 @@
 }
 
 type result struct {
-	sent, refused, late, hits, prefixed, done, overGap, crossDomain int
-	firstTokens                                                     []float64 // seconds
-	byEngine                                                        []int
-	firstTokensOnEngine0                                            []float64 // seconds to the first token, on engine 0
-	capacity                                                        float64
-	tokens                                                          float64
+	sent, refused, late, hits, prefixed, done, overGap, remote int
+	firstTokens                                                []float64 // seconds
+	byEngine                                                   []int
+	firstTokensOnEngine0                                       []float64 // seconds to the first token, on engine 0
+	capacity                                                   float64
+	tokens                                                     float64
 }
 
-func (r *result) firstTokenQuantile(share float64) time.Duration {
-	return quantile(r.firstTokens, share)
-}
+func (r *result) ttftQuantile(share float64) time.Duration { return quantile(r.firstTokens, share) }
 
 func quantile(values []float64, share float64) time.Duration {
 	if len(values) == 0 {
@@ -133,13 +131,11 @@
 }
 
 func (r *result) overGapShare() float64 { return float64(r.overGap) / math.Max(1, float64(r.done)) }
-func (r *result) crossDomainShare() float64 {
-	return float64(r.crossDomain) / math.Max(1, float64(r.sent))
-}
+func (r *result) remoteShare() float64  { return float64(r.remote) / math.Max(1, float64(r.sent)) }
 
 func (r *result) String() string {
-	return fmt.Sprintf("%6d | %6d | %6d | %5.1f | %5.1f | %5.1f | %5.1f", r.firstTokenQuantile(0.5).Milliseconds(), r.firstTokenQuantile(0.95).Milliseconds(),
-		r.firstTokenQuantile(0.99).Milliseconds(), 100*r.goodput(), 100*r.hitShare(), 100*r.lost(), 100*r.overGapShare())
+	return fmt.Sprintf("%6d | %6d | %6d | %5.1f | %5.1f | %5.1f | %5.1f", r.ttftQuantile(0.5).Milliseconds(), r.ttftQuantile(0.95).Milliseconds(),
+		r.ttftQuantile(0.99).Milliseconds(), 100*r.goodput(), 100*r.hitShare(), 100*r.lost(), 100*r.overGapShare())
 }
 
 type report struct {
@@ -249,7 +245,7 @@
 	if e.domain != j.front%3 {
 		j.networkDelay = 2 * crossDomainDelay
 		if count {
-			c.result.crossDomain++
+			c.result.remote++
 		}
 	}
 	c.policy[j.front].begin(i)
@@ -401,25 +397,25 @@
 	return i
 }
 
-// baselineChooser uses the ready groups and their last reports without any correction.
-type baselineChooser struct {
+// baseline uses the ready groups and their last reports without any correction.
+type baseline struct {
 	groups []Candidate
 	next   int
 	pick   picker
 }
 
-type picker func(p *baselineChooser, ready []int, prefix uint64, r *rand.Rand) int
+type picker func(p *baseline, ready []int, prefix uint64, r *rand.Rand) int
 
-func (p *baselineChooser) begin(int) {}
-func (p *baselineChooser) end(int)   {}
-func (p *baselineChooser) put(_ time.Duration, i int, c Candidate) {
+func (p *baseline) begin(int) {}
+func (p *baseline) end(int)   {}
+func (p *baseline) put(_ time.Duration, i int, c Candidate) {
 	for len(p.groups) <= i {
 		p.groups = append(p.groups, Candidate{})
 	}
 	p.groups[i] = c
 }
 
-func (p *baselineChooser) choose(_ time.Duration, prefix uint64, r *rand.Rand) int {
+func (p *baseline) choose(_ time.Duration, prefix uint64, r *rand.Rand) int {
 	var ready []int
 	for i, c := range p.groups {
 		if c.Ready {
@@ -432,7 +428,7 @@
 	return p.pick(p, ready, prefix, r)
 }
 
-func roundRobin(p *baselineChooser, ready []int, _ uint64, r *rand.Rand) int {
+func roundRobin(p *baseline, ready []int, _ uint64, r *rand.Rand) int {
 	if p.next == 0 {
 		p.next = 1 + r.IntN(len(ready)) // fronts start at different groups
 	}
@@ -440,17 +436,15 @@
 	return ready[p.next%len(ready)]
 }
 
-func random(_ *baselineChooser, ready []int, _ uint64, r *rand.Rand) int {
-	return ready[r.IntN(len(ready))]
-}
+func random(_ *baseline, ready []int, _ uint64, r *rand.Rand) int { return ready[r.IntN(len(ready))] }
 
-func leastLoaded(p *baselineChooser, ready []int, _ uint64, _ *rand.Rand) int {
+func leastLoaded(p *baseline, ready []int, _ uint64, _ *rand.Rand) int {
 	return slices.MinFunc(ready, func(a, b int) int {
 		return p.groups[a].InFlight + p.groups[a].Queued - p.groups[b].InFlight - p.groups[b].Queued
 	})
 }
 
-func rendezvous(p *baselineChooser, ready []int, prefix uint64, _ *rand.Rand) int {
+func rendezvous(p *baseline, ready []int, prefix uint64, _ *rand.Rand) int {
 	best, weight := -1, uint64(0)
 	for _, i := range ready {
 		if w := mix(prefix ^ hashID(p.groups[i].ID)); best < 0 || w > weight {
--- a/policy/balance/slowstart_test.go
+++ b/policy/balance/slowstart_test.go
@@ -87,11 +87,11 @@
 	It("receives its share of the load gradually", func() {
 		with, without := runVariant(fiveColdOf50, defaultVariant), runVariant(fiveColdOf50, rampVariants[0])
 		GinkgoWriter.Println(with, without)
-		Expect(with.firstTokenQuantile(0.99)).To(BeNumerically("<=", without.firstTokenQuantile(0.99)*6/10))
+		Expect(with.ttftQuantile(0.99)).To(BeNumerically("<=", without.ttftQuantile(0.99)*6/10))
 		Expect(quantile(with.firstTokensOnEngine0, 0.95)).To(BeNumerically("<=", quantile(without.firstTokensOnEngine0, 0.95)*6/10))
 		Expect(with.goodput()).To(BeNumerically(">=", without.goodput()-0.01))
-		Expect(runVariant(oneNewOf50, defaultVariant).firstTokenQuantile(0.95)).To(BeNumerically("<=", 110*ms))
-		Expect(runVariant(fiveNewOf50, defaultVariant).firstTokenQuantile(0.95)).To(BeNumerically("<=", 700*ms))
+		Expect(runVariant(oneNewOf50, defaultVariant).ttftQuantile(0.95)).To(BeNumerically("<=", 110*ms))
+		Expect(runVariant(fiveNewOf50, defaultVariant).ttftQuantile(0.95)).To(BeNumerically("<=", 700*ms))
 	})
 
 	It("receives its full share if all groups are new", func() {
