--- a/policy/directory/choose.go
+++ b/policy/directory/choose.go
@@ -1,17 +1,17 @@
-// Package directory decides which entries a caller is told to use.
+// Package directory decides which entries a caller is told to connect to.
 //
-// Load pattern: thousands of callers, each of which asks any entry, keeps the answer for a while, and
-// connects to the first address that works. No balancer stands in between: the answers are the
-// balance.
+// Thousands of callers each ask any entry for addresses, keep the answer for a while, and connect to the first
+// address that works. There is no load balancer in between, so the answers alone distribute the load.
 //
-// What goes wrong without it: given the same sorted list, all callers connect to its first entry; it
-// saturates while the others idle, and when it dies all go to the second at once. Given only near
-// entries, a failure domain in which most callers sit saturates, and its loss leaves its callers
-// without an address.
+// If all callers got the same sorted list, they would all connect to its first entry: it saturates while the
+// others are idle, and when it dies all callers move to the second at once. If they got only entries nearby, a
+// failure domain that holds most callers would saturate, and its loss would leave its callers without an
+// address.
 //
-// So each answer is drawn anew, from the caller's failure domain first, then from its place; entries
-// that say they are overloaded are left out, which turns the rest elsewhere; and the end of each answer
-// stands in other failure domains.
+// Each answer is therefore drawn at random, from the caller's failure domain first and then from its place,
+// the region that holds the failure domain.
+// Entries that report overload are left out, which sends callers elsewhere, and the last entries of each answer
+// are in other failure domains.
 package directory
 
 import (
@@ -19,7 +19,7 @@
 	"time"
 )
 
-// Candidate is an entry that a caller could be told.
+// Candidate is an entry that may be part of an answer.
 type Candidate struct {
 	Name          string
 	Place         string
@@ -29,49 +29,49 @@
 	Overloaded    bool
 }
 
-// Caller says where the caller is; empty fields are not known.
+// Caller is the location of the caller. Empty fields are not known.
 type Caller struct {
 	Place         string
 	FailureDomain string
 }
 
-// Config holds the thresholds.
+// Config holds the settings of Choose and JitterTTL.
 type Config struct {
-	// Count is how many entries an answer holds. A caller needs one, and others to turn to: with six,
-	// the chance that all of them fail within the time that an answer is kept is that of a lost place.
+	// Count is how many entries an answer holds. A caller needs one, and others as a fallback: with six, the
+	// chance that all of them fail while the answer is kept is that of losing a whole place.
 	Count int
-	// OtherDomains is how many of them stand in other failure domains than the first, since a domain
-	// fails as a whole. Never all of them: the first is the nearest.
+	// OtherDomains is how many of them are in other failure domains than the first, since a domain fails as a
+	// whole. It never covers the whole answer: the first entry is the nearest.
 	OtherDomains int
-	// PanicThreshold is the least share of usable entries that must not be overloaded for the others to be
-	// left out. When more than half of all say so, the load is too high everywhere, and leaving
-	// them out would only crush the rest one after the other.
+	// PanicThreshold is the share of usable entries that must not be overloaded for overloaded ones to be left
+	// out. If more than half report overload, the load is too high everywhere, and leaving them out would only
+	// overload the remaining ones one after the other.
 	PanicThreshold float64
-	// MinDomainShare is the least size of the caller's failure domain, as a share of an even split, for it to
-	// go first. A domain with one entry left can't take all its callers.
+	// MinDomainShare is the least size of the caller's failure domain, as a share of an even split over the
+	// domains, for its entries to come first. A domain with one entry left can't serve all its callers.
 	MinDomainShare float64
-	// TTLJitter is the share by which the time to keep an answer varies, so that callers that were
-	// started together do not come back together.
+	// TTLJitter is the largest share by which the time to keep an answer is shortened at random, so that
+	// callers that started together do not ask again together.
 	TTLJitter float64
 }
 
-// DefaultConfig returns the thresholds in use.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{Count: 6, OtherDomains: 2, PanicThreshold: 0.5, MinDomainShare: 0.5, TTLJitter: 0.2}
 }
 
-// Choose returns the entries to tell the caller, best first. It returns none only if none is usable.
+// Choose returns the entries for the caller, best first. It returns none only if no entry is usable.
 func Choose(cfg Config, entries []Candidate, caller Caller, r *rand.Rand) []Candidate {
-	candidates := cfg.calm(usable(entries))
+	candidates := cfg.dropOverloaded(usable(entries))
 	r.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
-	ranked := cfg.nearFirst(candidates, caller)
+	ranked := cfg.orderByProximity(candidates, caller)
 	if len(ranked) <= cfg.Count {
 		return ranked
 	}
-	return cfg.spread(ranked)
+	return cfg.addOtherDomains(ranked)
 }
 
-// JitterTTL returns how long an answer may be kept, at most ttl.
+// JitterTTL returns how long an answer may be kept: ttl, shortened by a random part of up to TTLJitter.
 func JitterTTL(cfg Config, ttl time.Duration, r *rand.Rand) time.Duration {
 	return ttl - time.Duration(cfg.TTLJitter*r.Float64()*float64(ttl))
 }
@@ -90,19 +90,21 @@
 	return kept
 }
 
-func (cfg Config) calm(entries []Candidate) []Candidate {
-	calm := filter(entries, func(e Candidate) bool { return !e.Overloaded })
-	if float64(len(calm)) < cfg.PanicThreshold*float64(len(entries)) {
+// dropOverloaded leaves out overloaded entries, unless the others are less than PanicThreshold of all.
+func (cfg Config) dropOverloaded(entries []Candidate) []Candidate {
+	rest := filter(entries, func(e Candidate) bool { return !e.Overloaded })
+	if float64(len(rest)) < cfg.PanicThreshold*float64(len(entries)) {
 		return entries
 	}
-	return calm
+	return rest
 }
 
-// nearFirst orders by nearness and keeps the given order among equals.
-func (cfg Config) nearFirst(entries []Candidate, caller Caller) []Candidate {
+// orderByProximity puts the caller's failure domain first, then its place, then the rest. Equally near entries
+// keep their order.
+func (cfg Config) orderByProximity(entries []Candidate, caller Caller) []Candidate {
 	inPlace := func(e Candidate) bool { return caller.Place == "" || e.Place == caller.Place }
 	near := func(e Candidate) bool { return inPlace(e) && e.FailureDomain == caller.FailureDomain }
-	if !cfg.carries(filter(entries, inPlace), caller.FailureDomain) {
+	if !cfg.hasCapacity(filter(entries, inPlace), caller.FailureDomain) {
 		near = func(Candidate) bool { return false }
 	}
 	ranked := filter(entries, near)
@@ -110,48 +112,49 @@
 	return append(ranked, filter(entries, func(e Candidate) bool { return !inPlace(e) })...)
 }
 
-// carries reports whether a failure domain of the place has its share of entries.
-func (cfg Config) carries(inPlace []Candidate, domain string) bool {
+// hasCapacity reports whether a failure domain has at least MinDomainShare of an even split of the place's entries.
+func (cfg Config) hasCapacity(inPlace []Candidate, domain string) bool {
 	sizes := make(map[string]int)
 	for _, e := range inPlace {
 		sizes[e.FailureDomain]++
 	}
-	even := float64(len(inPlace)) / float64(max(1, len(sizes)))
-	return float64(sizes[domain]) >= cfg.MinDomainShare*even && sizes[domain] > 0
+	evenSize := float64(len(inPlace)) / float64(max(1, len(sizes)))
+	return float64(sizes[domain]) >= cfg.MinDomainShare*evenSize && sizes[domain] > 0
 }
 
-// spread takes the first of the ranked and, for the end, entries of other failure domains than the
-// first one's, each of another domain as long as there are any.
-func (cfg Config) spread(ranked []Candidate) []Candidate {
+// addOtherDomains truncates ranked to Count entries of which the last OtherDomains are in other failure domains than
+// the first one. They are in different domains as far as there are enough.
+func (cfg Config) addOtherDomains(ranked []Candidate) []Candidate {
 	first := ranked[0]
-	seen := map[string]bool{domainOf(first): true}
-	var fresh, other []int
+	seen := map[string]bool{domainKey(first): true}
+	var newDomains, repeated []int
 	for i, e := range ranked {
 		switch {
-		case domainOf(e) == domainOf(first):
-		case !seen[domainOf(e)]:
-			seen[domainOf(e)] = true
-			fresh = append(fresh, i)
+		case domainKey(e) == domainKey(first):
+		case !seen[domainKey(e)]:
+			seen[domainKey(e)] = true
+			newDomains = append(newDomains, i)
 		default:
-			other = append(other, i)
+			repeated = append(repeated, i)
 		}
 	}
-	elsewhere := append(fresh, other...)
-	elsewhere = elsewhere[:min(cfg.OtherDomains, cfg.Count-1, len(elsewhere))]
-	taken := make(map[int]bool, len(elsewhere))
-	for _, i := range elsewhere {
+	remote := append(newDomains, repeated...)
+	remote = remote[:min(cfg.OtherDomains, cfg.Count-1, len(remote))]
+	taken := make(map[int]bool, len(remote))
+	for _, i := range remote {
 		taken[i] = true
 	}
 	chosen := make([]Candidate, 0, cfg.Count)
 	for i, e := range ranked {
-		if !taken[i] && len(chosen) < cfg.Count-len(elsewhere) {
+		if !taken[i] && len(chosen) < cfg.Count-len(remote) {
 			chosen = append(chosen, e)
 		}
 	}
-	for _, i := range elsewhere {
+	for _, i := range remote {
 		chosen = append(chosen, ranked[i])
 	}
 	return chosen
 }
 
-func domainOf(e Candidate) string { return e.Place + "/" + e.FailureDomain }
+// domainKey identifies a failure domain; its name alone is unique only within a place.
+func domainKey(e Candidate) string { return e.Place + "/" + e.FailureDomain }
--- a/policy/directory/choose_test.go
+++ b/policy/directory/choose_test.go
@@ -17,8 +17,8 @@
 	RunSpecs(t, "policy/directory")
 }
 
-// fleet returns entries in equal failure domains of one place.
-func fleet(domains, each int) []Candidate {
+// newEntries returns entries of one place, with the same number in each failure domain.
+func newEntries(domains, each int) []Candidate {
 	var entries []Candidate
 	for d := range domains {
 		for i := range each {
@@ -30,42 +30,43 @@
 	return entries
 }
 
-func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
+func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
 
 // chooser answers one caller.
 type chooser func(entries []Candidate, caller Caller, r *rand.Rand) []Candidate
 
-func ours(entries []Candidate, caller Caller, r *rand.Rand) []Candidate {
+func defaultChoice(entries []Candidate, caller Caller, r *rand.Rand) []Candidate {
 	return Choose(DefaultConfig(), entries, caller, r)
 }
 
-// sameList is the baseline: all callers get all live entries, by name.
+// sameList is a baseline: all callers get all usable entries in the same order.
 func sameList(entries []Candidate, _ Caller, _ *rand.Rand) []Candidate {
 	return usable(entries)
 }
 
-// onlyNear is the other baseline: the caller's failure domain alone.
-func onlyNear(entries []Candidate, caller Caller, r *rand.Rand) []Candidate {
+// localOnly is a baseline: callers get only entries of their own failure domain.
+func localOnly(entries []Candidate, caller Caller, r *rand.Rand) []Candidate {
 	near := filter(usable(entries), func(e Candidate) bool { return e.FailureDomain == caller.FailureDomain })
 	r.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
 	return near
 }
 
-// outcome is what callers get in a play.
+// outcome is the result of a simulation.
 type outcome struct {
-	// peak is the highest load of an entry over the mean; near the share of callers at an entry of their
-	// failure domain; lost the share without an address that answers.
-	peak, near, lost float64
+	// peak is the highest load of an entry relative to the mean, near the share of callers whose first address
+	// is in their own failure domain, unreachable the share of callers without an address that answers.
+	peak, near, unreachable float64
 }
 
 func (o outcome) String() string {
-	return fmt.Sprintf("highest load %.2f of the mean, near %.2f, without an address %.3f", o.peak, o.near, o.lost)
+	return fmt.Sprintf("highest load %.2f of the mean, near %.2f, without an address %.3f", o.peak, o.near, o.unreachable)
 }
 
-// play lets callers ask again every minute, in ten rounds; after each, entries judge their load, and the
-// next answers know it. Then the entries that down names fail, and the outcome is taken.
-func play(choose chooser, entries []Candidate, callers []Caller, high int, down func(Candidate) bool) outcome {
-	r := seeded(1)
+// simulate lets callers ask again every minute, for ten rounds. Once a second the entries update whether they are
+// overloaded, which the next answers take into account. Then the entries that down selects fail, and the outcome is
+// measured.
+func simulate(choose chooser, entries []Candidate, callers []Caller, high int, down func(Candidate) bool) outcome {
+	r := newRand(1)
 	entries = slices.Clone(entries)
 	overloads := make([]*OverloadDetector, len(entries))
 	for i := range entries {
@@ -78,23 +79,23 @@
 			answers[who] = choose(entries, callers[who], r)
 			now += time.Minute / time.Duration(len(callers))
 			if i%30 == 0 { // once a second
-				judge(entries, overloads, load(entries, answers, nobody), now)
+				updateOverloaded(entries, overloads, countCallers(entries, answers, noneDown), now)
 			}
 		}
 	}
-	return result(entries, callers, answers, down)
+	return measure(entries, callers, answers, down)
 }
 
-func nobody(Candidate) bool { return false }
+func noneDown(Candidate) bool { return false }
 
-func judge(entries []Candidate, overloads []*OverloadDetector, loads map[string]int, now time.Duration) {
+func updateOverloaded(entries []Candidate, overloads []*OverloadDetector, loads map[string]int, now time.Duration) {
 	for i := range entries {
 		entries[i].Overloaded = overloads[i].Observe(now, loads[entries[i].Name])
 	}
 }
 
-// load counts the callers at each entry: the first of the answer that is up.
-func load(entries []Candidate, answers [][]Candidate, down func(Candidate) bool) map[string]int {
+// countCallers returns the number of callers at each entry. A caller uses the first entry of its answer that is up.
+func countCallers(entries []Candidate, answers [][]Candidate, down func(Candidate) bool) map[string]int {
 	loads := make(map[string]int, len(entries))
 	for _, answer := range answers {
 		if i := slices.IndexFunc(answer, func(e Candidate) bool { return !down(e) }); i >= 0 {
@@ -104,8 +105,8 @@
 	return loads
 }
 
-func result(entries []Candidate, callers []Caller, answers [][]Candidate, down func(Candidate) bool) outcome {
-	loads := load(entries, answers, down)
+func measure(entries []Candidate, callers []Caller, answers [][]Candidate, down func(Candidate) bool) outcome {
+	loads := countCallers(entries, answers, down)
 	var o outcome
 	highest, up, served := 0, 0, 0
 	for _, e := range entries {
@@ -116,7 +117,7 @@
 		}
 	}
 	o.peak = float64(highest) * float64(up) / float64(max(1, served))
-	o.lost = 1 - float64(served)/float64(len(callers))
+	o.unreachable = 1 - float64(served)/float64(len(callers))
 	for who, answer := range answers {
 		if len(answer) > 0 && answer[0].FailureDomain == callers[who].FailureDomain {
 			o.near += 1 / float64(len(callers))
@@ -125,7 +126,7 @@
 	return o
 }
 
-// callersIn returns count callers, of which a share sits in the first failure domain.
+// callersIn returns count callers, of which the given share is in the first failure domain.
 func callersIn(count int, share float64, domains int) []Caller {
 	callers := make([]Caller, count)
 	for i := range callers {
@@ -138,16 +139,16 @@
 	return callers
 }
 
-// nearest returns the first of the answer that is as near as any candidate.
+// nearest returns the first entry of the answer that is as near as any candidate.
 func (cfg Config) nearest(entries []Candidate, caller Caller, answer []Candidate) Candidate {
-	candidates := cfg.calm(usable(entries))
+	candidates := cfg.dropOverloaded(usable(entries))
 	inPlace := filter(candidates, func(c Candidate) bool { return c.Place == caller.Place })
 	best := 0
 	rank := func(c Candidate) int {
 		switch {
 		case caller.Place != "" && c.Place != caller.Place:
 			return 0
-		case cfg.carries(inPlace, caller.FailureDomain) && c.FailureDomain == caller.FailureDomain:
+		case cfg.hasCapacity(inPlace, caller.FailureDomain) && c.FailureDomain == caller.FailureDomain:
 			return 2
 		}
 		return 1
@@ -158,64 +159,65 @@
 	return answer[slices.IndexFunc(answer, func(c Candidate) bool { return rank(c) == best })]
 }
 
-func show(what string, o outcome) { fmt.Fprintf(GinkgoWriter, "%s: %v\n", what, o) }
+func logOutcome(what string, o outcome) { fmt.Fprintf(GinkgoWriter, "%s: %v\n", what, o) }
 
-var _ = Describe("which entries callers are told", func() {
-	// All callers are given the same list and take its first entry: it saturates while the rest idle.
-	It("spreads callers over entries, near first", func() {
-		entries, callers := fleet(3, 6), callersIn(1800, 1.0/3, 3)
-		got := play(ours, entries, callers, 200, nobody)
-		same := play(sameList, entries, callers, 200, nobody)
-		show("even callers, drawn", got)
-		show("even callers, same list", same)
+var _ = Describe("Choose and OverloadDetector", func() {
+	// Given the same list, all callers connect to its first entry, which saturates while the rest are idle.
+	It("spreads callers over entries of their failure domain", func() {
+		entries, callers := newEntries(3, 6), callersIn(1800, 1.0/3, 3)
+		got := simulate(defaultChoice, entries, callers, 200, noneDown)
+		same := simulate(sameList, entries, callers, 200, noneDown)
+		logOutcome("evenly distributed callers, default", got)
+		logOutcome("evenly distributed callers, same list", same)
 		Expect(same.peak).To(BeNumerically(">", 17))
 		Expect(got.peak).To(BeNumerically("<", 1.5))
 		Expect(got.near).To(BeNumerically(">", 0.95))
 	})
 
-	// Four of five callers sit in one of three failure domains. Near first alone sends them all to a
-	// third of the entries, which time out while the others idle.
-	It("turns callers elsewhere when their failure domain is overloaded", func() {
-		entries, callers := fleet(3, 6), callersIn(1800, 0.8, 3)
-		got := play(ours, entries, callers, 150, nobody)
-		near := play(onlyNear, entries, callers, 150, nobody)
-		show("four of five in one domain, drawn", got)
-		show("four of five in one domain, near only", near)
+	// Four of five callers are in one of three failure domains. If only the nearest entries were given, a third
+	// of the entries would take them all and time out while the others are idle.
+	It("sends callers to other failure domains when theirs is overloaded", func() {
+		entries, callers := newEntries(3, 6), callersIn(1800, 0.8, 3)
+		got := simulate(defaultChoice, entries, callers, 150, noneDown)
+		near := simulate(localOnly, entries, callers, 150, noneDown)
+		logOutcome("four of five callers in one domain, default", got)
+		logOutcome("four of five callers in one domain, local only", near)
 		Expect(near.peak).To(BeNumerically(">", 2.2))
 		Expect(got.peak).To(BeNumerically("<", 1.8))
 		Expect(got.near).To(BeNumerically(">", 0.5))
 	})
 
-	// A whole failure domain goes dark while callers hold answers that they may keep for a minute.
+	// A whole failure domain is lost while callers hold answers that they may keep for a minute.
 	It("leaves no caller without an address when a failure domain is lost", func() {
-		entries, callers := fleet(3, 6), callersIn(1800, 1.0/3, 3)
-		dark := func(e Candidate) bool { return e.FailureDomain == "fd-0" }
-		got := play(ours, entries, callers, 1000, dark)
-		near := play(onlyNear, entries, callers, 1000, dark)
-		show("domain dark, drawn", got)
-		show("domain dark, near only", near)
-		Expect(near.lost).To(BeNumerically(">", 0.3))
-		Expect(got.lost).To(BeZero())
+		entries, callers := newEntries(3, 6), callersIn(1800, 1.0/3, 3)
+		lost := func(e Candidate) bool { return e.FailureDomain == "fd-0" }
+		got := simulate(defaultChoice, entries, callers, 1000, lost)
+		near := simulate(localOnly, entries, callers, 1000, lost)
+		logOutcome("domain lost, default", got)
+		logOutcome("domain lost, local only", near)
+		Expect(near.unreachable).To(BeNumerically(">", 0.3))
+		Expect(got.unreachable).To(BeZero())
 		Expect(got.peak).To(BeNumerically("<", 1.6))
 	})
 
-	// Of one failure domain a single entry is left. Near first would give it a third of all callers.
+	// A single entry is left in one failure domain. If the nearest entries always came first, it would get a
+	// third of all callers.
 	It("does not send a whole domain's callers to the one entry that is left there", func() {
-		entries, callers := fleet(3, 6), callersIn(1800, 1.0/3, 3)
+		entries, callers := newEntries(3, 6), callersIn(1800, 1.0/3, 3)
 		for i := 1; i < 6; i++ {
 			entries[i].Dead = true
 		}
-		got := play(ours, entries, callers, 1000, func(e Candidate) bool { return e.Dead })
-		near := play(onlyNear, entries, callers, 1000, func(e Candidate) bool { return e.Dead })
-		show("one left of a domain, drawn", got)
-		show("one left of a domain, near only", near)
+		got := simulate(defaultChoice, entries, callers, 1000, func(e Candidate) bool { return e.Dead })
+		near := simulate(localOnly, entries, callers, 1000, func(e Candidate) bool { return e.Dead })
+		logOutcome("one entry left in a domain, default", got)
+		logOutcome("one entry left in a domain, local only", near)
 		Expect(near.peak).To(BeNumerically(">", 4))
 		Expect(got.peak).To(BeNumerically("<", 1.6))
 	})
 
-	It("never names a dead, a leaving or the same entry, and names an overloaded one only when most are", func() {
+	It("never returns a dead or leaving entry or duplicates, and overloaded entries only when most are overloaded", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			entries := fleet(rapid.IntRange(1, 5).Draw(t, "domains"), rapid.IntRange(0, 8).Draw(t, "each"))
+			entries := newEntries(rapid.IntRange(1, 5).Draw(t, "domains"), rapid.IntRange(0, 8).Draw(t, "each"))
 			calm := 0
 			for i := range entries {
 				entries[i].Dead = rapid.Bool().Draw(t, "dead")
@@ -231,7 +233,7 @@
 			}
 			cfg := DefaultConfig()
 			cfg.Count = rapid.IntRange(1, 8).Draw(t, "count")
-			got := Choose(cfg, entries, caller, seeded(rapid.Uint64().Draw(t, "seed")))
+			got := Choose(cfg, entries, caller, newRand(rapid.Uint64().Draw(t, "seed")))
 			could := usable(entries)
 			if (len(got) == 0) != (len(could) == 0) || len(got) > cfg.Count {
 				t.Fatalf("%d of %d", len(got), len(could))
@@ -246,7 +248,7 @@
 				domains[e.FailureDomain] = true
 			}
 			candidates := map[string]bool{}
-			for _, e := range DefaultConfig().calm(could) {
+			for _, e := range DefaultConfig().dropOverloaded(could) {
 				candidates[e.FailureDomain] = true
 			}
 			if len(got) > 0 && got[0] != cfg.nearest(entries, caller, got) {
@@ -258,14 +260,14 @@
 		})
 	})
 
-	It("prefers the caller's place, and keeps answers for different times", func() {
-		entries := append(fleet(2, 4), Candidate{Name: "far", Place: "aotearoa", FailureDomain: "fd-0"})
+	It("prefers the caller's place, and varies the time to keep an answer", func() {
+		entries := append(newEntries(2, 4), Candidate{Name: "far", Place: "aotearoa", FailureDomain: "fd-0"})
 		for seed := range uint64(50) {
-			Expect(Choose(DefaultConfig(), entries, Caller{Place: "pampa"}, seeded(seed))[0].Place).To(Equal("pampa"))
+			Expect(Choose(DefaultConfig(), entries, Caller{Place: "pampa"}, newRand(seed))[0].Place).To(Equal("pampa"))
 		}
-		Expect(Choose(DefaultConfig(), entries, Caller{Place: "aotearoa"}, seeded(1))[0].Name).To(Equal("far"))
+		Expect(Choose(DefaultConfig(), entries, Caller{Place: "aotearoa"}, newRand(1))[0].Name).To(Equal("far"))
 		shortest, longest := time.Hour, time.Duration(0)
-		r := seeded(3)
+		r := newRand(3)
 		for range 1000 {
 			keep := JitterTTL(DefaultConfig(), time.Minute, r)
 			shortest, longest = min(shortest, keep), max(longest, keep)
@@ -274,7 +276,7 @@
 		Expect(longest).To(And(BeNumerically("~", time.Minute, time.Second), BeNumerically("<=", time.Minute)))
 	})
 
-	It("calls an entry overloaded only when it lasts, and calm only when that lasts", func() {
+	It("changes the overload state only after the load has lasted", func() {
 		o := NewOverloadDetector(OverloadConfig{High: 10, Low: 7, EnterAfter: 2 * time.Second, LeaveAfter: 15 * time.Second})
 		for _, step := range []struct {
 			at         time.Duration
@@ -286,7 +288,7 @@
 			{2, 12, false},
 			{4, 12, true},
 			{5, 6, true},
-			{6, 8, true}, // between the two bounds: the wait starts anew
+			{6, 8, true}, // between Low and High: the wait starts again
 			{7, 6, true},
 			{21, 6, true},
 			{22, 6, false},
--- a/policy/directory/overload.go
+++ b/policy/directory/overload.go
@@ -4,56 +4,56 @@
 	"time"
 )
 
-// OverloadConfig holds the thresholds of Overload.
+// OverloadConfig holds the thresholds of an OverloadDetector.
 type OverloadConfig struct {
-	// High is the number of requests in progress at and above which an entry is overloaded, Low the one
-	// below which it no longer is.
+	// High is the number of requests in progress from which on an entry is overloaded, Low the number below
+	// which it no longer is.
 	High, Low int
-	// EnterAfter is how long it must last, and LeaveAfter how long it must be over. Each change is told to all
-	// entries and takes a few seconds to reach them, and callers act on it only when they ask again;
-	// one that flips faster than that would swing load to and fro.
+	// EnterAfter is how long the entry must be at High or above before it is overloaded, LeaveAfter how long it
+	// must be below Low before it no longer is. Each change is sent to all entries and takes a few seconds to
+	// reach them, and callers act on it only when they ask again: faster changes would make the load oscillate.
 	EnterAfter, LeaveAfter time.Duration
 }
 
-// DefaultOverloadConfig returns the thresholds in use. At the peak, 12,000 requests a second of some ten
-// seconds each are 360 in progress at each of 330 entries; three times that is no spread of chance.
+// DefaultOverloadConfig returns the default thresholds. At the peak, 12,000 requests a second of about ten seconds
+// each are 360 in progress at each of 330 entries; random variation does not reach three times that.
 func DefaultOverloadConfig() OverloadConfig {
 	return OverloadConfig{High: 1000, Low: 700, EnterAfter: 2 * time.Second, LeaveAfter: 15 * time.Second}
 }
 
-// OverloadDetector says whether this entry should be left out of answers.
+// OverloadDetector decides whether this entry is overloaded and should be left out of answers.
 //
-// Load pattern: few callers with many requests each, who all drew the same entry, or callers that sit
-// mostly in one failure domain. Without it the entry stays in answers until its callers time out.
+// An entry becomes overloaded when a few callers with many requests each drew the same entry, or when most callers
+// are in one failure domain. Without the detector it would stay in answers until its callers time out.
 type OverloadDetector struct {
-	cfg   OverloadConfig
-	on    bool
-	since time.Duration // since when the requests in progress ask for the other state
-	asks  bool
+	cfg          OverloadConfig
+	overloaded   bool
+	pendingSince time.Duration // when the load crossed the threshold of the other state
+	pending      bool
 }
 
-// NewOverloadDetector returns an Overload that is off.
+// NewOverloadDetector returns a detector in the state not overloaded.
 func NewOverloadDetector(cfg OverloadConfig) *OverloadDetector { return &OverloadDetector{cfg: cfg} }
 
-// Observe takes in the requests in progress at now and returns the state.
+// Observe records the number of requests in progress at now and reports whether the entry is overloaded.
 func (o *OverloadDetector) Observe(now time.Duration, inProgress int) bool {
-	asks := inProgress >= o.cfg.High
+	crossed := inProgress >= o.cfg.High
 	wait := o.cfg.EnterAfter
-	if o.on {
-		asks = inProgress < o.cfg.Low
+	if o.overloaded {
+		crossed = inProgress < o.cfg.Low
 		wait = o.cfg.LeaveAfter
 	}
-	if !asks {
-		o.asks = false
-		return o.on
+	if !crossed {
+		o.pending = false
+		return o.overloaded
 	}
-	if !o.asks {
-		o.asks = true
-		o.since = now
+	if !o.pending {
+		o.pending = true
+		o.pendingSince = now
 	}
-	if now-o.since >= wait {
-		o.on = !o.on
-		o.asks = false
+	if now-o.pendingSince >= wait {
+		o.overloaded = !o.overloaded
+		o.pending = false
 	}
-	return o.on
+	return o.overloaded
 }
