--- a/entry/config.go
+++ b/entry/config.go
@@ -87,7 +87,7 @@
 // homeHold says when an entry may be a home. An entry is forgotten to have gone after ten times the longest
 // hold, or ten minutes.
 func (c *Config) homeHold() shift.HoldConfig {
-	return shift.HoldConfig{Hold: c.HomeHold, MaxHold: c.HomeHoldMax, Forget: max(shift.DefaultForget, 10*c.HomeHoldMax)}
+	return shift.HoldConfig{Hold: c.HomeHold, MaxHold: c.HomeHoldMax, ForgetAfter: max(shift.DefaultForgetAfter, 10*c.HomeHoldMax)}
 }
 
 // source is the local address of outgoing connections, or nil.
--- a/entry/homes.go
+++ b/entry/homes.go
@@ -18,13 +18,13 @@
 	steady  atomic.Pointer[[]string]
 
 	mu    sync.Mutex // guards shift; a leaf lock
-	shift *shift.Homes
+	shift *shift.FlapDamper
 }
 
 func newHomes(config Config, members *member.Members) *homes {
 	h := &homes{
 		members: members, start: time.Now(),
-		shift: shift.NewHomes(config.homeHold(), members.Self().Name),
+		shift: shift.NewFlapDamper(config.homeHold(), members.Self().Name),
 	}
 	h.steady.Store(&[]string{})
 	return h
@@ -65,9 +65,9 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.shift.Observe(now, live)
-	steady := h.shift.Steady(now)
+	steady := h.shift.Eligible(now)
 	h.steady.Store(&steady)
-	if next, ok := h.shift.Next(now); ok {
+	if next, ok := h.shift.NextChange(now); ok {
 		return max(0, next-now)
 	}
 	return idleWake
--- a/policy/shift/homes.go
+++ b/policy/shift/homes.go
@@ -29,9 +29,9 @@
 
 // Defaults of a HoldConfig.
 const (
-	DefaultHold    = 5 * time.Second
-	DefaultMaxHold = 2 * time.Minute
-	DefaultForget  = 10 * time.Minute
+	DefaultHold        = 5 * time.Second
+	DefaultMaxHold     = 2 * time.Minute
+	DefaultForgetAfter = 10 * time.Minute
 
 	// holdGrowth is by how much the hold grows each time an entry goes.
 	holdGrowth = 4
@@ -43,13 +43,13 @@
 	Hold time.Duration
 	// MaxHold is the longest that it must, after it went often. Hold to 1 h.
 	MaxHold time.Duration
-	// Forget is after how long a live entry has never gone. MaxHold to 24 h.
-	Forget time.Duration
+	// ForgetAfter is after how long a live entry has never gone. MaxHold to 24 h.
+	ForgetAfter time.Duration
 }
 
 // DefaultHoldConfig returns the defaults.
 func DefaultHoldConfig() HoldConfig {
-	return HoldConfig{Hold: DefaultHold, MaxHold: DefaultMaxHold, Forget: DefaultForget}
+	return HoldConfig{Hold: DefaultHold, MaxHold: DefaultMaxHold, ForgetAfter: DefaultForgetAfter}
 }
 
 // Check returns an error that wraps ErrRange and names the first value out of range.
@@ -59,8 +59,8 @@
 		return fmt.Errorf("%w: hold %v is not in 0 to 1m", ErrRange, c.Hold)
 	case c.MaxHold < c.Hold || c.MaxHold > time.Hour:
 		return fmt.Errorf("%w: longest hold %v is not in %v to 1h", ErrRange, c.MaxHold, c.Hold)
-	case c.Forget < c.MaxHold || c.Forget > 24*time.Hour:
-		return fmt.Errorf("%w: forget %v is not in %v to 24h", ErrRange, c.Forget, c.MaxHold)
+	case c.ForgetAfter < c.MaxHold || c.ForgetAfter > 24*time.Hour:
+		return fmt.Errorf("%w: forget %v is not in %v to 24h", ErrRange, c.ForgetAfter, c.MaxHold)
 	}
 	return nil
 }
@@ -74,8 +74,8 @@
 	round  uint64 // the last Observe that named it
 }
 
-// Homes says which of the live entries may be homes. It is not safe for concurrent use.
-type Homes struct {
+// FlapDamper says which of the live entries may be homes. It is not safe for concurrent use.
+type FlapDamper struct {
 	config  HoldConfig
 	entries map[string]*presence
 	self    string
@@ -83,14 +83,14 @@
 	round   uint64 // counts Observe
 }
 
-// NewHomes returns a Homes of the entry self, which knows no entry. The configuration has passed Check.
-func NewHomes(config HoldConfig, self string) *Homes {
-	return &Homes{config: config, entries: make(map[string]*presence), self: self}
+// NewFlapDamper returns a Homes of the entry self, which knows no entry. The configuration has passed Check.
+func NewFlapDamper(config HoldConfig, self string) *FlapDamper {
+	return &FlapDamper{config: config, entries: make(map[string]*presence), self: self}
 }
 
 // Observe takes in the names of the live entries. Those of the first call are steady at once, but for the
 // own one, which has just started. If most come back together, it was the own one that was away.
-func (h *Homes) Observe(now time.Duration, live []string) {
+func (h *FlapDamper) Observe(now time.Duration, live []string) {
 	h.round++
 	back := 0
 	for _, name := range live {
@@ -106,15 +106,15 @@
 		}
 	}
 	if h.started && 2*back > len(live) {
-		h.Returned(now, h.self)
+		h.RecordAbsence(now, h.self)
 	}
 	h.started = h.started || len(live) > 0
 	h.forget(now)
 }
 
-// Returned takes in that a live entry, most often this one itself, was declared dead and is not, though
+// RecordAbsence takes in that a live entry, most often this one itself, was declared dead and is not, though
 // the live set never showed it.
-func (h *Homes) Returned(now time.Duration, name string) {
+func (h *FlapDamper) RecordAbsence(now time.Duration, name string) {
 	p, known := h.entries[name]
 	if !known || !p.live {
 		return
@@ -125,7 +125,7 @@
 }
 
 // seen takes in that an entry is live, and says whether it was known before and has come back.
-func (h *Homes) seen(now time.Duration, name string, held bool) bool {
+func (h *FlapDamper) seen(now time.Duration, name string, held bool) bool {
 	p, known := h.entries[name]
 	if !known {
 		p = &presence{}
@@ -144,7 +144,7 @@
 }
 
 // hold is how long an entry that went that often must be live.
-func (h *Homes) hold(gone int) time.Duration {
+func (h *FlapDamper) hold(gone int) time.Duration {
 	hold := h.config.Hold
 	for range gone - 1 {
 		hold = min(holdGrowth*hold, h.config.MaxHold)
@@ -153,9 +153,9 @@
 }
 
 // forget drops what no longer matters, so that the table stays as large as the fleet.
-func (h *Homes) forget(now time.Duration) {
+func (h *FlapDamper) forget(now time.Duration) {
 	for name, p := range h.entries {
-		if now-p.wentAt < h.config.Forget {
+		if now-p.wentAt < h.config.ForgetAfter {
 			continue
 		}
 		if !p.live {
@@ -165,8 +165,8 @@
 	}
 }
 
-// Steady returns the live entries that may be homes, sorted.
-func (h *Homes) Steady(now time.Duration) []string {
+// Eligible returns the live entries that may be homes, sorted.
+func (h *FlapDamper) Eligible(now time.Duration) []string {
 	var steady, live []string
 	for name, p := range h.entries {
 		if !p.live {
@@ -184,8 +184,8 @@
 	return steady
 }
 
-// Next returns the next time at which Steady changes by itself, and whether there is one.
-func (h *Homes) Next(now time.Duration) (time.Duration, bool) {
+// NextChange returns the next time at which Steady changes by itself, and whether there is one.
+func (h *FlapDamper) NextChange(now time.Duration) (time.Duration, bool) {
 	next, found := time.Duration(0), false
 	for _, p := range h.entries {
 		if p.live && p.steady > now && (!found || p.steady < next) {
--- a/policy/shift/shift_test.go
+++ b/policy/shift/shift_test.go
@@ -43,62 +43,62 @@
 )
 
 var _ = Describe("Homes", func() {
-	var h *Homes
+	var h *FlapDamper
 	BeforeEach(func() {
 		Expect(DefaultHoldConfig().Check()).To(Succeed())
 		Expect(DefaultRamp().Check()).To(Succeed())
-		h = NewHomes(DefaultHoldConfig(), "a")
+		h = NewFlapDamper(DefaultHoldConfig(), "a")
 		h.Observe(0, []string{"a", "b", "c", "d", "e"})
 	})
 
 	It("are all but the own entry at its start, and a new one after a while", func() {
-		Expect(h.Steady(0)).To(Equal([]string{"b", "c", "d", "e"}))
-		next, found := h.Next(0)
+		Expect(h.Eligible(0)).To(Equal([]string{"b", "c", "d", "e"}))
+		next, found := h.NextChange(0)
 		Expect(found).To(BeTrue())
 		Expect(next).To(Equal(DefaultHold))
-		Expect(h.Steady(next)).To(Equal([]string{"a", "b", "c", "d", "e"}))
+		Expect(h.Eligible(next)).To(Equal([]string{"a", "b", "c", "d", "e"}))
 		h.Observe(10*sec, []string{"a", "b", "c", "d", "e", "f"})
-		Expect(h.Steady(14 * sec)).NotTo(ContainElement("f"))
-		Expect(h.Steady(15 * sec)).To(ContainElement("f"))
+		Expect(h.Eligible(14 * sec)).NotTo(ContainElement("f"))
+		Expect(h.Eligible(15 * sec)).To(ContainElement("f"))
 	})
 
 	It("leave out an entry that goes, at once, and longer each time, and forgive it", func() {
 		now := 10 * sec
 		for _, hold := range []time.Duration{5, 20, 80, 120, 120} {
 			h.Observe(now, []string{"a", "c", "d", "e"})
-			Expect(h.Steady(now)).NotTo(ContainElement("b"))
+			Expect(h.Eligible(now)).NotTo(ContainElement("b"))
 			now += sec
 			h.Observe(now, []string{"a", "b", "c", "d", "e"})
-			Expect(h.Steady(now + hold*sec - 1)).NotTo(ContainElement("b"))
-			Expect(h.Steady(now + hold*sec)).To(ContainElement("b"))
+			Expect(h.Eligible(now + hold*sec - 1)).NotTo(ContainElement("b"))
+			Expect(h.Eligible(now + hold*sec)).To(ContainElement("b"))
 			now += sec
 		}
-		now += DefaultForget
+		now += DefaultForgetAfter
 		h.Observe(now, []string{"a", "b", "c", "d", "e"})
-		h.Returned(now, "b")
-		Expect(h.Steady(now)).NotTo(ContainElement("b"))
-		Expect(h.Steady(now + DefaultHold)).To(ContainElement("b"))
+		h.RecordAbsence(now, "b")
+		Expect(h.Eligible(now)).NotTo(ContainElement("b"))
+		Expect(h.Eligible(now + DefaultHold)).To(ContainElement("b"))
 	})
 
 	// The own VM was cut off. All others seem to come back at once; were they held back, this entry would
 	// call itself the home of every group.
 	It("are all live ones while fewer than half are steady", func() {
 		h.Observe(10*sec, []string{"a"})
-		Expect(h.Steady(10 * sec)).To(Equal([]string{"a"}))
+		Expect(h.Eligible(10 * sec)).To(Equal([]string{"a"}))
 		h.Observe(13*sec, []string{"a", "b", "c", "d", "e"})
-		Expect(h.Steady(13 * sec)).To(Equal([]string{"b", "c", "d", "e"}))
+		Expect(h.Eligible(13 * sec)).To(Equal([]string{"b", "c", "d", "e"}))
 	})
 
 	It("are live, and there is one if any entry is live, and the table is bounded", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			h := NewHomes(DefaultHoldConfig(), "a")
+			h := NewFlapDamper(DefaultHoldConfig(), "a")
 			now := time.Duration(0)
 			for range rapid.IntRange(1, 50).Draw(t, "steps") {
 				now += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * sec
 				name := rapid.StringMatching("[a-h]")
 				live := rapid.SliceOfNDistinct(name, 0, 8, rapid.ID[string]).Draw(t, "live")
 				h.Observe(now, live)
-				steady := h.Steady(now)
+				steady := h.Eligible(now)
 				if len(live) > 0 && len(steady) == 0 {
 					t.Fatal("no home")
 				}
@@ -108,8 +108,8 @@
 					}
 				}
 			}
-			h.Observe(now+DefaultForget, nil)
-			h.Observe(now+2*DefaultForget, nil)
+			h.Observe(now+DefaultForgetAfter, nil)
+			h.Observe(now+2*DefaultForgetAfter, nil)
 			if len(h.entries) > 0 {
 				t.Fatalf("%d entries kept", len(h.entries))
 			}
@@ -205,11 +205,11 @@
 	if !hold {
 		config = HoldConfig{}
 	}
-	views := make([]*Homes, entryCount)
+	views := make([]*FlapDamper, entryCount)
 	late := make([]time.Duration, entryCount)
 	for e := range views {
 		late[e] = 300*time.Millisecond + time.Duration(random.IntN(1200))*time.Millisecond
-		views[e] = NewHomes(config, name(e))
+		views[e] = NewFlapDamper(config, name(e))
 		views[e].Observe(-time.Minute, seenBy(c, e, -time.Minute))
 	}
 	var result shifted
@@ -224,7 +224,7 @@
 			comeBack(c, views, e, now, config)
 			up[e] = !isGone(c, e, now)
 			views[e].Observe(now, seenBy(c, e, now-late[e]))
-			if steady := views[e].Steady(now); !slices.Equal(steady, last[e]) {
+			if steady := views[e].Eligible(now); !slices.Equal(steady, last[e]) {
 				last[e], of[e] = steady, owners(steady)
 			}
 		}
@@ -259,14 +259,14 @@
 }
 
 // comeBack is what an entry makes of the end of its own outage.
-func comeBack(c churn, views []*Homes, e int, now time.Duration, config HoldConfig) {
+func comeBack(c churn, views []*FlapDamper, e int, now time.Duration, config HoldConfig) {
 	for _, o := range c.outages {
 		switch {
 		case o.entry != e || o.to != now:
 		case o.kind == restarted:
-			views[e] = NewHomes(config, name(e))
+			views[e] = NewFlapDamper(config, name(e))
 		case o.kind == paused:
-			views[e].Returned(now, name(e))
+			views[e].RecordAbsence(now, name(e))
 		}
 	}
 }
@@ -348,11 +348,11 @@
 			for e := range count {
 				live = append(live, fmt.Sprint("entry-", e))
 			}
-			h := NewHomes(DefaultHoldConfig(), live[0])
+			h := NewFlapDamper(DefaultHoldConfig(), live[0])
 			b.ReportAllocs()
 			for i := range b.N {
 				h.Observe(time.Duration(i)*sec, live)
-				h.Steady(time.Duration(i) * sec)
+				h.Eligible(time.Duration(i) * sec)
 			}
 		})
 	}
