--- a/policy/balance/config.go
+++ b/policy/balance/config.go
@@ -19,28 +19,28 @@
 // Config holds the settings of a service's balancer.
 type Config struct {
 	// BoundSlack is by how much a group's load may exceed the mean load, as a share of the mean, before
-	// affinity passes over the group. 0.05 to 2.
+	// affinity passes over the group. Range: 0.05 to 2.
 	BoundSlack float64
 	// MinLoadBound is the load, as a share of a group's limit, below which affinity never passes over the
-	// group, however low the mean is. 0.1 to 1.
+	// group, however low the mean is. Range: 0.1 to 1.
 	MinLoadBound float64
 	// NearLoad is the load below which a request without a prefix stays in its front's failure domain, even
-	// if groups elsewhere are less loaded. 0 to 1.
+	// if groups elsewhere are less loaded. Range: 0 to 1.
 	NearLoad float64
 	// SpreadFactor multiplies the number of groups that a popular prefix is spread over: it gets this many
-	// times the groups that its share of the requests calls for. 1 to 30.
+	// times the groups that its share of the requests calls for. Range: 1 to 30.
 	SpreadFactor float64
 	// SlowFirstTokenFactor and SlowTokenGapFactor are the multiples of the median over the service's groups
-	// at which a group's time to first token, or its gap between tokens, makes it slow. 1.2 to 20.
+	// at which a group's time to first token, or its gap between tokens, makes it slow. Range: 1.2 to 20.
 	SlowFirstTokenFactor float64
 	SlowTokenGapFactor   float64
 	// FirstTokenObjective and TokenGapObjective are the service's latency objectives. A group whose average
 	// is below half of them is not slow, however fast the others are. 0: no objective.
 	FirstTokenObjective, TokenGapObjective time.Duration
-	// MaxSlowShare is the largest share of the ready groups that may be avoided as slow. 0 to 0.5.
+	// MaxSlowShare is the largest share of the ready groups that may be avoided as slow. Range: 0 to 0.5.
 	MaxSlowShare float64
 	// SlowTrialShare is the share of its fair part of the requests that an avoided group still gets, so that
-	// its recovery is noticed. 0.01 to 1.
+	// its recovery is noticed. Range: 0.01 to 1.
 	SlowTrialShare float64
 	// SlowStart ramps up the load of a new group.
 	SlowStart shift.Ramp
--- a/policy/directory/choose.go
+++ b/policy/directory/choose.go
@@ -8,10 +8,9 @@
 // failure domain that holds most callers would saturate, and its loss would leave its callers without an
 // address.
 //
-// Each answer is therefore drawn at random, from the caller's failure domain first and then from its place,
-// the region that holds the failure domain.
-// Entries that report overload are left out, which sends callers elsewhere, and the last entries of each answer
-// are in other failure domains.
+// Each answer is therefore drawn at random, from the caller's failure domain first and then from its place, the
+// region that holds the failure domain. Entries that report overload are left out, which sends callers elsewhere,
+// and the last entries of each answer are in other failure domains.
 package directory
 
 import (
--- a/policy/shift/homes.go
+++ b/policy/shift/homes.go
@@ -1,23 +1,23 @@
-// Load pattern of this file: an entry that comes and goes, since its VM pauses, its link drops packets, or it
-// restarts in a loop. The home of a group is computed from the live entries, so that each time the homes of
-// some groups move there and back. Each move empties a queue, doubles a limit for a moment, and leaves the
-// groups without dispatches until the new home has probed their members. An operator would notice groups
-// that are not whole for a second, again and again, always those of one entry, and callers refused by
-// fronts whose home is no longer one.
+// An entry may flap: its VM pauses, its link drops packets, or it restarts in a loop. The home of a group, the entry
+// that queues and dispatches its requests, is computed from the live entries, so each time the homes of some groups
+// move to the entry and away again. Each move drops a queue, doubles a concurrency limit for a moment, and leaves the
+// groups without dispatches until the new home has probed their members. Operators see groups, always those of one
+// entry, that are incomplete for a second again and again, and callers whose front sends to an entry that is no
+// longer the home are refused.
 //
-// An entry that goes loses its groups at once. One that comes back is a home again only after it was live
-// for a while, and longer with each time that it went. An entry seen for the first time waits as well: it
-// does not know the groups yet.
+// An entry that leaves loses its groups at once. When it returns it may be a home again only after it was live for a
+// hold time, which grows with each absence. An entry that is seen for the first time waits as well: it does not know
+// the groups yet.
 //
-// What the entries see differs by a moment, and so does who is home to whom: nothing depends on it but the
-// moment's doubled limit. An entry that was cut off itself sees all others come back; if it held them back,
-// it would be home to everything. So while fewer than half of the live entries are steady, all of them count,
-// but for the own one, which the others hold back.
+// The entries' views differ for a moment, and so does the home that each of them computes. Only the momentarily
+// doubled limit depends on this. An entry that was itself cut off sees all others return; if it held them back, it
+// would be the home of every group. Therefore, while fewer than half of the live entries are eligible, all live ones
+// count, except for the entry itself, which the others hold back.
 //
-// Thresholds (figures: docs/measurements/shifting.md): DefaultHold is longer than the few seconds in which
-// all entries learn that one is back. It grows by four up to DefaultMaxHold, so that an entry that goes each
-// minute is out after its third time; by two, it would be out after its fifth. DefaultForget is some of
-// the longest holds.
+// Thresholds (figures: docs/measurements/shifting.md): DefaultHold is longer than the few seconds in which all
+// entries learn that one has returned. It grows by a factor of four up to DefaultMaxHold, so that an entry that
+// leaves every minute is out after its third absence; with a factor of two, it would be out after its fifth.
+// DefaultForgetAfter is several times the longest hold.
 
 package shift
 
@@ -33,21 +33,23 @@
 	DefaultMaxHold     = 2 * time.Minute
 	DefaultForgetAfter = 10 * time.Minute
 
-	// holdGrowth is by how much the hold grows each time an entry goes.
+	// holdGrowth is the factor by which the hold time grows with each absence.
 	holdGrowth = 4
 )
 
-// HoldConfig holds what an operator may set.
+// HoldConfig holds the hold times of a FlapDamper.
 type HoldConfig struct {
-	// Hold is how long an entry must be live to be a home, after it came for the first time. 0 to 1 min.
+	// Hold is how long an entry must be live before it may be a home, when it is new or after its first absence.
+	// Range: 0 to 1 min.
 	Hold time.Duration
-	// MaxHold is the longest that it must, after it went often. Hold to 1 h.
+	// MaxHold is the upper bound of the hold time after repeated absences. Range: Hold to 1 h.
 	MaxHold time.Duration
-	// ForgetAfter is after how long a live entry has never gone. MaxHold to 24 h.
+	// ForgetAfter is how long after its last absence the absences of an entry are forgotten. Range: MaxHold to
+	// 24 h.
 	ForgetAfter time.Duration
 }
 
-// DefaultHoldConfig returns the defaults.
+// DefaultHoldConfig returns the default hold times.
 func DefaultHoldConfig() HoldConfig {
 	return HoldConfig{Hold: DefaultHold, MaxHold: DefaultMaxHold, ForgetAfter: DefaultForgetAfter}
 }
@@ -60,136 +62,140 @@
 	case c.MaxHold < c.Hold || c.MaxHold > time.Hour:
 		return fmt.Errorf("%w: longest hold %v is not in %v to 1h", ErrRange, c.MaxHold, c.Hold)
 	case c.ForgetAfter < c.MaxHold || c.ForgetAfter > 24*time.Hour:
-		return fmt.Errorf("%w: forget %v is not in %v to 24h", ErrRange, c.ForgetAfter, c.MaxHold)
+		return fmt.Errorf("%w: time to forget absences %v is not in %v to 24h", ErrRange, c.ForgetAfter, c.MaxHold)
 	}
 	return nil
 }
 
-// presence is what is known of one entry.
-type presence struct {
-	live   bool
-	steady time.Duration // when it counts as steady, if it stays live
-	gone   int           // how often it went
-	wentAt time.Duration
-	round  uint64 // the last Observe that named it
+// entryState is the liveness history of one entry.
+type entryState struct {
+	live        bool
+	eligibleAt  time.Duration // when it becomes eligible, if it stays live
+	absences    int           // how often it left
+	lastAbsence time.Duration
+	lastRound   uint64 // the last call of Observe that listed it
 }
 
-// FlapDamper says which of the live entries may be homes. It is not safe for concurrent use.
+// FlapDamper decides which of the live entries may be homes of groups. It is not safe for concurrent use.
 type FlapDamper struct {
 	config  HoldConfig
-	entries map[string]*presence
+	entries map[string]*entryState
 	self    string
 	started bool
-	round   uint64 // counts Observe
+	round   uint64 // counts the calls of Observe
 }
 
-// NewFlapDamper returns a Homes of the entry self, which knows no entry. The configuration has passed Check.
+// NewFlapDamper returns a FlapDamper for the entry self that knows no entries yet. config must have passed Check.
 func NewFlapDamper(config HoldConfig, self string) *FlapDamper {
-	return &FlapDamper{config: config, entries: make(map[string]*presence), self: self}
+	return &FlapDamper{config: config, entries: make(map[string]*entryState), self: self}
 }
 
-// Observe takes in the names of the live entries. Those of the first call are steady at once, but for the
-// own one, which has just started. If most come back together, it was the own one that was away.
-func (h *FlapDamper) Observe(now time.Duration, live []string) {
-	h.round++
-	back := 0
+// Observe updates the set of live entries. Those of the first call are eligible at once, except for self, which has
+// just started. If most of the live entries return in the same call, self was the one that was cut off, and an absence
+// of self is recorded.
+func (d *FlapDamper) Observe(now time.Duration, live []string) {
+	d.round++
+	rejoined := 0
 	for _, name := range live {
-		if h.seen(now, name, h.started || name == h.self) {
-			back++
+		if d.markLive(now, name, d.started || name == d.self) {
+			rejoined++
 		}
 	}
-	for _, p := range h.entries {
-		if p.live && p.round != h.round {
-			p.live = false
-			p.gone++
-			p.wentAt = now
+	for _, s := range d.entries {
+		if s.live && s.lastRound != d.round {
+			s.live = false
+			s.absences++
+			s.lastAbsence = now
 		}
 	}
-	if h.started && 2*back > len(live) {
-		h.RecordAbsence(now, h.self)
+	if d.started && 2*rejoined > len(live) {
+		d.RecordAbsence(now, d.self)
 	}
-	h.started = h.started || len(live) > 0
-	h.forget(now)
+	d.started = d.started || len(live) > 0
+	d.prune(now)
 }
 
-// RecordAbsence takes in that a live entry, most often this one itself, was declared dead and is not, though
-// the live set never showed it.
-func (h *FlapDamper) RecordAbsence(now time.Duration, name string) {
-	p, known := h.entries[name]
-	if !known || !p.live {
+// RecordAbsence counts an absence of a live entry that no call of Observe showed, and holds the entry back again. The
+// entry, usually self, was declared dead although it is alive.
+func (d *FlapDamper) RecordAbsence(now time.Duration, name string) {
+	s, known := d.entries[name]
+	if !known || !s.live {
 		return
 	}
-	p.gone++
-	p.wentAt = now
-	p.steady = now + h.hold(p.gone)
+	s.absences++
+	s.lastAbsence = now
+	s.eligibleAt = now + d.holdTime(s.absences)
 }
 
-// seen takes in that an entry is live, and says whether it was known before and has come back.
-func (h *FlapDamper) seen(now time.Duration, name string, held bool) bool {
-	p, known := h.entries[name]
+// markLive records that an entry is live and reports whether it is a known entry that returned. If held is set, the
+// entry is eligible only after its hold time.
+func (d *FlapDamper) markLive(now time.Duration, name string, held bool) bool {
+	s, known := d.entries[name]
 	if !known {
-		p = &presence{}
-		h.entries[name] = p
+		s = &entryState{}
+		d.entries[name] = s
 	}
-	p.round = h.round
-	if p.live {
+	s.lastRound = d.round
+	if s.live {
 		return false
 	}
-	p.live = true
-	p.steady = now
+	s.live = true
+	s.eligibleAt = now
 	if held {
-		p.steady = now + h.hold(p.gone)
+		s.eligibleAt = now + d.holdTime(s.absences)
 	}
 	return known
 }
 
-// hold is how long an entry that went that often must be live.
-func (h *FlapDamper) hold(gone int) time.Duration {
-	hold := h.config.Hold
-	for range gone - 1 {
-		hold = min(holdGrowth*hold, h.config.MaxHold)
+// holdTime returns how long an entry with that many absences must be live before it is eligible.
+func (d *FlapDamper) holdTime(absences int) time.Duration {
+	hold := d.config.Hold
+	for range absences - 1 {
+		hold = min(holdGrowth*hold, d.config.MaxHold)
 	}
 	return hold
 }
 
-// forget drops what no longer matters, so that the table stays as large as the fleet.
-func (h *FlapDamper) forget(now time.Duration) {
-	for name, p := range h.entries {
-		if now-p.wentAt < h.config.ForgetAfter {
+// prune resets the absences of entries whose last absence is ForgetAfter ago and drops those that are not live, so that
+// the map does not grow beyond the entries in use.
+func (d *FlapDamper) prune(now time.Duration) {
+	for name, s := range d.entries {
+		if now-s.lastAbsence < d.config.ForgetAfter {
 			continue
 		}
-		if !p.live {
-			delete(h.entries, name)
+		if !s.live {
+			delete(d.entries, name)
 		}
-		p.gone = 0
+		s.absences = 0
 	}
 }
 
 // Eligible returns the live entries that may be homes, sorted.
-func (h *FlapDamper) Eligible(now time.Duration) []string {
-	var steady, live []string
-	for name, p := range h.entries {
-		if !p.live {
+func (d *FlapDamper) Eligible(now time.Duration) []string {
+	var eligible, live []string
+	for name, s := range d.entries {
+		if !s.live {
 			continue
 		}
 		live = append(live, name)
-		if p.steady <= now {
-			steady = append(steady, name)
+		if s.eligibleAt <= now {
+			eligible = append(eligible, name)
 		}
 	}
-	if 2*len(steady) < len(live) {
-		steady = slices.DeleteFunc(live, func(name string) bool { return name == h.self && len(live) > 1 && h.entries[name].steady > now })
+	if 2*len(eligible) < len(live) {
+		eligible = slices.DeleteFunc(live, func(name string) bool { return name == d.self && len(live) > 1 && d.entries[name].eligibleAt > now })
 	}
-	slices.Sort(steady)
-	return steady
+	slices.Sort(eligible)
+	return eligible
 }
 
-// NextChange returns the next time at which Steady changes by itself, and whether there is one.
-func (h *FlapDamper) NextChange(now time.Duration) (time.Duration, bool) {
+// NextChange returns the next time at which the result of Eligible changes without a call of Observe, and whether there
+// is one.
+func (d *FlapDamper) NextChange(now time.Duration) (time.Duration, bool) {
 	next, found := time.Duration(0), false
-	for _, p := range h.entries {
-		if p.live && p.steady > now && (!found || p.steady < next) {
-			next, found = p.steady, true
+	for _, s := range d.entries {
+		if s.live && s.eligibleAt > now && (!found || s.eligibleAt < next) {
+			next, found = s.eligibleAt, true
 		}
 	}
 	return next, found
--- a/policy/shift/ramp.go
+++ b/policy/shift/ramp.go
@@ -1,17 +1,17 @@
-// Package shift decides how fast work moves: to a new replica, and between the entries that may be the
-// home of a group.
+// Package shift limits how fast load moves: to a new replica (Ramp), and between the entries that may be the home of
+// a group (FlapDamper).
 //
-// Load pattern of this file: a replica starts to serve while the others are busy. It has no load, so that
-// fronts prefer it, no cached prefix, so that what it is given costs a whole prefill, and often an engine
-// that is slow for its first batches. An operator would notice first tokens on the new replica that take
-// seconds each time a replica is replaced, 360 times on an ordinary day at the size to come.
+// A replica that starts to serve while the others are busy has no load, so fronts prefer it. It has no cached prefixes,
+// so each request costs a full prefill, and its engine is often slow for the first batches. Without a ramp, the first
+// tokens on a new replica take seconds each time a replica is replaced, which at the planned size happens 360 times on
+// an ordinary day.
 //
-// Thresholds (figures: docs/measurements/shifting.md): the choice among two, late reports corrected, already
-// keeps a new replica from being flooded; what the ramp adds is for engines that start slowly. With 5 of
-// 50 replicas new at 0.3 of their speed for 5 s, first tokens at 99 in 100 took 2.8 s without a ramp, 2.0 s
-// with one of 5 s, and 1.2 s with DefaultWindow. Where they start at full speed, each second of the window
-// costs the others a little: 20 s cost more than 10 s and brought nothing. DefaultFloor is above nothing,
-// because a replica that is given nothing is never measured.
+// Thresholds (figures: docs/measurements/shifting.md): choosing the less loaded of two groups by corrected reports
+// already keeps a new replica from being flooded; the ramp helps with engines that start slowly. With 5 of 50 replicas
+// new and at 0.3 of their speed for 5 s, the 99th percentile of the time to first token was 2.8 s without a ramp, 2.0 s
+// with one of 5 s, and 1.2 s with DefaultWindow. If they start at full speed, each second of the window costs the other
+// replicas a little: 20 s cost more than 10 s and brought nothing. DefaultFloor is above zero because a replica that
+// gets no requests is never measured.
 package shift
 
 import (
@@ -29,18 +29,18 @@
 	MaxWindow = 10 * time.Minute
 )
 
-// ErrRange is wrapped by the error of every configuration value out of its range.
+// ErrRange is wrapped by the errors of Check for values out of range.
 var ErrRange = errors.New("value out of range")
 
-// Ramp is the share of its capacity that a replica is offered while it is new.
+// Ramp is the slow start of a new replica: the share of its capacity that is used, growing linearly.
 type Ramp struct {
-	// Floor is the share at the start, MinFloor to 1.
+	// Floor is the share at the start. Range: MinFloor to 1.
 	Floor float64
-	// Window is how long the share grows to 1, 0 (no ramp) to MaxWindow.
+	// Window is the time in which the share grows to 1. Range: 0 (no ramp) to MaxWindow.
 	Window time.Duration
 }
 
-// DefaultRamp returns the ramp with its default values.
+// DefaultRamp returns the default ramp.
 func DefaultRamp() Ramp {
 	return Ramp{Floor: DefaultFloor, Window: DefaultWindow}
 }
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Share returns the share, Floor to 1, of a replica that has served for the given time.
+// Share returns the share of its capacity, Floor to 1, that a replica gets after serving for the given time.
 func (r Ramp) Share(served time.Duration) float64 {
 	if served >= r.Window {
 		return 1
--- a/policy/shift/seed_test.go
+++ b/policy/shift/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// CI plays the same inputs on each run; -rapid.seed plays others.
+// Tests run with the same random inputs each time, unless -rapid.seed sets another seed.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/policy/shift/shift_test.go
+++ b/policy/shift/shift_test.go
@@ -17,7 +17,7 @@
 
 func TestShift(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "Shifting")
+	RunSpecs(t, "policy/shift")
 }
 
 var _ = Describe("A ramp", func() {
@@ -30,9 +30,9 @@
 	})
 })
 
-type checked interface{ Check() error }
+type checker interface{ Check() error }
 
-var _ = DescribeTable("A configuration out of range is refused", func(c checked) {
+var _ = DescribeTable("A configuration out of range is refused", func(c checker) {
 	Expect(errors.Is(c.Check(), ErrRange)).To(BeTrue())
 },
 	Entry("floor", Ramp{Window: sec}),
@@ -42,54 +42,54 @@
 	Entry("forget", HoldConfig{Hold: sec, MaxHold: sec}),
 )
 
-var _ = Describe("Homes", func() {
-	var h *FlapDamper
+var _ = Describe("FlapDamper", func() {
+	var damper *FlapDamper
 	BeforeEach(func() {
 		Expect(DefaultHoldConfig().Check()).To(Succeed())
 		Expect(DefaultRamp().Check()).To(Succeed())
-		h = NewFlapDamper(DefaultHoldConfig(), "a")
-		h.Observe(0, []string{"a", "b", "c", "d", "e"})
+		damper = NewFlapDamper(DefaultHoldConfig(), "a")
+		damper.Observe(0, []string{"a", "b", "c", "d", "e"})
 	})
 
-	It("are all but the own entry at its start, and a new one after a while", func() {
-		Expect(h.Eligible(0)).To(Equal([]string{"b", "c", "d", "e"}))
-		next, found := h.NextChange(0)
+	It("holds back itself at its start, and new entries", func() {
+		Expect(damper.Eligible(0)).To(Equal([]string{"b", "c", "d", "e"}))
+		next, found := damper.NextChange(0)
 		Expect(found).To(BeTrue())
 		Expect(next).To(Equal(DefaultHold))
-		Expect(h.Eligible(next)).To(Equal([]string{"a", "b", "c", "d", "e"}))
-		h.Observe(10*sec, []string{"a", "b", "c", "d", "e", "f"})
-		Expect(h.Eligible(14 * sec)).NotTo(ContainElement("f"))
-		Expect(h.Eligible(15 * sec)).To(ContainElement("f"))
+		Expect(damper.Eligible(next)).To(Equal([]string{"a", "b", "c", "d", "e"}))
+		damper.Observe(10*sec, []string{"a", "b", "c", "d", "e", "f"})
+		Expect(damper.Eligible(14 * sec)).NotTo(ContainElement("f"))
+		Expect(damper.Eligible(15 * sec)).To(ContainElement("f"))
 	})
 
-	It("leave out an entry that goes, at once, and longer each time, and forgive it", func() {
+	It("excludes an entry that leaves at once, holds it back longer each time, and forgets its absences", func() {
 		now := 10 * sec
 		for _, hold := range []time.Duration{5, 20, 80, 120, 120} {
-			h.Observe(now, []string{"a", "c", "d", "e"})
-			Expect(h.Eligible(now)).NotTo(ContainElement("b"))
+			damper.Observe(now, []string{"a", "c", "d", "e"})
+			Expect(damper.Eligible(now)).NotTo(ContainElement("b"))
 			now += sec
-			h.Observe(now, []string{"a", "b", "c", "d", "e"})
-			Expect(h.Eligible(now + hold*sec - 1)).NotTo(ContainElement("b"))
-			Expect(h.Eligible(now + hold*sec)).To(ContainElement("b"))
+			damper.Observe(now, []string{"a", "b", "c", "d", "e"})
+			Expect(damper.Eligible(now + hold*sec - 1)).NotTo(ContainElement("b"))
+			Expect(damper.Eligible(now + hold*sec)).To(ContainElement("b"))
 			now += sec
 		}
 		now += DefaultForgetAfter
-		h.Observe(now, []string{"a", "b", "c", "d", "e"})
-		h.RecordAbsence(now, "b")
-		Expect(h.Eligible(now)).NotTo(ContainElement("b"))
-		Expect(h.Eligible(now + DefaultHold)).To(ContainElement("b"))
+		damper.Observe(now, []string{"a", "b", "c", "d", "e"})
+		damper.RecordAbsence(now, "b")
+		Expect(damper.Eligible(now)).NotTo(ContainElement("b"))
+		Expect(damper.Eligible(now + DefaultHold)).To(ContainElement("b"))
 	})
 
-	// The own VM was cut off. All others seem to come back at once; were they held back, this entry would
-	// call itself the home of every group.
-	It("are all live ones while fewer than half are steady", func() {
-		h.Observe(10*sec, []string{"a"})
-		Expect(h.Eligible(10 * sec)).To(Equal([]string{"a"}))
-		h.Observe(13*sec, []string{"a", "b", "c", "d", "e"})
-		Expect(h.Eligible(13 * sec)).To(Equal([]string{"b", "c", "d", "e"}))
+	// The VM of self was cut off, so all others seem to return at once. If they were held back, self would
+	// consider itself the home of every group.
+	It("accepts all live entries while fewer than half are eligible", func() {
+		damper.Observe(10*sec, []string{"a"})
+		Expect(damper.Eligible(10 * sec)).To(Equal([]string{"a"}))
+		damper.Observe(13*sec, []string{"a", "b", "c", "d", "e"})
+		Expect(damper.Eligible(13 * sec)).To(Equal([]string{"b", "c", "d", "e"}))
 	})
 
-	It("are live, and there is one if any entry is live, and the table is bounded", func() {
+	It("returns only live entries, at least one if any is live, and drops old state", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			h := NewFlapDamper(DefaultHoldConfig(), "a")
 			now := time.Duration(0)
@@ -98,13 +98,13 @@
 				name := rapid.StringMatching("[a-h]")
 				live := rapid.SliceOfNDistinct(name, 0, 8, rapid.ID[string]).Draw(t, "live")
 				h.Observe(now, live)
-				steady := h.Eligible(now)
-				if len(live) > 0 && len(steady) == 0 {
-					t.Fatal("no home")
+				eligible := h.Eligible(now)
+				if len(live) > 0 && len(eligible) == 0 {
+					t.Fatal("no eligible entry")
 				}
-				for _, name := range steady {
+				for _, name := range eligible {
 					if !slices.Contains(live, name) {
-						t.Fatalf("%s is home and not live", name)
+						t.Fatalf("%s is eligible and not live", name)
 					}
 				}
 			}
@@ -117,29 +117,30 @@
 	})
 })
 
-// The model: entries that see each other go and come a little late, each at its own moment, and groups
-// whose home each entry computes by rendezvous. A group is not served for a second after its home moved,
-// and where a front and the home it sends to disagree, the front is refused.
+// The simulation models entries that notice each other's outages with a delay of their own, and groups whose home each
+// entry computes by rendezvous hashing. A group is not served for a second after its home moved. A front whose view of
+// the home differs from that of the entry that it sends to is refused.
 const (
-	entryCount = 13
-	groupCount = 50
-	tick       = 100 * time.Millisecond
-	takeover   = sec
-	played     = 300 * sec
+	entryCount    = 13
+	groupCount    = 50
+	tick          = 100 * time.Millisecond
+	takeoverTime  = sec
+	simulatedTime = 300 * sec
 )
 
-type kind uint8
+// outageKind says what the entry itself and the others notice of an outage.
+type outageKind uint8
 
 const (
-	paused    kind = iota // keeps what it knows, and learns that it was declared dead
-	restarted             // knows nothing
-	cutOff                // each side sees the other go
+	paused    outageKind = iota // keeps its state, and learns that it was declared dead
+	restarted                   // loses its state
+	cutOff                      // each side sees the other one leave
 )
 
 type outage struct {
 	entry    int
 	from, to time.Duration
-	kind     kind
+	kind     outageKind
 }
 
 type churn struct {
@@ -149,14 +150,14 @@
 
 func flapping(name string, every, gone time.Duration) churn {
 	c := churn{name: name}
-	for at := 20 * sec; at < played-every; at += every {
+	for at := 20 * sec; at < simulatedTime-every; at += every {
 		c.outages = append(c.outages, outage{entry: 3, from: at, to: at + gone})
 	}
 	return c
 }
 
-func rolling() churn {
-	c := churn{name: "each restarts once, 10 s each, every 20 s"}
+func rollingRestart() churn {
+	c := churn{name: "every entry restarts once, 10 s each, every 20 s"}
 	for e := range entryCount {
 		at := 20*sec + time.Duration(e)*20*sec
 		c.outages = append(c.outages, outage{entry: e, from: at, to: at + 10*sec, kind: restarted})
@@ -164,16 +165,18 @@
 	return c
 }
 
-type shifted struct {
-	moves           int
-	down, disagreed float64 // shares of the group-time
+// churnResult counts the moves of homes; down is the share of the group-time without service, disagreement the share
+// in which an entry computes another home than most.
+type churnResult struct {
+	moves              int
+	down, disagreement float64 // shares of the group-time
 }
 
-func (s shifted) String() string {
-	return fmt.Sprintf("%5d | %6.3f | %6.3f", s.moves, 100*s.down, 100*s.disagreed)
+func (s churnResult) String() string {
+	return fmt.Sprintf("%5d | %6.3f | %6.3f", s.moves, 100*s.down, 100*s.disagreement)
 }
 
-// weights are those of the rendezvous of groups over entries.
+// weights are the weights of rendezvous hashing of groups over entries.
 var weights = func() (w [groupCount][entryCount]uint64) {
 	r := rand.New(rand.NewPCG(7, 7))
 	for g := range w {
@@ -184,10 +187,10 @@
 	return w
 }()
 
-func name(e int) string { return string(rune('a' + e)) }
+func entryName(e int) string { return string(rune('a' + e)) }
 
-// owners returns the home of each group among named entries.
-func owners(names []string) (homes [groupCount]int) {
+// computeHomes returns the home of each group, computed from the named entries.
+func computeHomes(names []string) (homes [groupCount]int) {
 	for g := range homes {
 		homes[g] = -1
 		for _, n := range names {
@@ -199,86 +202,88 @@
 	return homes
 }
 
-func watch(c churn, hold bool) shifted {
+// simulate plays the outages of a churn pattern, with or without hold times.
+func simulate(c churn, hold bool) churnResult {
 	random := rand.New(rand.NewPCG(1, 1))
 	config := DefaultHoldConfig()
 	if !hold {
 		config = HoldConfig{}
 	}
 	views := make([]*FlapDamper, entryCount)
-	late := make([]time.Duration, entryCount)
+	detectionDelay := make([]time.Duration, entryCount)
 	for e := range views {
-		late[e] = 300*time.Millisecond + time.Duration(random.IntN(1200))*time.Millisecond
-		views[e] = NewFlapDamper(config, name(e))
-		views[e].Observe(-time.Minute, seenBy(c, e, -time.Minute))
+		detectionDelay[e] = 300*time.Millisecond + time.Duration(random.IntN(1200))*time.Millisecond
+		views[e] = NewFlapDamper(config, entryName(e))
+		views[e].Observe(-time.Minute, liveSeenBy(c, e, -time.Minute))
 	}
-	var result shifted
+	var result churnResult
 	var homes [groupCount]int
 	var movedAt [groupCount]time.Duration
-	var of [entryCount][groupCount]int
+	var homeOf [entryCount][groupCount]int
 	var last [entryCount][]string
 	total := 0.0
-	for now := time.Duration(0); now < played; now += tick {
+	for now := time.Duration(0); now < simulatedTime; now += tick {
 		var up [entryCount]bool
 		for e := range views {
-			comeBack(c, views, e, now, config)
-			up[e] = !isGone(c, e, now)
-			views[e].Observe(now, seenBy(c, e, now-late[e]))
-			if steady := views[e].Eligible(now); !slices.Equal(steady, last[e]) {
-				last[e], of[e] = steady, owners(steady)
+			endOutages(c, views, e, now, config)
+			up[e] = !isDown(c, e, now)
+			views[e].Observe(now, liveSeenBy(c, e, now-detectionDelay[e]))
+			if eligible := views[e].Eligible(now); !slices.Equal(eligible, last[e]) {
+				last[e], homeOf[e] = eligible, computeHomes(eligible)
 			}
 		}
 		for g := range groupCount {
-			// The home that counts is what most entries say.
-			home := majority(&of, &up, g)
+			// The home that counts is the one that most entries compute.
+			home := majority(&homeOf, &up, g)
 			if home != homes[g] && now > 0 {
 				result.moves++
 				movedAt[g] = now
 			}
 			homes[g] = home
 			total++
-			if movedAt[g] > 0 && now-movedAt[g] < takeover {
+			if movedAt[g] > 0 && now-movedAt[g] < takeoverTime {
 				result.down++
 			}
-			for e := range of {
-				if up[e] && of[e][g] != home {
-					result.disagreed += 1.0 / entryCount
+			for e := range homeOf {
+				if up[e] && homeOf[e][g] != home {
+					result.disagreement += 1.0 / entryCount
 				}
 			}
 		}
 	}
 	result.down /= total
-	result.disagreed /= total
+	result.disagreement /= total
 	return result
 }
 
-func isGone(c churn, e int, at time.Duration) bool {
+func isDown(c churn, e int, at time.Duration) bool {
 	return slices.ContainsFunc(c.outages, func(o outage) bool {
 		return o.entry == e && o.kind != cutOff && at >= o.from && at < o.to
 	})
 }
 
-// comeBack is what an entry makes of the end of its own outage.
-func comeBack(c churn, views []*FlapDamper, e int, now time.Duration, config HoldConfig) {
+// endOutages applies the end of an entry's own outage to its view: a restarted entry starts empty, a paused one records
+// its absence.
+func endOutages(c churn, views []*FlapDamper, e int, now time.Duration, config HoldConfig) {
 	for _, o := range c.outages {
 		switch {
 		case o.entry != e || o.to != now:
 		case o.kind == restarted:
-			views[e] = NewFlapDamper(config, name(e))
+			views[e] = NewFlapDamper(config, entryName(e))
 		case o.kind == paused:
-			views[e].RecordAbsence(now, name(e))
+			views[e].RecordAbsence(now, entryName(e))
 		}
 	}
 }
 
-func majority(of *[entryCount][groupCount]int, up *[entryCount]bool, group int) int {
+func majority(homeOf *[entryCount][groupCount]int, up *[entryCount]bool, group int) int {
 	var votes [entryCount]int
 	best := 0
-	for e := range of {
+	for e := range homeOf {
 		if !up[e] {
 			continue
 		}
-		home := of[e][group]
+		home := homeOf[e][group]
 		votes[home]++
 		if votes[home] > votes[best] {
 			best = home
@@ -287,7 +292,7 @@
 	return best
 }
 
-func seenBy(c churn, observer int, at time.Duration) []string {
+func liveSeenBy(c churn, observer int, at time.Duration) []string {
 	var live []string
 	for e := range entryCount {
 		gone := slices.ContainsFunc(c.outages, func(o outage) bool {
@@ -295,46 +300,46 @@
 			return during && e != observer && (o.entry == e || o.kind == cutOff && o.entry == observer)
 		})
 		if !gone {
-			live = append(live, name(e))
+			live = append(live, entryName(e))
 		}
 	}
 	return live
 }
 
-var churns = []churn{
+var churnPatterns = []churn{
 	flapping("one entry gone 2 s of each 10 s", 10*sec, 2*sec),
 	flapping("one entry gone 2 s of each 60 s", 60*sec, 2*sec),
 	{name: "one entry restarts once", outages: []outage{{entry: 3, from: 50 * sec, to: 60 * sec, kind: restarted}}},
-	rolling(),
+	rollingRestart(),
 	{name: "one entry cut off for 5 s", outages: []outage{{entry: 3, from: 50 * sec, to: 55 * sec, kind: cutOff}}},
 }
 
 var _ = Describe("Homes when entries come and go", func() {
-	// An entry pauses for two seconds again and again. The groups that it is home to go down for a second,
-	// twice each time, and callers of just these groups are refused.
-	It("move a few times for an entry that flaps, not each time", func() {
-		with, without := watch(churns[0], true), watch(churns[0], false)
+	// An entry pauses for two seconds again and again. Without hold times, the groups that it is the home of are
+	// down for a second twice per pause, and callers of these groups are refused.
+	It("move only a few times for an entry that flaps", func() {
+		with, without := simulate(churnPatterns[0], true), simulate(churnPatterns[0], false)
 		Expect(with.moves).To(BeNumerically("<=", without.moves/10))
 		Expect(with.down).To(BeNumerically("<=", without.down/10))
-		Expect(watch(churns[1], true).moves).To(BeNumerically("<=", watch(churns[1], false).moves*3/4))
+		Expect(simulate(churnPatterns[1], true).moves).To(BeNumerically("<=", simulate(churnPatterns[1], false).moves*3/4))
 	})
 
 	It("move no more than without a hold when entries restart or are cut off", func() {
-		for _, c := range churns[1:] {
-			with, without := watch(c, true), watch(c, false)
+		for _, c := range churnPatterns[1:] {
+			with, without := simulate(c, true), simulate(c, false)
 			Expect(with.moves).To(BeNumerically("<=", without.moves), c.name)
-			Expect(with.disagreed).To(BeNumerically("<=", without.disagreed*1.5+0.0005), c.name)
+			Expect(with.disagreement).To(BeNumerically("<=", without.disagreement*1.5+0.0005), c.name)
 		}
 	})
 })
 
 // BenchmarkHomes prints the second table of docs/measurements/shifting.md.
 func BenchmarkHomes(b *testing.B) {
-	for _, c := range churns {
+	for _, c := range churnPatterns {
 		for _, hold := range []bool{false, true} {
 			b.Run(fmt.Sprint(c.name, "/", hold), func(b *testing.B) {
 				for range b.N {
-					b.Logf("| %s | %v | %v |", c.name, hold, watch(c, hold))
+					b.Logf("| %s | %v | %v |", c.name, hold, simulate(c, hold))
 				}
 			})
 		}
