--- a/policy/balance/figures_test.go
+++ b/policy/balance/figures_test.go
@@ -97,9 +97,9 @@
 			Expect(r.hitShare()).To(BeNumerically(">=", b.hits))
 			Expect(r.lost()).To(BeNumerically("<=", b.lost))
 			for _, c := range baselines {
-				plain := runVariant(b.scenario, c)
-				Expect(r.ttftQuantile(0.95)).To(BeNumerically("<=", plain.ttftQuantile(0.95)), c.name)
-				Expect(r.lost()).To(BeNumerically("<=", plain.lost()), c.name)
+				base := runVariant(b.scenario, c)
+				Expect(r.ttftQuantile(0.95)).To(BeNumerically("<=", base.ttftQuantile(0.95)), c.name)
+				Expect(r.lost()).To(BeNumerically("<=", base.lost()), c.name)
 			}
 		})
 	}
--- a/policy/balance/model_test.go
+++ b/policy/balance/model_test.go
@@ -25,7 +25,7 @@
 	maxLimit      = 32
 	gapObjective  = 79 * time.Millisecond
 	deadline      = 20 * time.Second
-	minSteps      = 200 // decoding steps before a home reports its averages
+	minSteps      = 200 // steps of the averages before a home reports them
 	// replicaRate is the requests per second of a replica at its limit if every prefix hits the cache. Goodput
 	// is a share of this capacity. A request takes 10 ms of prefill, and 100 tokens at a batch of 32.
 	replicaRate = 1 / (suffixTokens/prefillRate + outputTokens*(stepBase+stepPerBatch*maxLimit)/maxLimit)
@@ -64,7 +64,7 @@
 	cached          []uint64
 	firstToken      float64 // moving average, seconds
 	rate            float64 // moving average, tokens per second of a request in the batch
-	steps           int     // decoding steps that the averages cover
+	steps           int     // simulation steps that the averages cover
 	domain          int
 }
 
--- a/policy/balance/slow.go
+++ b/policy/balance/slow.go
@@ -33,7 +33,7 @@
 	maxTakeoverLoad = 0.75
 )
 
-// updateAvoided decides which groups are avoided.
+// updateAvoided decides which groups are avoided as slow. It uses the sums of updateCapacities.
 func (t *Table) updateAvoided(now time.Duration) {
 	firstToken := t.median(func(g *group) time.Duration { return g.FirstToken })
 	gap := t.median(func(g *group) time.Duration { return g.TokenGap })
--- a/policy/balance/table.go
+++ b/policy/balance/table.go
@@ -1,7 +1,7 @@
 // Package balance chooses the group of VMs that a request goes to.
 //
-// An entry that receives requests from clients is a front. Each group has a home, the entry that queues and
-// dispatches its requests. A Table is one front's view of the groups of one service.
+// Clients send requests to any entry. The entry that receives a request is its front; each group has a home, the
+// entry that queues and dispatches the group's requests. A Table is one front's view of the groups of one service.
 //
 // Load is known late: each group's home reports it about once a second by gossip, and many fronts choose at the
 // same time. Without a correction, every front sends everything that arrives between two reports to the groups
@@ -75,7 +75,7 @@
 	// domain, avoided the slow ones. scratch is a buffer for refresh.
 	eligible, near, avoided []int
 	scratch                 []float64
-	// requests and capacity are sums over eligible.
+	// requests and capacity are sums over eligible (within a refresh, over all ready groups).
 	requests, capacity float64
 	readyCount         int
 	refreshedAt        time.Duration
@@ -231,9 +231,9 @@
 // addEligible adds a group to those that may be chosen.
 func (t *Table) addEligible(i int) {
 	g := &t.groups[i]
-	work := g.estimatedRequests(t.correction)
-	t.loads[i] = work / g.capacity
-	t.requests += work
+	requests := g.estimatedRequests(t.correction)
+	t.loads[i] = requests / g.capacity
+	t.requests += requests
 	t.capacity += g.capacity
 	t.eligible = append(t.eligible, i)
 	if g.FailureDomain == t.domain {
--- a/policy/directory/choose_test.go
+++ b/policy/directory/choose_test.go
@@ -234,21 +234,21 @@
 			cfg := DefaultConfig()
 			cfg.Count = rapid.IntRange(1, 8).Draw(t, "count")
 			got := Choose(cfg, entries, caller, newRand(rapid.Uint64().Draw(t, "seed")))
-			could := usable(entries)
-			if (len(got) == 0) != (len(could) == 0) || len(got) > cfg.Count {
-				t.Fatalf("%d of %d", len(got), len(could))
+			usableEntries := usable(entries)
+			if (len(got) == 0) != (len(usableEntries) == 0) || len(got) > cfg.Count {
+				t.Fatalf("%d of %d", len(got), len(usableEntries))
 			}
 			seen := map[string]bool{}
 			domains := map[string]bool{}
 			for _, e := range got {
-				if seen[e.Name] || e.Dead || e.Leaving || (e.Overloaded && 2*calm >= len(could)) {
+				if seen[e.Name] || e.Dead || e.Leaving || (e.Overloaded && 2*calm >= len(usableEntries)) {
 					t.Fatalf("%+v", e)
 				}
 				seen[e.Name] = true
 				domains[e.FailureDomain] = true
 			}
 			candidates := map[string]bool{}
-			for _, e := range DefaultConfig().dropOverloaded(could) {
+			for _, e := range DefaultConfig().dropOverloaded(usableEntries) {
 				candidates[e.FailureDomain] = true
 			}
 			if len(got) > 0 && got[0] != cfg.nearest(entries, caller, got) {
