--- a/policy/balance/config.go
+++ b/policy/balance/config.go
@@ -1,8 +1,7 @@
-// Load pattern of this file: none; it holds the thresholds of the package, which name theirs, and keeps a
-// configured one within the range where the decision still works. Out of it, an operator would notice a
-// balancer that has silently become another one: a MaxSlowShare of 1 empties the service when a measure
-// is wrong, and a BoundSlack of 0 passes a group over on every request. Ranges end where the figures in
-// docs/measurements/group-choice.md show the decision turning into one of its baselines.
+// The ranges keep each threshold where the decision still works. Outside them the balancer silently degrades
+// into one of the baselines of docs/measurements/group-choice.md: with a MaxSlowShare of 1, wrong measurements
+// take every group of the service out of use, and with a BoundSlack of 0 affinity passes over a group on every
+// request.
 
 package balance
 
@@ -14,53 +13,53 @@
 	"github.com/skylarkpond/skylarkpond/policy/shift"
 )
 
-// ErrRange is wrapped by the error of every configuration value out of its range.
+// ErrRange is wrapped by the errors of Check for values out of range.
 var ErrRange = errors.New("value out of range")
 
-// Config holds what an operator may set for a service.
+// Config holds the settings of a service's balancer.
 type Config struct {
-	// BoundSlack: a group that is loaded by more than this share above the mean is passed over by
-	// affinity. 0.05 to 2.
+	// BoundSlack is by how much a group's load may exceed the mean load, as a share of the mean, before
+	// affinity passes over the group. Range: 0.05 to 2.
 	BoundSlack float64
-	// FreeLoad is the load, as a share of a group's limit, below which affinity never passes it over.
-	// 0.1 to 1.
-	FreeLoad float64
+	// MinLoadBound is the load, as a share of a group's limit, below which affinity never passes over the
+	// group, however low the mean is. Range: 0.1 to 1.
+	MinLoadBound float64
 	// NearLoad is the load below which a request without a prefix stays in its front's failure domain, even
-	// if others are less loaded. 0 to 1.
+	// if groups elsewhere are less loaded. Range: 0 to 1.
 	NearLoad float64
-	// HotSpread: a prefix is spread over this many times the groups that its share of the requests calls
-	// for. 1 to 30.
-	HotSpread float64
-	// SlowFirstToken and SlowGap: a group whose first tokens or gaps between tokens are this many times
-	// the median of the service's groups is slow. 1.2 to 20.
-	SlowFirstToken float64
-	SlowGap        float64
-	// FirstToken and TokenGap are the service's objectives. A group whose average is below half of them is
-	// not slow, whatever the others do. 0: no objective.
-	FirstToken, TokenGap time.Duration
-	// MaxSlowShare is the largest share of the ready groups that is avoided as slow. 0 to 0.5.
+	// SpreadFactor multiplies the number of groups that a popular prefix is spread over: it gets this many
+	// times the groups that its share of the requests calls for. Range: 1 to 30.
+	SpreadFactor float64
+	// SlowFirstTokenFactor and SlowTokenGapFactor are the multiples of the median over the service's groups
+	// at which a group's time to first token, or its gap between tokens, makes it slow. Range: 1.2 to 20.
+	SlowFirstTokenFactor float64
+	SlowTokenGapFactor   float64
+	// FirstTokenObjective and TokenGapObjective are the service's latency objectives. A group whose average
+	// is below half of them is not slow, however fast the others are. 0: no objective.
+	FirstTokenObjective, TokenGapObjective time.Duration
+	// MaxSlowShare is the largest share of the ready groups that may be avoided as slow. Range: 0 to 0.5.
 	MaxSlowShare float64
-	// SlowTrial is the share of its fair part of the requests that an avoided group is still given, to see
-	// whether it recovered. 0.01 to 1.
-	SlowTrial float64
-	// SlowStart is the ramp of a new group.
+	// SlowTrialShare is the share of its fair part of the requests that an avoided group still gets, so that
+	// its recovery is noticed. Range: 0.01 to 1.
+	SlowTrialShare float64
+	// SlowStart ramps up the load of a new group.
 	SlowStart shift.Ramp
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
-		BoundSlack:     0.25,
-		FreeLoad:       0.9,
-		NearLoad:       0.6,
-		HotSpread:      10,
-		SlowFirstToken: 3,
-		SlowGap:        2,
-		MaxSlowShare:   0.1,
-		SlowTrial:      0.05,
-		FirstToken:     640 * time.Millisecond,
-		TokenGap:       79 * time.Millisecond,
-		SlowStart:      shift.DefaultRamp(),
+		BoundSlack:           0.25,
+		MinLoadBound:         0.9,
+		NearLoad:             0.6,
+		SpreadFactor:         10,
+		SlowFirstTokenFactor: 3,
+		SlowTokenGapFactor:   2,
+		MaxSlowShare:         0.1,
+		SlowTrialShare:       0.05,
+		FirstTokenObjective:  640 * time.Millisecond,
+		TokenGapObjective:    79 * time.Millisecond,
+		SlowStart:            shift.DefaultRamp(),
 	}
 }
 
@@ -71,13 +70,13 @@
 		value, lo, hi float64
 	}{
 		{"BoundSlack", c.BoundSlack, 0.05, 2},
-		{"FreeLoad", c.FreeLoad, 0.1, 1},
+		{"MinLoadBound", c.MinLoadBound, 0.1, 1},
 		{"NearLoad", c.NearLoad, 0, 1},
-		{"HotSpread", c.HotSpread, 1, 30},
-		{"SlowFirstToken", c.SlowFirstToken, 1.2, 20},
-		{"SlowGap", c.SlowGap, 1.2, 20},
+		{"SpreadFactor", c.SpreadFactor, 1, 30},
+		{"SlowFirstTokenFactor", c.SlowFirstTokenFactor, 1.2, 20},
+		{"SlowTokenGapFactor", c.SlowTokenGapFactor, 1.2, 20},
 		{"MaxSlowShare", c.MaxSlowShare, 0, 0.5},
-		{"SlowTrial", c.SlowTrial, 0.01, 1},
+		{"SlowTrialShare", c.SlowTrialShare, 0.01, 1},
 	}
 	for _, r := range ranges {
 		if !(r.value >= r.lo && r.value <= r.hi) {
