--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -206,11 +206,11 @@
 func queued(now time.Duration, item home.Item, id string) fairqueue.Item {
 	q := fairqueue.Item{
 		ID: id, Team: item.Team.Name, Share: item.Team.Share, Priority: item.Priority, Work: fairqueue.PlainWork,
-		Deadline: now + item.Timeout, Spread: rand.Float64(),
+		Deadline: now + item.Timeout, Jitter: rand.Float64(),
 	}
 	if item.Service.Kind == settings.Language {
 		q.Work = item.Work
-		q.Least = item.Prompt + min(leastAnswer, item.Work-item.Prompt)
+		q.MinWork = item.Prompt + min(leastAnswer, item.Work-item.Prompt)
 	}
 	return q
 }
--- a/policy/fairqueue/bench_test.go
+++ b/policy/fairqueue/bench_test.go
@@ -22,7 +22,7 @@
 func newCycle(teams int) *cycle {
 	c := &cycle{
 		queue: fairqueue.New(fairqueue.Config{
-			MaxWait: 10 * time.Minute, StandingWait: 10 * time.Minute, MaxItems: 100_000, Pace: time.Microsecond,
+			MaxWait: 10 * time.Minute, StandingWait: 10 * time.Minute, MaxItems: 100_000, TimePerToken: time.Microsecond,
 		}),
 		random: rand.New(rand.NewPCG(1, 2)),
 	}
@@ -30,7 +30,7 @@
 	for i := range 16 * 1024 {
 		c.items = append(c.items, fairqueue.Item{
 			ID: fmt.Sprintf("request-%d", i), Team: fmt.Sprintf("team-%d", i%teams), Share: 1,
-			Work: 50 + c.random.IntN(1500), Deadline: time.Hour, Spread: c.random.Float64(),
+			Work: 50 + c.random.IntN(1500), Deadline: time.Hour, Jitter: c.random.Float64(),
 		})
 	}
 	for c.queue.Len() < 4*teams {
@@ -95,7 +95,7 @@
 			for i := range 4 * teams {
 				q.Offer(0, fairqueue.Item{ID: fmt.Sprint(i), Team: fmt.Sprintf("team-%d", i%teams), Share: 1, Work: 100, Deadline: time.Hour})
 			}
-			refused := fairqueue.Item{ID: "x", Team: "team-1", Share: 1, Work: 100, Deadline: time.Hour, Spread: 0.5}
+			refused := fairqueue.Item{ID: "x", Team: "team-1", Share: 1, Work: 100, Deadline: time.Hour, Jitter: 0.5}
 			b.ReportAllocs()
 			for b.Loop() {
 				if q.Offer(0, refused).Decision != fairqueue.Refused {
--- a/policy/fairqueue/config.go
+++ b/policy/fairqueue/config.go
@@ -33,9 +33,9 @@
 	// HeadStart is the work, in tokens for a share of 1, by which each level of priority lets a team run
 	// ahead of its share before it has to wait its turn. 1 to 10,000; default 64.
 	HeadStart float64
-	// Pace is the time that a request is expected to take for a token of work until it is measured.
+	// TimePerToken is the time that a request is expected to take for a token of work until it is measured.
 	// 1 µs to 10 s; default 79 ms, the objective for the gap between tokens.
-	Pace time.Duration
+	TimePerToken time.Duration
 	// MinRetryAfter and MaxRetryAfter bound Retry-After. 1 ms to 1 h; defaults 1 s, the header's unit, and
 	// 60 s, beyond which the rate measured now says nothing.
 	MinRetryAfter time.Duration
@@ -69,7 +69,7 @@
 	fill(&c.ShortReserve, 0.5)
 	fill(&c.LongAge, 500*time.Millisecond)
 	fill(&c.HeadStart, 64)
-	fill(&c.Pace, 79*time.Millisecond)
+	fill(&c.TimePerToken, 79*time.Millisecond)
 	fill(&c.MinRetryAfter, time.Second)
 	fill(&c.MaxRetryAfter, time.Minute)
 	fill(&c.ReturnShare, 0.5)
@@ -84,7 +84,7 @@
 // offered with PlainWork. With the pace of a model service, calls with short deadlines would be refused until
 // some have been measured.
 func (c Config) ForPlain(objective time.Duration) Config {
-	c.Pace = objective / PlainWork
+	c.TimePerToken = objective / PlainWork
 	return c
 }
 
@@ -100,7 +100,7 @@
 		within("ShortReserve", c.ShortReserve, 0.01, 0.9),
 		within("LongAge", c.LongAge, time.Millisecond, longest),
 		within("HeadStart", c.HeadStart, 1, 10_000),
-		within("Pace", c.Pace, time.Microsecond, 10*time.Second),
+		within("TimePerToken", c.TimePerToken, time.Microsecond, 10*time.Second),
 		within("MinRetryAfter", c.MinRetryAfter, time.Millisecond, time.Hour),
 		within("MaxRetryAfter", c.MaxRetryAfter, c.MinRetryAfter, time.Hour),
 		within("ReturnShare", c.ReturnShare, 0.05, 1),
--- a/policy/fairqueue/drain.go
+++ b/policy/fairqueue/drain.go
@@ -130,7 +130,7 @@
 func (q *Queue) speed(now time.Duration, c class) float64 {
 	q.drains[c].advance(now)
 	shares := max(q.shares, MinShare)
-	pace := max(q.pace.perToken(now, q.cfg.Pace), q.cfg.Pace.Seconds())
+	pace := max(q.pace.perToken(now, q.cfg.TimePerToken), q.cfg.TimePerToken.Seconds())
 	promised := float64(q.slots.most(c)) / pace / shares
 	return max(q.drains[c].speed(promised), slowest)
 }
@@ -157,7 +157,7 @@
 
 // service returns how long an item takes at least once it is sent, as far as can be told.
 func (q *Queue) service(now time.Duration, work int) time.Duration {
-	return seconds(serviceMargin * float64(work) * q.pace.perToken(now, q.cfg.Pace))
+	return seconds(serviceMargin * float64(work) * q.pace.perToken(now, q.cfg.TimePerToken))
 }
 
 // seconds returns s seconds as a duration, at most foreverWait.
--- a/policy/fairqueue/item.go
+++ b/policy/fairqueue/item.go
@@ -13,14 +13,14 @@
 	Priority int
 	// Work is the estimated work in tokens; at least 1. Calls of a plain service have PlainWork.
 	Work int
-	// Least is the work that a request takes at least, as far as can be told; 0: Work. Callers name a bound on
+	// MinWork is the work that a request takes at least, as far as can be told; 0: Work. Callers name a bound on
 	// the length of the answer that is often far above the answer: it is what the team is charged until the
 	// request is done, but no reason to call the deadline too near.
-	Least int
+	MinWork int
 	// Deadline is when the caller stops waiting for the whole answer.
 	Deadline time.Duration
-	// Spread is a random number, 0 up to 1, drawn by the caller of Offer: it spreads Retry-After.
-	Spread float64
+	// Jitter is a random number, 0 up to 1, drawn by the caller of Offer: it spreads Retry-After.
+	Jitter float64
 }
 
 // MinShare is the smallest weight that counts: a team set to less is still served.
@@ -80,8 +80,8 @@
 
 // least is the work by which a deadline is judged.
 func (i *Item) least() int {
-	if i.Least > 0 {
-		return min(i.Least, i.Work)
+	if i.MinWork > 0 {
+		return min(i.MinWork, i.Work)
 	}
 	return i.Work
 }
--- a/policy/fairqueue/least_test.go
+++ b/policy/fairqueue/least_test.go
@@ -16,7 +16,7 @@
 		q := New(Config{})
 		q.SetLimit(1)
 		Expect(q.Offer(0, item).Decision).To(Equal(Refused))
-		item.Least = 20
+		item.MinWork = 20
 		Expect(q.Offer(0, item).Decision).To(Equal(Admitted))
 	})
 })
--- a/policy/fairqueue/property_test.go
+++ b/policy/fairqueue/property_test.go
@@ -51,7 +51,7 @@
 				offered := fairqueue.Item{
 					ID: fmt.Sprint(count), Team: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team"),
 					Share: rapid.Float64Range(0, 3).Draw(t, "share"), Priority: rapid.IntRange(0, 9).Draw(t, "priority"),
-					Work: rapid.IntRange(0, 300).Draw(t, "work"), Spread: rapid.Float64Range(0, 0.99).Draw(t, "spread"),
+					Work: rapid.IntRange(0, 300).Draw(t, "work"), Jitter: rapid.Float64Range(0, 0.99).Draw(t, "spread"),
 					Deadline: now + time.Duration(rapid.IntRange(0, 60_000).Draw(t, "patience"))*time.Millisecond,
 				}
 				switch v := q.Offer(now, offered); v.Decision {
--- a/policy/fairqueue/queue.go
+++ b/policy/fairqueue/queue.go
@@ -113,7 +113,7 @@
 // helps only if the group is slower now than it should be.
 func (q *Queue) tooLong(now time.Duration, t *team, c class, item *Item) Verdict {
 	v := Verdict{Decision: Refused, Code: CodeDeadline}
-	if now+seconds(serviceMargin*float64(item.Work)*q.cfg.Pace.Seconds()) <= item.Deadline {
+	if now+seconds(serviceMargin*float64(item.Work)*q.cfg.TimePerToken.Seconds()) <= item.Deadline {
 		v.RetryAfter = q.retryAfter(now, t, c, item, 0)
 	}
 	return v
--- a/policy/fairqueue/queue_test.go
+++ b/policy/fairqueue/queue_test.go
@@ -13,13 +13,13 @@
 const second = time.Second
 
 func item(team, id string, work int) fairqueue.Item {
-	return fairqueue.Item{ID: id, Team: team, Share: 1, Work: work, Deadline: time.Hour, Spread: 0.5}
+	return fairqueue.Item{ID: id, Team: team, Share: 1, Work: work, Deadline: time.Hour, Jitter: 0.5}
 }
 
 // patient is a queue in which nothing is refused for its wait.
 func patient(config fairqueue.Config) *fairqueue.Queue {
 	config.MaxWait, config.StandingWait, config.MaxItems = 10*time.Minute, 10*time.Minute, 100_000
-	config.Pace = time.Microsecond
+	config.TimePerToken = time.Microsecond
 	return fairqueue.New(config)
 }
 
@@ -162,7 +162,7 @@
 // notices a timeout where it could have asked elsewhere, or later.
 var _ = Describe("Refusal", func() {
 	It("refuses at once what cannot meet its deadline, and says when to come back", func() {
-		q := fairqueue.New(fairqueue.Config{Pace: 100 * time.Millisecond, MaxWait: time.Minute})
+		q := fairqueue.New(fairqueue.Config{TimePerToken: 100 * time.Millisecond, MaxWait: time.Minute})
 		q.SetLimit(1)
 		hopeless := item("a", "0", 100)
 		hopeless.Deadline = second
@@ -210,7 +210,7 @@
 	})
 
 	It("leaves room in the queue for others than the team that fills it", func() {
-		q := fairqueue.New(fairqueue.Config{MaxItems: 10, MaxWait: 10 * time.Minute, StandingWait: 10 * time.Minute, Pace: time.Microsecond})
+		q := fairqueue.New(fairqueue.Config{MaxItems: 10, MaxWait: 10 * time.Minute, StandingWait: 10 * time.Minute, TimePerToken: time.Microsecond})
 		decisions := make(map[fairqueue.Decision]int)
 		for i := range 100 {
 			decisions[q.Offer(0, item("flood", fmt.Sprint(i), 10)).Decision]++
@@ -220,13 +220,13 @@
 	})
 
 	It("gives those of a burst places in a line, as fast as the queue drains", func() {
-		q := fairqueue.New(fairqueue.Config{Pace: 100 * time.Millisecond, MaxWait: second, MaxRetryAfter: 10 * time.Minute})
+		q := fairqueue.New(fairqueue.Config{TimePerToken: 100 * time.Millisecond, MaxWait: second, MaxRetryAfter: 10 * time.Minute})
 		q.SetLimit(10) // 100 tokens a second
 		inSecond := make(map[int]int)
 		latest := 0
 		for i := range 300 {
 			one := item("a", fmt.Sprint(i), 10)
-			one.Spread = float64(i%10) / 10
+			one.Jitter = float64(i%10) / 10
 			if v := q.Offer(0, one); v.Decision == fairqueue.Refused {
 				inSecond[int(v.RetryAfter.Seconds())]++
 				latest = max(latest, int(v.RetryAfter.Seconds()))
@@ -239,7 +239,7 @@
 	})
 
 	It("takes work again when a group that refused everything for being slow has had time to recover", func() {
-		q := fairqueue.New(fairqueue.Config{Pace: 10 * time.Millisecond})
+		q := fairqueue.New(fairqueue.Config{TimePerToken: 10 * time.Millisecond})
 		q.SetLimit(1)
 		q.Offer(0, item("a", "slow", 100))
 		q.Done(time.Minute, "slow", 100)
--- a/policy/fairqueue/retry.go
+++ b/policy/fairqueue/retry.go
@@ -32,5 +32,5 @@
 
 	wait := max(q.cfg.MinRetryAfter, excess) + place
 	wait = min(wait, seconds(q.cfg.MaxRetryAfter.Seconds()/(1+spreadWidth)))
-	return max(q.cfg.MinRetryAfter, time.Duration(float64(wait)*(1+spreadWidth*(2*item.Spread-1))))
+	return max(q.cfg.MinRetryAfter, time.Duration(float64(wait)*(1+spreadWidth*(2*item.Jitter-1))))
 }
--- a/policy/internal/playback/fair.go
+++ b/policy/internal/playback/fair.go
@@ -20,7 +20,7 @@
 func item(r *Request) fairqueue.Item {
 	return fairqueue.Item{
 		ID: r.ID, Team: r.Team.Name, Share: r.Team.Share, Priority: r.Team.Priority,
-		Work: r.Estimate, Deadline: r.Deadline(), Spread: r.Spread,
+		Work: r.Estimate, Deadline: r.Deadline(), Jitter: r.Spread,
 	}
 }
 
