--- a/policy/fairqueue/bench_test.go
+++ b/policy/fairqueue/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/skylarkpond/skylarkpond/policy/fairqueue"
 )
 
-// cycle offers one item, ends one and sends the next, on a queue with a backlog of all teams.
-type cycle struct {
+// workload offers, finishes and sends one item per step, on a queue where all teams are backlogged.
+type workload struct {
 	queue   *fairqueue.Queue
 	items   []fairqueue.Item
 	running []string
@@ -19,8 +19,8 @@
 	random  *rand.Rand
 }
 
-func newCycle(teams int) *cycle {
-	c := &cycle{
+func newWorkload(teams int) *workload {
+	c := &workload{
 		queue: fairqueue.New(fairqueue.Config{
 			MaxWait: 10 * time.Minute, StandingWait: 10 * time.Minute, MaxItems: 100_000, TimePerToken: time.Microsecond,
 		}),
@@ -39,7 +39,7 @@
 	return c
 }
 
-func (c *cycle) offer() {
+func (c *workload) offer() {
 	item := c.items[c.next%len(c.items)]
 	c.next++
 	if c.queue.Offer(c.now, item).Decision == fairqueue.Admitted {
@@ -47,7 +47,7 @@
 	}
 }
 
-func (c *cycle) turn() {
+func (c *workload) step() {
 	c.now += 50 * time.Microsecond
 	i := c.random.IntN(len(c.running))
 	c.queue.Done(c.now, c.running[i], 300)
@@ -60,33 +60,34 @@
 	c.queue.Expire(c.now)
 }
 
-// TestSteadyStateAllocatesNothing holds the promise of the hot path.
+// TestSteadyStateAllocatesNothing guards against allocations per request, which would cause garbage
+// collection pauses under load.
 func TestSteadyStateAllocatesNothing(t *testing.T) {
 	for _, teams := range []int{10, 500} {
-		c := newCycle(teams)
+		c := newWorkload(teams)
 		for range 20_000 {
-			c.turn()
+			c.step()
 		}
-		if allocated := testing.AllocsPerRun(10_000, c.turn); allocated > 0.1 {
-			t.Errorf("%d teams: %.2f allocations for an offer, a done and a next", teams, allocated)
+		if allocated := testing.AllocsPerRun(10_000, c.step); allocated > 0.1 {
+			t.Errorf("%d teams: %.2f allocations per step", teams, allocated)
 		}
 	}
 }
 
-// BenchmarkTurn measures an offer, a done, a next and an expire on a backlogged queue.
+// BenchmarkTurn measures an Offer, Done, Next and Expire on a backlogged queue.
 func BenchmarkTurn(b *testing.B) {
 	for _, teams := range []int{10, 500} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
-			c := newCycle(teams)
+			c := newWorkload(teams)
 			b.ReportAllocs()
 			for b.Loop() {
-				c.turn()
+				c.step()
 			}
 		})
 	}
 }
 
-// BenchmarkRefuse measures an offer that is refused for its wait.
+// BenchmarkRefuse measures an Offer that is refused for its expected wait.
 func BenchmarkRefuse(b *testing.B) {
 	for _, teams := range []int{10, 500} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
--- a/policy/fairqueue/doc.go
+++ b/policy/fairqueue/doc.go
@@ -1,18 +1,19 @@
-// Package fairqueue decides, at the home of a group, which request is sent now, which waits and for how
-// long, and which is turned away.
+// Package fairqueue is the admission queue of one group of backend servers. It decides which request is
+// sent now, which one waits and for how long, and which one is refused. The queue runs at the group's
+// home, the entry that dispatches all requests to the group.
 //
-// The pattern of load: many teams share a group, a few of them send most of the work, and for seconds
-// or minutes more arrives than the group can carry.
+// The load it is made for: many teams share a group, a few of them send most of the work, and for seconds
+// or minutes requests arrive faster than the group can serve them.
 //
-// Without it, one list, first in first out: the team that sends most takes the group, every other
-// team waits behind its backlog, and requests wait until their callers have gone, so that the group
-// works on answers that nobody reads. An operator would notice that all teams are slow at once when one
-// of them runs a batch, and that requests time out rather than being refused.
+// Under that load a single first-in, first-out queue lets the team that sends most take over the group.
+// Every other team waits behind its backlog, and requests wait until their callers have gone, so that the
+// group produces answers nobody reads. Operators would see all teams slow down whenever one of them runs a
+// batch, and would see timeouts instead of refusals.
 //
-// A Queue divides the group by work, not by count (start-time fair queueing over estimated tokens),
-// keeps a part for short requests, bounds the wait and the length, and refuses at once what it expects
-// not to meet its deadline. Nothing is held back to discourage retries: a refusal is immediate, and its
-// Retry-After comes from the measured rate at which the queue drains.
+// A Queue divides the group's capacity by work rather than by request count (start-time fair queueing over
+// estimated tokens), reserves slots for short requests, bounds both the wait and the length of the queue,
+// and refuses at once any request that it does not expect to meet its deadline. Refusals are never delayed
+// to discourage retries; their Retry-After is derived from the measured drain rate of the queue.
 //
-// A Queue is not safe for concurrent use: the home locks.
+// A Queue is not safe for concurrent use: the home serializes access with a lock.
 package fairqueue
--- a/policy/fairqueue/drain.go
+++ b/policy/fairqueue/drain.go
@@ -5,167 +5,176 @@
 	"time"
 )
 
-// A group slows down, its limit moves, or other teams come and go, while requests wait. A wait worked out
-// from a configured rate is then wrong, and requests are taken in that time out in the queue: an operator
-// notices timeouts after exactly the longest wait, where refusals at once were due.
+// The speed of a group changes while requests wait: the group slows down, its concurrency limit changes,
+// or other teams start and stop sending. A wait computed from a configured rate is then wrong, and the
+// queue accepts requests that time out in it. Operators would see timeouts after exactly MaxWait where
+// immediate refusals were due.
 //
-// The queue measures instead. For each class it measures how fast the front of the queue, the smallest
-// virtual time at which a team waits, moves on while the class is backlogged: that holds the speed of
-// the group, the limit, all other teams' use and wrong estimates of work, in one figure. It also measures
-// how long a request takes for a token. Both fade towards what the limit and the configured pace promise
-// when there is no news, because a queue that refuses everything gets no news, and would go on
-// refusing.
+// The queue therefore measures its drain rate. For each class it measures how fast the front of the queue,
+// the smallest virtual time of any waiting team, advances while the class is backlogged. That single
+// figure covers the speed of the group, the limit, the usage of all other teams and errors in the work
+// estimates. The queue also measures the service time per token.
+//
+// Without new samples both measurements decay towards what the limit and the configured TimePerToken
+// predict. A queue that refuses everything gets no samples, and would otherwise keep refusing.
 
 const (
-	// drainMemory is the backlogged time over which the front's speed is averaged: long enough for some
-	// dozens of items at 19 a second, short enough to follow a server that slows down within seconds.
-	drainMemory = 3 * time.Second
-	// drainTrust is the backlogged time that the promised speed counts for.
-	drainTrust = 500 * time.Millisecond
-	// paceMemory is how many items the pace is averaged over.
-	paceMemory = 50
-	// paceFade is the time without a finished item after which the measured pace has lost two thirds of its
-	// weight. Requests take some ten seconds.
-	paceFade = 20 * time.Second
-	// paceTrust is the number of items that the configured pace counts for.
-	paceTrust = 2
+	// drainWindow is the backlogged time over which the advance of the front is averaged: long enough for
+	// some dozens of items at 19 per second, short enough to follow a server that slows down within
+	// seconds.
+	drainWindow = 3 * time.Second
+	// drainPrior is the weight of the nominal rate in the average, as backlogged time.
+	drainPrior = 500 * time.Millisecond
+	// tokenTimeWindow is the number of items over which the time per token is averaged.
+	tokenTimeWindow = 50
+	// tokenTimeDecay is the time constant of the decay: after this time without a finished item the
+	// measurement has lost two thirds of its weight. Requests take about ten seconds.
+	tokenTimeDecay = 20 * time.Second
+	// tokenTimePrior is the weight of the configured TimePerToken in the average, as a number of items.
+	tokenTimePrior = 2
 )
 
-// drain measures how fast the front of a class moves while the class is backlogged.
-type drain struct {
-	// moved, in virtual time, over seconds.
-	moved, seconds float64
-	// front is the largest key that was sent from the queue since the class became backlogged.
+// drainEstimator measures how fast the front of a class advances while the class is backlogged.
+type drainEstimator struct {
+	// advanced is the virtual time by which the front advanced during seconds of backlogged time; both
+	// decay with drainWindow.
+	advanced, seconds float64
+	// front is the largest key sent from the queue since the class became backlogged.
 	front      float64
 	at         time.Duration
 	backlogged bool
 }
 
-// advance counts the time since the last measurement if the class was backlogged.
-func (d *drain) advance(now time.Duration) {
+// advance adds the time since the last update if the class was backlogged during it.
+func (d *drainEstimator) advance(now time.Duration) {
 	if d.backlogged && now > d.at {
 		passed := (now - d.at).Seconds()
-		keep := math.Exp(-passed / drainMemory.Seconds())
-		d.moved *= keep
+		keep := math.Exp(-passed / drainWindow.Seconds())
+		d.advanced *= keep
 		d.seconds = d.seconds*keep + passed
 	}
 	d.at = now
 }
 
-// begin says that a team with the given key became the first that is backlogged.
-func (d *drain) begin(now time.Duration, key float64) {
+// startBacklog marks the class as backlogged. key is that of the first team with a queued item.
+func (d *drainEstimator) startBacklog(now time.Duration, key float64) {
 	d.advance(now)
 	d.backlogged = true
 	d.front = key
 }
 
-// end says that no team is backlogged any more.
-func (d *drain) end(now time.Duration) {
+// endBacklog marks the class as having no queued items.
+func (d *drainEstimator) endBacklog(now time.Duration) {
 	d.advance(now)
 	d.backlogged = false
 }
 
-// sent counts the move of the front to a team's key.
-func (d *drain) sent(now time.Duration, key float64) {
+// recordSend moves the front to the key of the team whose item is sent, if that is larger.
+func (d *drainEstimator) recordSend(now time.Duration, key float64) {
 	d.advance(now)
 	if key > d.front {
-		d.moved += key - d.front
+		d.advanced += key - d.front
 		d.front = key
 	}
 }
 
-// speed returns virtual time a second, given the promised speed.
-func (d *drain) speed(promised float64) float64 {
-	trust := drainTrust.Seconds()
-	return (d.moved + promised*trust) / (d.seconds + trust)
+// rate returns the advance of the front in virtual time per second, with nominal as the prior.
+func (d *drainEstimator) rate(nominal float64) float64 {
+	prior := drainPrior.Seconds()
+	return (d.advanced + nominal*prior) / (d.seconds + prior)
 }
 
-// pace measures how long a request takes for a token of estimated work.
-type pace struct {
+// tokenTimeEstimator measures the service time per token of estimated work.
+type tokenTimeEstimator struct {
 	seconds, work, items float64
 	at                   time.Duration
 }
 
-func (p *pace) add(now, took time.Duration, work float64) {
-	p.fade(now)
-	keep := 1 - 1.0/paceMemory
+// record adds a finished item.
+func (p *tokenTimeEstimator) record(now, took time.Duration, work float64) {
+	p.decay(now)
+	keep := 1 - 1.0/tokenTimeWindow
 	p.seconds = p.seconds*keep + took.Seconds()
 	p.work = p.work*keep + work
 	p.items = p.items*keep + 1
 }
 
-func (p *pace) fade(now time.Duration) {
+// decay reduces the weight of past items by the time since the last update.
+func (p *tokenTimeEstimator) decay(now time.Duration) {
 	if now <= p.at {
 		return
 	}
-	keep := math.Exp(-(now - p.at).Seconds() / paceFade.Seconds())
+	keep := math.Exp(-(now - p.at).Seconds() / tokenTimeDecay.Seconds())
 	p.seconds *= keep
 	p.work *= keep
 	p.items *= keep
 	p.at = now
 }
 
-// perToken returns seconds a token, given the configured pace.
-func (p *pace) perToken(now, configured time.Duration) float64 {
-	p.fade(now)
+// perToken returns the seconds per token, with configured as the prior.
+func (p *tokenTimeEstimator) perToken(now, configured time.Duration) float64 {
+	p.decay(now)
 	if p.items == 0 {
 		return configured.Seconds()
 	}
-	trusted := p.work / p.items * paceTrust
-	return (p.seconds + configured.Seconds()*trusted) / (p.work + trusted)
+	prior := p.work / p.items * tokenTimePrior
+	return (p.seconds + configured.Seconds()*prior) / (p.work + prior)
 }
 
-// perItem returns the mean seconds of the items that ended lately, 0 if none did.
-func (p *pace) perItem() float64 {
+// perItem returns the mean service time of recently finished items in seconds, or 0 if there are none.
+func (p *tokenTimeEstimator) perItem() float64 {
 	if p.items == 0 {
 		return 0
 	}
 	return p.seconds / p.items
 }
 
-// speed returns how fast the front of a class moves, in virtual time a second. Until it is measured,
-// all slots at the pace, divided among the teams that have something queued or at work, promise it. The
-// pace of a group that was idle just before a burst says little of a full one, so that the promise is
-// made at no more than the configured pace.
-func (q *Queue) speed(now time.Duration, c class) float64 {
+// drainRate returns how fast the front of a class advances, in virtual time per second. Until that is
+// measured, the nominal rate applies: all slots at the measured time per token, divided among the teams
+// that have queued or running items. The measured time per token of a group that was idle just before a
+// burst is too optimistic for a full group, so the nominal rate assumes at least the configured
+// TimePerToken.
+func (q *Queue) drainRate(now time.Duration, c class) float64 {
 	q.drains[c].advance(now)
-	shares := max(q.shares, MinShare)
-	pace := max(q.pace.perToken(now, q.cfg.TimePerToken), q.cfg.TimePerToken.Seconds())
-	promised := float64(q.slots.most(c)) / pace / shares
-	return max(q.drains[c].speed(promised), slowest)
+	shares := max(q.activeShares, MinShare)
+	perToken := max(q.tokenTime.perToken(now, q.cfg.TimePerToken), q.cfg.TimePerToken.Seconds())
+	nominal := float64(q.slots.maxRunning(c)) / perToken / shares
+	return max(q.drains[c].rate(nominal), minDrainRate)
 }
 
-// slowest keeps waits finite when nothing drains.
-const slowest = 1e-3
+// minDrainRate keeps expected waits finite when nothing drains.
+const minDrainRate = 1e-3
 
-// expect returns how long a new item of the team is expected to wait: until the front has moved past the
-// team's items before it. Half the time between two slots getting free is added for the first of them;
-// it matters where a group has few slots and long requests.
-func (q *Queue) expect(now time.Duration, t *team, c class) time.Duration {
+// expectedWait returns how long a new item of the team is expected to wait: the time until the front has
+// passed the team's items that are already queued. Half the interval between two slots becoming free is
+// added for the first of them, which matters for groups with few slots and long requests.
+func (q *Queue) expectedWait(now time.Duration, t *team, c class) time.Duration {
 	front := q.virtual
 	if top := q.heaps[c].top(); top != nil {
 		front = top.key()
 	}
 	ahead := max(0, t.key()-front) + t.queued[c].work/t.share
-	slot := q.pace.perItem() / float64(2*q.slots.most(c))
-	return seconds(ahead/q.speed(now, c) + slot)
+	slotWait := q.tokenTime.perItem() / float64(2*q.slots.maxRunning(c))
+	return durationOf(ahead/q.drainRate(now, c) + slotWait)
 }
 
-// serviceMargin is the part of the expected service that has to fit before the deadline. Estimates of
-// single requests are often twice the truth; a request that needs half of its estimate should run.
-const serviceMargin = 0.5
+// minServiceFraction is the fraction of the estimated service time that has to fit before the deadline.
+// Estimates of single requests are often twice the actual value, and a request that needs only half of its
+// estimate should run.
+const minServiceFraction = 0.5
 
-// service returns how long an item takes at least once it is sent, as far as can be told.
-func (q *Queue) service(now time.Duration, work int) time.Duration {
-	return seconds(serviceMargin * float64(work) * q.pace.perToken(now, q.cfg.TimePerToken))
+// minServiceTime returns the estimated minimum time from sending an item to the end of its answer.
+func (q *Queue) minServiceTime(now time.Duration, work int) time.Duration {
+	return durationOf(minServiceFraction * float64(work) * q.tokenTime.perToken(now, q.cfg.TimePerToken))
 }
 
-// seconds returns s seconds as a duration, at most foreverWait.
-func seconds(s float64) time.Duration {
-	if s > foreverWait.Seconds() {
-		return foreverWait
+// durationOf converts seconds to a duration of at most maxWaitEstimate.
+func durationOf(s float64) time.Duration {
+	if s > maxWaitEstimate.Seconds() {
+		return maxWaitEstimate
 	}
 	return time.Duration(s * float64(time.Second))
 }
 
-const foreverWait = 24 * time.Hour
+// maxWaitEstimate stands for a wait without a known end.
+const maxWaitEstimate = 24 * time.Hour
--- a/policy/fairqueue/entry.go
+++ b/policy/fairqueue/entry.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A home takes in thousands of requests a second, and a caller that hangs up is in the middle of a list. An
-// allocation for each would show as pauses under exactly the load that the queue is for. Entries therefore
-// lie in one slice that is reused, and lists are links within it: adding, removing and sending allocate
-// nothing once the slice has grown to the longest backlog.
+// A home accepts thousands of requests per second, and a caller that disconnects leaves from the middle of
+// a list. An allocation per request would cause garbage collection pauses under exactly the load that the
+// queue exists for. Entries are therefore kept in one slice that is reused, with lists as links inside it:
+// adding, removing and sending do not allocate once the slice has grown to the longest backlog.
 
 // entry is a queued or running item.
 type entry struct {
@@ -16,27 +16,29 @@
 	team    *team
 	class   class
 	running bool
-	// starting says that it is running and its first token has not come.
+	// starting is set while the item is running and its first token has not arrived.
 	starting bool
 	seq      uint64
 	arrived  time.Duration
 	sent     time.Duration
-	// latest is when it has to be sent; afterwards Expire returns it.
-	latest     time.Duration
+	// sendBy is the time by which the item has to be sent; after it, Expire returns the item.
+	sendBy     time.Duration
 	prev, next int32
 }
 
-const none int32 = -1
+// noEntry is the null link.
+const noEntry int32 = -1
 
-// list is a doubly linked list of entries, by arrival.
+// list is a doubly linked list of entries in order of arrival.
 type list struct {
 	head, tail int32
 	items      int
 	work       float64
 }
 
-// add stores an item; it is neither queued nor running yet.
-func (q *Queue) add(now time.Duration, t *team, c class, item Item) int32 {
+// allocate stores an item in a free entry and returns its place. The item is neither queued nor running
+// yet.
+func (q *Queue) allocate(now time.Duration, t *team, c class, item Item) int32 {
 	var i int32
 	if last := len(q.free) - 1; last >= 0 {
 		i = q.free[last]
@@ -47,30 +49,31 @@
 	}
 	q.seq++
 	if t.items == 0 {
-		q.shares += t.share
+		q.activeShares += t.share
 	}
 	t.items++
-	q.entries[i] = entry{item: item, team: t, class: c, seq: q.seq, arrived: now, prev: none, next: none}
+	q.entries[i] = entry{item: item, team: t, class: c, seq: q.seq, arrived: now, prev: noEntry, next: noEntry}
 	q.index[item.ID] = i
 	return i
 }
 
+// release frees an entry that is no longer queued or running.
 func (q *Queue) release(i int32) {
 	t := q.entries[i].team
 	t.items--
 	if t.items == 0 {
-		q.shares -= t.share
+		q.activeShares -= t.share
 	}
 	delete(q.index, q.entries[i].item.ID)
 	q.entries[i] = entry{}
 	q.free = append(q.free, i)
 }
 
-// link appends an entry to its team's list.
+// link appends an entry to its team's list of queued items.
 func (q *Queue) link(now time.Duration, i int32) {
 	e := &q.entries[i]
 	l := &e.team.queued[e.class]
-	q.items++
+	q.queuedItems++
 	l.work += float64(e.item.Work)
 	l.items++
 	if l.items > 1 {
@@ -81,20 +84,20 @@
 	}
 	l.head, l.tail = i, i
 	if q.heaps[e.class].Len() == 0 {
-		q.drains[e.class].begin(now, e.team.key())
+		q.drains[e.class].startBacklog(now, e.team.key())
 		q.pressures[e.class].set(now, q.cfg.StandingAfter, true)
 	}
 	heap.Push(&q.heaps[e.class], e.team)
 }
 
-// unlink takes an entry out of its team's list.
+// unlink removes an entry from its team's list of queued items.
 func (q *Queue) unlink(now time.Duration, i int32) {
 	e := &q.entries[i]
 	l := &e.team.queued[e.class]
-	if e.prev != none {
+	if e.prev != noEntry {
 		q.entries[e.prev].next = e.next
 	}
-	if e.next != none {
+	if e.next != noEntry {
 		q.entries[e.next].prev = e.prev
 	}
 	if l.head == i {
@@ -103,8 +106,8 @@
 	if l.tail == i {
 		l.tail = e.prev
 	}
-	e.prev, e.next = none, none
-	q.items--
+	e.prev, e.next = noEntry, noEntry
+	q.queuedItems--
 	l.work -= float64(e.item.Work)
 	l.items--
 	if l.items > 0 {
@@ -113,7 +116,7 @@
 	}
 	heap.Remove(&q.heaps[e.class], e.team.index[e.class])
 	if q.heaps[e.class].Len() == 0 {
-		q.drains[e.class].end(now)
+		q.drains[e.class].endBacklog(now)
 		q.pressures[e.class].set(now, q.cfg.StandingAfter, false)
 	}
 }
--- a/policy/fairqueue/figures_test.go
+++ b/policy/fairqueue/figures_test.go
@@ -13,41 +13,42 @@
 	"github.com/skylarkpond/skylarkpond/policy/internal/playback"
 )
 
-// plainQueue is the baseline: first in first out with the same longest wait and length.
-func plainQueue() playback.Queue {
+// fifoQueue returns the baseline: a first-in, first-out queue with the same bounds on wait and length.
+func fifoQueue() playback.Queue {
 	return &playback.FIFO{MaxItems: 2048, MaxWait: 2 * time.Second, Retry: time.Second}
 }
 
 func fairQueue() playback.Queue { return playback.NewFair(fairqueue.Config{}) }
 
-type played struct {
+type playResult struct {
 	*playback.Run
 	playback.Figures
 }
 
-func play(s playback.Scenario, queue playback.Queue) played {
+func play(s playback.Scenario, queue playback.Queue) playResult {
 	run := s.Play(queue, playback.FixedLimit(s.SteadyLimit()))
-	return played{Run: run, Figures: run.Figures()}
+	return playResult{Run: run, Figures: run.Figures()}
 }
 
 func printTable(title string, table *playback.Table) {
 	fmt.Fprintf(GinkgoWriter, "\n### %s\n\n%s", title, table)
 }
 
-// Callers share one group of backend servers, and more comes than it can carry. First in first out, each
-// waits behind all that came before, whoever sent it, and many give up after having waited.
+// These tests compare the fair queue with a first-in, first-out queue on simulated load above the capacity
+// of one group. First in, first out, each request waits behind all earlier ones regardless of team, and
+// many callers give up after having waited.
 var _ = Describe("figures", Ordered, func() {
 	scenarios := []playback.Scenario{
 		playback.Steady(), playback.Burst(), playback.FewTeams(), playback.SlowServer(),
 		playback.LongAmongShort(0.9), playback.LongAmongShort(1.3), playback.Saturation(),
 	}
-	fifo := make(map[string]played)
-	fair := make(map[string]played)
+	fifo := make(map[string]playResult)
+	fair := make(map[string]playResult)
 
 	BeforeAll(func() {
 		table := playback.NewTable(append([]string{"load", "queue"}, playback.FigureColumns...)...)
 		for _, s := range scenarios {
-			fifo[s.Name], fair[s.Name] = play(s, plainQueue()), play(s, fairQueue())
+			fifo[s.Name], fair[s.Name] = play(s, fifoQueue()), play(s, fairQueue())
 			table.Row(append([]string{s.Name, "FIFO"}, fifo[s.Name].Cells(fifo[s.Name].Figures)...)...)
 			table.Row(append([]string{s.Name, "fair"}, fair[s.Name].Cells(fair[s.Name].Figures)...)...)
 		}
@@ -77,8 +78,8 @@
 	It("gives each team its fair share when two teams send most", func() {
 		name := playback.FewTeams().Name
 		table := playback.NewTable("teams", "queue", "answered, worst", "of its fair share, worst", "wait 95, worst, s")
-		heavyFIFO, lightFIFO := twoHeavy(table, "FIFO", fifo[name])
-		heavy, light := twoHeavy(table, "fair", fair[name])
+		heavyFIFO, lightFIFO := worstByGroup(table, "FIFO", fifo[name])
+		heavy, light := worstByGroup(table, "fair", fair[name])
 		printTable("Two of ten teams send 80%, 1.5x the capacity", table)
 		Expect(lightFIFO.share).To(BeNumerically("<", 0.65))
 		Expect(heavyFIFO.share).To(BeNumerically(">", 1))
@@ -119,7 +120,7 @@
 		var refused []float64
 		for _, load := range []float64{0.9, 1.3} {
 			s := playback.LongAmongShort(load)
-			refused = append(refused, row(s, "FIFO", plainQueue()))
+			refused = append(refused, row(s, "FIFO", fifoQueue()))
 			for _, reserve := range []float64{0.01, 0.25, 0.4, 0.5, 0.6, 0.7} {
 				queue := playback.NewFair(fairqueue.Config{ShortReserve: reserve})
 				refused = append(refused, row(s, fmt.Sprintf("reserve %.2f", reserve), queue))
@@ -161,12 +162,12 @@
 		for _, run := range []struct {
 			name  string
 			queue playback.Queue
-		}{{"FIFO, Retry-After 1 s", plainQueue()}, {"fair", fairQueue()}} {
+		}{{"FIFO, Retry-After 1 s", fifoQueue()}, {"fair", fairQueue()}} {
 			s := playback.Burst()
 			s.Tries = 10
-			tries := &arrivals{Queue: run.queue, at: make(map[int]int), refused: make(map[int]int)}
-			p := play(s, tries)
-			most, refusing := tries.after(68)
+			counter := &arrivalCounter{Queue: run.queue, attempts: make(map[int]int), refused: make(map[int]int)}
+			p := play(s, counter)
+			most, refusing := counter.after(68)
 			peak = append(peak, most)
 			table.Row(run.name, playback.Percent(float64(p.Answered), float64(p.Offered)), playback.Ratio(p.Tries),
 				fmt.Sprint(most), fmt.Sprint(refusing))
@@ -176,16 +177,17 @@
 	})
 })
 
-// got is the worst that any of some teams got.
-type got struct {
+// worstOutcome holds the worst figures of any team in a set of teams.
+type worstOutcome struct {
 	answered, share float64
 	wait            time.Duration
 }
 
-// twoHeavy adds a row for the first two teams and one for the others, and returns them.
-func twoHeavy(table *playback.Table, queue string, p played) (heavy, light got) {
+// worstByGroup adds a row for the first two teams, which send most, and one for the others, and returns
+// both.
+func worstByGroup(table *playback.Table, queue string, p playResult) (heavy, light worstOutcome) {
 	fair := playback.FairShares(p.OfferedOf, p.Work)
-	heavy, light = got{answered: 1, share: 9}, got{answered: 1, share: 9}
+	heavy, light = worstOutcome{answered: 1, share: 9}, worstOutcome{answered: 1, share: 9}
 	for i, team := range p.Scenario.Traffic.Teams {
 		g := &light
 		if i < 2 {
@@ -197,14 +199,15 @@
 	}
 	for _, row := range []struct {
 		name string
-		got
+		worstOutcome
 	}{{"2 that send 40% each", heavy}, {"8 that send 2.5% each", light}} {
 		table.Row(row.name, queue, playback.Percent(row.answered, 1), playback.Ratio(row.share), playback.Seconds(row.wait))
 	}
 	return heavy, light
 }
 
-// byLength returns the part of the short or the long requests that was refused, and the wait of the others.
+// byLength returns the fraction of the short or the long requests that was refused, and the 95th
+// percentile of the wait of the others.
 func byLength(requests []*playback.Request, s playback.Scenario, long bool) (refused float64, wait time.Duration) {
 	var waits []time.Duration
 	count := 0.0
@@ -223,14 +226,14 @@
 	return refused / count, waits[len(waits)*95/100]
 }
 
-// arrivals counts the tries and the refusals in each second.
-type arrivals struct {
+// arrivalCounter counts the attempts and the refusals in each second.
+type arrivalCounter struct {
 	playback.Queue
-	at, refused map[int]int
+	attempts, refused map[int]int
 }
 
-func (a *arrivals) Offer(now time.Duration, r *playback.Request) (playback.Decision, time.Duration) {
-	a.at[int(now.Seconds())]++
+func (a *arrivalCounter) Offer(now time.Duration, r *playback.Request) (playback.Decision, time.Duration) {
+	a.attempts[int(now.Seconds())]++
 	decision, retryAfter := a.Queue.Offer(now, r)
 	if decision == playback.Refuse {
 		a.refused[int(now.Seconds())]++
@@ -238,15 +241,16 @@
 	return decision, retryAfter
 }
 
-func (a *arrivals) Expire(now time.Duration) []*playback.Request {
+func (a *arrivalCounter) Expire(now time.Duration) []*playback.Request {
 	expired := a.Queue.Expire(now)
 	a.refused[int(now.Seconds())] += len(expired)
 	return expired
 }
 
-// after returns the most tries in a second, and the number of seconds with a refusal, from a second on.
-func (a *arrivals) after(from int) (most, refusing int) {
-	for second, count := range a.at {
+// after returns the largest number of attempts in one second, and the number of seconds with a refusal,
+// from the given second on.
+func (a *arrivalCounter) after(from int) (most, refusing int) {
+	for second, count := range a.attempts {
 		if second < from {
 			continue
 		}
--- a/policy/fairqueue/forget_test.go
+++ b/policy/fairqueue/forget_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestForgetsIdleTeams lets many teams come and go, as when names of teams are generated. Without forgetting,
-// the home's memory would grow until the process is killed.
+// TestForgetsIdleTeams uses a new team name for each request, as with generated names. If idle teams were
+// kept, the memory of the home would grow until the process is killed.
 func TestForgetsIdleTeams(t *testing.T) {
 	q := New(Config{})
 	q.SetLimit(10)
@@ -17,7 +17,7 @@
 		q.Offer(now, Item{ID: id, Team: id, Share: 1, Work: 10, Deadline: now + time.Hour})
 		q.Done(now, id, 10)
 	}
-	if len(q.teams) > 2*firstForget {
+	if len(q.teams) > 2*minForgetThreshold {
 		t.Errorf("%d teams kept", len(q.teams))
 	}
 }
--- a/policy/fairqueue/item.go
+++ b/policy/fairqueue/item.go
@@ -2,75 +2,79 @@
 
 import "time"
 
-// Item is a request as the queue sees it. Times count from the same arbitrary start as the now that the
-// queue is given.
+// Item is a request as the queue sees it. Its times are durations since the same arbitrary origin as the
+// now argument of the Queue's methods.
 type Item struct {
 	// ID is unique among the requests of the home.
-	ID   string
+	ID string
+	// Team is the name of the team that sent the request.
 	Team string
-	// Share is the team's weight; at most 0 counts as MinShare. Priority is the team's, 0 (lowest) to 9.
+	// Share is the team's weight; values below MinShare count as MinShare. Priority is the team's
+	// priority, 0 (lowest) to 9.
 	Share    float64
 	Priority int
-	// Work is the estimated work in tokens; at least 1. Calls of a plain service have PlainWork.
+	// Work is the estimated work in tokens, at least 1. Calls to a plain service have PlainWork.
 	Work int
-	// MinWork is the work that a request takes at least, as far as can be told; 0: Work. Callers name a bound on
-	// the length of the answer that is often far above the answer: it is what the team is charged until the
-	// request is done, but no reason to call the deadline too near.
+	// MinWork is the least work that the request is expected to take; 0 means Work. Callers set a bound on
+	// the length of the answer that is often far above the actual length. The team is charged the bound
+	// until the request is done, but the bound is no reason to refuse the request for its deadline.
 	MinWork int
-	// Deadline is when the caller stops waiting for the whole answer.
+	// Deadline is the time at which the caller stops waiting for the complete answer.
 	Deadline time.Duration
-	// Jitter is a random number, 0 up to 1, drawn by the caller of Offer: it spreads Retry-After.
+	// Jitter is a random number in [0, 1) drawn by the caller of Offer. It spreads the Retry-After of
+	// refused items.
 	Jitter float64
 }
 
-// MinShare is the smallest weight that counts: a team set to less is still served.
+// MinShare is the smallest effective weight: a team configured with less is still served.
 const MinShare = 0.01
 
-// Decision is what is done with an offered item.
+// Decision is the outcome of Offer for an item.
 type Decision int
 
-// The decisions.
+// The decisions of Offer.
 const (
-	// Admitted: send it now. It holds a slot until Done.
+	// Admitted: the item is to be sent now. It holds a slot until Done.
 	Admitted Decision = iota + 1
-	// Queued: Next or Expire will return it, unless Remove takes it out.
+	// Queued: the item waits. Next or Expire returns it later, unless Remove takes it out first.
 	Queued
-	// Refused: it was not taken and will not be sent.
+	// Refused: the item was not accepted and will not be sent.
 	Refused
 )
 
-// Code says why an item was refused. The values are those that callers are told.
+// Code is the reason for a refusal. Its values are reported to callers.
 type Code string
 
-// The codes.
+// The reasons for a refusal.
 const (
-	// CodeOverloaded: it would wait too long, or the queue is full.
+	// CodeOverloaded: the expected wait is too long, or the queue is full.
 	CodeOverloaded Code = "overloaded"
-	// CodeDeadline: it is not expected to be whole before its deadline.
+	// CodeDeadline: the answer is not expected to be complete before the item's deadline.
 	CodeDeadline Code = "deadline-too-near"
-	// CodeDuplicate: an item with this ID is queued or at work.
+	// CodeDuplicate: an item with the same ID is already queued or running.
 	CodeDuplicate Code = "duplicate"
 )
 
-// Verdict is the answer to an offer.
+// Verdict is the result of Offer.
 type Verdict struct {
 	Decision Decision
-	// Wait is how long the item is expected to wait, also when it was refused for it.
+	// Wait is the expected wait of the item, also if it was refused because of that wait.
 	Wait time.Duration
-	// Code and RetryAfter are set for Refused; RetryAfter is 0 where coming back later does not help.
+	// Code and RetryAfter are set for Refused. RetryAfter is 0 if retrying later does not help.
 	Code       Code
 	RetryAfter time.Duration
 }
 
-// class tells short items from long ones.
+// class separates short items from long ones.
 type class int
 
 const (
 	short class = iota
 	long
-	classes
+	numClasses
 )
 
+// classOf returns the class of an item with the given work.
 func (c *Config) classOf(work int) class {
 	if work > c.ShortWork {
 		return long
@@ -78,8 +82,8 @@
 	return short
 }
 
-// least is the work by which a deadline is judged.
-func (i *Item) least() int {
+// deadlineWork returns the work that is compared with the item's deadline.
+func (i *Item) deadlineWork() int {
 	if i.MinWork > 0 {
 		return min(i.MinWork, i.Work)
 	}
--- a/policy/fairqueue/least_test.go
+++ b/policy/fairqueue/least_test.go
@@ -8,9 +8,9 @@
 )
 
 var _ = Describe("A deadline", func() {
-	// Every caller of a service sends the highest bound on the answer's length that the client library
-	// offers. Held against their deadlines before anything was measured, the bound would have every request
-	// refused, and since none runs, nothing would ever be measured: the service stays down for good.
+	// Every caller of a service sends the largest bound on the answer length that the client library
+	// offers. If that bound were compared with the deadline before anything was measured, every request
+	// would be refused, none would run, nothing would ever be measured, and the service would stay down.
 	It("is not called too near for a bound that the answer rarely reaches", func() {
 		item := Item{ID: "1", Team: "a", Share: 1, Work: 100_000, Deadline: 30 * time.Second}
 		q := New(Config{})
--- a/policy/fairqueue/pressure.go
+++ b/policy/fairqueue/pressure.go
@@ -5,24 +5,28 @@
 	"time"
 )
 
-// In saturation, which lasts minutes, a queue that is bounded for bursts stays full. It carries no more
-// than a short one, and every request pays the longest wait: an operator notices first tokens that are late
-// by exactly MaxWait for as long as the load lasts.
+// Saturation lasts for minutes, and a queue whose bounds are sized for bursts stays full throughout. It
+// serves no more than a short queue would, and every request waits for the maximum time: operators would
+// see first tokens late by exactly MaxWait for as long as the load lasts.
 //
-// Pressure is the part of the last StandingAfter during which the class was backlogged. A burst ends before
-// it gets high; in saturation it stays high, and new items are then let in only up to StandingWait. It is a
-// part of time and not "since the queue was last empty", because a short queue gets empty by chance.
+// Pressure is the fraction of the last StandingAfter, as an exponential average, during which the class
+// was backlogged. A burst ends before pressure becomes high; in saturation it stays high, and new items
+// are then accepted only up to an expected wait of StandingWait. It is a fraction of time rather than the
+// time since the queue was last empty, because a short queue is sometimes empty by chance.
 
-// highPressure is the pressure above which a backlog counts as standing. From idle it is reached after
-// 1.2 x StandingAfter; a backlog half of the time does not reach it.
+// highPressure is the pressure above which a backlog counts as standing. Starting from idle, a continuous
+// backlog reaches it after 1.2 × StandingAfter; a class that is backlogged half of the time does not reach
+// it.
 const highPressure = 0.7
 
+// pressure is the exponential average of the backlogged time of a class.
 type pressure struct {
 	level      float64
 	at         time.Duration
 	backlogged bool
 }
 
+// advance brings the average up to now.
 func (p *pressure) advance(now, memory time.Duration) {
 	if now <= p.at {
 		return
@@ -35,12 +39,14 @@
 	p.at = now
 }
 
+// set records whether the class is backlogged from now on.
 func (p *pressure) set(now, memory time.Duration, backlogged bool) {
 	p.advance(now, memory)
 	p.backlogged = backlogged
 }
 
-func (p *pressure) high(now, memory time.Duration) bool {
+// isHigh reports whether the backlog counts as standing.
+func (p *pressure) isHigh(now, memory time.Duration) bool {
 	p.advance(now, memory)
 	return p.level > highPressure
 }
--- a/policy/fairqueue/property_test.go
+++ b/policy/fairqueue/property_test.go
@@ -10,9 +10,9 @@
 	"github.com/skylarkpond/skylarkpond/policy/fairqueue"
 )
 
-// TestEveryItemEndsOnce plays random calls and checks that each queued item is sent, expired or removed exactly
-// once, that no more are at work than the limit allows, and that no slot stays free for a short item
-// that waits.
+// TestEveryItemEndsOnce makes random calls and checks that each queued item is sent, expired or removed
+// exactly once, that no more items run than the limit allows, and that no slot stays free while a short
+// item waits.
 func TestEveryItemEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := fairqueue.New(fairqueue.Config{ShortWork: 100, MaxWait: 2 * time.Second, MaxItems: 20})
@@ -29,7 +29,7 @@
 				leave(next.ID)
 				running[next.ID] = true
 				if len(running) > limit {
-					t.Fatalf("%d at work, limit %d", len(running), limit)
+					t.Fatalf("%d running, limit %d", len(running), limit)
 				}
 			}
 			for _, late := range q.Expire(now) {
@@ -37,7 +37,7 @@
 			}
 			for _, waiting := range queued {
 				if waiting.Work <= 100 && len(running) < limit {
-					t.Fatalf("%s waits with %d at work of %d", waiting.ID, len(running), limit)
+					t.Fatalf("%s waits with %d of %d slots in use", waiting.ID, len(running), limit)
 				}
 			}
 			if q.Len() != len(queued) || q.Running() != len(running) {
--- a/policy/fairqueue/queue.go
+++ b/policy/fairqueue/queue.go
@@ -2,80 +2,84 @@
 
 import "time"
 
-// Queue is admission and the fair queue before one group. After each Offer that queued, and after
-// SetLimit, Started, Done, Remove and Expire, its owner calls Next until it reports false.
+// Queue is the admission control and fair queue in front of one group. After each Offer that queued an
+// item, and after SetLimit, Started, Done, Remove and Expire, its owner calls Next until it reports false.
 type Queue struct {
 	cfg   Config
 	slots slots
-	// entries holds the queued and running items, free the unused places, index the place of each ID.
+	// entries holds the queued and running items, free lists its unused places, and index maps an ID to
+	// its place.
 	entries []entry
 	free    []int32
 	index   map[string]int32
 	teams   map[string]*team
-	heaps   [classes]teamHeap
-	// virtual is the queue's virtual time, in tokens for a share of 1. It never goes back.
+	heaps   [numClasses]teamHeap
+	// virtual is the queue's virtual time, in tokens for a share of 1. It never decreases.
 	virtual float64
-	// items counts what is queued; shares sums over the teams that have something queued or at work.
-	items     int
-	shares    float64
-	drains    [classes]drain
-	pressures [classes]pressure
-	pace      pace
-	seq       uint64
-	// firstLatest is no later than the earliest time by which a queued item has to be sent.
-	firstLatest time.Duration
-	late        []Item
-	forgetAt    int
+	// queuedItems counts the queued items. activeShares is the sum of the shares of teams that have queued
+	// or running items.
+	queuedItems  int
+	activeShares float64
+	drains       [numClasses]drainEstimator
+	pressures    [numClasses]pressure
+	tokenTime    tokenTimeEstimator
+	seq          uint64
+	// earliestSendBy is a lower bound on the sendBy of all queued items.
+	earliestSendBy time.Duration
+	// expired holds items that Next dropped, until Expire returns them; its array is reused.
+	expired         []Item
+	forgetThreshold int
 }
 
-// New returns an empty queue with no slots: SetLimit gives it some. Config must have passed Check.
+// New returns an empty queue without slots; SetLimit provides them. The configuration must have passed
+// Check.
 func New(config Config) *Queue {
 	config = config.WithDefaults()
 	q := &Queue{
-		cfg:         config,
-		slots:       slots{reserve: config.ShortReserve},
-		index:       make(map[string]int32),
-		teams:       make(map[string]*team),
-		firstLatest: foreverWait,
-		forgetAt:    firstForget,
+		cfg:             config,
+		slots:           slots{reserve: config.ShortReserve},
+		index:           make(map[string]int32),
+		teams:           make(map[string]*team),
+		earliestSendBy:  maxWaitEstimate,
+		forgetThreshold: minForgetThreshold,
 	}
-	for c := range classes {
+	for c := range numClasses {
 		q.heaps[c] = teamHeap{class: c, entries: &q.entries}
 	}
 	return q
 }
 
-// SetLimit sets how many items may be at work at once. Those already at work go on.
+// SetLimit sets how many items may run at once. Items that are already running are not affected.
 func (q *Queue) SetLimit(limit int) { q.slots.limit = max(0, limit) }
 
-// SetStartLimit sets how many items may be at work without a first token; 0 is no bound. An owner that
-// sets it calls Started.
+// SetStartLimit sets how many items may run without having received their first token; 0 means no limit.
+// An owner that sets it must call Started.
 func (q *Queue) SetStartLimit(limit int) { q.slots.startLimit = max(0, limit) }
 
-// Started says that the first token of an item came.
+// Started records that the first token of an item arrived.
 func (q *Queue) Started(id string) {
 	if i, ok := q.index[id]; ok {
-		q.started(&q.entries[i])
+		q.markStarted(&q.entries[i])
 	}
 }
 
-func (q *Queue) started(e *entry) {
+func (q *Queue) markStarted(e *entry) {
 	if e.starting {
 		e.starting = false
 		q.slots.starting--
 	}
 }
 
-// Len returns how many items are queued.
-func (q *Queue) Len() int { return q.items }
+// Len returns the number of queued items.
+func (q *Queue) Len() int { return q.queuedItems }
 
-// Running returns how many items are at work.
+// Running returns the number of items that hold a slot.
 func (q *Queue) Running() int { return q.slots.running[short] + q.slots.running[long] }
 
-// Starting returns how many items hold a slot and have no first token yet.
+// Starting returns the number of running items without a first token.
 func (q *Queue) Starting() int { return q.slots.starting }
 
-// Offer decides on an item.
+// Offer admits, queues or refuses an item.
 func (q *Queue) Offer(now time.Duration, item Item) Verdict {
 	item.Work = max(1, item.Work)
 	if _, ok := q.index[item.ID]; ok {
@@ -83,92 +87,94 @@
 	}
 	q.forgetIdle(now)
 	t := q.team(&item)
-	t.seen = now
+	t.lastOffer = now
 	c := q.cfg.classOf(item.Work)
 	if c == short {
-		q.slots.sawShort(now)
+		q.slots.recordShort(now)
 	}
-	q.slots.advance(now)
+	q.slots.expireReserve(now)
 	q.activate(t)
-	service := q.service(now, item.least())
+	service := q.minServiceTime(now, item.deadlineWork())
 	if now+service > item.Deadline {
-		return q.tooLong(now, t, c, &item)
+		return q.refuseDeadline(now, t, c, &item)
 	}
-	if q.slots.free(c) && q.pick() == nil {
-		q.send(now, q.add(now, t, c, item))
+	if q.slots.free(c) && q.nextTeam() == nil {
+		q.send(now, q.allocate(now, t, c, item))
 		return Verdict{Decision: Admitted}
 	}
-	wait := q.expect(now, t, c)
-	if code, excess := q.over(now, t, c, &item, wait, service); code != "" {
+	wait := q.expectedWait(now, t, c)
+	if code, excess := q.checkWait(now, t, c, &item, wait, service); code != "" {
 		return Verdict{Decision: Refused, Wait: wait, Code: code, RetryAfter: q.retryAfter(now, t, c, &item, excess)}
 	}
-	i := q.add(now, t, c, item)
-	q.entries[i].latest = min(now+q.cfg.MaxWait, item.Deadline-service)
-	q.firstLatest = min(q.firstLatest, q.entries[i].latest)
+	i := q.allocate(now, t, c, item)
+	q.entries[i].sendBy = min(now+q.cfg.MaxWait, item.Deadline-service)
+	q.earliestSendBy = min(q.earliestSendBy, q.entries[i].sendBy)
 	q.link(now, i)
 	return Verdict{Decision: Queued, Wait: wait}
 }
 
-// tooLong refuses an item that would not be whole before its deadline if it were sent now. Coming back
-// helps only if the group is slower now than it should be.
-func (q *Queue) tooLong(now time.Duration, t *team, c class, item *Item) Verdict {
+// refuseDeadline refuses an item whose answer would not be complete before its deadline even if it were
+// sent now. Retrying later helps only if the group is currently slower than its configured TimePerToken,
+// and only then is RetryAfter set.
+func (q *Queue) refuseDeadline(now time.Duration, t *team, c class, item *Item) Verdict {
 	v := Verdict{Decision: Refused, Code: CodeDeadline}
-	if now+seconds(serviceMargin*float64(item.Work)*q.cfg.TimePerToken.Seconds()) <= item.Deadline {
+	if now+durationOf(minServiceFraction*float64(item.Work)*q.cfg.TimePerToken.Seconds()) <= item.Deadline {
 		v.RetryAfter = q.retryAfter(now, t, c, item, 0)
 	}
 	return v
 }
 
-// over returns why an item that would wait so long is refused, and by how much the wait is too long, or
-// no code.
-func (q *Queue) over(now time.Duration, t *team, c class, item *Item, wait, service time.Duration) (Code, time.Duration) {
-	if q.items >= q.cfg.MaxItems || t.queued[c].items > q.cfg.MaxItems-q.items {
+// checkWait returns why an item with the given expected wait is refused and by how much the wait is too
+// long, or an empty code. The queue's length is checked so that one team leaves room for others: the
+// backlog of a team in the class may not exceed the free places.
+func (q *Queue) checkWait(now time.Duration, t *team, c class, item *Item, wait, service time.Duration) (Code, time.Duration) {
+	if q.queuedItems >= q.cfg.MaxItems || t.queued[c].items > q.cfg.MaxItems-q.queuedItems {
 		return CodeOverloaded, wait
 	}
 	if slack := item.Deadline - service - now; wait > slack {
 		return CodeDeadline, wait - slack
 	}
-	if allowed := q.allowed(now, t, c); wait > allowed {
+	if allowed := q.allowedWait(now, t, c); wait > allowed {
 		return CodeOverloaded, wait - allowed
 	}
 	return "", 0
 }
 
-// allowed returns how long a new item of the team may be expected to wait: MaxWait in a burst, and
-// StandingWait once the class has been backlogged for about StandingAfter. A team that has nothing queued
-// is not what makes the queue stand.
-func (q *Queue) allowed(now time.Duration, t *team, c class) time.Duration {
-	if t.queued[c].items > 0 && q.pressures[c].high(now, q.cfg.StandingAfter) {
+// allowedWait returns the longest expected wait with which a new item of the team is accepted: MaxWait
+// during a burst, and StandingWait once the class has been backlogged for about StandingAfter. A team with
+// nothing queued does not contribute to the standing backlog and keeps MaxWait.
+func (q *Queue) allowedWait(now time.Duration, t *team, c class) time.Duration {
+	if t.queued[c].items > 0 && q.pressures[c].isHigh(now, q.cfg.StandingAfter) {
 		return q.cfg.StandingWait
 	}
 	return q.cfg.MaxWait
 }
 
-// Next returns the item to send next, if there is one and a slot is free for it. It holds the slot
+// Next returns the next item to send, if there is one and a slot is free for it. The item holds the slot
 // until Done.
 func (q *Queue) Next(now time.Duration) (Item, bool) {
-	q.slots.advance(now)
+	q.slots.expireReserve(now)
 	for {
-		t := q.pick()
+		t := q.nextTeam()
 		if t == nil {
 			return Item{}, false
 		}
-		c := q.turn(now, t)
+		c := q.nextClass(now, t)
 		i := t.queued[c].head
 		q.unlink(now, i)
-		if q.entries[i].latest < now {
-			q.late = append(q.late, q.entries[i].item)
+		if q.entries[i].sendBy < now {
+			q.expired = append(q.expired, q.entries[i].item)
 			q.release(i)
 			continue
 		}
-		q.drains[c].sent(now, t.key())
+		q.drains[c].recordSend(now, t.key())
 		q.send(now, i)
 		return q.entries[i].item, true
 	}
 }
 
-// pick returns the team whose turn it is, or nil if nothing that is queued may be sent.
-func (q *Queue) pick() *team {
+// nextTeam returns the team that sends next, or nil if no queued item may be sent.
+func (q *Queue) nextTeam() *team {
 	var s, l *team
 	if q.slots.free(short) {
 		s = q.heaps[short].top()
@@ -182,9 +188,9 @@
 	return s
 }
 
-// turn returns the class of the item that a team sends at its turn: short ones first, so that they do
-// not wait behind the team's own long ones, unless a long one has aged.
-func (q *Queue) turn(now time.Duration, t *team) class {
+// nextClass returns the class of the item that the team sends next. Short items go first, so that they do
+// not wait behind the team's own long items, unless the oldest long item has waited for more than LongAge.
+func (q *Queue) nextClass(now time.Duration, t *team) class {
 	if t.queued[long].items == 0 || !q.slots.free(long) {
 		return short
 	}
@@ -194,8 +200,8 @@
 	return short
 }
 
-// Done says that an item which was sent is over, and how much work it took in tokens (0 if it turned out
-// not to have been sent). The team is charged for what was used, so that a wrong estimate gains nothing.
+// Done releases the slot of an item that was sent. work is the work that it took in tokens, or 0 if it was
+// not sent after all. The team is charged for the actual work, so that a wrong estimate gains nothing.
 func (q *Queue) Done(now time.Duration, id string, work int) {
 	i, ok := q.index[id]
 	if !ok || !q.entries[i].running {
@@ -203,16 +209,16 @@
 	}
 	e := &q.entries[i]
 	q.slots.running[e.class]--
-	q.started(e)
-	q.correct(e.team, float64(work-e.item.Work))
+	q.markStarted(e)
+	q.adjust(e.team, float64(work-e.item.Work))
 	if work > 0 {
-		q.pace.add(now, now-e.sent, float64(e.item.Work))
+		q.tokenTime.record(now, now-e.sent, float64(e.item.Work))
 	}
 	q.release(i)
 }
 
-// Remove takes an item out of the queue, because its caller is gone. It reports whether it was queued; one
-// that was sent stays until Done.
+// Remove takes an item out of the queue because its caller has gone. It reports whether the item was
+// queued; an item that was sent stays until Done.
 func (q *Queue) Remove(now time.Duration, id string) bool {
 	i, ok := q.index[id]
 	if !ok || q.entries[i].running {
@@ -223,19 +229,19 @@
 	return true
 }
 
-// Expire takes out and returns the items that have waited too long to be sent. The slice is valid until
-// the next call of Next or Expire.
+// Expire removes and returns the items that have waited too long to be sent. The slice is valid until the
+// next call of Next or Expire.
 func (q *Queue) Expire(now time.Duration) []Item {
-	expired := q.late
-	if now > q.firstLatest {
-		q.firstLatest = foreverWait
+	expired := q.expired
+	if now > q.earliestSendBy {
+		q.earliestSendBy = maxWaitEstimate
 		for i := range q.entries {
 			e := &q.entries[i]
 			if e.team == nil || e.running {
 				continue
 			}
-			if e.latest >= now {
-				q.firstLatest = min(q.firstLatest, e.latest)
+			if e.sendBy >= now {
+				q.earliestSendBy = min(q.earliestSendBy, e.sendBy)
 				continue
 			}
 			expired = append(expired, e.item)
@@ -243,10 +249,11 @@
 			q.release(int32(i))
 		}
 	}
-	q.late = expired[:0]
+	q.expired = expired[:0]
 	return expired
 }
 
+// send moves an entry to the running items and charges its team for the estimated work.
 func (q *Queue) send(now time.Duration, i int32) {
 	e := &q.entries[i]
 	e.running = true
--- a/policy/fairqueue/queue_test.go
+++ b/policy/fairqueue/queue_test.go
@@ -16,22 +16,22 @@
 	return fairqueue.Item{ID: id, Team: team, Share: 1, Work: work, Deadline: time.Hour, Jitter: 0.5}
 }
 
-// patient is a queue in which nothing is refused for its wait.
-func patient(config fairqueue.Config) *fairqueue.Queue {
+// newUnboundedQueue returns a queue that refuses nothing for its expected wait.
+func newUnboundedQueue(config fairqueue.Config) *fairqueue.Queue {
 	config.MaxWait, config.StandingWait, config.MaxItems = 10*time.Minute, 10*time.Minute, 100_000
 	config.TimePerToken = time.Microsecond
 	return fairqueue.New(config)
 }
 
-// backlog queues count items of the team.
-func backlog(q *fairqueue.Queue, proto fairqueue.Item, count int) {
+// offerBacklog queues count items like proto.
+func offerBacklog(q *fairqueue.Queue, proto fairqueue.Item, count int) {
 	for i := range count {
 		proto.ID = fmt.Sprintf("%s-%d-%d", proto.Team, proto.Work, i)
 		ExpectWithOffset(1, q.Offer(0, proto).Decision).To(Equal(fairqueue.Queued))
 	}
 }
 
-// serve sends count items one after the other, each done before the next, and sums the work by team.
+// serve sends count items one at a time, each done before the next, and sums the work by team.
 func serve(q *fairqueue.Queue, count int, used func(fairqueue.Item) int) map[string]int {
 	work := make(map[string]int)
 	for range count {
@@ -44,7 +44,7 @@
 	return work
 }
 
-func asEstimated(i fairqueue.Item) int { return i.Work }
+func estimatedWork(i fairqueue.Item) int { return i.Work }
 
 var _ = Describe("Queue", func() {
 	It("admits while slots are free, then queues, and sends in turn", func() {
@@ -62,49 +62,49 @@
 	})
 
 	It("divides by work and share, not by count", func() {
-		q := patient(fairqueue.Config{})
-		backlog(q, item("long", "", 1000), 500)
-		backlog(q, item("short", "", 100), 2000)
+		q := newUnboundedQueue(fairqueue.Config{})
+		offerBacklog(q, item("long", "", 1000), 500)
+		offerBacklog(q, item("short", "", 100), 2000)
 		double := item("double", "", 100)
 		double.Share = 2
-		backlog(q, double, 2000)
-		work := serve(q, 2000, asEstimated)
+		offerBacklog(q, double, 2000)
+		work := serve(q, 2000, estimatedWork)
 		Expect(work["short"]).To(BeNumerically("~", work["long"], 1000))
 		Expect(work["double"]).To(BeNumerically("~", 2*work["short"], 1000))
 	})
 
 	It("charges what was used: an understated estimate gains nothing", func() {
-		q := patient(fairqueue.Config{})
-		backlog(q, item("honest", "", 100), 2000)
-		backlog(q, item("claims", "", 25), 2000)
+		q := newUnboundedQueue(fairqueue.Config{})
+		offerBacklog(q, item("honest", "", 100), 2000)
+		offerBacklog(q, item("claims", "", 25), 2000)
 		work := serve(q, 1000, func(fairqueue.Item) int { return 100 })
 		Expect(work["claims"]).To(BeNumerically("~", work["honest"], 200))
 	})
 
 	It("saves nothing up for a team that was idle", func() {
-		q := patient(fairqueue.Config{})
-		backlog(q, item("busy", "", 100), 2000)
-		serve(q, 1000, asEstimated)
-		backlog(q, item("back", "", 100), 500)
-		work := serve(q, 100, asEstimated)
+		q := newUnboundedQueue(fairqueue.Config{})
+		offerBacklog(q, item("busy", "", 100), 2000)
+		serve(q, 1000, estimatedWork)
+		offerBacklog(q, item("back", "", 100), 500)
+		work := serve(q, 100, estimatedWork)
 		Expect(work["back"]).To(BeNumerically("~", work["busy"], 200))
 	})
 
 	It("lets priority run ahead by its head start and no further", func() {
-		q := patient(fairqueue.Config{HeadStart: 200})
-		backlog(q, item("low", "", 100), 2000)
+		q := newUnboundedQueue(fairqueue.Config{HeadStart: 200})
+		offerBacklog(q, item("low", "", 100), 2000)
 		first := item("high", "", 100)
 		first.Priority = 9
-		backlog(q, first, 2000)
-		Expect(serve(q, 18, asEstimated)["low"]).To(BeNumerically("<=", 100))
-		work := serve(q, 1000, asEstimated)
+		offerBacklog(q, first, 2000)
+		Expect(serve(q, 18, estimatedWork)["low"]).To(BeNumerically("<=", 100))
+		work := serve(q, 1000, estimatedWork)
 		Expect(work["low"]).To(BeNumerically("~", work["high"], 200))
 	})
 
 	It("sends a team's short items first until a long one has aged", func() {
-		q := patient(fairqueue.Config{ShortWork: 100, LongAge: second})
-		backlog(q, item("a", "", 1000), 2)
-		backlog(q, item("a", "", 100), 2)
+		q := newUnboundedQueue(fairqueue.Config{ShortWork: 100, LongAge: second})
+		offerBacklog(q, item("a", "", 1000), 2)
+		offerBacklog(q, item("a", "", 100), 2)
 		q.SetLimit(10)
 		var works []int
 		for _, now := range []time.Duration{0, 2 * second, 2 * second, 2 * second} {
@@ -116,7 +116,7 @@
 	})
 
 	It("keeps slots from long items while short ones come, and no longer", func() {
-		q := patient(fairqueue.Config{ShortWork: 100, ShortReserve: 0.5})
+		q := newUnboundedQueue(fairqueue.Config{ShortWork: 100, ShortReserve: 0.5})
 		q.SetLimit(4)
 		Expect(q.Offer(0, item("a", "short", 10)).Decision).To(Equal(fairqueue.Admitted))
 		backlogged := 0
@@ -150,23 +150,23 @@
 	})
 
 	It("drops what its caller no longer wants", func() {
-		q := patient(fairqueue.Config{})
-		backlog(q, item("a", "", 10), 3)
+		q := newUnboundedQueue(fairqueue.Config{})
+		offerBacklog(q, item("a", "", 10), 3)
 		Expect(q.Remove(0, "a-10-1")).To(BeTrue())
 		Expect(q.Remove(0, "a-10-1")).To(BeFalse())
 		Expect(q.Len()).To(Equal(2))
 	})
 })
 
-// A caller waits for an answer that comes after it has hung up, and so does everyone behind it. It
-// notices a timeout where it could have asked elsewhere, or later.
+// An answer that arrives after the caller has disconnected is wasted, and delays every request behind it.
+// The caller sees a timeout where it could have tried elsewhere, or later.
 var _ = Describe("Refusal", func() {
 	It("refuses at once what cannot meet its deadline, and says when to come back", func() {
 		q := fairqueue.New(fairqueue.Config{TimePerToken: 100 * time.Millisecond, MaxWait: time.Minute})
 		q.SetLimit(1)
-		hopeless := item("a", "0", 100)
-		hopeless.Deadline = second
-		Expect(q.Offer(0, hopeless)).To(Equal(fairqueue.Verdict{Decision: fairqueue.Refused, Code: fairqueue.CodeDeadline}))
+		unmeetable := item("a", "0", 100)
+		unmeetable.Deadline = second
+		Expect(q.Offer(0, unmeetable)).To(Equal(fairqueue.Verdict{Decision: fairqueue.Refused, Code: fairqueue.CodeDeadline}))
 		Expect(q.Offer(0, item("a", "1", 100)).Decision).To(Equal(fairqueue.Admitted))
 		Expect(q.Offer(0, item("a", "2", 100)).Decision).To(Equal(fairqueue.Queued))
 		late := item("a", "3", 100)
@@ -225,9 +225,9 @@
 		inSecond := make(map[int]int)
 		latest := 0
 		for i := range 300 {
-			one := item("a", fmt.Sprint(i), 10)
-			one.Jitter = float64(i%10) / 10
-			if v := q.Offer(0, one); v.Decision == fairqueue.Refused {
+			offered := item("a", fmt.Sprint(i), 10)
+			offered.Jitter = float64(i%10) / 10
+			if v := q.Offer(0, offered); v.Decision == fairqueue.Refused {
 				inSecond[int(v.RetryAfter.Seconds())]++
 				latest = max(latest, int(v.RetryAfter.Seconds()))
 			}
--- a/policy/fairqueue/retry.go
+++ b/policy/fairqueue/retry.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// A burst is refused, and all its callers are told the same time to come back. They do, together, and
-// are refused again: an operator notices refusals in waves, with idle time between them.
+// If all callers refused in a burst are given the same Retry-After, they return together and are refused
+// again. Operators would see waves of refusals with idle time between them.
 //
-// Retry-After is worked out as a place in a line. Those of a team that were told to come back are
-// expected at a part of the rate at which the team's items drain; the next one is told the time at which
-// its place comes up, but no sooner than it would be taken in, moved by up to half either way by a random
-// number. Callers then return about as fast as the group can take them, whatever the size of the burst.
+// Retry-After is therefore computed as a position in a line. The refused work of a team is expected to
+// return at a fraction (ReturnShare) of the rate at which the team's items drain. The next refused caller
+// is told the time at which its position is reached, but not a time at which it would still be refused,
+// with a random offset of up to half in either direction. Callers then return about as fast as the group
+// can serve them, whatever the size of the burst.
 
-// spreadWidth is the width of the random part of Retry-After, as a share of it.
-const spreadWidth = 0.5
+// jitterFraction is the largest random offset of Retry-After, as a fraction of it in either direction.
+const jitterFraction = 0.5
 
-// RetryAfter says when the caller of an item that was given up may come back, and counts it among those
-// who will.
+// RetryAfter returns when the caller of an item that left the queue unsent may retry, and counts that
+// caller among those expected to return.
 func (q *Queue) RetryAfter(now time.Duration, item Item) time.Duration {
 	t := q.team(&item)
 	c := q.cfg.classOf(item.Work)
-	excess := q.expect(now, t, c) - q.allowed(now, t, c)
+	excess := q.expectedWait(now, t, c) - q.allowedWait(now, t, c)
 	return q.retryAfter(now, t, c, &item, excess)
 }
 
-// retryAfter returns when to come back; excess is by how much the expected wait is over the allowed one.
+// retryAfter implements RetryAfter; excess is the part of the expected wait that is over the allowed wait.
 func (q *Queue) retryAfter(now time.Duration, t *team, c class, item *Item, excess time.Duration) time.Duration {
-	rate := q.speed(now, c) * t.share * q.cfg.ReturnShare
-	t.returning = max(0, t.returning-rate*(now-t.returningAt).Seconds())
+	rate := q.drainRate(now, c) * t.share * q.cfg.ReturnShare
+	t.returningWork = max(0, t.returningWork-rate*(now-t.returningAt).Seconds())
 	t.returningAt = now
-	place := seconds(t.returning / rate)
-	t.returning += float64(item.Work)
+	lineWait := durationOf(t.returningWork / rate)
+	t.returningWork += float64(item.Work)
 
-	wait := max(q.cfg.MinRetryAfter, excess) + place
-	wait = min(wait, seconds(q.cfg.MaxRetryAfter.Seconds()/(1+spreadWidth)))
-	return max(q.cfg.MinRetryAfter, time.Duration(float64(wait)*(1+spreadWidth*(2*item.Jitter-1))))
+	wait := max(q.cfg.MinRetryAfter, excess) + lineWait
+	wait = min(wait, durationOf(q.cfg.MaxRetryAfter.Seconds()/(1+jitterFraction)))
+	return max(q.cfg.MinRetryAfter, time.Duration(float64(wait)*(1+jitterFraction*(2*item.Jitter-1))))
 }
--- a/policy/fairqueue/team.go
+++ b/policy/fairqueue/team.go
@@ -5,43 +5,46 @@
 	"time"
 )
 
-// A few teams send most of the work. Served by arrival, they get what they send and the others get what
-// is left; an operator notices small teams being slow whenever a large one runs a batch. Served in turns
-// by count, a team with requests forty times as long takes forty times its part.
+// A few teams send most of the work. In order of arrival they get what they send, and the others get what
+// is left: operators would see small teams slow down whenever a large one runs a batch. Round robin by
+// request count gives a team whose requests are forty times as long forty times its share.
 //
-// Start-time fair queueing over work prevents both: a team's virtual time grows by work divided by share
-// with each item that is sent, and the team that is furthest behind goes next. A team that becomes
-// backlogged starts at the queue's virtual time, so that nothing is saved up while idle and nothing
-// that was used while nobody else wanted it is held against it.
+// Start-time fair queueing over work prevents both. With each item sent, a team's virtual time advances by
+// the item's work divided by the team's share, and the team that is furthest behind sends next. A team
+// that becomes backlogged starts at the queue's virtual time: it neither accumulates credit while idle nor
+// pays for capacity that it used while no other team wanted it.
 //
-// Priority is a head start (as in borrowed virtual time scheduling): a team goes by its virtual time
-// less HeadStart for each level. It gets its turn earlier, and no more of it than its share: once it has
-// run ahead by its head start it waits like any other, so that low priority is delayed by a bounded
-// amount of work and never starves. The default of 64 tokens a level lets the highest priority run ahead
-// by about two requests of the usual size.
+// Priority is a head start, as in borrowed virtual time scheduling: a team is ordered by its virtual time
+// minus HeadStart for each priority level. It is served earlier but gets no more than its share, because
+// once it has run ahead by its head start it waits like any other team. Low priority is therefore delayed
+// by a bounded amount of work and never starves. The default of 64 tokens per level lets the highest
+// priority run ahead by about two requests of the usual size.
 
 // team is the state of one team. It is in heaps[c] while it has queued items of class c.
 type team struct {
-	name     string
-	share    float64
-	priority int
-	virtual  float64
-	headed   float64 // the head start in virtual time
-	queued   [classes]list
-	// items counts what is queued or at work.
+	name      string
+	share     float64
+	priority  int
+	virtual   float64
+	headStart float64 // in virtual time
+	queued    [numClasses]list
+	// items counts the queued and running items.
 	items int
-	index [classes]int
-	// seen is when the team last offered something.
-	seen time.Duration
-	// returning is the work told to come back that is not expected back yet, as of returningAt.
-	returning   float64
-	returningAt time.Duration
+	// index is the team's position in each heap.
+	index [numClasses]int
+	// lastOffer is the time of the team's last offered item.
+	lastOffer time.Duration
+	// returningWork is the refused work, as of returningAt, whose callers were told to retry and are not
+	// expected back yet.
+	returningWork float64
+	returningAt   time.Duration
 }
 
-func (t *team) key() float64 { return t.virtual - t.headed }
+// key is the virtual time that orders the teams.
+func (t *team) key() float64 { return t.virtual - t.headStart }
 
-// teamHeap orders the teams that have queued items of a class by their virtual time; ties go to the team
-// whose oldest item came first.
+// teamHeap orders the teams that have queued items of a class by their key. Ties go to the team with the
+// oldest item.
 type teamHeap struct {
 	class   class
 	teams   []*team
@@ -87,7 +90,8 @@
 	return h.teams[0]
 }
 
-// team returns the state of the item's team, brought up to the item's share and priority.
+// team returns the state of the item's team, created if needed and updated to the item's share and
+// priority.
 func (q *Queue) team(item *Item) *team {
 	t := q.teams[item.Team]
 	if t == nil {
@@ -99,64 +103,64 @@
 		return t
 	}
 	if t.items > 0 {
-		q.shares += share - t.share
+		q.activeShares += share - t.share
 	}
 	t.share = share
 	t.priority = item.Priority
-	t.headed = float64(item.Priority) * q.cfg.HeadStart / share
-	q.fix(t)
+	t.headStart = float64(item.Priority) * q.cfg.HeadStart / share
+	q.fixHeaps(t)
 	return t
 }
 
-// fix restores the order of the heaps after a change of the team's virtual time.
-func (q *Queue) fix(t *team) {
-	for c := range classes {
+// fixHeaps restores the heap order after a change of the team's virtual time.
+func (q *Queue) fixHeaps(t *team) {
+	for c := range numClasses {
 		if t.queued[c].items > 0 {
 			heap.Fix(&q.heaps[c], t.index[c])
 		}
 	}
 }
 
-// charge moves the team's virtual time on by the work of an item that is sent.
+// charge advances the queue's virtual time to the team's key, and the team's by the work of an item that
+// is sent.
 func (q *Queue) charge(t *team, work float64) {
 	q.virtual = max(q.virtual, t.key())
-	q.correct(t, work)
+	q.adjust(t, work)
 }
 
-// correct moves the team's virtual time by work, which is below 0 if the team was charged too much. The
-// team stays within maxCredit of the queue's virtual time, lest one that was held back by the reserve
-// for short requests for long takes the whole group once it sends short ones.
-func (q *Queue) correct(t *team, work float64) {
+// adjust advances the team's virtual time by work, which is negative if the team was charged too much. The
+// result is at most maxCredit behind the queue's virtual time. Otherwise a team whose long requests were
+// held back by the reserve for a long time could take the whole group once it sends short requests.
+func (q *Queue) adjust(t *team, work float64) {
 	t.virtual = max(t.virtual+work/t.share, q.virtual-maxCredit/t.share)
-	q.fix(t)
+	q.fixHeaps(t)
 }
 
-// maxCredit is the most work, in tokens, by which a backlogged team may be behind: that of a few long
-// requests.
+// maxCredit is the largest credit, in tokens, of a backlogged team: the work of a few long requests.
 const maxCredit = 16384
 
-// activate brings a team without queued items up to the queue's virtual time.
+// activate moves a team without queued items forward to the queue's virtual time.
 func (q *Queue) activate(t *team) {
 	if t.queued[short].items == 0 && t.queued[long].items == 0 {
 		t.virtual = max(t.virtual, q.virtual)
 	}
 }
 
-// forgetIdle drops the state of teams that have sent nothing for a while: it bounds the memory when names of
-// teams come and go. What such a team was ahead of its share is forgotten too, as is what it was told
-// of coming back.
+// forgetIdle deletes teams that have been idle for MaxRetryAfter, which bounds the memory when team names
+// come and go. Work that such a team received ahead of its share and its expected retries are forgotten
+// too.
 func (q *Queue) forgetIdle(now time.Duration) {
-	if len(q.teams) < q.forgetAt {
+	if len(q.teams) < q.forgetThreshold {
 		return
 	}
 	for name, t := range q.teams {
-		if t.items == 0 && now-t.seen > q.cfg.MaxRetryAfter {
+		if t.items == 0 && now-t.lastOffer > q.cfg.MaxRetryAfter {
 			delete(q.teams, name)
 		}
 	}
-	q.forgetAt = max(firstForget, 2*len(q.teams))
+	q.forgetThreshold = max(minForgetThreshold, 2*len(q.teams))
 }
 
-// firstForget is the number of teams from which idle ones are looked for; it doubles with those found in
-// use, so that the search costs little per offer.
-const firstForget = 1024
+// minForgetThreshold is the number of teams at which idle teams are first searched for. The threshold then
+// is twice the number of teams still in use, which keeps the cost of the search per offer small.
+const minForgetThreshold = 1024
