--- a/entry/guard/guard.go
+++ b/entry/guard/guard.go
@@ -129,7 +129,7 @@
 	defer g.mu.Unlock()
 	r := g.register(s.Service)
 	if s.Crash != "" {
-		r.Crash(now, s.Crash, "", []string{s.Fingerprint})
+		r.RecordCrash(now, s.Crash, "", []string{s.Fingerprint})
 	}
 	requests := g.running[s.Group.ID]
 	if requests == nil {
--- a/entry/guard/operate.go
+++ b/entry/guard/operate.go
@@ -7,11 +7,11 @@
 )
 
 // Held lists what is held back, by service.
-func (g *Guard) Held() map[string][]quarantine.Held {
+func (g *Guard) Held() map[string][]quarantine.HeldRequest {
 	now := g.deps.Clock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	held := make(map[string][]quarantine.Held)
+	held := make(map[string][]quarantine.HeldRequest)
 	for service, r := range g.services {
 		if list := r.Held(now); len(list) > 0 {
 			held[service] = list
--- a/entry/guard/pass.go
+++ b/entry/guard/pass.go
@@ -24,7 +24,7 @@
 		return
 	}
 	_ = p.guard.update(context.WithoutCancel(ctx), s.Service, func(r *quarantine.Register) bool {
-		return r.Finish(p.guard.deps.Clock(), s.Fingerprint, string(s.Group.ID))
+		return r.RecordFinish(p.guard.deps.Clock(), s.Fingerprint, string(s.Group.ID))
 	})
 }
 
@@ -34,7 +34,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.register(s.Service)
-	return r.Len() > 0 && r.Clone().Finish(now, s.Fingerprint, string(s.Group.ID))
+	return r.Len() > 0 && r.Clone().RecordFinish(now, s.Fingerprint, string(s.Group.ID))
 }
 
 // Broke says that the answer broke off. If a member's process is gone, every request at work on the group is
@@ -83,7 +83,7 @@
 	running := append(g.fingerprints(s.Group.ID), s.Fingerprint)
 	now := g.deps.Clock()
 	g.mu.Lock()
-	caught := g.register(s.Service).Crash(now, crash, string(s.Group.ID), running)
+	caught := g.register(s.Service).RecordCrash(now, crash, string(s.Group.ID), running)
 	g.mu.Unlock()
 	for _, fingerprint := range caught {
 		g.count("caught")
--- a/entry/leader/crashes.go
+++ b/entry/leader/crashes.go
@@ -37,12 +37,12 @@
 
 func (c *crashes) add(crash link.Crash) {
 	life := string(crash.Server) + "@" + strconv.FormatInt(crash.Born, 10)
-	c.register(crash.Service).Crash(time.Now(), life, string(crash.Server), []string{crash.Fingerprint})
+	c.register(crash.Service).RecordCrash(time.Now(), life, string(crash.Server), []string{crash.Fingerprint})
 }
 
 func (c *crashes) clear(cleared link.Cleared) {
 	register := c.register(cleared.Service)
-	register.Finish(time.Now(), cleared.Fingerprint, "")
+	register.RecordFinish(time.Now(), cleared.Fingerprint, "")
 	register.Expire(time.Now())
 }
 
--- a/policy/quarantine/figures_test.go
+++ b/policy/quarantine/figures_test.go
@@ -72,7 +72,7 @@
 	for i := range 200 {
 		running = append(running, fmt.Sprint("request-", i))
 	}
-	r.Crash(epoch, "crash", "group", running)
+	r.RecordCrash(epoch, "crash", "group", running)
 	for _, fingerprint := range []string{"unknown", "request-3"} {
 		b.Run(fingerprint, func(b *testing.B) {
 			b.ReportAllocs()
--- a/policy/quarantine/model_test.go
+++ b/policy/quarantine/model_test.go
@@ -240,7 +240,7 @@
 }
 
 func (w *world) finish(r *request, g *group) {
-	if !w.off && w.shared.Finish(w.time(), r.fingerprint, g.name) {
+	if !w.off && w.shared.RecordFinish(w.time(), r.fingerprint, g.name) {
 		w.spread()
 	}
 	if r.poison {
@@ -268,7 +268,7 @@
 	w.after(loading, func() { g.up = true })
 	w.after(20*time.Millisecond, func() {
 		if !w.off {
-			w.shared.Crash(w.time(), id, g.name, running)
+			w.shared.RecordCrash(w.time(), id, g.name, running)
 			for _, fingerprint := range running {
 				w.counts[fingerprint]++
 			}
--- a/policy/quarantine/register.go
+++ b/policy/quarantine/register.go
@@ -181,10 +181,10 @@
 	}
 }
 
-// Crash takes in that a group crashed with these requests in progress. id names the crash, alike for all
+// RecordCrash takes in that a group crashed with these requests in progress. id names the crash, alike for all
 // who saw it: the group and the boot id that is gone. It returns the fingerprints that are quarantined now
 // and were not before.
-func (r *Register) Crash(now time.Time, id, group string, running []string) []string {
+func (r *Register) RecordCrash(now time.Time, id, group string, running []string) []string {
 	at := now.UnixMilli()
 	var before []string
 	for _, fingerprint := range running {
@@ -219,9 +219,9 @@
 	return caught
 }
 
-// Finish takes in that a request finished on a group: it is cleared. It says whether anything changed, so
+// RecordFinish takes in that a request finished on a group: it is cleared. It says whether anything changed, so
 // that there is something to write.
-func (r *Register) Finish(now time.Time, fingerprint, group string) bool {
+func (r *Register) RecordFinish(now time.Time, fingerprint, group string) bool {
 	rec, known := r.records[fingerprint]
 	if !known {
 		return false
@@ -270,8 +270,8 @@
 	})
 }
 
-// Held is a request that is suspected or quarantined, for an operator.
-type Held struct {
+// HeldRequest is a request that is suspected or quarantined, for an operator.
+type HeldRequest struct {
 	Fingerprint string
 	Verdict     Verdict
 	// Crashes is how many crashes speak against it, and Latest the last of them.
@@ -280,15 +280,15 @@
 }
 
 // Held lists the requests that are not free, the quarantined first, then the latest.
-func (r *Register) Held(now time.Time) []Held {
+func (r *Register) Held(now time.Time) []HeldRequest {
 	at := now.UnixMilli()
-	var held []Held
+	var held []HeldRequest
 	for fingerprint, rec := range r.records {
 		state := r.status(at, rec)
 		if state == clean {
 			continue
 		}
-		h := Held{Fingerprint: fingerprint, Verdict: OnTrial}
+		h := HeldRequest{Fingerprint: fingerprint, Verdict: OnTrial}
 		if state == quarantined {
 			h.Verdict = Quarantined
 		}
@@ -300,7 +300,7 @@
 		}
 		held = append(held, h)
 	}
-	slices.SortFunc(held, func(a, b Held) int {
+	slices.SortFunc(held, func(a, b HeldRequest) int {
 		return cmp.Or(cmp.Compare(b.Verdict, a.Verdict), b.Latest.Compare(a.Latest), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
 	return held
--- a/policy/quarantine/register_test.go
+++ b/policy/quarantine/register_test.go
@@ -20,7 +20,7 @@
 	var r *Register
 	BeforeEach(func() {
 		r = New(DefaultConfig())
-		Expect(r.Crash(at(0), "crash-1", "a", []string{"x", "y"})).To(BeEmpty())
+		Expect(r.RecordCrash(at(0), "crash-1", "a", []string{"x", "y"})).To(BeEmpty())
 	})
 	claim := func(seconds float64, fingerprint, group string, running ...string) Verdict {
 		return r.Claim(at(seconds), fingerprint, trialOn(group), 30*sec, running)
@@ -37,22 +37,22 @@
 
 	It("quarantines what crashes on trial, whatever finishes, until an operator lifts it", func() {
 		Expect(claim(1, "x", "b")).To(Equal(OnTrial))
-		Expect(r.Crash(at(2), "crash-2", "b", []string{"x", "z"})).To(Equal([]string{"x"}))
-		Expect(r.Finish(at(3), "x", "c")).To(BeTrue())
+		Expect(r.RecordCrash(at(2), "crash-2", "b", []string{"x", "z"})).To(Equal([]string{"x"}))
+		Expect(r.RecordFinish(at(3), "x", "c")).To(BeTrue())
 		Expect(r.Verdict(at(3), "x", "c")).To(Equal(Quarantined))
 		Expect(r.Verdict(at(3), "z", "c")).To(Equal(OnTrial))
-		Expect(r.Held(at(3))[0]).To(Equal(Held{Fingerprint: "x", Verdict: Quarantined, Crashes: 1, Latest: time.UnixMilli(at(2).UnixMilli())}))
+		Expect(r.Held(at(3))[0]).To(Equal(HeldRequest{Fingerprint: "x", Verdict: Quarantined, Crashes: 1, Latest: time.UnixMilli(at(2).UnixMilli())}))
 		Expect(r.Lift(at(4), "x")).To(BeTrue())
 		Expect(r.Lift(at(4), "x")).To(BeFalse())
 		Expect(r.Verdict(at(4), "x", "c")).To(Equal(Free))
 	})
 
 	It("quarantines at a second crash of early copies, and clears what finishes", func() {
-		Expect(r.Crash(at(0.1), "crash-2", "b", []string{"x"})).To(Equal([]string{"x"}))
-		Expect(r.Crash(at(0.2), "crash-2", "b", []string{"x"})).To(BeEmpty())
-		Expect(r.Finish(at(1), "x", "c")).To(BeTrue())
+		Expect(r.RecordCrash(at(0.1), "crash-2", "b", []string{"x"})).To(Equal([]string{"x"}))
+		Expect(r.RecordCrash(at(0.2), "crash-2", "b", []string{"x"})).To(BeEmpty())
+		Expect(r.RecordFinish(at(1), "x", "c")).To(BeTrue())
 		Expect(r.Verdict(at(1), "x", "c")).To(Equal(Free))
-		Expect(r.Finish(at(2), "x", "c")).To(BeFalse())
+		Expect(r.RecordFinish(at(2), "x", "c")).To(BeFalse())
 	})
 
 	It("frees a trial that was released, or whose home never came back", func() {
@@ -66,7 +66,7 @@
 	})
 
 	It("forgets suspicion and quarantine in time", func() {
-		r.Crash(at(1), "crash-2", "b", []string{"x"})
+		r.RecordCrash(at(1), "crash-2", "b", []string{"x"})
 		Expect(r.Verdict(at(700), "y", "c")).To(Equal(Free))
 		Expect(r.Verdict(at(700), "x", "c")).To(Equal(Quarantined))
 		Expect(r.Verdict(at(3*24*3600), "x", "c")).To(Equal(Free))
@@ -83,7 +83,7 @@
 			for i := range 100 {
 				running = append(running, fmt.Sprint(group, "/", i))
 			}
-			r.Crash(at(1), fmt.Sprint("crash-", group), "g", append(running, "poison"))
+			r.RecordCrash(at(1), fmt.Sprint("crash-", group), "g", append(running, "poison"))
 		}
 		Expect(r.count(at(1).UnixMilli(), suspect)).To(Equal(DefaultMaxSuspects))
 		Expect(r.Len()).To(Equal(MaxRecords))
@@ -116,10 +116,10 @@
 		config.Crashes = 3
 		r := New(config)
 		for i, server := range []string{"a", "b"} {
-			Expect(r.Crash(at(float64(i)), "crash-"+server, server, []string{"poison"})).To(BeEmpty())
+			Expect(r.RecordCrash(at(float64(i)), "crash-"+server, server, []string{"poison"})).To(BeEmpty())
 		}
-		Expect(r.Crash(at(2), "crash-b", "b", []string{"poison"})).To(BeEmpty(), "the same crash, seen by another")
-		Expect(r.Crash(at(3), "crash-c", "c", []string{"poison"})).To(Equal([]string{"poison"}))
+		Expect(r.RecordCrash(at(2), "crash-b", "b", []string{"poison"})).To(BeEmpty(), "the same crash, seen by another")
+		Expect(r.RecordCrash(at(3), "crash-c", "c", []string{"poison"})).To(Equal([]string{"poison"}))
 		Expect(r.Verdict(at(4), "poison", "d")).To(Equal(Quarantined))
 	})
 })
@@ -143,11 +143,11 @@
 	switch rapid.IntRange(0, 4).Draw(t, "step") {
 	case 0:
 		running := rapid.SliceOfNDistinct(someone, 1, 3, rapid.ID[string]).Draw(t, "running")
-		r.Crash(now, fmt.Sprint("crash at ", now.UnixMilli()), group, running)
+		r.RecordCrash(now, fmt.Sprint("crash at ", now.UnixMilli()), group, running)
 	case 1:
 		r.Claim(now, fingerprint, trialOn(group), 5*sec, nil)
 	case 2:
-		r.Finish(now, fingerprint, group)
+		r.RecordFinish(now, fingerprint, group)
 	case 3:
 		r.Lift(now, fingerprint)
 	case 4:
@@ -245,13 +245,13 @@
 					}
 					if slices.Contains(running[g], "poison") {
 						crashes++
-						shared.Crash(now, fmt.Sprint("crash-", i), name, running[g])
+						shared.RecordCrash(now, fmt.Sprint("crash-", i), name, running[g])
 						running[g] = nil
 						continue
 					}
 					finished := running[g][0]
 					running[g] = running[g][1:]
-					shared.Finish(now, finished, name)
+					shared.RecordFinish(now, finished, name)
 					if finished != "poison" && shared.Verdict(now, finished, "free") == Quarantined {
 						t.Fatalf("%s finished and is in quarantine", finished)
 					}
