--- a/policy/quarantine/config.go
+++ b/policy/quarantine/config.go
@@ -1,33 +1,31 @@
-// Package quarantine keeps a request that crashes backend servers from taking down one after the other.
+// Package quarantine prevents a request that crashes backend servers from taking down one group after
+// another.
 //
-// Load pattern: one caller's request crashes each engine that runs it, and its caller, or a front, sends it
-// again. Each time, a whole group is gone for as long as it takes to load a model, with all that was in
-// progress there. With a repeat each second and a minute to load, 40 of 50 groups are down at a time. An
-// operator would notice groups that crash one after the other, in different fabric domains, and the same
-// fingerprint in progress on each.
+// The load it is made for: a request crashes every engine that runs it, and its caller, or a front, sends
+// it again. Each attempt takes a whole group out of service for as long as it takes to load a model,
+// together with everything in progress there. With one retry per second and a load time of one minute, 40
+// of 50 groups are down at any time. Operators would see groups in different fabric domains crash one
+// after the other, each with the same fingerprint in progress.
 //
-// The rules, per service, on the fingerprint of a request's content:
+// The rules apply per service to the fingerprint of a request's content:
 //
-//   - When a group crashes, every request then in progress on it is a suspect.
+//   - When a group crashes, every request in progress on it becomes a suspect.
+//   - A suspect runs again only on trial: as the only suspect on its group, and on one group at a
+//     time. The trial is claimed by a conditional write of the service's quarantine object before the
+//     request is sent.
+//   - A crash during the trial quarantines the request. So does a second crash caused by copies that
+//     were sent before the first was known. All entries refuse a quarantined request.
+//   - A suspect that finishes anywhere is cleared. A quarantine from a trial stands even then, because
+//     a request that crashes engines only sometimes also finishes sometimes.
+//   - Of the requests that are quarantined for the same crash, only the one that was in progress at
+//     the most crashes stays quarantined (Register.status). With more than MaxSuspects suspects, many
+//     groups failed at once, and further crashes count less (crash.Correlated).
 //
-//   - A suspect runs again only on trial: as the only suspect on its group, and on one group at a time. The
-//     trial is claimed by a conditional write of the service's object before the request is sent.
+// A request that always crashes thus takes down two groups, plus those that already run a copy of it, and
+// the other requests on its groups are delayed once.
 //
-//   - A crash during the trial quarantines the request; so does a second crash of copies that were sent
-//     before anything was known. A quarantined request is refused by all entries.
-//
-//   - A suspect that finishes anywhere is cleared. A quarantine from a trial stands all the same, since a
-//     request that crashes engines only sometimes also finishes sometimes.
-//
-//   - Of requests that are quarantined for the same crash, only the one that was at the most crashes stays
-//     so (Register.status). When more than MaxSuspects are suspects, much went down at once, and further
-//     crashes count less (crash.Mass).
-//
-// So a request that always crashes takes down two groups and those that already run a copy of it, and what
-// shared a group with it pays one wait.
-//
-// What crashes is an engine: its boot id changed, or its process is gone while its VM answers. A VM that
-// can't be reached, or a partition, is no crash: its requests did nothing.
+// A crash is a crash of the engine: its boot id changed, or its process is gone while its VM answers. An
+// unreachable VM or a network partition is not a crash, as the requests on it did not cause it.
 package quarantine
 
 import (
@@ -36,35 +34,38 @@
 	"time"
 )
 
-// ErrRange is wrapped by the error of every configuration value out of its range.
+// ErrRange is wrapped by the errors of Config.Check.
 var ErrRange = errors.New("value out of range")
 
-// Config holds what an operator may set for a service.
+// Config holds the settings of a service.
 type Config struct {
-	// SuspectFor is how long a crash counts against a request that was in progress. 10 s to 24 h.
+	// SuspectFor is how long a crash counts against a request that was in progress. Range 10 s to 24 h.
 	SuspectFor time.Duration
-	// QuarantineFor is how long a quarantine lasts, unless an operator lifts it. 1 min to 720 h.
+	// QuarantineFor is how long a quarantine lasts unless an operator lifts it. Range 1 min to 720 h.
 	QuarantineFor time.Duration
-	// MaxSuspects is the largest number of suspects at a time. 1 to 1000.
+	// MaxSuspects is the largest number of simultaneous suspects. Range 1 to 1000.
 	MaxSuspects int
-	// Crashes is how many crashes quarantine a request that was not on trial. 2 to 8.
+	// Crashes is the number of crashes that quarantine a request that was not on trial. Range 2 to 8.
 	Crashes int
 }
 
-// The defaults. Callers send again for minutes, not hours, after a failure: DefaultSuspectFor. A quarantine
-// that ends by itself costs two crashes if it was right, so it lasts until an expert has looked:
-// DefaultQuarantineFor, a working day and the next. More suspects than DefaultMaxSuspects, some groups'
-// worth, means that much went down at once, which no request does: to hold all of them back would refuse
-// more than any request can harm.
+// The defaults:
+//
+//   - DefaultSuspectFor: callers retry for minutes, not hours, after a failure.
+//   - DefaultQuarantineFor: a quarantine that expires costs two more crashes if it was justified, so
+//     it lasts until an expert has looked at it, a working day and the next.
+//   - DefaultMaxSuspects: more suspects than some groups' worth of requests mean that many groups
+//     failed at once, which no single request causes. Holding all of them back would refuse more
+//     requests than any request can harm.
 const (
 	DefaultSuspectFor    = 10 * time.Minute
 	DefaultQuarantineFor = 48 * time.Hour
 	DefaultMaxSuspects   = 256
-	// DefaultCrashes: suspects run alone, so that a second crash is hardly chance.
+	// DefaultCrashes is 2: suspects run alone, so that a second crash is unlikely to be a coincidence.
 	DefaultCrashes = 2
 )
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		SuspectFor: DefaultSuspectFor, QuarantineFor: DefaultQuarantineFor, MaxSuspects: DefaultMaxSuspects,
@@ -72,7 +73,7 @@
 	}
 }
 
-// Check returns an error that wraps ErrRange and names the first value out of range.
+// Check returns an error that wraps ErrRange and names the first value that is out of range, or nil.
 func (c Config) Check() error {
 	switch {
 	case c.SuspectFor < 10*time.Second || c.SuspectFor > 24*time.Hour:
--- a/policy/quarantine/figures_test.go
+++ b/policy/quarantine/figures_test.go
@@ -14,24 +14,24 @@
 }
 
 var (
-	none         = rules{name: "none", off: true}
-	secondCrash  = rules{name: "count to two", counting: true}
-	noTrials     = rules{name: "without trials", anyRuns: true}
-	noCap        = rules{name: "no cap on suspects", noCap: true}
-	ours         = rules{name: "this package"}
-	oneCaller    = scenario{name: "one poison, one caller", groups: 50, copies: 1, odds: 1, poisons: 1, popular: 0.05}
-	fiveCallers  = scenario{name: "one poison, five callers at once", groups: 50, copies: 5, odds: 1, poisons: 1, popular: 0.05}
-	sometimes    = scenario{name: "a poison that crashes half the time", groups: 50, copies: 1, odds: 0.5, poisons: 1, popular: 0.05}
-	threePoisons = scenario{name: "three poisons at once", groups: 50, copies: 1, odds: 1, poisons: 3, popular: 0.05}
-	outage       = scenario{name: "17 groups crash at once, no poison", groups: 50, outage: 17, popular: 0.05}
-	busyOutage   = scenario{name: "the same, four times as busy", groups: 50, outage: 17, busy: true, popular: 0.05}
-	outagePoison = scenario{name: "17 groups crash at once, and a poison", groups: 50, copies: 1, odds: 1, poisons: 1, outage: 17, popular: 0.05}
-	small        = scenario{name: "three groups, one poison", groups: 3, copies: 1, odds: 1, poisons: 1, popular: 0.05}
+	none          = strategy{name: "none", off: true}
+	crashCounting = strategy{name: "count to two", countCrashes: true}
+	noTrials      = strategy{name: "without trials", noTrials: true}
+	noCap         = strategy{name: "no cap on suspects", noCap: true}
+	thisPackage   = strategy{name: "this package"}
+	oneCaller     = scenario{name: "one poison, one caller", groups: 50, copies: 1, crashProbability: 1, poisonRequests: 1, popular: 0.05}
+	fiveCallers   = scenario{name: "one poison, five callers at once", groups: 50, copies: 5, crashProbability: 1, poisonRequests: 1, popular: 0.05}
+	sometimes     = scenario{name: "a poison that crashes half the time", groups: 50, copies: 1, crashProbability: 0.5, poisonRequests: 1, popular: 0.05}
+	threePoisons  = scenario{name: "three poisons at once", groups: 50, copies: 1, crashProbability: 1, poisonRequests: 3, popular: 0.05}
+	outage        = scenario{name: "17 groups crash at once, no poison", groups: 50, outage: 17, popular: 0.05}
+	busyOutage    = scenario{name: "the same, four times as busy", groups: 50, outage: 17, busy: true, popular: 0.05}
+	outagePoison  = scenario{name: "17 groups crash at once, and a poison", groups: 50, copies: 1, crashProbability: 1, poisonRequests: 1, outage: 17, popular: 0.05}
+	small         = scenario{name: "three groups, one poison", groups: 3, copies: 1, crashProbability: 1, poisonRequests: 1, popular: 0.05}
 )
 
 func BenchmarkFigures(b *testing.B) {
 	for _, s := range []scenario{oneCaller, fiveCallers, sometimes, threePoisons, outage, busyOutage, outagePoison, small} {
-		for _, r := range []rules{none, secondCrash, noTrials, noCap, ours} {
+		for _, r := range []strategy{none, crashCounting, noTrials, noCap, thisPackage} {
 			b.Run(s.name+"/"+r.name, func(b *testing.B) {
 				for range b.N {
 					b.Logf("| %s | %s | %s |", s.name, r.name, play(s, r))
@@ -42,19 +42,19 @@
 }
 
 var _ = Describe("A request that crashes backend servers", func() {
-	// A buyer's client sends the same request again whenever it fails. Each time a group is gone for a
-	// minute, and after some tens of seconds nobody is served.
+	// A client sends the same request again whenever it fails. Each attempt takes a group out of service
+	// for a minute, and after some tens of seconds nothing is served.
 	DescribeTable("takes down few groups, and few innocents are refused",
 		func(s *scenario, crashes int, caught, waited float64) {
-			r, plain := play(*s, ours), play(*s, none)
+			r, plain := play(*s, thisPackage), play(*s, none)
 			GinkgoWriter.Println(s.name, r)
 			Expect(r.crashes).To(BeNumerically("<=", crashes))
 			Expect(r.crashes).To(BeNumerically("<=", plain.crashes))
-			Expect(float64(r.caught)).To(BeNumerically("<=", caught*float64(r.innocents)))
-			Expect(float64(r.waited)).To(BeNumerically("<=", waited*float64(r.innocents)))
-			Expect(r.broke).To(BeZero())
-			Expect(r.held).NotTo(ContainElement(popular))
-			Expect(r.held).To(HaveLen(s.poisons))
+			Expect(float64(r.refused)).To(BeNumerically("<=", caught*float64(r.ordinary)))
+			Expect(float64(r.waited)).To(BeNumerically("<=", waited*float64(r.ordinary)))
+			Expect(r.failed).To(BeZero())
+			Expect(r.held).NotTo(ContainElement(popularFingerprint))
+			Expect(r.held).To(HaveLen(s.poisonRequests))
 		},
 		Entry("one caller", &oneCaller, 2, 0.0, 0.001),
 		Entry("five callers at once", &fiveCallers, 5, 0.001, 0.001),
--- a/policy/quarantine/model_test.go
+++ b/policy/quarantine/model_test.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// The model: callers send to random groups that are up; a poison request crashes its group a while after
-// it starts; a crashed group loads for a minute. Homes see the register a little late; claims and other
-// writes take effect at the platform at once, in some order.
+// This simulation models callers that send to random groups that are up. A poison request crashes its
+// group some time after it starts, and a crashed group takes a minute to load. Homes see changes of the
+// register with a delay. Claims and other writes take effect at the platform immediately and one at a
+// time.
 const (
-	homes     = 13
-	perGroup  = 4.0 // innocent requests a second, for each group
-	takes     = 4.0 // seconds of an innocent request, on average
-	poisonFor = 500 * time.Millisecond
-	loading   = 60 * time.Second
-	viewLag   = 150 * time.Millisecond
-	repeat    = time.Second // after which the caller of the poison sends again
-	timeout   = 30 * time.Second
-	popular   = "popular"
-	sec       = time.Second
+	homes              = 13
+	requestsPerSecond  = 4.0 // ordinary requests per second and group
+	meanSeconds        = 4.0 // mean duration of an ordinary request, in seconds
+	crashDelay         = 500 * time.Millisecond
+	loadTime           = 60 * time.Second
+	viewLag            = 150 * time.Millisecond
+	retryDelay         = time.Second // before the caller of the poison request sends it again
+	timeout            = 30 * time.Second
+	popularFingerprint = "popular"
+	sec                = time.Second
 )
 
 type event struct {
@@ -64,45 +65,45 @@
 	return list
 }
 
-// rules are what a contender does; nil parts do nothing.
-type rules struct {
+// strategy selects which parts of the protection are active.
+type strategy struct {
 	name string
-	// any lets every request run that is not quarantined, without trials.
-	anyRuns bool
-	// counting refuses what was in progress at two crashes, and knows nothing else.
-	counting bool
-	// noCap holds back every suspect, however many.
+	// noTrials lets every request run that is not quarantined, without trials.
+	noTrials bool
+	// countCrashes refuses requests that were in progress at two crashes, and applies no other rule.
+	countCrashes bool
+	// noCap holds back every suspect, however many there are.
 	noCap bool
 	off   bool
 }
 
 type scenario struct {
-	name    string
-	groups  int
-	copies  int     // callers that send the poison, each again and again
-	odds    float64 // that the poison crashes its group; else it finishes
-	poisons int     // different ones
-	popular float64 // share of innocent requests that are alike
-	busy    bool    // four times as many innocent requests
-	outage  int     // groups that crash together by themselves
+	name             string
+	groups           int
+	copies           int     // callers that send each poison request, over and over
+	crashProbability float64 // that a poison request crashes its group rather than finishing
+	poisonRequests   int     // number of distinct poison requests
+	popular          float64 // fraction of ordinary requests with the same content
+	busy             bool    // four times as many ordinary requests
+	outage           int     // groups that crash together without a poison request
 }
 
 type result struct {
-	crashes, mostDown                          int
-	down                                       time.Duration // summed over groups
-	innocents, answered, broke, waited, caught int
-	held                                       []string
+	crashes, mostDown                           int
+	down                                        time.Duration // summed over groups
+	ordinary, answered, failed, waited, refused int
+	held                                        []string
 }
 
 func (r *result) String() string {
-	share := func(n int) float64 { return 100 * float64(n) / float64(max(1, r.innocents)) }
+	share := func(n int) float64 { return 100 * float64(n) / float64(max(1, r.ordinary)) }
 	return fmt.Sprintf("%3d | %2d | %5.1f | %5d | %5.2f | %5.2f | %5.2f", r.crashes, r.mostDown, r.down.Seconds()/60,
-		r.innocents, share(r.caught), share(r.broke), share(r.waited))
+		r.ordinary, share(r.refused), share(r.failed), share(r.waited))
 }
 
-type world struct {
+type simulation struct {
 	scenario
-	rules
+	strategy
 	now    time.Duration
 	queue  events
 	groups []*group
@@ -118,8 +119,8 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-func play(s scenario, r rules) *result {
-	w := &world{scenario: s, rules: r, random: rand.New(rand.NewPCG(1, 1)), shared: New(DefaultConfig()), counts: map[string]int{}}
+func play(s scenario, r strategy) *result {
+	w := &simulation{scenario: s, strategy: r, random: rand.New(rand.NewPCG(1, 1)), shared: New(DefaultConfig()), counts: map[string]int{}}
 	if r.noCap {
 		w.shared.config.MaxSuspects = MaxRecords
 	}
@@ -130,7 +131,7 @@
 		w.views[h] = w.shared.Clone()
 	}
 	w.after(0, w.arrive)
-	for p := range s.poisons {
+	for p := range s.poisonRequests {
 		for range s.copies {
 			w.after(20*sec, func() { w.send(&request{fingerprint: fmt.Sprint("poison-", p), poison: true}) })
 		}
@@ -153,11 +154,13 @@
 	return &w.result
 }
 
-func (w *world) after(wait time.Duration, do func()) { heap.Push(&w.queue, event{w.now + wait, do}) }
-func (w *world) time() time.Time                     { return epoch.Add(w.now) }
+func (w *simulation) after(wait time.Duration, do func()) {
+	heap.Push(&w.queue, event{w.now + wait, do})
+}
+func (w *simulation) time() time.Time { return epoch.Add(w.now) }
 
-func (w *world) arrive() {
-	rate := perGroup * float64(len(w.groups))
+func (w *simulation) arrive() {
+	rate := requestsPerSecond * float64(len(w.groups))
 	if w.busy {
 		rate *= 4
 	}
@@ -165,51 +168,52 @@
 	w.number++
 	fingerprint := fmt.Sprint("request-", w.number)
 	if w.random.Float64() < w.popular {
-		fingerprint = popular
+		fingerprint = popularFingerprint
 	}
-	w.innocents++
+	w.ordinary++
 	w.send(&request{fingerprint: fingerprint, arrived: w.now})
 }
 
-// send tries a request on a random group that is up; a suspect looks for one that may run it.
-func (w *world) send(r *request) {
+// send tries a request on random groups that are up, at most eight; a suspect tries them until one may run
+// it.
+func (w *simulation) send(r *request) {
 	up := slices.DeleteFunc(slices.Clone(w.groups), func(g *group) bool { return !g.up })
 	w.random.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
 	verdict := Waits
 	for _, g := range up[:min(len(up), 8)] {
-		if verdict = w.ask(r, g); verdict != Waits {
+		if verdict = w.askHome(r, g); verdict != Waits {
 			break
 		}
 	}
 	switch verdict {
 	case Quarantined:
-		w.refused(r)
+		w.handleRefusal(r)
 	case Waits:
 		if !r.poison && !r.waited {
 			r.waited = true
 			w.waited++
 		}
-		w.after(repeat, func() { w.send(r) })
+		w.after(retryDelay, func() { w.send(r) })
 	}
 }
 
-// ask lets the home of a group decide, and starts the request if it may run.
-func (w *world) ask(r *request, g *group) Verdict {
+// askHome asks the home of a group for its verdict, and starts the request if it may run.
+func (w *simulation) askHome(r *request, g *group) Verdict {
 	home := slices.Index(w.groups, g) % homes
 	verdict := Free
 	switch {
-	case w.counting && w.counts[r.fingerprint] > 1:
+	case w.countCrashes && w.counts[r.fingerprint] > 1:
 		verdict = Quarantined
-	case !w.off && !w.counting:
+	case !w.off && !w.countCrashes:
 		verdict = w.views[home].Verdict(w.time(), r.fingerprint, g.name)
 	}
-	if w.anyRuns && verdict != Quarantined {
+	if w.noTrials && verdict != Quarantined {
 		verdict = Free
 	}
 	if verdict == OnTrial {
 		trial := Trial{Group: g.name, Home: fmt.Sprint(home)}
 		verdict = w.shared.Claim(w.time(), r.fingerprint, trial, timeout, g.fingerprints())
-		w.spread()
+		w.updateViews()
 	}
 	if verdict == Free || verdict == OnTrial {
 		w.start(r, g)
@@ -217,14 +221,14 @@
 	return verdict
 }
 
-func (w *world) start(r *request, g *group) {
+func (w *simulation) start(r *request, g *group) {
 	r.tries++
 	g.running = append(g.running, r)
 	life := g.life
-	crashes := r.poison && w.random.Float64() < w.odds
-	length := time.Duration(w.random.ExpFloat64() * takes * 1e9)
+	crashes := r.poison && w.random.Float64() < w.crashProbability
+	length := time.Duration(w.random.ExpFloat64() * meanSeconds * 1e9)
 	if crashes {
-		length = poisonFor
+		length = crashDelay
 	}
 	w.after(length, func() {
 		if g.life != life {
@@ -239,25 +243,25 @@
 	})
 }
 
-func (w *world) finish(r *request, g *group) {
+func (w *simulation) finish(r *request, g *group) {
 	if !w.off && w.shared.RecordFinish(w.time(), r.fingerprint, g.name) {
-		w.spread()
+		w.updateViews()
 	}
 	if r.poison {
-		w.after(repeat, func() { w.send(r) })
+		w.after(retryDelay, func() { w.send(r) })
 		return
 	}
 	w.answered++
 }
 
-func (w *world) crash(g *group) {
+func (w *simulation) crash(g *group) {
 	w.crashes++
 	running := g.fingerprints()
 	lost := g.running
 	g.up, g.running = false, nil
 	g.life++
 	id := fmt.Sprint(g.name, "/", g.life)
-	w.down += min(loading, runFor-w.now)
+	w.down += min(loadTime, runFor-w.now)
 	down := 0
 	for _, other := range w.groups {
 		if !other.up {
@@ -265,44 +269,44 @@
 		}
 	}
 	w.mostDown = max(w.mostDown, down)
-	w.after(loading, func() { g.up = true })
+	w.after(loadTime, func() { g.up = true })
 	w.after(20*time.Millisecond, func() {
 		if !w.off {
 			w.shared.RecordCrash(w.time(), id, g.name, running)
 			for _, fingerprint := range running {
 				w.counts[fingerprint]++
 			}
-			w.spread()
+			w.updateViews()
 		}
 		for _, r := range lost {
-			w.again(r)
+			w.retry(r)
 		}
 	})
 }
 
-// again is a front's retry, or the caller of the poison.
-func (w *world) again(r *request) {
+// retry sends a request again after a crash, as a front or the caller of the poison request would.
+func (w *simulation) retry(r *request) {
 	if r.poison {
-		w.after(repeat, func() { w.send(r) })
+		w.after(retryDelay, func() { w.send(r) })
 		return
 	}
 	if r.tries >= 3 {
-		w.broke++
+		w.failed++
 		return
 	}
 	w.after(viewLag, func() { w.send(r) })
 }
 
-func (w *world) refused(r *request) {
+func (w *simulation) handleRefusal(r *request) {
 	if r.poison {
-		w.after(repeat, func() { w.send(r) })
+		w.after(retryDelay, func() { w.send(r) })
 		return
 	}
-	w.caught++
+	w.refused++
 }
 
-// spread lets the homes see the register a little later.
-func (w *world) spread() {
+// updateViews shows the register's current state to all homes after viewLag.
+func (w *simulation) updateViews() {
 	seen := w.shared.Clone()
 	w.after(viewLag, func() {
 		for h := range w.views {
--- a/policy/quarantine/record.go
+++ b/policy/quarantine/record.go
@@ -1,9 +1,10 @@
-// Load pattern of this file: several homes write the same service's object at once, after a crash that each
-// of them saw a part of, and during an outage of the platform none of them can. If one writer's knowledge
-// replaced another's, the second crash of a request would be forgotten, and it would run a third time. An
-// operator would notice a fingerprint that goes from quarantined back to suspect. So a record only grows:
-// crashes are a set, the rest are the latest times, and a merge is the same in any order and any number
-// of times.
+// Several homes write the quarantine object of a service at the same time after a crash, each having seen
+// a part of it, and during an outage of the platform none of them can write. If one writer's record
+// replaced another's, the second crash of a request would be lost and the request would run a third time.
+// Operators would see a fingerprint change from quarantined back to suspect.
+//
+// A record therefore only grows: its crashes form a set, its other fields keep the latest time, and
+// merging is commutative, associative and idempotent.
 
 package quarantine
 
@@ -13,118 +14,125 @@
 )
 
 const (
-	// maxCrashes is how many crashes a record keeps: three decide, the others tell an operator.
+	// maxCrashes is how many crashes a record keeps. Three are enough to decide; the others are shown to
+	// operators.
 	maxCrashes = 8
-	// massCrashes is how many crashes quarantine a request if each was one of many: see crash.Mass.
-	massCrashes = 3
+	// correlatedCrashes is how many crashes quarantine a request if all of them are correlated; see
+	// crash.Correlated.
+	correlatedCrashes = 3
 )
 
 // crash is one crash of a group while the request was in progress on it.
 type crash struct {
-	// ID names the crash, alike for all who saw it: the group and its boot id.
+	// ID identifies the crash, with the same value from all observers: the group and its boot id.
 	ID string `json:"id"`
-	// At is when, in Unix milliseconds by the clock of the home that saw it.
+	// At is the time of the crash in Unix milliseconds, by the clock of the home that observed it.
 	At int64 `json:"at_ms"`
-	// Trial says that the request ran there as the only suspect.
+	// Trial is set if the request was running there on trial, as the only suspect.
 	Trial bool `json:"trial,omitempty"`
-	// Mass says that there were MaxSuspects suspects already: much went down at once, so that the crash
-	// alone does not hold the request back. It counts all the same when others follow.
-	Mass bool `json:"mass,omitempty"`
+	// Correlated is set if there were MaxSuspects suspects already. Many groups failed at once, so that
+	// this crash alone does not make the request a suspect. It still counts together with later crashes.
+	Correlated bool `json:"mass,omitempty"`
 }
 
-// Trial is the right to run a suspect once.
+// Trial is the permission to run a suspect once.
 type Trial struct {
-	// Group is where it runs, and Home the entry that sends it.
+	// Group is where the request runs, and Home the entry that sends it.
 	Group string `json:"group"`
 	Home  string `json:"home"`
-	// Until is when the trial counts as over, in Unix milliseconds: after the request's deadline, plus what
-	// clocks may differ by.
+	// Until is when the trial expires, in Unix milliseconds: the request's deadline plus the possible
+	// difference between clocks.
 	Until int64 `json:"until_ms"`
-	// Number counts the trials of the request; Ended says that this one is over.
+	// Number counts the trials of the request. Ended is set once this one is over.
 	Number uint64 `json:"number"`
 	Ended  bool   `json:"ended,omitempty"`
 }
 
-// record is what is known of one fingerprint. Its Crashes are sorted by order.
+// record holds what is known about one fingerprint. Its Crashes are sorted by compareCrashes.
 type record struct {
 	Crashes []crash `json:"crashes,omitempty"`
-	// FinishedAt and LiftedAt are the latest times at which it finished, and at which an operator lifted
-	// its quarantine, in Unix milliseconds.
+	// FinishedAt and LiftedAt are the latest times at which the request finished and at which an operator
+	// lifted its quarantine, in Unix milliseconds.
 	FinishedAt int64 `json:"finished_ms,omitempty"`
 	LiftedAt   int64 `json:"lifted_ms,omitempty"`
 	Trial      Trial `json:"trial,omitzero"`
 }
 
-// status is what follows from a record.
+// status is the state that follows from a record.
 type status uint8
 
 const (
-	// clean: it runs freely.
+	// clean: the request runs without restrictions.
 	clean status = iota
-	// suspect: it runs on trial only.
+	// suspect: the request runs on trial only.
 	suspect
+	// quarantined: the request is refused.
 	quarantined
 )
 
-// counts says whether a crash speaks against the request.
-func (r *record) counts(c crash) bool {
+// countsAgainst reports whether a crash counts against the request. Finishing cancels earlier crashes
+// except those in trials; lifting cancels all earlier ones.
+func (r *record) countsAgainst(c crash) bool {
 	return c.At > r.LiftedAt && (c.Trial || c.At > r.FinishedAt)
 }
 
-// evidence is what the crashes of a record say.
+// evidence summarizes the crashes that count against a request.
 type evidence struct {
-	counted       int
-	tried, single bool
-	latest        int64
+	// count is the number of crashes, onTrial is set if one of them was in a trial, uncorrelated is set if
+	// one of them was not correlated, and latest is the time of the last crash.
+	count                 int
+	onTrial, uncorrelated bool
+	latest                int64
 }
 
-// evidence weighs the crashes that count, are within SuspectFor of the latest, and that explained, if
-// given, does not take out.
+// evidence summarizes the crashes that count, are within SuspectFor of the latest such crash, and are not
+// excluded by explained, which may be nil. latest covers all crashes that count.
 func (r *record) evidence(config Config, explained func(id string) bool) evidence {
 	var e evidence
 	for _, c := range r.Crashes {
-		if r.counts(c) {
+		if r.countsAgainst(c) {
 			e.latest = max(e.latest, c.At)
 		}
 	}
 	for _, c := range r.Crashes {
-		if !r.counts(c) || c.At <= e.latest-config.SuspectFor.Milliseconds() {
+		if !r.countsAgainst(c) || c.At <= e.latest-config.SuspectFor.Milliseconds() {
 			continue
 		}
 		if explained != nil && explained(c.ID) {
 			continue
 		}
-		e.counted++
-		e.tried = e.tried || c.Trial
-		e.single = e.single || !c.Mass
+		e.count++
+		e.onTrial = e.onTrial || c.Trial
+		e.uncorrelated = e.uncorrelated || !c.Correlated
 	}
 	return e
 }
 
-// guilty says whether the evidence is enough for a quarantine.
-func (e evidence) guilty(config Config) bool {
-	return e.tried || e.counted >= config.Crashes && e.single || e.counted >= max(massCrashes, config.Crashes)
+// quarantines reports whether the evidence is sufficient for a quarantine.
+func (e evidence) quarantines(config Config) bool {
+	return e.onTrial || e.count >= config.Crashes && e.uncorrelated || e.count >= max(correlatedCrashes, config.Crashes)
 }
 
-// at returns the status that follows from the record alone, at a time in Unix milliseconds.
-func (r *record) at(now int64, config Config) status {
+// statusAt returns the status that follows from the record alone at a time in Unix milliseconds.
+func (r *record) statusAt(now int64, config Config) status {
 	e := r.evidence(config, nil)
 	switch {
-	case e.guilty(config) && now-e.latest < config.QuarantineFor.Milliseconds():
+	case e.quarantines(config) && now-e.latest < config.QuarantineFor.Milliseconds():
 		return quarantined
-	case e.single && now-e.latest < config.SuspectFor.Milliseconds():
+	case e.uncorrelated && now-e.latest < config.SuspectFor.Milliseconds():
 		return suspect
 	}
 	return clean
 }
 
-// was says whether the request was in progress at a crash, cleared of it or not, unless it was lifted since.
-func (r *record) was(id string) bool {
+// inProgressAt reports whether the request was in progress at the crash, even if it was cleared of it,
+// unless it was lifted since.
+func (r *record) inProgressAt(id string) bool {
 	return slices.ContainsFunc(r.Crashes, func(c crash) bool { return c.ID == id && c.At > r.LiftedAt })
 }
 
-// weight orders records by how often they were in progress at a crash, and of as many, puts one that was
-// on trial first.
+// weight orders records by the number of crashes at which they were in progress; among equals, a record
+// with a crash on trial is heavier.
 func (r *record) weight() int {
 	weight := 0
 	for _, c := range r.Crashes {
@@ -138,21 +146,21 @@
 	return weight
 }
 
-// clearable says whether a crash speaks against the request that finishing clears.
+// clearable reports whether a crash counts against the request that finishing would cancel.
 func (r *record) clearable() bool {
-	return slices.ContainsFunc(r.Crashes, func(c crash) bool { return !c.Trial && r.counts(c) })
+	return slices.ContainsFunc(r.Crashes, func(c crash) bool { return !c.Trial && r.countsAgainst(c) })
 }
 
-// needed says whether a record can still change a decision: by a crash that counts, or by a time that
-// keeps an old crash, in the copy of another entry, from counting.
+// needed reports whether the record can still change a decision: by a crash that counts, or by a time that
+// keeps an old crash in another entry's copy from counting.
 func (r *record) needed(now int64, config Config) bool {
-	return r.at(now, config) != clean ||
+	return r.statusAt(now, config) != clean ||
 		r.latestCrash() > now-config.SuspectFor.Milliseconds() ||
 		r.FinishedAt > now-config.SuspectFor.Milliseconds() ||
 		r.LiftedAt > now-config.QuarantineFor.Milliseconds()
 }
 
-// latestCrash returns when the last crash was, in Unix milliseconds.
+// latestCrash returns the time of the last crash in Unix milliseconds, or 0.
 func (r *record) latestCrash() int64 {
 	latest := int64(0)
 	for _, c := range r.Crashes {
@@ -161,27 +169,27 @@
 	return latest
 }
 
-// onTrial says whether a trial is running.
+// onTrial reports whether a trial is running.
 func (r *record) onTrial(now int64) bool {
 	return r.Trial.Number > 0 && !r.Trial.Ended && r.Trial.Until > now
 }
 
-// add puts a crash into the record, unless it is known.
+// add records a crash, or combines it with what is known of the same crash.
 func (r *record) add(c crash) {
 	i := slices.IndexFunc(r.Crashes, func(known crash) bool { return known.ID == c.ID })
 	if i >= 0 {
 		c.Trial = c.Trial || r.Crashes[i].Trial
-		c.Mass = c.Mass && r.Crashes[i].Mass
+		c.Correlated = c.Correlated && r.Crashes[i].Correlated
 		c.At = max(c.At, r.Crashes[i].At)
 		r.Crashes = slices.Delete(r.Crashes, i, i+1)
 	}
 	r.Crashes = append(r.Crashes, c)
-	slices.SortFunc(r.Crashes, order)
+	slices.SortFunc(r.Crashes, compareCrashes)
 	r.Crashes = r.Crashes[:min(len(r.Crashes), maxCrashes)]
 }
 
-// order puts the crashes that matter most first: those in trials, then the latest.
-func order(a, b crash) int {
+// compareCrashes orders crashes by importance: those in trials first, then the latest.
+func compareCrashes(a, b crash) int {
 	if a.Trial != b.Trial {
 		if a.Trial {
 			return -1
@@ -191,21 +199,22 @@
 	return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.ID, b.ID))
 }
 
-// merge takes in what another copy of the record knows.
+// merge adds what another copy of the record holds.
 func (r *record) merge(other record) {
 	for _, c := range other.Crashes {
 		r.add(c)
 	}
 	r.FinishedAt = max(r.FinishedAt, other.FinishedAt)
 	r.LiftedAt = max(r.LiftedAt, other.LiftedAt)
-	if laterTrial(other.Trial, r.Trial) {
+	if supersedes(other.Trial, r.Trial) {
 		r.Trial = other.Trial
 	}
 }
 
-// laterTrial says whether a replaces b. Of two with one number, of which only one was confirmed, the ended
-// one, then any fixed one, is taken: the claim of the other failed.
-func laterTrial(a, b Trial) bool {
+// supersedes reports whether trial a replaces trial b. At most one of two different trials with the same
+// number was confirmed. The ended one wins, otherwise the one that a fixed order puts last, because the
+// claim of the other failed.
+func supersedes(a, b Trial) bool {
 	if a.Number != b.Number {
 		return a.Number > b.Number
 	}
@@ -215,6 +224,7 @@
 	return cmp.Or(cmp.Compare(a.Until, b.Until), cmp.Compare(a.Group, b.Group), cmp.Compare(a.Home, b.Home)) > 0
 }
 
+// clone returns a deep copy.
 func (r *record) clone() record {
 	copied := *r
 	copied.Crashes = slices.Clone(r.Crashes)
--- a/policy/quarantine/register.go
+++ b/policy/quarantine/register.go
@@ -1,4 +1,5 @@
-// Load pattern of this file: see the package comment. It says who may run, and takes in what happened.
+// This file decides which requests may run and records what happened to them; the package comment
+// describes the load and the rules.
 
 package quarantine
 
@@ -13,56 +14,58 @@
 )
 
 const (
-	// MaxRecords bounds the register. A record takes some 500 bytes of JSON, so that the object stays
-	// under half of the megabyte that the platform holds.
+	// MaxRecords bounds the register. A record takes about 500 bytes of JSON, so that the object stays
+	// under half of the megabyte that the platform accepts.
 	MaxRecords = 1000
-	// clockSkew is how much the clocks of entries may differ: a trial counts as running for longer than its
-	// request may take by as much.
+	// clockSkew is the largest expected difference between the clocks of entries. A trial expires that
+	// much later than the request's timeout.
 	clockSkew = 10 * time.Second
 )
 
 // Verdict says whether a request may be sent to a group.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts, in increasing order of restriction.
 const (
-	// Free: nothing is known against the request.
+	// Free: nothing is held against the request.
 	Free Verdict = iota
-	// OnTrial: it is a suspect, and may be sent once Claim is confirmed.
+	// OnTrial: the request is a suspect and may be sent once Claim is confirmed.
 	OnTrial
-	// Waits: it is a suspect, and it or another suspect of the group is on trial. Another group may be free.
+	// Waits: the request is a suspect, and it or another suspect of the group is on trial. Another group
+	// may be available.
 	Waits
-	// Quarantined: it is refused.
+	// Quarantined: the request is refused.
 	Quarantined
 )
 
 var verdictNames = [...]string{"free", "on-trial", "waits", "quarantined"}
 
-// String returns the verdict's name in metrics.
+// String returns the name of the verdict in metrics.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Register is what is known of the requests of one service: the value of its quarantine object. It is not
-// safe for concurrent use.
+// Register holds what is known about the requests of one service. It is the value of the service's
+// quarantine object and is not safe for concurrent use.
 //
-// Writers change a Clone, write it conditionally, and on a conflict start again from what they read. A
-// Claim holds only once such a write is confirmed; Crash, Finish and Lift hold at once where they
-// happened, and are merged into what is read until they are written.
+// Writers modify a Clone, write it conditionally, and on a conflict start again from what they read. A
+// Claim takes effect only once such a write is confirmed. RecordCrash, RecordFinish and Lift take effect
+// locally at once, and are merged into what is read until they have been written.
 type Register struct {
 	config  Config
 	records map[string]*record
 }
 
-// New returns an empty register. The configuration has passed Check.
+// New returns an empty register. The configuration must have passed Check.
 func New(config Config) *Register {
 	return &Register{config: config, records: make(map[string]*record)}
 }
 
-// document is the JSON form.
+// document is the JSON form of a register.
 type document struct {
 	Requests map[string]*record `json:"requests"`
 }
 
-// Decode reads the JSON form. Unknown fields are refused: they come from a later version, which knows more.
+// Decode parses the JSON form. Unknown fields are an error: they come from a later version, and writing
+// the object back would lose them.
 func Decode(config Config, data []byte) (*Register, error) {
 	r := New(config)
 	decoder := json.NewDecoder(bytes.NewReader(data))
@@ -73,14 +76,14 @@
 	}
 	for fingerprint, rec := range doc.Requests {
 		if rec != nil {
-			slices.SortFunc(rec.Crashes, order)
+			slices.SortFunc(rec.Crashes, compareCrashes)
 			r.records[fingerprint] = rec
 		}
 	}
 	return r, nil
 }
 
-// Encode returns the JSON form, the same for the same content.
+// Encode returns the JSON form. Equal registers have equal encodings.
 func (r *Register) Encode() ([]byte, error) { return json.Marshal(document{r.records}) }
 
 // Clone returns a deep copy.
@@ -93,10 +96,10 @@
 	return copied
 }
 
-// Len returns the number of records, those that only keep a clearance included.
+// Len returns the number of records, including those that only keep a clearance.
 func (r *Register) Len() int { return len(r.records) }
 
-// Verdict says whether a request may be sent to a group now.
+// Verdict returns whether a request may be sent to a group now.
 func (r *Register) Verdict(now time.Time, fingerprint, group string) Verdict {
 	rec, known := r.records[fingerprint]
 	if !known {
@@ -109,38 +112,39 @@
 	case quarantined:
 		return Quarantined
 	}
-	if rec.onTrial(at) || r.trialOn(at, group) {
+	if rec.onTrial(at) || r.hasTrialOn(at, group) {
 		return Waits
 	}
 	return OnTrial
 }
 
-// status returns the status of a record among the others. Of two requests that are both in quarantine for
-// one crash, at most one caused it, and it has the most crashes: it was there each time. So the crash is
-// taken out for the other one, or for both of them if they have as many, and who is left with too little
-// is a suspect, whose next trial decides. An innocent that shared two groups with a poison request is so
-// held back only until that one is caught by a crash of its own.
+// status returns the status of a record, taking the other records into account. Of two requests that are
+// both quarantined for one crash, at most one caused it, and that one was in progress at the most crashes,
+// because it was present at each. The crash is therefore excluded for the other one, or for both of them
+// if they have equally many. A request whose remaining evidence is insufficient is a suspect, and its next
+// trial decides. A harmless request that shared two groups with one that crashes engines is thus held back
+// only until the latter is caught by a further crash of its own.
 func (r *Register) status(now int64, rec *record) status {
-	alone := rec.at(now, r.config)
-	if alone != quarantined {
-		return alone
+	ownStatus := rec.statusAt(now, r.config)
+	if ownStatus != quarantined {
+		return ownStatus
 	}
 	explained := func(id string) bool {
 		for _, other := range r.records {
-			if other != rec && other.was(id) && other.weight() >= rec.weight() && other.at(now, r.config) == quarantined {
+			if other != rec && other.inProgressAt(id) && other.weight() >= rec.weight() && other.statusAt(now, r.config) == quarantined {
 				return true
 			}
 		}
 		return false
 	}
-	if rec.evidence(r.config, explained).guilty(r.config) {
+	if rec.evidence(r.config, explained).quarantines(r.config) {
 		return quarantined
 	}
 	return suspect
 }
 
-// trialOn says whether any suspect is on trial on a group.
-func (r *Register) trialOn(now int64, group string) bool {
+// hasTrialOn reports whether any suspect is on trial on a group.
+func (r *Register) hasTrialOn(now int64, group string) bool {
 	for _, rec := range r.records {
 		if rec.Trial.Group == group && rec.onTrial(now) {
 			return true
@@ -149,8 +153,8 @@
 	return false
 }
 
-// Claim enters a trial that lasts as long as the request may take, if the verdict is OnTrial and none of
-// running, which are the fingerprints now in progress on the group, is a suspect. It returns the verdict.
+// Claim starts a trial that lasts until timeout has passed, if the verdict is OnTrial and none of running,
+// the fingerprints in progress on the group, is a suspect. It returns the resulting verdict.
 func (r *Register) Claim(now time.Time, fingerprint string, trial Trial, timeout time.Duration, running []string) Verdict {
 	verdict := r.Verdict(now, fingerprint, trial.Group)
 	if verdict != OnTrial {
@@ -167,23 +171,25 @@
 	return OnTrial
 }
 
+// anySuspect reports whether any of the fingerprints is suspect or quarantined by its own record.
 func (r *Register) anySuspect(now int64, running []string) bool {
 	return slices.ContainsFunc(running, func(fingerprint string) bool {
 		rec, known := r.records[fingerprint]
-		return known && rec.at(now, r.config) != clean
+		return known && rec.statusAt(now, r.config) != clean
 	})
 }
 
-// Release ends a trial of a home that was neither finished nor crashed: not sent after all, or cancelled.
+// Release ends a trial of the home that neither finished nor crashed because the request was not sent or
+// was cancelled.
 func (r *Register) Release(fingerprint, home string) {
 	if rec, known := r.records[fingerprint]; known && rec.Trial.Home == home {
 		rec.Trial.Ended = true
 	}
 }
 
-// RecordCrash takes in that a group crashed with these requests in progress. id names the crash, alike for all
-// who saw it: the group and the boot id that is gone. It returns the fingerprints that are quarantined now
-// and were not before.
+// RecordCrash records that a group crashed with the given requests in progress. id identifies the crash
+// with the same value from all observers: the group and the boot id that is gone. It returns the
+// fingerprints that are quarantined now and were not before.
 func (r *Register) RecordCrash(now time.Time, id, group string, running []string) []string {
 	at := now.UnixMilli()
 	var before []string
@@ -199,28 +205,28 @@
 			rec = &record{}
 			r.records[fingerprint] = rec
 		}
-		was := rec.at(at, r.config)
+		was := rec.statusAt(at, r.config)
 		trial := rec.onTrial(at) && rec.Trial.Group == group
-		rec.add(crash{ID: id, At: at, Trial: trial, Mass: suspects >= r.config.MaxSuspects})
+		rec.add(crash{ID: id, At: at, Trial: trial, Correlated: suspects >= r.config.MaxSuspects})
 		if trial {
 			rec.Trial.Ended = true
 		}
-		if was == clean && rec.at(at, r.config) == suspect {
+		if was == clean && rec.statusAt(at, r.config) == suspect {
 			suspects++
 		}
 	}
-	var caught []string
+	var newlyQuarantined []string
 	for _, fingerprint := range running {
 		if r.status(at, r.records[fingerprint]) == quarantined && !slices.Contains(before, fingerprint) {
-			caught = append(caught, fingerprint)
+			newlyQuarantined = append(newlyQuarantined, fingerprint)
 		}
 	}
-	r.bound(at)
-	return caught
+	r.evictExcess(at)
+	return newlyQuarantined
 }
 
-// RecordFinish takes in that a request finished on a group: it is cleared. It says whether anything changed, so
-// that there is something to write.
+// RecordFinish records that a request finished on a group, which clears it. It reports whether the
+// register changed and has to be written.
 func (r *Register) RecordFinish(now time.Time, fingerprint, group string) bool {
 	rec, known := r.records[fingerprint]
 	if !known {
@@ -238,7 +244,8 @@
 	return changed
 }
 
-// Lift is an operator's word that a request may run. It says whether the request was held.
+// Lift removes all suspicion from a request on behalf of an operator. It reports whether the request was
+// held.
 func (r *Register) Lift(now time.Time, fingerprint string) bool {
 	rec, known := r.records[fingerprint]
 	if !known || r.status(now.UnixMilli(), rec) == clean {
@@ -248,7 +255,7 @@
 	return true
 }
 
-// Merge takes in what another copy knows.
+// Merge adds what another copy of the register holds.
 func (r *Register) Merge(now time.Time, other *Register) {
 	for fingerprint, theirs := range other.records {
 		mine, known := r.records[fingerprint]
@@ -259,10 +266,10 @@
 		}
 		mine.merge(*theirs)
 	}
-	r.bound(now.UnixMilli())
+	r.evictExcess(now.UnixMilli())
 }
 
-// Expire forgets what can no longer change a decision.
+// Expire deletes records that can no longer change a decision.
 func (r *Register) Expire(now time.Time) {
 	at := now.UnixMilli()
 	maps.DeleteFunc(r.records, func(_ string, rec *record) bool {
@@ -270,16 +277,18 @@
 	})
 }
 
-// HeldRequest is a request that is suspected or quarantined, for an operator.
+// HeldRequest describes a suspect or quarantined request to an operator.
 type HeldRequest struct {
 	Fingerprint string
-	Verdict     Verdict
-	// Crashes is how many crashes speak against it, and Latest the last of them.
+	// Verdict is Quarantined, or OnTrial for any suspect.
+	Verdict Verdict
+	// Crashes is the number of crashes that count against the request, and Latest the time of the last
+	// one.
 	Crashes int
 	Latest  time.Time
 }
 
-// Held lists the requests that are not free, the quarantined first, then the latest.
+// Held lists the requests that are not free, the quarantined ones first, then by latest crash.
 func (r *Register) Held(now time.Time) []HeldRequest {
 	at := now.UnixMilli()
 	var held []HeldRequest
@@ -293,7 +302,7 @@
 			h.Verdict = Quarantined
 		}
 		for _, c := range rec.Crashes {
-			if rec.counts(c) {
+			if rec.countsAgainst(c) {
 				h.Crashes++
 				h.Latest = time.UnixMilli(max(h.Latest.UnixMilli(), c.At))
 			}
@@ -306,6 +315,7 @@
 	return held
 }
 
+// count returns the number of records with the given status.
 func (r *Register) count(now int64, state status) int {
 	count := 0
 	for _, rec := range r.records {
@@ -316,25 +326,25 @@
 	return count
 }
 
-// bound drops records over MaxRecords: what only keeps a clearance first, then suspects, then the
-// quarantined, each the oldest first.
-func (r *Register) bound(now int64) {
-	over := len(r.records) - MaxRecords
-	if over <= 0 {
+// evictExcess deletes records over MaxRecords: first those that only keep a clearance, then suspects, then
+// quarantined ones, oldest first within each status.
+func (r *Register) evictExcess(now int64) {
+	excess := len(r.records) - MaxRecords
+	if excess <= 0 {
 		return
 	}
 	fingerprints := slices.SortedFunc(maps.Keys(r.records), func(a, b string) int {
-		one, other := r.records[a], r.records[b]
+		recA, recB := r.records[a], r.records[b]
 		return cmp.Or(
-			cmp.Compare(one.at(now, r.config), other.at(now, r.config)),
-			cmp.Compare(one.latest(), other.latest()),
+			cmp.Compare(recA.statusAt(now, r.config), recB.statusAt(now, r.config)),
+			cmp.Compare(recA.latest(), recB.latest()),
 			cmp.Compare(a, b),
 		)
 	})
-	for _, fingerprint := range fingerprints[:over] {
+	for _, fingerprint := range fingerprints[:excess] {
 		delete(r.records, fingerprint)
 	}
 }
 
-// latest returns the last time at which anything happened to the record.
+// latest returns the time of the record's last change in Unix milliseconds.
 func (r *record) latest() int64 { return max(r.latestCrash(), r.FinishedAt, r.LiftedAt) }
--- a/policy/quarantine/register_test.go
+++ b/policy/quarantine/register_test.go
@@ -76,7 +76,8 @@
 		Expect(r.Len()).To(BeZero())
 	})
 
-	// A failure domain goes dark, and thousands of requests are in progress on what looks crashed.
+	// A failure domain fails, with thousands of requests in progress on groups that appear to have
+	// crashed.
 	It("holds back no more than its share, and stays bounded", func() {
 		for group := range 20 {
 			var running []string
@@ -110,7 +111,8 @@
 		Entry("crashes", Config{SuspectFor: time.Minute, QuarantineFor: time.Hour, MaxSuspects: 1, Crashes: 1}),
 	)
 
-	// Where suspects are not held back, a request that shared two servers with the one that crashed them is no rarity.
+	// Where suspects are not held back, an ordinary request is often in progress on two of the servers
+	// that a poison request crashed, so that two crashes are not enough.
 	It("waits for as many crashes as are asked for", func() {
 		config := DefaultConfig()
 		config.Crashes = 3
@@ -124,25 +126,25 @@
 	})
 })
 
-// draw makes a register by random steps, within limits that bounds do not reach.
-func draw(t *rapid.T, label string) *Register {
+// drawRegister makes a register by random steps, few enough that no limit is reached.
+func drawRegister(t *rapid.T, label string) *Register {
 	r := New(DefaultConfig())
 	for i := range rapid.IntRange(0, 12).Draw(t, label) {
-		step(t, r, at(float64(i)+rapid.Float64Range(0, 0.9).Draw(t, "pause")))
+		randomStep(t, r, at(float64(i)+rapid.Float64Range(0, 0.9).Draw(t, "pause")))
 	}
 	return r
 }
 
 var (
-	someone = rapid.SampledFrom([]string{"x", "y", "z"})
-	where   = rapid.SampledFrom([]string{"a", "b"})
+	anyFingerprint = rapid.SampledFrom([]string{"x", "y", "z"})
+	anyGroup       = rapid.SampledFrom([]string{"a", "b"})
 )
 
-func step(t *rapid.T, r *Register, now time.Time) {
-	fingerprint, group := someone.Draw(t, "request"), where.Draw(t, "group")
+func randomStep(t *rapid.T, r *Register, now time.Time) {
+	fingerprint, group := anyFingerprint.Draw(t, "request"), anyGroup.Draw(t, "group")
 	switch rapid.IntRange(0, 4).Draw(t, "step") {
 	case 0:
-		running := rapid.SliceOfNDistinct(someone, 1, 3, rapid.ID[string]).Draw(t, "running")
+		running := rapid.SliceOfNDistinct(anyFingerprint, 1, 3, rapid.ID[string]).Draw(t, "running")
 		r.RecordCrash(now, fmt.Sprint("crash at ", now.UnixMilli()), group, running)
 	case 1:
 		r.Claim(now, fingerprint, trialOn(group), 5*sec, nil)
@@ -172,7 +174,7 @@
 var _ = Describe("Concurrent writers", func() {
 	It("merge to the same, in any order and any number of times", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			a, b, c := draw(t, "a"), draw(t, "b"), draw(t, "c")
+			a, b, c := drawRegister(t, "a"), drawRegister(t, "b"), drawRegister(t, "c")
 			ab := encoded(t, merged(a, b))
 			if ab != encoded(t, merged(b, a)) {
 				t.Fatal("depends on the order of two")
@@ -192,7 +194,7 @@
 
 	It("never lose what speaks against a request, and expiry changes no verdict", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			a, b := draw(t, "a"), draw(t, "b")
+			a, b := drawRegister(t, "a"), drawRegister(t, "b")
 			both := merged(a, b)
 			now := at(rapid.Float64Range(12, 4*24*3600).Draw(t, "later"))
 			expired := both.Clone()
@@ -207,7 +209,8 @@
 })
 
 var _ = Describe("Whatever homes know, and when", func() {
-	// A poison request and two innocents are sent by homes of which some learn late that a group crashed.
+	// A poison request and two ordinary ones are sent by homes, some of which learn late that a group
+	// crashed.
 	It("a poison takes down one group on trial, and those that homes sent it to unaware", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
--- a/policy/quarantine/seed_test.go
+++ b/policy/quarantine/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// CI plays the same inputs on each run; -rapid.seed plays others.
+// A fixed seed makes CI runs reproducible; -rapid.seed selects another one.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
