--- a/policy/quarantine/config.go
+++ b/policy/quarantine/config.go
@@ -54,9 +54,9 @@
 //   - DefaultSuspectFor: callers retry for minutes, not hours, after a failure.
 //   - DefaultQuarantineFor: a quarantine that expires costs two more crashes if it was justified, so
 //     it lasts until an expert has looked at it, a working day and the next.
-//   - DefaultMaxSuspects: more suspects than some groups' worth of requests mean that many groups
-//     failed at once, which no single request causes. Holding all of them back would refuse more
-//     requests than any request can harm.
+//   - DefaultMaxSuspects: 256 requests are the load of a few groups. More suspects mean that many
+//     groups failed at once, which no single request causes, and holding all of them back would refuse
+//     more requests than any request can harm.
 const (
 	DefaultSuspectFor    = 10 * time.Minute
 	DefaultQuarantineFor = 48 * time.Hour
--- a/policy/quarantine/figures_test.go
+++ b/policy/quarantine/figures_test.go
@@ -44,14 +44,14 @@
 var _ = Describe("A request that crashes backend servers", func() {
 	// A client sends the same request again whenever it fails. Each attempt takes a group out of service
 	// for a minute, and after some tens of seconds nothing is served.
-	DescribeTable("takes down few groups, and few innocents are refused",
-		func(s *scenario, crashes int, caught, waited float64) {
-			r, plain := play(*s, thisPackage), play(*s, none)
+	DescribeTable("takes down few groups, and few ordinary requests are refused",
+		func(s *scenario, maxCrashed int, maxRefused, maxWaited float64) {
+			r, unprotected := play(*s, thisPackage), play(*s, none)
 			GinkgoWriter.Println(s.name, r)
-			Expect(r.crashes).To(BeNumerically("<=", crashes))
-			Expect(r.crashes).To(BeNumerically("<=", plain.crashes))
-			Expect(float64(r.refused)).To(BeNumerically("<=", caught*float64(r.ordinary)))
-			Expect(float64(r.waited)).To(BeNumerically("<=", waited*float64(r.ordinary)))
+			Expect(r.crashes).To(BeNumerically("<=", maxCrashed))
+			Expect(r.crashes).To(BeNumerically("<=", unprotected.crashes))
+			Expect(float64(r.refused)).To(BeNumerically("<=", maxRefused*float64(r.ordinary)))
+			Expect(float64(r.waited)).To(BeNumerically("<=", maxWaited*float64(r.ordinary)))
 			Expect(r.failed).To(BeZero())
 			Expect(r.held).NotTo(ContainElement(popularFingerprint))
 			Expect(r.held).To(HaveLen(s.poisonRequests))
@@ -60,7 +60,7 @@
 		Entry("five callers at once", &fiveCallers, 5, 0.001, 0.001),
 		Entry("only half the time", &sometimes, 6, 0.0005, 0.001),
 		Entry("three at once", &threePoisons, 6, 0.001, 0.001),
-		Entry("no poison, a failure domain goes", &outage, 17, 0.001, 0.01),
+		Entry("no poison request, a failure domain fails", &outage, 17, 0.001, 0.01),
 		Entry("both", &outagePoison, 20, 0.001, 0.01),
 		Entry("in a small service", &small, 2, 0.001, 0.03),
 	)
--- a/policy/quarantine/model_test.go
+++ b/policy/quarantine/model_test.go
@@ -50,6 +50,7 @@
 	waited      bool
 }
 
+// group is a group of backend servers; life counts its crashes.
 type group struct {
 	name    string
 	up      bool
@@ -88,6 +89,7 @@
 	outage           int     // groups that crash together without a poison request
 }
 
+// result holds the figures of one run.
 type result struct {
 	crashes, mostDown                           int
 	down                                        time.Duration // summed over groups
@@ -101,7 +103,9 @@
 		r.ordinary, share(r.refused), share(r.failed), share(r.waited))
 }
 
-type simulation struct {
+// model is one run of the simulation. shared is the register as the platform holds it, views are the
+// copies of the homes, and counts holds the number of crashes per fingerprint.
+type model struct {
 	scenario
 	strategy
 	now    time.Duration
@@ -119,198 +123,197 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
+// play runs the scenario under the strategy for runFor of simulated time.
 func play(s scenario, r strategy) *result {
-	w := &simulation{scenario: s, strategy: r, random: rand.New(rand.NewPCG(1, 1)), shared: New(DefaultConfig()), counts: map[string]int{}}
+	m := &model{scenario: s, strategy: r, random: rand.New(rand.NewPCG(1, 1)), shared: New(DefaultConfig()), counts: map[string]int{}}
 	if r.noCap {
-		w.shared.config.MaxSuspects = MaxRecords
+		m.shared.config.MaxSuspects = MaxRecords
 	}
 	for i := range s.groups {
-		w.groups = append(w.groups, &group{name: fmt.Sprint("group-", i), up: true})
+		m.groups = append(m.groups, &group{name: fmt.Sprint("group-", i), up: true})
 	}
-	for h := range w.views {
-		w.views[h] = w.shared.Clone()
+	for h := range m.views {
+		m.views[h] = m.shared.Clone()
 	}
-	w.after(0, w.arrive)
+	m.after(0, m.arrive)
 	for p := range s.poisonRequests {
 		for range s.copies {
-			w.after(20*sec, func() { w.send(&request{fingerprint: fmt.Sprint("poison-", p), poison: true}) })
+			m.after(20*sec, func() { m.send(&request{fingerprint: fmt.Sprint("poison-", p), poison: true}) })
 		}
 	}
-	w.after(20*sec, func() {
-		for _, g := range w.groups[:s.outage] {
-			w.crash(g)
+	m.after(20*sec, func() {
+		for _, g := range m.groups[:s.outage] {
+			m.crash(g)
 		}
 	})
-	for len(w.queue) > 0 && w.now < runFor {
-		next := heap.Pop(&w.queue).(event)
-		w.now = next.at
+	for len(m.queue) > 0 && m.now < runFor {
+		next := heap.Pop(&m.queue).(event)
+		m.now = next.at
 		next.do()
 	}
-	for _, h := range w.shared.Held(w.time()) {
+	for _, h := range m.shared.Held(m.time()) {
 		if h.Verdict == Quarantined {
-			w.held = append(w.held, h.Fingerprint)
+			m.held = append(m.held, h.Fingerprint)
 		}
 	}
-	return &w.result
+	return &m.result
 }
 
-func (w *simulation) after(wait time.Duration, do func()) {
-	heap.Push(&w.queue, event{w.now + wait, do})
-}
-func (w *simulation) time() time.Time { return epoch.Add(w.now) }
+func (m *model) after(d time.Duration, do func()) { heap.Push(&m.queue, event{m.now + d, do}) }
+func (m *model) time() time.Time                  { return epoch.Add(m.now) }
 
-func (w *simulation) arrive() {
-	rate := requestsPerSecond * float64(len(w.groups))
-	if w.busy {
+func (m *model) arrive() {
+	rate := requestsPerSecond * float64(len(m.groups))
+	if m.busy {
 		rate *= 4
 	}
-	w.after(time.Duration(w.random.ExpFloat64()/rate*1e9), w.arrive)
-	w.number++
-	fingerprint := fmt.Sprint("request-", w.number)
-	if w.random.Float64() < w.popular {
+	m.after(time.Duration(m.random.ExpFloat64()/rate*1e9), m.arrive)
+	m.number++
+	fingerprint := fmt.Sprint("request-", m.number)
+	if m.random.Float64() < m.popular {
 		fingerprint = popularFingerprint
 	}
-	w.ordinary++
-	w.send(&request{fingerprint: fingerprint, arrived: w.now})
+	m.ordinary++
+	m.send(&request{fingerprint: fingerprint, arrived: m.now})
 }
 
 // send tries a request on random groups that are up, at most eight; a suspect tries them until one may run
 // it.
-func (w *simulation) send(r *request) {
-	up := slices.DeleteFunc(slices.Clone(w.groups), func(g *group) bool { return !g.up })
-	w.random.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
+func (m *model) send(r *request) {
+	up := slices.DeleteFunc(slices.Clone(m.groups), func(g *group) bool { return !g.up })
+	m.random.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
 	verdict := Waits
 	for _, g := range up[:min(len(up), 8)] {
-		if verdict = w.askHome(r, g); verdict != Waits {
+		if verdict = m.askHome(r, g); verdict != Waits {
 			break
 		}
 	}
 	switch verdict {
 	case Quarantined:
-		w.handleRefusal(r)
+		m.handleRefusal(r)
 	case Waits:
 		if !r.poison && !r.waited {
 			r.waited = true
-			w.waited++
+			m.waited++
 		}
-		w.after(retryDelay, func() { w.send(r) })
+		m.after(retryDelay, func() { m.send(r) })
 	}
 }
 
 // askHome asks the home of a group for its verdict, and starts the request if it may run.
-func (w *simulation) askHome(r *request, g *group) Verdict {
-	home := slices.Index(w.groups, g) % homes
+func (m *model) askHome(r *request, g *group) Verdict {
+	home := slices.Index(m.groups, g) % homes
 	verdict := Free
 	switch {
-	case w.countCrashes && w.counts[r.fingerprint] > 1:
+	case m.countCrashes && m.counts[r.fingerprint] > 1:
 		verdict = Quarantined
-	case !w.off && !w.countCrashes:
-		verdict = w.views[home].Verdict(w.time(), r.fingerprint, g.name)
+	case !m.off && !m.countCrashes:
+		verdict = m.views[home].Verdict(m.time(), r.fingerprint, g.name)
 	}
-	if w.noTrials && verdict != Quarantined {
+	if m.noTrials && verdict != Quarantined {
 		verdict = Free
 	}
 	if verdict == OnTrial {
 		trial := Trial{Group: g.name, Home: fmt.Sprint(home)}
-		verdict = w.shared.Claim(w.time(), r.fingerprint, trial, timeout, g.fingerprints())
-		w.updateViews()
+		verdict = m.shared.Claim(m.time(), r.fingerprint, trial, timeout, g.fingerprints())
+		m.updateViews()
 	}
 	if verdict == Free || verdict == OnTrial {
-		w.start(r, g)
+		m.start(r, g)
 	}
 	return verdict
 }
 
-func (w *simulation) start(r *request, g *group) {
+func (m *model) start(r *request, g *group) {
 	r.tries++
 	g.running = append(g.running, r)
 	life := g.life
-	crashes := r.poison && w.random.Float64() < w.crashProbability
-	length := time.Duration(w.random.ExpFloat64() * meanSeconds * 1e9)
+	crashes := r.poison && m.random.Float64() < m.crashProbability
+	length := time.Duration(m.random.ExpFloat64() * meanSeconds * 1e9)
 	if crashes {
 		length = crashDelay
 	}
-	w.after(length, func() {
+	m.after(length, func() {
 		if g.life != life {
 			return
 		}
 		if crashes {
-			w.crash(g)
+			m.crash(g)
 			return
 		}
 		g.running = slices.DeleteFunc(g.running, func(other *request) bool { return other == r })
-		w.finish(r, g)
+		m.finish(r, g)
 	})
 }
 
-func (w *simulation) finish(r *request, g *group) {
-	if !w.off && w.shared.RecordFinish(w.time(), r.fingerprint, g.name) {
-		w.updateViews()
+func (m *model) finish(r *request, g *group) {
+	if !m.off && m.shared.RecordFinish(m.time(), r.fingerprint, g.name) {
+		m.updateViews()
 	}
 	if r.poison {
-		w.after(retryDelay, func() { w.send(r) })
+		m.after(retryDelay, func() { m.send(r) })
 		return
 	}
-	w.answered++
+	m.answered++
 }
 
-func (w *simulation) crash(g *group) {
-	w.crashes++
+func (m *model) crash(g *group) {
+	m.crashes++
 	running := g.fingerprints()
 	lost := g.running
 	g.up, g.running = false, nil
 	g.life++
 	id := fmt.Sprint(g.name, "/", g.life)
-	w.down += min(loadTime, runFor-w.now)
+	m.down += min(loadTime, runFor-m.now)
 	down := 0
-	for _, other := range w.groups {
+	for _, other := range m.groups {
 		if !other.up {
 			down++
 		}
 	}
-	w.mostDown = max(w.mostDown, down)
-	w.after(loadTime, func() { g.up = true })
-	w.after(20*time.Millisecond, func() {
-		if !w.off {
-			w.shared.RecordCrash(w.time(), id, g.name, running)
+	m.mostDown = max(m.mostDown, down)
+	m.after(loadTime, func() { g.up = true })
+	m.after(20*time.Millisecond, func() {
+		if !m.off {
+			m.shared.RecordCrash(m.time(), id, g.name, running)
 			for _, fingerprint := range running {
-				w.counts[fingerprint]++
+				m.counts[fingerprint]++
 			}
-			w.updateViews()
+			m.updateViews()
 		}
 		for _, r := range lost {
-			w.retry(r)
+			m.retry(r)
 		}
 	})
 }
 
 // retry sends a request again after a crash, as a front or the caller of the poison request would.
-func (w *simulation) retry(r *request) {
+func (m *model) retry(r *request) {
 	if r.poison {
-		w.after(retryDelay, func() { w.send(r) })
+		m.after(retryDelay, func() { m.send(r) })
 		return
 	}
 	if r.tries >= 3 {
-		w.failed++
+		m.failed++
 		return
 	}
-	w.after(viewLag, func() { w.send(r) })
+	m.after(viewLag, func() { m.send(r) })
 }
 
-func (w *simulation) handleRefusal(r *request) {
+func (m *model) handleRefusal(r *request) {
 	if r.poison {
-		w.after(retryDelay, func() { w.send(r) })
+		m.after(retryDelay, func() { m.send(r) })
 		return
 	}
-	w.refused++
+	m.refused++
 }
 
 // updateViews shows the register's current state to all homes after viewLag.
-func (w *simulation) updateViews() {
-	seen := w.shared.Clone()
-	w.after(viewLag, func() {
-		for h := range w.views {
-			w.views[h] = seen
+func (m *model) updateViews() {
+	seen := m.shared.Clone()
+	m.after(viewLag, func() {
+		for h := range m.views {
+			m.views[h] = seen
 		}
 	})
 }
--- a/policy/quarantine/register.go
+++ b/policy/quarantine/register.go
@@ -64,8 +64,8 @@
 	Requests map[string]*record `json:"requests"`
 }
 
-// Decode parses the JSON form. Unknown fields are an error: they come from a later version, and writing
-// the object back would lose them.
+// Decode parses the JSON form. Unknown fields are an error: they come from a later version, which records
+// more than this one understands.
 func Decode(config Config, data []byte) (*Register, error) {
 	r := New(config)
 	decoder := json.NewDecoder(bytes.NewReader(data))
--- a/policy/quarantine/register_test.go
+++ b/policy/quarantine/register_test.go
@@ -208,10 +208,10 @@
 	})
 })
 
-var _ = Describe("Whatever homes know, and when", func() {
+var _ = Describe("Homes with outdated views", func() {
 	// A poison request and two ordinary ones are sent by homes, some of which learn late that a group
 	// crashed.
-	It("a poison takes down one group on trial, and those that homes sent it to unaware", func() {
+	It("a poison request takes down one group on trial, and those it was sent to before the home knew of a crash", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 			shared := New(DefaultConfig())
@@ -259,9 +259,9 @@
 						t.Fatalf("%s finished and is in quarantine", finished)
 					}
 				}
-				for _, innocent := range []string{"x", "y"} {
-					if crashes <= maxCrashes && shared.Verdict(now, innocent, "free") == Quarantined {
-						t.Fatalf("%s is in quarantine for what the poison did", innocent)
+				for _, ordinary := range []string{"x", "y"} {
+					if crashes <= maxCrashes && shared.Verdict(now, ordinary, "free") == Quarantined {
+						t.Fatalf("%s is in quarantine for a crash that the poison request caused", ordinary)
 					}
 				}
 			}
