--- a/policy/fairqueue/drain.go
+++ b/policy/fairqueue/drain.go
@@ -15,8 +15,10 @@
 // figure covers the speed of the group, the limit, the usage of all other teams and errors in the work
 // estimates. The queue also measures the service time per token.
 //
-// Without new samples both measurements decay towards what the limit and the configured TimePerToken
-// predict. A queue that refuses everything gets no samples, and would otherwise keep refusing.
+// A queue that refuses everything gets no samples, and with measurements alone would keep refusing. The
+// drain rate is therefore averaged with the nominal rate, which follows from the limit and the time per
+// token, and the measured time per token decays towards the configured TimePerToken while no samples
+// arrive.
 
 const (
 	// drainWindow is the backlogged time over which the advance of the front is averaged: long enough for
@@ -91,42 +93,42 @@
 }
 
 // record adds a finished item.
-func (p *tokenTimeEstimator) record(now, took time.Duration, work float64) {
-	p.decay(now)
+func (e *tokenTimeEstimator) record(now, took time.Duration, work float64) {
+	e.decay(now)
 	keep := 1 - 1.0/tokenTimeWindow
-	p.seconds = p.seconds*keep + took.Seconds()
-	p.work = p.work*keep + work
-	p.items = p.items*keep + 1
+	e.seconds = e.seconds*keep + took.Seconds()
+	e.work = e.work*keep + work
+	e.items = e.items*keep + 1
 }
 
 // decay reduces the weight of past items by the time since the last update.
-func (p *tokenTimeEstimator) decay(now time.Duration) {
-	if now <= p.at {
+func (e *tokenTimeEstimator) decay(now time.Duration) {
+	if now <= e.at {
 		return
 	}
-	keep := math.Exp(-(now - p.at).Seconds() / tokenTimeDecay.Seconds())
-	p.seconds *= keep
-	p.work *= keep
-	p.items *= keep
-	p.at = now
+	keep := math.Exp(-(now - e.at).Seconds() / tokenTimeDecay.Seconds())
+	e.seconds *= keep
+	e.work *= keep
+	e.items *= keep
+	e.at = now
 }
 
 // perToken returns the seconds per token, with configured as the prior.
-func (p *tokenTimeEstimator) perToken(now, configured time.Duration) float64 {
-	p.decay(now)
-	if p.items == 0 {
+func (e *tokenTimeEstimator) perToken(now, configured time.Duration) float64 {
+	e.decay(now)
+	if e.items == 0 {
 		return configured.Seconds()
 	}
-	prior := p.work / p.items * tokenTimePrior
-	return (p.seconds + configured.Seconds()*prior) / (p.work + prior)
+	prior := e.work / e.items * tokenTimePrior
+	return (e.seconds + configured.Seconds()*prior) / (e.work + prior)
 }
 
 // perItem returns the mean service time of recently finished items in seconds, or 0 if there are none.
-func (p *tokenTimeEstimator) perItem() float64 {
-	if p.items == 0 {
+func (e *tokenTimeEstimator) perItem() float64 {
+	if e.items == 0 {
 		return 0
 	}
-	return p.seconds / p.items
+	return e.seconds / e.items
 }
 
 // drainRate returns how fast the front of a class advances, in virtual time per second. Until that is
