--- a/policy/fairqueue/bench_test.go
+++ b/policy/fairqueue/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/skylarkpond/skylarkpond/policy/fairqueue"
 )
 
-// cycle offers one item, ends one and sends the next, on a queue with a backlog of all teams.
-type cycle struct {
+// workload offers, finishes and sends one item per step, on a queue where all teams are backlogged.
+type workload struct {
 	queue   *fairqueue.Queue
 	items   []fairqueue.Item
 	running []string
@@ -19,10 +19,10 @@
 	random  *rand.Rand
 }
 
-func newCycle(teams int) *cycle {
-	c := &cycle{
+func newWorkload(teams int) *workload {
+	c := &workload{
 		queue: fairqueue.New(fairqueue.Config{
-			MaxWait: 10 * time.Minute, StandingWait: 10 * time.Minute, MaxItems: 100_000, Pace: time.Microsecond,
+			MaxWait: 10 * time.Minute, StandingWait: 10 * time.Minute, MaxItems: 100_000, TimePerToken: time.Microsecond,
 		}),
 		random: rand.New(rand.NewPCG(1, 2)),
 	}
@@ -30,7 +30,7 @@
 	for i := range 16 * 1024 {
 		c.items = append(c.items, fairqueue.Item{
 			ID: fmt.Sprintf("request-%d", i), Team: fmt.Sprintf("team-%d", i%teams), Share: 1,
-			Work: 50 + c.random.IntN(1500), Deadline: time.Hour, Spread: c.random.Float64(),
+			Work: 50 + c.random.IntN(1500), Deadline: time.Hour, Jitter: c.random.Float64(),
 		})
 	}
 	for c.queue.Len() < 4*teams {
@@ -39,7 +39,7 @@
 	return c
 }
 
-func (c *cycle) offer() {
+func (c *workload) offer() {
 	item := c.items[c.next%len(c.items)]
 	c.next++
 	if c.queue.Offer(c.now, item).Decision == fairqueue.Admitted {
@@ -47,7 +47,7 @@
 	}
 }
 
-func (c *cycle) turn() {
+func (c *workload) step() {
 	c.now += 50 * time.Microsecond
 	i := c.random.IntN(len(c.running))
 	c.queue.Done(c.now, c.running[i], 300)
@@ -60,33 +60,34 @@
 	c.queue.Expire(c.now)
 }
 
-// TestSteadyStateAllocatesNothing holds the promise of the hot path.
+// TestSteadyStateAllocatesNothing guards against allocations per request, which would cause garbage
+// collection pauses under load.
 func TestSteadyStateAllocatesNothing(t *testing.T) {
 	for _, teams := range []int{10, 500} {
-		c := newCycle(teams)
+		c := newWorkload(teams)
 		for range 20_000 {
-			c.turn()
+			c.step()
 		}
-		if allocated := testing.AllocsPerRun(10_000, c.turn); allocated > 0.1 {
-			t.Errorf("%d teams: %.2f allocations for an offer, a done and a next", teams, allocated)
+		if allocated := testing.AllocsPerRun(10_000, c.step); allocated > 0.1 {
+			t.Errorf("%d teams: %.2f allocations per step", teams, allocated)
 		}
 	}
 }
 
-// BenchmarkTurn measures an offer, a done, a next and an expire on a backlogged queue.
+// BenchmarkTurn measures an Offer, Done, Next and Expire on a backlogged queue.
 func BenchmarkTurn(b *testing.B) {
 	for _, teams := range []int{10, 500} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
-			c := newCycle(teams)
+			c := newWorkload(teams)
 			b.ReportAllocs()
 			for b.Loop() {
-				c.turn()
+				c.step()
 			}
 		})
 	}
 }
 
-// BenchmarkRefuse measures an offer that is refused for its wait.
+// BenchmarkRefuse measures an Offer that is refused for its expected wait.
 func BenchmarkRefuse(b *testing.B) {
 	for _, teams := range []int{10, 500} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
@@ -95,7 +96,7 @@
 			for i := range 4 * teams {
 				q.Offer(0, fairqueue.Item{ID: fmt.Sprint(i), Team: fmt.Sprintf("team-%d", i%teams), Share: 1, Work: 100, Deadline: time.Hour})
 			}
-			refused := fairqueue.Item{ID: "x", Team: "team-1", Share: 1, Work: 100, Deadline: time.Hour, Spread: 0.5}
+			refused := fairqueue.Item{ID: "x", Team: "team-1", Share: 1, Work: 100, Deadline: time.Hour, Jitter: 0.5}
 			b.ReportAllocs()
 			for b.Loop() {
 				if q.Offer(0, refused).Decision != fairqueue.Refused {
--- a/policy/quarantine/model_test.go
+++ b/policy/quarantine/model_test.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// The model: callers send to random groups that are up; a poison request crashes its group a while after
-// it starts; a crashed group loads for a minute. Homes see the register a little late; claims and other
-// writes take effect at the platform at once, in some order.
+// This simulation models callers that send to random groups that are up. A poison request crashes its
+// group some time after it starts, and a crashed group takes a minute to load. Homes see changes of the
+// register with a delay. Claims and other writes take effect at the platform immediately and one at a
+// time.
 const (
-	homes     = 13
-	perGroup  = 4.0 // innocent requests a second, for each group
-	takes     = 4.0 // seconds of an innocent request, on average
-	poisonFor = 500 * time.Millisecond
-	loading   = 60 * time.Second
-	viewLag   = 150 * time.Millisecond
-	repeat    = time.Second // after which the caller of the poison sends again
-	timeout   = 30 * time.Second
-	popular   = "popular"
-	sec       = time.Second
+	homes              = 13
+	requestsPerSecond  = 4.0 // ordinary requests per second and group
+	meanSeconds        = 4.0 // mean duration of an ordinary request, in seconds
+	crashDelay         = 500 * time.Millisecond
+	loadTime           = 60 * time.Second
+	viewLag            = 150 * time.Millisecond
+	retryDelay         = time.Second // before the caller of the poison request sends it again
+	timeout            = 30 * time.Second
+	popularFingerprint = "popular"
+	sec                = time.Second
 )
 
 type event struct {
@@ -49,6 +50,7 @@
 	waited      bool
 }
 
+// group is a group of backend servers; life counts its crashes.
 type group struct {
 	name    string
 	up      bool
@@ -64,45 +66,48 @@
 	return list
 }
 
-// rules are what a contender does; nil parts do nothing.
-type rules struct {
+// strategy selects which parts of the protection are active.
+type strategy struct {
 	name string
-	// any lets every request run that is not quarantined, without trials.
-	anyRuns bool
-	// counting refuses what was in progress at two crashes, and knows nothing else.
-	counting bool
-	// noCap holds back every suspect, however many.
+	// noTrials lets every request run that is not quarantined, without trials.
+	noTrials bool
+	// countCrashes refuses requests that were in progress at two crashes, and applies no other rule.
+	countCrashes bool
+	// noCap holds back every suspect, however many there are.
 	noCap bool
 	off   bool
 }
 
 type scenario struct {
-	name    string
-	groups  int
-	copies  int     // callers that send the poison, each again and again
-	odds    float64 // that the poison crashes its group; else it finishes
-	poisons int     // different ones
-	popular float64 // share of innocent requests that are alike
-	busy    bool    // four times as many innocent requests
-	outage  int     // groups that crash together by themselves
+	name             string
+	groups           int
+	copies           int     // callers that send each poison request, over and over
+	crashProbability float64 // that a poison request crashes its group rather than finishing
+	poisonRequests   int     // number of distinct poison requests
+	popular          float64 // fraction of ordinary requests with the same content
+	busy             bool    // four times as many ordinary requests
+	outage           int     // groups that crash together without a poison request
 }
 
+// result holds the figures of one run.
 type result struct {
-	crashes, mostDown                          int
-	down                                       time.Duration // summed over groups
-	innocents, answered, broke, waited, caught int
-	held                                       []string
+	crashes, mostDown                           int
+	down                                        time.Duration // summed over groups
+	ordinary, answered, failed, waited, refused int
+	held                                        []string
 }
 
 func (r *result) String() string {
-	share := func(n int) float64 { return 100 * float64(n) / float64(max(1, r.innocents)) }
+	share := func(n int) float64 { return 100 * float64(n) / float64(max(1, r.ordinary)) }
 	return fmt.Sprintf("%3d | %2d | %5.1f | %5d | %5.2f | %5.2f | %5.2f", r.crashes, r.mostDown, r.down.Seconds()/60,
-		r.innocents, share(r.caught), share(r.broke), share(r.waited))
+		r.ordinary, share(r.refused), share(r.failed), share(r.waited))
 }
 
-type world struct {
+// model is one run of the simulation. shared is the register as the platform holds it, views are the
+// copies of the homes, and counts holds the number of crashes per fingerprint.
+type model struct {
 	scenario
-	rules
+	strategy
 	now    time.Duration
 	queue  events
 	groups []*group
@@ -118,195 +123,197 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-func play(s scenario, r rules) *result {
-	w := &world{scenario: s, rules: r, random: rand.New(rand.NewPCG(1, 1)), shared: New(DefaultConfig()), counts: map[string]int{}}
+// play runs the scenario under the strategy for runFor of simulated time.
+func play(s scenario, r strategy) *result {
+	m := &model{scenario: s, strategy: r, random: rand.New(rand.NewPCG(1, 1)), shared: New(DefaultConfig()), counts: map[string]int{}}
 	if r.noCap {
-		w.shared.config.MaxSuspects = MaxRecords
+		m.shared.config.MaxSuspects = MaxRecords
 	}
 	for i := range s.groups {
-		w.groups = append(w.groups, &group{name: fmt.Sprint("group-", i), up: true})
+		m.groups = append(m.groups, &group{name: fmt.Sprint("group-", i), up: true})
 	}
-	for h := range w.views {
-		w.views[h] = w.shared.Clone()
+	for h := range m.views {
+		m.views[h] = m.shared.Clone()
 	}
-	w.after(0, w.arrive)
-	for p := range s.poisons {
+	m.after(0, m.arrive)
+	for p := range s.poisonRequests {
 		for range s.copies {
-			w.after(20*sec, func() { w.send(&request{fingerprint: fmt.Sprint("poison-", p), poison: true}) })
+			m.after(20*sec, func() { m.send(&request{fingerprint: fmt.Sprint("poison-", p), poison: true}) })
 		}
 	}
-	w.after(20*sec, func() {
-		for _, g := range w.groups[:s.outage] {
-			w.crash(g)
+	m.after(20*sec, func() {
+		for _, g := range m.groups[:s.outage] {
+			m.crash(g)
 		}
 	})
-	for len(w.queue) > 0 && w.now < runFor {
-		next := heap.Pop(&w.queue).(event)
-		w.now = next.at
+	for len(m.queue) > 0 && m.now < runFor {
+		next := heap.Pop(&m.queue).(event)
+		m.now = next.at
 		next.do()
 	}
-	for _, h := range w.shared.Held(w.time()) {
+	for _, h := range m.shared.Held(m.time()) {
 		if h.Verdict == Quarantined {
-			w.held = append(w.held, h.Fingerprint)
+			m.held = append(m.held, h.Fingerprint)
 		}
 	}
-	return &w.result
+	return &m.result
 }
 
-func (w *world) after(wait time.Duration, do func()) { heap.Push(&w.queue, event{w.now + wait, do}) }
-func (w *world) time() time.Time                     { return epoch.Add(w.now) }
+func (m *model) after(d time.Duration, do func()) { heap.Push(&m.queue, event{m.now + d, do}) }
+func (m *model) time() time.Time                  { return epoch.Add(m.now) }
 
-func (w *world) arrive() {
-	rate := perGroup * float64(len(w.groups))
-	if w.busy {
+func (m *model) arrive() {
+	rate := requestsPerSecond * float64(len(m.groups))
+	if m.busy {
 		rate *= 4
 	}
-	w.after(time.Duration(w.random.ExpFloat64()/rate*1e9), w.arrive)
-	w.number++
-	fingerprint := fmt.Sprint("request-", w.number)
-	if w.random.Float64() < w.popular {
-		fingerprint = popular
+	m.after(time.Duration(m.random.ExpFloat64()/rate*1e9), m.arrive)
+	m.number++
+	fingerprint := fmt.Sprint("request-", m.number)
+	if m.random.Float64() < m.popular {
+		fingerprint = popularFingerprint
 	}
-	w.innocents++
-	w.send(&request{fingerprint: fingerprint, arrived: w.now})
+	m.ordinary++
+	m.send(&request{fingerprint: fingerprint, arrived: m.now})
 }
 
-// send tries a request on a random group that is up; a suspect looks for one that may run it.
-func (w *world) send(r *request) {
-	up := slices.DeleteFunc(slices.Clone(w.groups), func(g *group) bool { return !g.up })
-	w.random.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
+// send tries a request on random groups that are up, at most eight; a suspect tries them until one may run
+// it.
+func (m *model) send(r *request) {
+	up := slices.DeleteFunc(slices.Clone(m.groups), func(g *group) bool { return !g.up })
+	m.random.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
 	verdict := Waits
 	for _, g := range up[:min(len(up), 8)] {
-		if verdict = w.ask(r, g); verdict != Waits {
+		if verdict = m.askHome(r, g); verdict != Waits {
 			break
 		}
 	}
 	switch verdict {
 	case Quarantined:
-		w.refused(r)
+		m.handleRefusal(r)
 	case Waits:
 		if !r.poison && !r.waited {
 			r.waited = true
-			w.waited++
+			m.waited++
 		}
-		w.after(repeat, func() { w.send(r) })
+		m.after(retryDelay, func() { m.send(r) })
 	}
 }
 
-// ask lets the home of a group decide, and starts the request if it may run.
-func (w *world) ask(r *request, g *group) Verdict {
-	home := slices.Index(w.groups, g) % homes
+// askHome asks the home of a group for its verdict, and starts the request if it may run.
+func (m *model) askHome(r *request, g *group) Verdict {
+	home := slices.Index(m.groups, g) % homes
 	verdict := Free
 	switch {
-	case w.counting && w.counts[r.fingerprint] > 1:
+	case m.countCrashes && m.counts[r.fingerprint] > 1:
 		verdict = Quarantined
-	case !w.off && !w.counting:
-		verdict = w.views[home].Verdict(w.time(), r.fingerprint, g.name)
+	case !m.off && !m.countCrashes:
+		verdict = m.views[home].Verdict(m.time(), r.fingerprint, g.name)
 	}
-	if w.anyRuns && verdict != Quarantined {
+	if m.noTrials && verdict != Quarantined {
 		verdict = Free
 	}
 	if verdict == OnTrial {
 		trial := Trial{Group: g.name, Home: fmt.Sprint(home)}
-		verdict = w.shared.Claim(w.time(), r.fingerprint, trial, timeout, g.fingerprints())
-		w.spread()
+		verdict = m.shared.Claim(m.time(), r.fingerprint, trial, timeout, g.fingerprints())
+		m.updateViews()
 	}
 	if verdict == Free || verdict == OnTrial {
-		w.start(r, g)
+		m.start(r, g)
 	}
 	return verdict
 }
 
-func (w *world) start(r *request, g *group) {
+func (m *model) start(r *request, g *group) {
 	r.tries++
 	g.running = append(g.running, r)
 	life := g.life
-	crashes := r.poison && w.random.Float64() < w.odds
-	length := time.Duration(w.random.ExpFloat64() * takes * 1e9)
+	crashes := r.poison && m.random.Float64() < m.crashProbability
+	length := time.Duration(m.random.ExpFloat64() * meanSeconds * 1e9)
 	if crashes {
-		length = poisonFor
+		length = crashDelay
 	}
-	w.after(length, func() {
+	m.after(length, func() {
 		if g.life != life {
 			return
 		}
 		if crashes {
-			w.crash(g)
+			m.crash(g)
 			return
 		}
 		g.running = slices.DeleteFunc(g.running, func(other *request) bool { return other == r })
-		w.finish(r, g)
+		m.finish(r, g)
 	})
 }
 
-func (w *world) finish(r *request, g *group) {
-	if !w.off && w.shared.Finish(w.time(), r.fingerprint, g.name) {
-		w.spread()
+func (m *model) finish(r *request, g *group) {
+	if !m.off && m.shared.RecordFinish(m.time(), r.fingerprint, g.name) {
+		m.updateViews()
 	}
 	if r.poison {
-		w.after(repeat, func() { w.send(r) })
+		m.after(retryDelay, func() { m.send(r) })
 		return
 	}
-	w.answered++
+	m.answered++
 }
 
-func (w *world) crash(g *group) {
-	w.crashes++
+func (m *model) crash(g *group) {
+	m.crashes++
 	running := g.fingerprints()
 	lost := g.running
 	g.up, g.running = false, nil
 	g.life++
 	id := fmt.Sprint(g.name, "/", g.life)
-	w.down += min(loading, runFor-w.now)
+	m.down += min(loadTime, runFor-m.now)
 	down := 0
-	for _, other := range w.groups {
+	for _, other := range m.groups {
 		if !other.up {
 			down++
 		}
 	}
-	w.mostDown = max(w.mostDown, down)
-	w.after(loading, func() { g.up = true })
-	w.after(20*time.Millisecond, func() {
-		if !w.off {
-			w.shared.Crash(w.time(), id, g.name, running)
+	m.mostDown = max(m.mostDown, down)
+	m.after(loadTime, func() { g.up = true })
+	m.after(20*time.Millisecond, func() {
+		if !m.off {
+			m.shared.RecordCrash(m.time(), id, g.name, running)
 			for _, fingerprint := range running {
-				w.counts[fingerprint]++
+				m.counts[fingerprint]++
 			}
-			w.spread()
+			m.updateViews()
 		}
 		for _, r := range lost {
-			w.again(r)
+			m.retry(r)
 		}
 	})
 }
 
-// again is a front's retry, or the caller of the poison.
-func (w *world) again(r *request) {
+// retry sends a request again after a crash, as a front or the caller of the poison request would.
+func (m *model) retry(r *request) {
 	if r.poison {
-		w.after(repeat, func() { w.send(r) })
+		m.after(retryDelay, func() { m.send(r) })
 		return
 	}
 	if r.tries >= 3 {
-		w.broke++
+		m.failed++
 		return
 	}
-	w.after(viewLag, func() { w.send(r) })
+	m.after(viewLag, func() { m.send(r) })
 }
 
-func (w *world) refused(r *request) {
+func (m *model) handleRefusal(r *request) {
 	if r.poison {
-		w.after(repeat, func() { w.send(r) })
+		m.after(retryDelay, func() { m.send(r) })
 		return
 	}
-	w.caught++
+	m.refused++
 }
 
-// spread lets the homes see the register a little later.
-func (w *world) spread() {
-	seen := w.shared.Clone()
-	w.after(viewLag, func() {
-		for h := range w.views {
-			w.views[h] = seen
+// updateViews shows the register's current state to all homes after viewLag.
+func (m *model) updateViews() {
+	seen := m.shared.Clone()
+	m.after(viewLag, func() {
+		for h := range m.views {
+			m.views[h] = seen
 		}
 	})
 }
