--- a/entry/gateway/lines.go
+++ b/entry/gateway/lines.go
@@ -77,9 +77,9 @@
 
 func (s *shell) demand(demand turns.Demand) {
 	s.log.WithFields(logrus.Fields{
-		"model": demand.Model, "groups": demand.Groups, "places": demand.Places, "running": demand.Running, "waiting": demand.Waiting,
-		"asked": demand.Asked, "granted": demand.Granted, "refused": demand.Refused, "took_ms": demand.Took.Milliseconds(),
-		"first_ms": demand.First.Milliseconds(), "fresh": demand.Fresh, "prompt_tokens": int(demand.Work.Prompt), "answer_tokens": int(demand.Work.Answer),
+		"model": demand.Model, "groups": demand.Groups, "places": demand.Slots, "running": demand.Running, "waiting": demand.Waiting,
+		"asked": demand.Requests, "granted": demand.Granted, "refused": demand.Rejected, "took_ms": demand.MeanTurnTime.Milliseconds(),
+		"first_ms": demand.FirstTokenBound.Milliseconds(), "fresh": demand.NewRequests, "prompt_tokens": int(demand.MeanSize.Prompt), "answer_tokens": int(demand.MeanSize.Answer),
 	}).Info(logline.Demand)
 }
 
--- a/entry/leader/demand.go
+++ b/entry/leader/demand.go
@@ -46,18 +46,18 @@
 
 // groupsFor returns how many full groups would serve what was asked for in the latest second.
 func (l *Leader) groupsFor(demand policy.Demand) (groups float64, known bool) {
-	if demand.Fresh == 0 {
+	if demand.NewRequests == 0 {
 		return 0, false // none came, or they went another way
 	}
-	perSecond := float64(demand.Fresh) / demandEvery.Seconds()
-	if rate := l.engines[demand.Model].Rate(demand.Work); rate > 0 {
+	perSecond := float64(demand.NewRequests) / demandEvery.Seconds()
+	if rate := l.engines[demand.Model].Rate(demand.MeanSize); rate > 0 {
 		return perSecond / rate, true
 	}
 	if demand.Groups == 0 {
 		return 0, false // nothing tells how long its requests would take
 	}
-	slots := float64(demand.Places) / float64(demand.Groups)
-	return perSecond * demand.Took.Seconds() / slots, true
+	slots := float64(demand.Slots) / float64(demand.Groups)
+	return perSecond * demand.MeanTurnTime.Seconds() / slots, true
 }
 
 // engineFor is what a group of a model takes for its work.
--- a/entry/leader/leader.go
+++ b/entry/leader/leader.go
@@ -275,10 +275,10 @@
 		tried = append(tried, string(id))
 	}
 	key := turnKey(entry, ask.Key)
-	decisions := l.turns.Ask(l.now(), policy.Request{
+	decisions := l.turns.Submit(l.now(), policy.Request{
 		Key: key, Model: modelKey(ask.Service, ask.Model),
-		Due: time.Duration(ask.DueMs) * time.Millisecond, Patience: time.Duration(ask.PatienceMs) * time.Millisecond, Priority: ask.Priority, Tried: tried,
-		Returning: ask.Returning, Fingerprint: ask.Fingerprint, Work: capacity.Work{Prompt: float64(ask.Prompt), Answer: float64(ask.Answer)},
+		FirstTokenBudget: time.Duration(ask.DueMs) * time.Millisecond, MaxWait: time.Duration(ask.PatienceMs) * time.Millisecond, Priority: ask.Priority, TriedHeads: tried,
+		Retry: ask.Returning, Fingerprint: ask.Fingerprint, Size: capacity.Work{Prompt: float64(ask.Prompt), Answer: float64(ask.Answer)},
 	}, rand.Float64)
 	l.send(decisions)
 	if !slices.ContainsFunc(decisions, func(d policy.Decision) bool { return d.Key == key }) {
@@ -298,7 +298,7 @@
 }
 
 func (l *Leader) done(entry string, done link.Done) {
-	end := policy.End{Whole: done.Whole, First: time.Duration(done.FirstMs) * time.Millisecond}
+	end := policy.End{Complete: done.Whole, FirstToken: time.Duration(done.FirstMs) * time.Millisecond}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.send(l.turns.Done(l.now(), turnKey(entry, done.Key), end, rand.Float64))
@@ -316,18 +316,18 @@
 		if to == nil {
 			continue
 		}
-		if d.Why == policy.Granted {
+		if d.Reason == policy.Granted {
 			to.Send(link.Down{Grant: &link.Grant{Key: key, Head: backend.ID(d.Head), Revision: revision, AgeMs: age.Milliseconds()}})
 			continue
 		}
 		to.Send(link.Down{Refuse: &link.Refuse{
-			Key: key, Reason: string(reasons[d.Why]), RetryAfterMs: d.RetryAfter.Milliseconds(),
-			Detail: fmt.Sprintf("%d run on %d places, %d wait", d.Running, d.Places, d.Waiting),
+			Key: key, Reason: string(reasons[d.Reason]), RetryAfterMs: d.RetryAfter.Milliseconds(),
+			Detail: fmt.Sprintf("%d run on %d places, %d wait", d.Running, d.Slots, d.Waiting),
 		}})
 	}
 }
 
-var reasons = map[policy.Why]turn.Reason{policy.NoGroup: turn.NoServer, policy.Late: turn.Full, policy.TriedAll: turn.Spent}
+var reasons = map[policy.Reason]turn.Reason{policy.NoGroup: turn.NoServer, policy.TooLate: turn.Full, policy.TriedAll: turn.Spent}
 
 // silent keeps turns from a group and has it looked into.
 func (l *Leader) silent(head backend.ID) {
@@ -345,7 +345,7 @@
 func (l *Leader) Clear(head backend.ID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.send(l.turns.Clear(l.now(), string(head), rand.Float64))
+	l.send(l.turns.ClearSuspicion(l.now(), string(head), rand.Float64))
 }
 
 // Followers counts the entries that are linked, this one included.
--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -196,7 +196,7 @@
 
 func (e *exchange) ask() turn.Ask {
 	returning := e.attempts > 0
-	due, patience := turns.Bounds(e.route.FirstAnswer, time.Since(e.arrived), returning)
+	due, patience := turns.WaitBounds(e.route.FirstAnswer, time.Since(e.arrived), returning)
 	ask := turn.Ask{
 		Service: e.service, Model: e.call.Model, Priority: e.priority, Returning: returning, Tried: e.tried,
 		Prompt: e.call.PromptTokens, Answer: e.call.ExpectedAnswer(),
--- a/entry/turn/remote.go
+++ b/entry/turn/remote.go
@@ -80,7 +80,7 @@
 			case down.Queued == 0:
 				return r.settle(ctx, ask, key, down)
 			}
-			timer.Reset(max(ask.Patience, turns.LongestWait) + answerTime)
+			timer.Reset(max(ask.Patience, turns.MaxRetryWait) + answerTime)
 		case <-timer.C:
 			r.giveUp(key, true)
 			return r.local.Take(ctx, ask)
--- a/policy/turns/choose.go
+++ b/policy/turns/choose.go
@@ -12,10 +12,10 @@
 	var best *group
 	var soonest time.Duration
 	for _, g := range s.groups {
-		if g.gone || g.Model != request.Model || now < g.suspect || g.running >= g.Engine.Slots+s.config.Overhang {
+		if g.gone || g.Model != request.Model || now < g.suspect || g.running >= g.Engine.Slots+s.config.Overcommit {
 			continue
 		}
-		if slices.Contains(request.Tried, g.Head) {
+		if slices.Contains(request.TriedHeads, g.Head) {
 			continue
 		}
 		until := g.untilFirst(now)
--- a/policy/turns/demand.go
+++ b/policy/turns/demand.go
@@ -11,27 +11,27 @@
 // note counts a request.
 func (m *model) note(request Request) {
 	m.asked++
-	if request.Returning {
+	if request.Retry {
 		return
 	}
 	m.fresh++
-	m.work.Prompt += request.Work.Prompt
-	m.work.Answer += request.Work.Answer
+	m.work.Prompt += request.Size.Prompt
+	m.work.Answer += request.Size.Answer
 }
 
 // Demand is what is known of one model.
 type Demand struct {
 	Model string
-	// Groups stand, with Places in all, on which Running requests run; Waiting wait.
-	Groups, Places, Running, Waiting int
-	// Took is the mean time of a turn, First what most first parts take from the turn on.
-	Took, First time.Duration
-	// Asked, Granted and Refused count requests since the last call of Demands.
-	Asked, Granted, Refused int
-	// Fresh are those asked of callers that were not turned away before: each request counts once however often it comes. Work is what
+	// Groups stand, with Slots in all, on which Running requests run; Waiting wait.
+	Groups, Slots, Running, Waiting int
+	// MeanTurnTime is the mean time of a turn, FirstTokenBound what most first parts take from the turn on.
+	MeanTurnTime, FirstTokenBound time.Duration
+	// Requests, Granted and Rejected count requests since the last call of Demands.
+	Requests, Granted, Rejected int
+	// NewRequests are those asked of callers that were not turned away before: each request counts once however often it comes. Work is what
 	// they asked for, on average.
-	Fresh int
-	Work  capacity.Work
+	NewRequests int
+	MeanSize    capacity.Work
 }
 
 // Demands returns the demand of every model that was asked for, by name, and begins new counts.
@@ -40,18 +40,18 @@
 	demands := make([]Demand, 0, len(s.models))
 	for name, m := range s.models {
 		d := Demand{
-			Model: name, Waiting: len(m.waiting), Took: m.took, First: m.first.bound(),
-			Asked: m.asked, Granted: m.granted, Refused: m.refused, Fresh: m.fresh,
+			Model: name, Waiting: len(m.waiting), MeanTurnTime: m.took, FirstTokenBound: m.first.bound(),
+			Requests: m.asked, Granted: m.granted, Rejected: m.refused, NewRequests: m.fresh,
 		}
 		if m.fresh > 0 {
-			d.Work = capacity.Work{Prompt: m.work.Prompt / float64(m.fresh), Answer: m.work.Answer / float64(m.fresh)}
+			d.MeanSize = capacity.Work{Prompt: m.work.Prompt / float64(m.fresh), Answer: m.work.Answer / float64(m.fresh)}
 		}
 		for _, g := range s.groups {
 			if !g.gone && g.Model == name {
 				d.Groups++
 			}
 		}
-		d.Running, d.Places = s.places(name)
+		d.Running, d.Slots = s.places(name)
 		m.asked, m.granted, m.refused, m.fresh, m.work = 0, 0, 0, 0, capacity.Work{}
 		demands = append(demands, d)
 	}
--- a/policy/turns/load_test.go
+++ b/policy/turns/load_test.go
@@ -48,11 +48,11 @@
 }
 
 func (s scheduler) ask(now time.Duration, r turns.Request) []turns.Decision {
-	return s.Ask(now, r, s.chance)
+	return s.Submit(now, r, s.chance)
 }
 
 func (s scheduler) done(now time.Duration, key string, first time.Duration) []turns.Decision {
-	return s.Done(now, key, turns.End{Whole: true, First: first}, s.chance)
+	return s.Done(now, key, turns.End{Complete: true, FirstToken: first}, s.chance)
 }
 func (s scheduler) tick(now time.Duration) []turns.Decision { return s.Tick(now, s.chance) }
 
@@ -60,29 +60,29 @@
 type queueAll struct{ scheduler }
 
 func (q queueAll) ask(now time.Duration, r turns.Request) []turns.Decision {
-	r.Due, r.Patience = 0, 5*time.Second
-	r.Returning, r.Fingerprint = false, 0
-	return q.Ask(now, r, q.chance)
+	r.FirstTokenBudget, r.MaxWait = 0, 5*time.Second
+	r.Retry, r.Fingerprint = false, 0
+	return q.Submit(now, r, q.chance)
 }
 
 // fixedWait is the baseline that takes a usual time to the first part for that of all groups.
 type fixedWait struct{ scheduler }
 
 func (f fixedWait) ask(now time.Duration, r turns.Request) []turns.Decision {
-	if r.Due > 0 {
-		r.Patience = r.Due - 100*time.Millisecond
-		r.Due = 0
+	if r.FirstTokenBudget > 0 {
+		r.MaxWait = r.FirstTokenBudget - 100*time.Millisecond
+		r.FirstTokenBudget = 0
 	}
-	return f.Ask(now, r, f.chance)
+	return f.Submit(now, r, f.chance)
 }
 
 // returningAll is the baseline that takes every caller for one that comes again, as callers seem to be whose deadlines differ.
 type returningAll struct{ scheduler }
 
 func (a returningAll) ask(now time.Duration, r turns.Request) []turns.Decision {
-	r.Due, r.Patience = 0, turns.LongestWait
-	r.Returning = true
-	return a.Ask(now, r, a.chance)
+	r.FirstTokenBudget, r.MaxWait = 0, turns.MaxRetryWait
+	r.Retry = true
+	return a.Submit(now, r, a.chance)
 }
 
 type callerState struct {
@@ -111,7 +111,7 @@
 			if c == nil || c.resolved {
 				continue
 			}
-			if d.Why == turns.Granted {
+			if d.Reason == turns.Granted {
 				c.running = true
 				c.ends = now + time.Duration(900+l.r.IntN(700))*time.Millisecond
 				first := now + l.first - c.born
@@ -157,9 +157,9 @@
 				if c.tries > 1 {
 					l.repeated++
 				}
-				due, patience := turns.Bounds(l.objective, 0, false)
+				due, patience := turns.WaitBounds(l.objective, 0, false)
 				settle(now, l.decide.ask(now, turns.Request{
-					Key: c.key, Model: "m", Due: due, Patience: patience, Fingerprint: c.fingerprint,
+					Key: c.key, Model: "m", FirstTokenBudget: due, MaxWait: patience, Fingerprint: c.fingerprint,
 				}))
 			}
 		}
--- a/policy/turns/patience.go
+++ b/policy/turns/patience.go
@@ -9,15 +9,15 @@
 	callerWay = 15 * time.Millisecond
 	// leastPatience lets a request wait for the next place even where its objective leaves no time.
 	leastPatience = 25 * time.Millisecond
-	// LongestWait is that of a caller that comes again, whose answer is late in any case; turned away once more, it would get none.
-	LongestWait = 600 * time.Millisecond
+	// MaxRetryWait is that of a caller that comes again, whose answer is late in any case; turned away once more, it would get none.
+	MaxRetryWait = 600 * time.Millisecond
 )
 
-// Bounds returns when the first part of an answer is due, and how long the request may wait for its turn at most. returning says that the
+// WaitBounds returns when the first part of an answer is due, and how long the request may wait for its turn at most. returning says that the
 // request was sent before: then nothing is due any more, and due is 0.
-func Bounds(objective, elapsed time.Duration, returning bool) (due, patience time.Duration) {
+func WaitBounds(objective, elapsed time.Duration, returning bool) (due, patience time.Duration) {
 	if returning {
-		return 0, LongestWait
+		return 0, MaxRetryWait
 	}
 	due = max(leastPatience, objective-elapsed-callerWay)
 	return due, due
@@ -26,10 +26,10 @@
 // patience is how long a request may wait for its turn: until its first part would come too late. Groups that are nearly full take several
 // times as long for a first part as others; requests that wait without regard to that are all served, and all late.
 func (m *model) patience(r Request) time.Duration {
-	if r.Due == 0 {
-		return r.Patience
+	if r.FirstTokenBudget == 0 {
+		return r.MaxWait
 	}
-	return min(r.Patience, max(leastPatience, r.Due-m.first.bound()))
+	return min(r.MaxWait, max(leastPatience, r.FirstTokenBudget-m.first.bound()))
 }
 
 // estimate is what is known of a time that varies.
--- a/policy/turns/reading_test.go
+++ b/policy/turns/reading_test.go
@@ -51,8 +51,8 @@
 		asked++
 		prompt := min(6000, 900*math.Exp(r.NormFloat64()))
 		key := fmt.Sprint(asked)
-		decisions := s.Ask(now, turns.Request{Key: key, Model: "m", Patience: time.Second, Work: capacity.Work{Prompt: prompt, Answer: 100}}, r.Float64)
-		if len(decisions) != 1 || decisions[0].Why != turns.Granted {
+		decisions := s.Submit(now, turns.Request{Key: key, Model: "m", MaxWait: time.Second, Size: capacity.Work{Prompt: prompt, Answer: 100}}, r.Float64)
+		if len(decisions) != 1 || decisions[0].Reason != turns.Granted {
 			continue
 		}
 		g := played[decisions[0].Head]
--- a/policy/turns/returning.go
+++ b/policy/turns/returning.go
@@ -15,7 +15,7 @@
 	if !refused || request.Fingerprint == 0 || now-at > returnsWithin {
 		return request
 	}
-	request.Returning, request.Due, request.Patience = true, 0, LongestWait
+	request.Retry, request.FirstTokenBudget, request.MaxWait = true, 0, MaxRetryWait
 	return request
 }
 
--- a/policy/turns/turns.go
+++ b/policy/turns/turns.go
@@ -37,72 +37,72 @@
 	// Key is unique among the requests that wait or run.
 	Key   string
 	Model string
-	// Due is when the first part of its answer is to be there, from now on; 0 where nothing is lost by waiting longer.
-	Due time.Duration
-	// Patience is how long it may wait for its turn at most.
-	Patience time.Duration
+	// FirstTokenBudget is when the first part of its answer is to be there, from now on; 0 where nothing is lost by waiting longer.
+	FirstTokenBudget time.Duration
+	// MaxWait is how long it may wait for its turn at most.
+	MaxWait time.Duration
 	// Priority is 0 for the most urgent.
 	Priority int
 	// Fingerprint is alike for all tries of one request; 0 if there is none.
 	Fingerprint uint64
-	// Returning says that the request was sent before, or that its caller was turned away, which the scheduler knows by the fingerprint. Its
+	// Retry says that the request was sent before, or that its caller was turned away, which the scheduler knows by the fingerprint. Its
 	// answer is late in any case, so it gives way to requests of its priority that can still be answered in time: were it the other way round, every request would be turned
 	// away once and then answered late.
-	Returning bool
-	// Tried are the heads that it was sent to.
-	Tried []string
-	// Work is what it asks for.
-	Work capacity.Work
+	Retry bool
+	// TriedHeads are the heads that it was sent to.
+	TriedHeads []string
+	// Size is what it asks for.
+	Size capacity.Work
 }
 
-// Why says why a request is turned away.
-type Why uint8
+// Reason says why a request is turned away.
+type Reason uint8
 
 // The reasons.
 const (
 	// Granted: it is not.
-	Granted Why = iota
+	Granted Reason = iota
 	// NoGroup: no group of the model stands.
 	NoGroup
-	// Late: its turn would come too late.
-	Late
+	// TooLate: its turn would come too late.
+	TooLate
 	// TriedAll: it was sent to every group that stands.
 	TriedAll
 )
 
 // Decision is what becomes of a request.
 type Decision struct {
-	Key  string
-	Head string
-	Why  Why
+	Key    string
+	Head   string
+	Reason Reason
 	// RetryAfter is when there will be room, for a request that is turned away.
 	RetryAfter time.Duration
 	// Running and Waiting are what the decision was made from: requests of the model that run and wait.
-	Running, Waiting, Places int
+	Running, Waiting, Slots int
 }
 
 // Config holds the thresholds.
 type Config struct {
-	// Overhang is how many requests a group is given beyond its places. The engine then always has one to begin with when
+	// Overcommit is how many requests a group is given beyond its places. The engine then always has one to begin with when
 	// a place comes free, which saves it the way to here and back (some ms).
-	Overhang int
-	// UsualTime is the time that a request takes until the first ones have ended.
-	UsualTime time.Duration
-	// ReturnFirst is the shortest time to come back after; ReturnSpread is added by chance, so that callers that were turned away
+	Overcommit int
+	// InitialTurnTime is the time that a request takes until the first ones have ended.
+	InitialTurnTime time.Duration
+	// MinRetryAfter is the shortest time to come back after; RetryAfterJitter is added by chance, so that callers that were turned away
 	// together do not come together.
-	ReturnFirst, ReturnSpread time.Duration
-	// ReturnStand is when groups that are being formed will stand, for callers of a model without any.
-	ReturnStand time.Duration
-	// SuspectFor is how long a group that keeps silent gets no turns.
-	SuspectFor time.Duration
+	MinRetryAfter, RetryAfterJitter time.Duration
+	// GroupFormationTime is when groups that are being formed will stand, for callers of a model without any.
+	GroupFormationTime time.Duration
+	// SuspectDuration is how long a group that keeps silent gets no turns.
+	SuspectDuration time.Duration
 }
 
 // DefaultConfig returns the thresholds in use.
 func DefaultConfig() Config {
 	return Config{
-		Overhang: 1, UsualTime: 1500 * time.Millisecond,
-		ReturnFirst: 500 * time.Millisecond, ReturnSpread: 800 * time.Millisecond,
-		ReturnStand: 1200 * time.Millisecond, SuspectFor: time.Second,
+		Overcommit: 1, InitialTurnTime: 1500 * time.Millisecond,
+		MinRetryAfter: 500 * time.Millisecond, RetryAfterJitter: 800 * time.Millisecond,
+		GroupFormationTime: 1200 * time.Millisecond, SuspectDuration: time.Second,
 	}
 }
 
@@ -183,25 +183,25 @@
 func (s *Scheduler) model(name string) *model {
 	m := s.models[name]
 	if m == nil {
-		m = &model{took: s.config.UsualTime, first: estimate{mean: usualFirst}}
+		m = &model{took: s.config.InitialTurnTime, first: estimate{mean: usualFirst}}
 		s.models[name] = m
 	}
 	return m
 }
 
-// Ask decides on a request. No decision means that it waits.
-func (s *Scheduler) Ask(now time.Duration, request Request, chance func() float64) []Decision {
+// Submit decides on a request. No decision means that it waits.
+func (s *Scheduler) Submit(now time.Duration, request Request, chance func() float64) []Decision {
 	m := s.model(request.Model)
 	request = s.recognise(now, request)
 	m.note(request)
 	if head := s.best(now, request); head != nil && len(m.waiting) == 0 {
-		return []Decision{s.grant(now, head, request.Key, request.Work)}
+		return []Decision{s.grant(now, head, request.Key, request.Size)}
 	}
 	if why := s.hopeless(request); why != Granted {
 		return []Decision{s.refuse(now, request, why, chance)}
 	}
 	if s.expectedWait(request.Model, s.ahead(m, request)) > m.patience(request) {
-		return []Decision{s.refuse(now, request, Late, chance)}
+		return []Decision{s.refuse(now, request, TooLate, chance)}
 	}
 	m.insert(waiter{Request: request, since: now})
 	return s.serve(now, request.Model, chance)
@@ -212,7 +212,7 @@
 	if r.Priority != other.Priority {
 		return r.Priority < other.Priority
 	}
-	return !r.Returning && other.Returning
+	return !r.Retry && other.Retry
 }
 
 // insert keeps the order of priority, of those that were not turned away yet, then of arrival.
@@ -235,13 +235,13 @@
 }
 
 // hopeless says why no turn can come: no group stands, or none that was not tried.
-func (s *Scheduler) hopeless(request Request) Why {
+func (s *Scheduler) hopeless(request Request) Reason {
 	why := NoGroup
 	for _, g := range s.groups {
 		if g.gone || g.Model != request.Model {
 			continue
 		}
-		if !slices.Contains(request.Tried, g.Head) {
+		if !slices.Contains(request.TriedHeads, g.Head) {
 			return Granted
 		}
 		why = TriedAll
@@ -253,7 +253,7 @@
 func (s *Scheduler) expectedWait(name string, ahead int) time.Duration {
 	_, places := s.places(name)
 	if places == 0 {
-		return s.config.ReturnStand
+		return s.config.GroupFormationTime
 	}
 	return time.Duration(ahead+1) * s.model(name).took / time.Duration(places)
 }
@@ -277,28 +277,28 @@
 	return Decision{Key: key, Head: g.Head}
 }
 
-func (s *Scheduler) refuse(now time.Duration, request Request, why Why, chance func() float64) Decision {
+func (s *Scheduler) refuse(now time.Duration, request Request, why Reason, chance func() float64) Decision {
 	s.refused[request.Fingerprint] = now
 	s.model(request.Model).refused++
-	d := Decision{Key: request.Key, Why: why}
-	d.Running, d.Places = s.places(request.Model)
+	d := Decision{Key: request.Key, Reason: why}
+	d.Running, d.Slots = s.places(request.Model)
 	d.Waiting = len(s.model(request.Model).waiting)
-	spread := time.Duration(chance() * float64(s.config.ReturnSpread))
+	spread := time.Duration(chance() * float64(s.config.RetryAfterJitter))
 	switch why {
 	case NoGroup, TriedAll:
-		d.RetryAfter = s.config.ReturnStand + spread
+		d.RetryAfter = s.config.GroupFormationTime + spread
 	default:
-		d.RetryAfter = max(s.config.ReturnFirst, s.expectedWait(request.Model, d.Waiting)) + spread
+		d.RetryAfter = max(s.config.MinRetryAfter, s.expectedWait(request.Model, d.Waiting)) + spread
 	}
 	return d
 }
 
 // End is how a turn ended.
 type End struct {
-	// Whole says that the answer was given to its end, so that its time tells how long turns take.
-	Whole bool
-	// First is what passed from the turn to the first part of the answer; 0 if none came.
-	First time.Duration
+	// Complete says that the answer was given to its end, so that its time tells how long turns take.
+	Complete bool
+	// FirstToken is what passed from the turn to the first part of the answer; 0 if none came.
+	FirstToken time.Duration
 }
 
 // Done ends a turn, and returns the turns that this makes possible.
@@ -313,11 +313,11 @@
 		return nil // an earlier scheduler gave the turn, and the group has not been listed since
 	}
 	m := s.model(g.Model)
-	if end.Whole {
+	if end.Complete {
 		m.took = learned(m.took, now-t.since)
 	}
-	if end.First > 0 {
-		m.first.learn(end.First)
+	if end.FirstToken > 0 {
+		m.first.learn(end.FirstToken)
 	}
 	return s.serve(now, g.Model, chance)
 }
@@ -392,12 +392,12 @@
 // Suspect keeps turns from a group that is silent.
 func (s *Scheduler) Suspect(now time.Duration, head string) {
 	if g := s.groups[head]; g != nil {
-		g.suspect = now + s.config.SuspectFor
+		g.suspect = now + s.config.SuspectDuration
 	}
 }
 
-// Clear ends a suspicion that proved wrong.
-func (s *Scheduler) Clear(now time.Duration, head string, chance func() float64) []Decision {
+// ClearSuspicion ends a suspicion that proved wrong.
+func (s *Scheduler) ClearSuspicion(now time.Duration, head string, chance func() float64) []Decision {
 	g := s.groups[head]
 	if g == nil || g.suspect <= now {
 		return nil
@@ -426,12 +426,12 @@
 	kept := m.waiting[:0]
 	for _, w := range m.waiting {
 		if head := s.best(now, w.Request); head != nil {
-			decisions = append(decisions, s.grant(now, head, w.Key, w.Work))
+			decisions = append(decisions, s.grant(now, head, w.Key, w.Size))
 			continue
 		}
 		why := s.hopeless(w.Request)
 		if why == Granted && now-w.since >= m.patience(w.Request) {
-			why = Late
+			why = TooLate
 		}
 		if why != Granted {
 			decisions = append(decisions, s.refuse(now, w.Request, why, chance))
--- a/policy/turns/turns_test.go
+++ b/policy/turns/turns_test.go
@@ -27,16 +27,16 @@
 	return list
 }
 
-var whole = turns.End{Whole: true}
+var whole = turns.End{Complete: true}
 
 func ask(key string) turns.Request {
-	return turns.Request{Key: key, Model: "m", Patience: 200 * time.Millisecond}
+	return turns.Request{Key: key, Model: "m", MaxWait: 200 * time.Millisecond}
 }
 
 var _ = Describe("Scheduler", func() {
 	var s *turns.Scheduler
 	config := turns.DefaultConfig()
-	config.Overhang = 0
+	config.Overcommit = 0
 	BeforeEach(func() { s = turns.New(config) })
 
 	one := func(decisions []turns.Decision) turns.Decision {
@@ -53,19 +53,19 @@
 		}, even)
 		var heads []string
 		for i := range 6 {
-			heads = append(heads, one(s.Ask(0, ask(fmt.Sprint(i)), even)).Head)
+			heads = append(heads, one(s.Submit(0, ask(fmt.Sprint(i)), even)).Head)
 		}
 		Expect(heads).To(ConsistOf("a", "a", "a", "a", "b", "b"))
 	})
 
 	It("lets requests wait in the order of their arrival, and gives the place that comes free to the first", func() {
 		s.SetGroups(0, groups(1, 1), even)
-		one(s.Ask(0, ask("runs"), even))
+		one(s.Submit(0, ask("runs"), even))
 		patient := ask("first")
-		patient.Patience = 5 * time.Second
-		Expect(s.Ask(0, patient, even)).To(BeEmpty())
+		patient.MaxWait = 5 * time.Second
+		Expect(s.Submit(0, patient, even)).To(BeEmpty())
 		patient.Key = "second"
-		Expect(s.Ask(time.Millisecond, patient, even)).To(BeEmpty())
+		Expect(s.Submit(time.Millisecond, patient, even)).To(BeEmpty())
 		Expect(one(s.Done(100*time.Millisecond, "runs", whole, even)).Key).To(Equal("first"))
 		Expect(one(s.Done(200*time.Millisecond, "first", whole, even)).Key).To(Equal("second"))
 	})
@@ -74,29 +74,29 @@
 	// elsewhere or come back.
 	It("turns away at once what can't have its turn in time, and says when there will be room", func() {
 		s.SetGroups(0, groups(1, 2), even)
-		one(s.Ask(0, ask("a"), even))
-		one(s.Ask(0, ask("b"), even))
-		d := one(s.Ask(0, ask("c"), even))
-		Expect(d.Why).To(Equal(turns.Late))
-		Expect(d.RetryAfter).To(BeNumerically(">=", config.ReturnFirst))
+		one(s.Submit(0, ask("a"), even))
+		one(s.Submit(0, ask("b"), even))
+		d := one(s.Submit(0, ask("c"), even))
+		Expect(d.Reason).To(Equal(turns.TooLate))
+		Expect(d.RetryAfter).To(BeNumerically(">=", config.MinRetryAfter))
 	})
 
 	It("turns away what has waited for longer than it can", func() {
 		s.SetGroups(0, groups(1, 20), even)
 		for i := range 20 {
-			one(s.Ask(0, ask(fmt.Sprint(i)), even))
+			one(s.Submit(0, ask(fmt.Sprint(i)), even))
 		}
-		Expect(s.Ask(0, ask("waits"), even)).To(BeEmpty())
+		Expect(s.Submit(0, ask("waits"), even)).To(BeEmpty())
 		Expect(s.Tick(199*time.Millisecond, even)).To(BeEmpty())
-		Expect(one(s.Tick(200*time.Millisecond, even)).Why).To(Equal(turns.Late))
+		Expect(one(s.Tick(200*time.Millisecond, even)).Reason).To(Equal(turns.TooLate))
 	})
 
 	It("says why there is no turn", func() {
-		Expect(one(s.Ask(0, ask("a"), even)).Why).To(Equal(turns.NoGroup))
+		Expect(one(s.Submit(0, ask("a"), even)).Reason).To(Equal(turns.NoGroup))
 		s.SetGroups(0, groups(1, 2), even)
 		tried := ask("b")
-		tried.Tried = []string{"head0"}
-		Expect(one(s.Ask(0, tried, even)).Why).To(Equal(turns.TriedAll))
+		tried.TriedHeads = []string{"head0"}
+		Expect(one(s.Submit(0, tried, even)).Reason).To(Equal(turns.TriedAll))
 	})
 
 	// A group has lost a member: it takes requests and nothing moves in it. Each further request sent there is lost for seconds.
@@ -104,28 +104,28 @@
 		s.SetGroups(0, groups(2, 4), even)
 		s.Suspect(0, "head0")
 		for i := range 4 {
-			Expect(one(s.Ask(0, ask(fmt.Sprint(i)), even)).Head).To(Equal("head1"))
+			Expect(one(s.Submit(0, ask(fmt.Sprint(i)), even)).Head).To(Equal("head1"))
 		}
-		s.Clear(0, "head0", even)
-		Expect(one(s.Ask(0, ask("x"), even)).Head).To(Equal("head0"))
+		s.ClearSuspicion(0, "head0", even)
+		Expect(one(s.Submit(0, ask("x"), even)).Head).To(Equal("head0"))
 	})
 
 	It("gives the places of a new group to those that wait", func() {
 		s.SetGroups(0, groups(1, 20), even)
 		for i := range 20 {
-			one(s.Ask(0, ask(fmt.Sprint(i)), even))
+			one(s.Submit(0, ask(fmt.Sprint(i)), even))
 		}
-		Expect(s.Ask(0, ask("waits"), even)).To(BeEmpty())
+		Expect(s.Submit(0, ask("waits"), even)).To(BeEmpty())
 		Expect(one(s.SetGroups(0, groups(2, 20), even)).Head).To(Equal("head1"))
 	})
 
 	// An entry dies with requests in progress. Were its turns kept, its share of every group would be lost for good.
 	It("takes back all turns of an entry that is gone", func() {
 		s.SetGroups(0, groups(1, 2), even)
-		one(s.Ask(0, ask("entry1/1"), even))
-		one(s.Ask(0, ask("entry1/2"), even))
+		one(s.Submit(0, ask("entry1/1"), even))
+		one(s.Submit(0, ask("entry1/2"), even))
 		s.Forget(0, "entry1/", even)
-		Expect(one(s.Ask(0, ask("entry2/1"), even)).Why).To(Equal(turns.Granted))
+		Expect(one(s.Submit(0, ask("entry2/1"), even)).Reason).To(Equal(turns.Granted))
 		Expect(s.Loads(0)).To(ConsistOf(HaveField("Running", 1)))
 	})
 
@@ -135,9 +135,9 @@
 		held := map[string]string{"entry1/1": "head0", "entry1/2": "head0"}
 		s.Reconcile(0, "entry1/", held, even)
 		s.Reconcile(0, "entry1/", held, even)
-		Expect(one(s.Ask(0, ask("entry2/1"), even)).Why).To(Equal(turns.Late))
+		Expect(one(s.Submit(0, ask("entry2/1"), even)).Reason).To(Equal(turns.TooLate))
 		s.Done(0, "entry1/1", whole, even)
-		Expect(one(s.Ask(0, ask("entry2/2"), even)).Why).To(Equal(turns.Granted))
+		Expect(one(s.Submit(0, ask("entry2/2"), even)).Reason).To(Equal(turns.Granted))
 	})
 
 	// An entry takes charge, is told of turns at a group that it does not know yet, and these end. Their model is not known.
@@ -145,7 +145,7 @@
 		s.Reconcile(0, "entry1/", map[string]string{"entry1/1": "head9"}, even)
 		s.Done(0, "entry1/1", whole, even)
 		s.SetGroups(0, groups(1, 3), even)
-		one(s.Ask(0, ask("entry2/1"), even))
+		one(s.Submit(0, ask("entry2/1"), even))
 		Expect(s.Demands(0)).To(ConsistOf(HaveField("Model", "m")))
 	})
 
@@ -154,7 +154,7 @@
 	It("ends the turns that an entry no longer holds, and keeps those of others", func() {
 		s.SetGroups(0, groups(1, 3), even)
 		for _, key := range []string{"entry1/1", "entry1/2", "entry2/1"} {
-			one(s.Ask(0, ask(key), even))
+			one(s.Submit(0, ask(key), even))
 		}
 		s.Reconcile(0, "entry1/", map[string]string{"entry1/2": "head0"}, even)
 		Expect(s.Loads(0)).To(ConsistOf(HaveField("Running", 2)))
@@ -166,26 +166,26 @@
 	It("lets one that was turned away wait behind others, and counts it once", func() {
 		s.SetGroups(0, groups(1, 4), even)
 		for _, key := range []string{"r1", "r2", "r3", "r4"} {
-			one(s.Ask(0, ask(key), even))
+			one(s.Submit(0, ask(key), even))
 		}
-		back := turns.Request{Key: "a/1", Model: "m", Due: 110 * time.Millisecond, Patience: 110 * time.Millisecond, Fingerprint: 7}
-		Expect(one(s.Ask(0, back, even)).Why).To(Equal(turns.Late))
+		back := turns.Request{Key: "a/1", Model: "m", FirstTokenBudget: 110 * time.Millisecond, MaxWait: 110 * time.Millisecond, Fingerprint: 7}
+		Expect(one(s.Submit(0, back, even)).Reason).To(Equal(turns.TooLate))
 		back.Key = "b/1"
-		Expect(s.Ask(time.Second, back, even)).To(BeEmpty())
-		fresh := turns.Request{Key: "c/1", Model: "m", Due: 5 * time.Second, Patience: 5 * time.Second, Fingerprint: 8}
-		Expect(s.Ask(time.Second, fresh, even)).To(BeEmpty())
+		Expect(s.Submit(time.Second, back, even)).To(BeEmpty())
+		fresh := turns.Request{Key: "c/1", Model: "m", FirstTokenBudget: 5 * time.Second, MaxWait: 5 * time.Second, Fingerprint: 8}
+		Expect(s.Submit(time.Second, fresh, even)).To(BeEmpty())
 		Expect(one(s.Done(1100*time.Millisecond, "r1", whole, even)).Key).To(Equal("c/1"))
-		Expect(s.Demands(1100 * time.Millisecond)[0].Fresh).To(Equal(6))
+		Expect(s.Demands(1100 * time.Millisecond)[0].NewRequests).To(Equal(6))
 	})
 
 	It("puts urgent requests first, then those that were not turned away before", func() {
 		s.SetGroups(0, groups(1, 1), even)
-		one(s.Ask(0, ask("runs"), even))
+		one(s.Submit(0, ask("runs"), even))
 		for _, r := range []turns.Request{
-			{Key: "returning", Returning: true}, {Key: "fresh"}, {Key: "urgent", Priority: -1}, {Key: "fresh2"},
+			{Key: "returning", Retry: true}, {Key: "fresh"}, {Key: "urgent", Priority: -1}, {Key: "fresh2"},
 		} {
-			r.Model, r.Patience = "m", time.Minute
-			Expect(s.Ask(0, r, even)).To(BeEmpty())
+			r.Model, r.MaxWait = "m", time.Minute
+			Expect(s.Submit(0, r, even)).To(BeEmpty())
 		}
 		order := []string{}
 		for key := "runs"; len(order) < 4; {
@@ -199,7 +199,7 @@
 var _ = Describe("Bounds", func() {
 	DescribeTable("leave what the objective leaves",
 		func(objective, elapsed time.Duration, returning bool, due, patience time.Duration) {
-			gotDue, gotPatience := turns.Bounds(objective, elapsed, returning)
+			gotDue, gotPatience := turns.WaitBounds(objective, elapsed, returning)
 			Expect(gotDue).To(Equal(due))
 			Expect(gotPatience).To(Equal(patience))
 		},
@@ -218,13 +218,13 @@
 			keys := make([]string, size.groups*20)
 			for i := range keys {
 				keys[i] = fmt.Sprintf("entry%d/%d", i%size.entries, i)
-				s.Ask(0, ask(keys[i]), even)
+				s.Submit(0, ask(keys[i]), even)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				key := keys[i%len(keys)]
 				s.Done(0, key, whole, even)
-				s.Ask(0, ask(key), even)
+				s.Submit(0, ask(key), even)
 			}
 		})
 	}
