--- a/policy/turns/choose.go
+++ b/policy/turns/choose.go
@@ -5,38 +5,40 @@
 	"time"
 )
 
-// best returns the group that will give the first part soonest, or nil if none has a place. Where their times are alike or not known, it is the one
-// with the largest share of free places. Prompts differ by ten times: the group with the fewest requests may be the one that has the longest
-// prompts still to read.
-func (s *Scheduler) best(now time.Duration, request Request) *group {
+// bestGroup returns the group that is expected to produce the first token soonest, or nil if no group has a free
+// slot. Where the expected delays are equal or unknown, it returns the group with the lowest load. Prompt lengths
+// vary tenfold, so the group with the fewest requests may have the longest prompts still to prefill.
+func (s *Scheduler) bestGroup(now time.Duration, request Request) *group {
 	var best *group
-	var soonest time.Duration
+	var bestDelay time.Duration
 	for _, g := range s.groups {
-		if g.gone || g.Model != request.Model || now < g.suspect || g.running >= g.Engine.Slots+s.config.Overcommit {
+		if g.removed || g.Model != request.Model || now < g.suspectUntil || g.running >= g.Engine.Slots+s.config.Overcommit {
 			continue
 		}
 		if slices.Contains(request.TriedHeads, g.Head) {
 			continue
 		}
-		until := g.untilFirst(now)
-		if best == nil || until < soonest || (until == soonest && g.freer(best)) {
-			best, soonest = g, until
+		delay := g.firstTokenDelay(now)
+		if best == nil || delay < bestDelay || (delay == bestDelay && g.lessLoaded(best)) {
+			best, bestDelay = g, delay
 		}
 	}
 	return best
 }
 
-// untilFirst is how long a group takes until it begins with one more request: it reads the prompts that it has, and ends its pass.
-func (g *group) untilFirst(now time.Duration) time.Duration {
-	return max(0, g.readTo-now) + g.Engine.Pass(g.running)
+// firstTokenDelay estimates the time until the group starts to decode one more request: the prefill of the prompts
+// already assigned to it, and the pass in progress.
+func (g *group) firstTokenDelay(now time.Duration) time.Duration {
+	return max(0, g.prefillDoneAt-now) + g.Engine.Pass(g.running)
 }
 
-// freer says whether a group has a larger share of free places than another; the name decides between equals.
-func (g *group) freer(other *group) bool {
+// lessLoaded reports whether g has a larger share of free slots than other. Ties are broken by name.
+func (g *group) lessLoaded(other *group) bool {
 	if g.load() != other.load() {
 		return g.load() < other.load()
 	}
 	return g.Head < other.Head
 }
 
+// load is the ratio of running requests to slots.
 func (g *group) load() float64 { return float64(g.running) / float64(max(1, g.Engine.Slots)) }
--- a/policy/turns/demand.go
+++ b/policy/turns/demand.go
@@ -8,58 +8,60 @@
 	"github.com/skylarkpond/skylarkpond/policy/capacity"
 )
 
-// note counts a request.
-func (m *model) note(request Request) {
-	m.asked++
+// countRequest adds a request to the counters of the current interval.
+func (m *modelQueue) countRequest(request Request) {
+	m.requests++
 	if request.Retry {
 		return
 	}
-	m.fresh++
-	m.work.Prompt += request.Size.Prompt
-	m.work.Answer += request.Size.Answer
+	m.newRequests++
+	m.totalSize.Prompt += request.Size.Prompt
+	m.totalSize.Answer += request.Size.Answer
 }
 
-// Demand is what is known of one model.
+// Demand describes the requests for one model and the groups that serve it.
 type Demand struct {
 	Model string
-	// Groups stand, with Slots in all, on which Running requests run; Waiting wait.
+	// Groups is the number of available groups and Slots their total number of slots. Running requests are in
+	// progress on these groups; Waiting requests are queued.
 	Groups, Slots, Running, Waiting int
-	// MeanTurnTime is the mean time of a turn, FirstTokenBound what most first parts take from the turn on.
+	// MeanTurnTime is the moving average of how long a turn lasts. FirstTokenBound is a time from the grant of a turn
+	// to the first token that most requests stay below.
 	MeanTurnTime, FirstTokenBound time.Duration
-	// Requests, Granted and Rejected count requests since the last call of Demands.
+	// Requests, Granted and Rejected are counted since the previous call of Demands.
 	Requests, Granted, Rejected int
-	// NewRequests are those asked of callers that were not turned away before: each request counts once however often it comes. Work is what
-	// they asked for, on average.
+	// NewRequests counts the requests whose caller was not rejected before, so that a request counts once however
+	// often it is retried. MeanSize is the mean size of these requests.
 	NewRequests int
 	MeanSize    capacity.Work
 }
 
-// Demands returns the demand of every model that was asked for, by name, and begins new counts.
+// Demands returns the demand of every model that was requested, sorted by name, and resets the counters.
 func (s *Scheduler) Demands(now time.Duration) []Demand {
-	s.forgetRefused(now)
+	s.expireRejected(now)
 	demands := make([]Demand, 0, len(s.models))
 	for name, m := range s.models {
 		d := Demand{
-			Model: name, Waiting: len(m.waiting), MeanTurnTime: m.took, FirstTokenBound: m.first.bound(),
-			Requests: m.asked, Granted: m.granted, Rejected: m.refused, NewRequests: m.fresh,
+			Model: name, Waiting: len(m.queue), MeanTurnTime: m.meanTurnTime, FirstTokenBound: m.firstToken.upperBound(),
+			Requests: m.requests, Granted: m.granted, Rejected: m.rejected, NewRequests: m.newRequests,
 		}
-		if m.fresh > 0 {
-			d.MeanSize = capacity.Work{Prompt: m.work.Prompt / float64(m.fresh), Answer: m.work.Answer / float64(m.fresh)}
+		if m.newRequests > 0 {
+			d.MeanSize = capacity.Work{Prompt: m.totalSize.Prompt / float64(m.newRequests), Answer: m.totalSize.Answer / float64(m.newRequests)}
 		}
 		for _, g := range s.groups {
-			if !g.gone && g.Model == name {
+			if !g.removed && g.Model == name {
 				d.Groups++
 			}
 		}
-		d.Running, d.Slots = s.places(name)
-		m.asked, m.granted, m.refused, m.fresh, m.work = 0, 0, 0, 0, capacity.Work{}
+		d.Running, d.Slots = s.slots(name)
+		m.requests, m.granted, m.rejected, m.newRequests, m.totalSize = 0, 0, 0, 0, capacity.Work{}
 		demands = append(demands, d)
 	}
 	slices.SortFunc(demands, func(a, b Demand) int { return strings.Compare(a.Model, b.Model) })
 	return demands
 }
 
-// Load is what is known of one group.
+// Load describes the load of one group.
 type Load struct {
 	Head    string
 	Model   string
@@ -68,12 +70,12 @@
 	Suspect bool
 }
 
-// Loads returns the load of every group that stands, by head.
+// Loads returns the load of every available group, sorted by head.
 func (s *Scheduler) Loads(now time.Duration) []Load {
 	loads := make([]Load, 0, len(s.groups))
 	for _, g := range s.groups {
-		if !g.gone {
-			loads = append(loads, Load{Head: g.Head, Model: g.Model, Running: g.running, Slots: g.Engine.Slots, Suspect: now < g.suspect})
+		if !g.removed {
+			loads = append(loads, Load{Head: g.Head, Model: g.Model, Running: g.running, Slots: g.Engine.Slots, Suspect: now < g.suspectUntil})
 		}
 	}
 	slices.SortFunc(loads, func(a, b Load) int { return strings.Compare(a.Head, b.Head) })
--- a/policy/turns/load_test.go
+++ b/policy/turns/load_test.go
@@ -11,26 +11,27 @@
 	"github.com/skylarkpond/skylarkpond/policy/turns"
 )
 
-// load plays callers before groups in virtual time. A caller is answered in time, late, or not at all; who is turned away comes once more.
-type load struct {
-	r       *rand.Rand
-	groups  int
-	slots   int
-	perTick float64 // arrivals in 10 ms
-	lose    func(now time.Duration) int
-	// first is what a group needs from the turn to the first part.
-	first     time.Duration
-	objective time.Duration
-	decide    decider
-	inTime    int
-	late      int
-	lost      int
-	asked     int
-	repeated  int
+// simulation runs callers against groups in virtual time. A caller is answered in time, late, or not at all; a
+// rejected caller retries once.
+type simulation struct {
+	r          *rand.Rand
+	groups     int
+	slots      int
+	perTick    float64 // arrivals in 10 ms
+	lostGroups func(now time.Duration) int
+	// firstToken is what a group needs from the turn to the firstToken part.
+	firstToken time.Duration
+	objective  time.Duration
+	strategy   strategy
+	inTime     int
+	late       int
+	lost       int
+	requests   int
+	retries    int
 }
 
-// decider is the scheduler, or a baseline.
-type decider interface {
+// strategy is the scheduler or a baseline.
+type strategy interface {
 	setGroups(now time.Duration, n int) []turns.Decision
 	ask(now time.Duration, r turns.Request) []turns.Decision
 	done(now time.Duration, key string, first time.Duration) []turns.Decision
@@ -40,59 +41,60 @@
 type scheduler struct {
 	*turns.Scheduler
 	slots  int
-	chance func() float64
+	random func() float64
 }
 
 func (s scheduler) setGroups(now time.Duration, n int) []turns.Decision {
-	return s.SetGroups(now, groups(n, s.slots), s.chance)
+	return s.SetGroups(now, groups(n, s.slots), s.random)
 }
 
 func (s scheduler) ask(now time.Duration, r turns.Request) []turns.Decision {
-	return s.Submit(now, r, s.chance)
+	return s.Submit(now, r, s.random)
 }
 
 func (s scheduler) done(now time.Duration, key string, first time.Duration) []turns.Decision {
-	return s.Done(now, key, turns.End{Complete: true, FirstToken: first}, s.chance)
+	return s.Done(now, key, turns.End{Complete: true, FirstToken: first}, s.random)
 }
-func (s scheduler) tick(now time.Duration) []turns.Decision { return s.Tick(now, s.chance) }
+func (s scheduler) tick(now time.Duration) []turns.Decision { return s.Tick(now, s.random) }
 
-// queueAll is the plain baseline: everything waits in one queue, first in first out, until its deadline.
-type queueAll struct{ scheduler }
+// unboundedQueue is a baseline that keeps all requests in one FIFO queue until their deadline.
+type unboundedQueue struct{ scheduler }
 
-func (q queueAll) ask(now time.Duration, r turns.Request) []turns.Decision {
+func (q unboundedQueue) ask(now time.Duration, r turns.Request) []turns.Decision {
 	r.FirstTokenBudget, r.MaxWait = 0, 5*time.Second
 	r.Retry, r.Fingerprint = false, 0
-	return q.Submit(now, r, q.chance)
+	return q.Submit(now, r, q.random)
 }
 
-// fixedWait is the baseline that takes a usual time to the first part for that of all groups.
-type fixedWait struct{ scheduler }
+// fixedEstimate is a baseline that assumes the same time to the first token for all groups.
+type fixedEstimate struct{ scheduler }
 
-func (f fixedWait) ask(now time.Duration, r turns.Request) []turns.Decision {
+func (f fixedEstimate) ask(now time.Duration, r turns.Request) []turns.Decision {
 	if r.FirstTokenBudget > 0 {
 		r.MaxWait = r.FirstTokenBudget - 100*time.Millisecond
 		r.FirstTokenBudget = 0
 	}
-	return f.Submit(now, r, f.chance)
+	return f.Submit(now, r, f.random)
 }
 
-// returningAll is the baseline that takes every caller for one that comes again, as callers seem to be whose deadlines differ.
-type returningAll struct{ scheduler }
+// allRetries is a baseline that takes every request for a retry, as happens if retries are detected by the remaining
+// deadline while callers' deadlines differ.
+type allRetries struct{ scheduler }
 
-func (a returningAll) ask(now time.Duration, r turns.Request) []turns.Decision {
+func (a allRetries) ask(now time.Duration, r turns.Request) []turns.Decision {
 	r.FirstTokenBudget, r.MaxWait = 0, turns.MaxRetryWait
 	r.Retry = true
-	return a.Submit(now, r, a.chance)
+	return a.Submit(now, r, a.random)
 }
 
 type callerState struct {
 	key string
-	// fingerprint is that of its request, alike for all its tries.
+	// fingerprint identifies the request in all its attempts.
 	fingerprint uint64
-	born        time.Duration
-	tries       int
-	due         time.Duration // when it comes (again)
-	ends        time.Duration // when its turn ends
+	arrivedAt   time.Duration
+	attempts    int
+	nextAttempt time.Duration // time of the next attempt
+	endsAt      time.Duration // end of its turn
 	running     bool
 	resolved    bool
 }
@@ -102,10 +104,10 @@
 	tickTime = 10 * time.Millisecond
 )
 
-func (l *load) play(length time.Duration) {
+func (l *simulation) run(length time.Duration) {
 	callers := map[string]*callerState{}
 	var list []*callerState
-	settle := func(now time.Duration, decisions []turns.Decision) {
+	apply := func(now time.Duration, decisions []turns.Decision) {
 		for _, d := range decisions {
 			c := callers[d.Key]
 			if c == nil || c.resolved {
@@ -113,8 +115,8 @@
 			}
 			if d.Reason == turns.Granted {
 				c.running = true
-				c.ends = now + time.Duration(900+l.r.IntN(700))*time.Millisecond
-				first := now + l.first - c.born
+				c.endsAt = now + time.Duration(900+l.r.IntN(700))*time.Millisecond
+				first := now + l.firstToken - c.arrivedAt
 				c.resolved = true
 				switch {
 				case first <= l.objective:
@@ -126,44 +128,44 @@
 				}
 				continue
 			}
-			if c.tries >= 2 {
+			if c.attempts >= 2 {
 				c.resolved = true
 				l.lost++
 				continue
 			}
-			c.due = now + d.RetryAfter
+			c.nextAttempt = now + d.RetryAfter
 		}
 	}
 	current := -1
 	for now := time.Duration(0); now < length; now += tickTime {
-		if n := l.groups - l.lose(now); n != current {
+		if n := l.groups - l.lostGroups(now); n != current {
 			current = n
-			settle(now, l.decide.setGroups(now, n))
+			apply(now, l.strategy.setGroups(now, n))
 		}
 		for range int(l.perTick) + boolToInt(l.r.Float64() < l.perTick-float64(int(l.perTick))) {
-			l.asked++
-			c := &callerState{key: fmt.Sprint(l.asked), fingerprint: uint64(l.asked), born: now, due: now}
+			l.requests++
+			c := &callerState{key: fmt.Sprint(l.requests), fingerprint: uint64(l.requests), arrivedAt: now, nextAttempt: now}
 			callers[c.key] = c
 			list = append(list, c)
 		}
 		for _, c := range list {
-			if c.running && now >= c.ends {
+			if c.running && now >= c.endsAt {
 				c.running = false
-				settle(now, l.decide.done(now, c.key, l.first))
+				apply(now, l.strategy.done(now, c.key, l.firstToken))
 			}
-			if !c.resolved && !c.running && c.due <= now && c.due >= 0 {
-				c.due = -1
-				c.tries++
-				if c.tries > 1 {
-					l.repeated++
+			if !c.resolved && !c.running && c.nextAttempt <= now && c.nextAttempt >= 0 {
+				c.nextAttempt = -1
+				c.attempts++
+				if c.attempts > 1 {
+					l.retries++
 				}
 				due, patience := turns.WaitBounds(l.objective, 0, false)
-				settle(now, l.decide.ask(now, turns.Request{
+				apply(now, l.strategy.ask(now, turns.Request{
 					Key: c.key, Model: "m", FirstTokenBudget: due, MaxWait: patience, Fingerprint: c.fingerprint,
 				}))
 			}
 		}
-		settle(now, l.decide.tick(now))
+		apply(now, l.strategy.tick(now))
 		kept := list[:0]
 		for _, c := range list {
 			if !c.resolved || c.running {
@@ -181,35 +183,37 @@
 	return 0
 }
 
-// credit is what callers get: a whole one in time, a quarter late.
-func (l *load) credit() float64 { return (float64(l.inTime) + 0.25*float64(l.late)) / float64(l.asked) }
+// score is the mean credit per request: 1 for an answer in time, 0.25 for a late one.
+func (l *simulation) score() float64 {
+	return (float64(l.inTime) + 0.25*float64(l.late)) / float64(l.requests)
+}
 
-func play(plain bool, perTick float64, lose func(time.Duration) int) *load {
+func simulate(unbounded bool, perTick float64, lose func(time.Duration) int) *simulation {
 	r := rand.New(rand.NewPCG(3, 9))
-	s := scheduler{Scheduler: turns.New(turns.DefaultConfig()), slots: 26, chance: r.Float64}
-	l := &load{r: r, groups: 4, slots: 26, perTick: perTick, lose: lose, decide: s, first: 80 * time.Millisecond, objective: 200 * time.Millisecond}
-	if plain {
-		l.decide = queueAll{s}
+	s := scheduler{Scheduler: turns.New(turns.DefaultConfig()), slots: 26, random: r.Float64}
+	l := &simulation{r: r, groups: 4, slots: 26, perTick: perTick, lostGroups: lose, strategy: s, firstToken: 80 * time.Millisecond, objective: 200 * time.Millisecond}
+	if unbounded {
+		l.strategy = unboundedQueue{s}
 	}
-	l.play(30 * time.Second)
+	l.run(30 * time.Second)
 	return l
 }
 
-// playBy plays groups that need long for a first part, at a load of half as much again as they can take.
-func playBy(decide func(scheduler) decider) *load {
+// simulateSlowFirstToken simulates groups with a long time to the first token, at 1.5 times their capacity.
+func simulateSlowFirstToken(decide func(scheduler) strategy) *simulation {
 	r := rand.New(rand.NewPCG(3, 9))
-	l := &load{
-		r: r, groups: 4, slots: 26, perTick: 1.25, lose: func(time.Duration) int { return 0 },
-		first: 250 * time.Millisecond, objective: 400 * time.Millisecond,
+	l := &simulation{
+		r: r, groups: 4, slots: 26, perTick: 1.25, lostGroups: func(time.Duration) int { return 0 },
+		firstToken: 250 * time.Millisecond, objective: 400 * time.Millisecond,
 	}
-	l.decide = decide(scheduler{Scheduler: turns.New(turns.DefaultConfig()), slots: 26, chance: r.Float64})
-	l.play(30 * time.Second)
+	l.strategy = decide(scheduler{Scheduler: turns.New(turns.DefaultConfig()), slots: 26, random: r.Float64})
+	l.run(30 * time.Second)
 	return l
 }
 
 var _ = Describe("Callers under load", func() {
 	none := func(time.Duration) int { return 0 }
-	// Half of the groups are gone from 5 s to 20 s.
+	// Half of the groups are lost from 5 s to 20 s.
 	half := func(now time.Duration) int {
 		if now > 5*time.Second && now < 20*time.Second {
 			return 2
@@ -217,45 +221,47 @@
 		return 0
 	}
 
-	It("are all answered in time while there is room", func() {
-		l := play(false, 0.7, none)
-		Expect(l.credit()).To(BeNumerically(">", 0.99))
+	It("are all answered in time below capacity", func() {
+		l := simulate(false, 0.7, none)
+		Expect(l.score()).To(BeNumerically(">", 0.99))
 	})
 
-	// Requests come at half as much again as the groups can take. In a queue without a bound all wait for seconds, and all answers are late.
+	// The load is 1.5 times the capacity. In an unbounded queue all requests wait for seconds, and all answers are
+	// late.
 	It("are answered in time in proportion to the capacity at saturation", func() {
-		plain, bounded := play(true, 1.25, none), play(false, 1.25, none)
-		GinkgoWriter.Printf("saturation: plain %.3f, bounded %.3f\n", plain.credit(), bounded.credit())
-		Expect(bounded.credit()).To(BeNumerically(">", 0.6))
-		Expect(bounded.credit()).To(BeNumerically(">", 2*plain.credit()))
+		unbounded, scheduled := simulate(true, 1.25, none), simulate(false, 1.25, none)
+		GinkgoWriter.Printf("saturation: unbounded %.3f, scheduler %.3f\n", unbounded.score(), scheduled.score())
+		Expect(scheduled.score()).To(BeNumerically(">", 0.6))
+		Expect(scheduled.score()).To(BeNumerically(">", 2*unbounded.score()))
 	})
 
-	// Half of the groups are lost for 15 s. With a queue the lateness stays for as long as the queue needs to empty, which the load of
-	// those that come again makes longer.
-	It("are served again within seconds once the groups are back", func() {
-		plain, bounded := play(true, 0.75, half), play(false, 0.75, half)
-		GinkgoWriter.Printf("half lost: plain %.3f, bounded %.3f\n", plain.credit(), bounded.credit())
-		Expect(bounded.credit()).To(BeNumerically(">", 0.75))
-		Expect(bounded.credit()).To(BeNumerically(">", 1.3*plain.credit()))
+	// Half of the groups are lost for 15 s. An unbounded queue keeps answers late until it has drained, which the
+	// retries prolong.
+	It("are answered in time again within seconds after the groups return", func() {
+		unbounded, scheduled := simulate(true, 0.75, half), simulate(false, 0.75, half)
+		GinkgoWriter.Printf("half lost: unbounded %.3f, scheduler %.3f\n", unbounded.score(), scheduled.score())
+		Expect(scheduled.score()).To(BeNumerically(">", 0.75))
+		Expect(scheduled.score()).To(BeNumerically(">", 1.3*unbounded.score()))
 	})
 })
 
-var _ = Describe("Callers of groups that need long for a first part", func() {
-	// Long prompts come at half as much again as the groups can read. Each request waits until a usual first part would just be in time; this one
-	// takes twice as long, and every answer is late.
-	It("are turned away sooner, so that those who are served are served in time", func() {
-		fixed := playBy(func(s scheduler) decider { return fixedWait{s} })
-		learned := playBy(func(s scheduler) decider { return s })
-		GinkgoWriter.Printf("long first parts: fixed %.3f, learned %.3f\n", fixed.credit(), learned.credit())
-		Expect(learned.credit()).To(BeNumerically(">", 1.5*fixed.credit()))
+var _ = Describe("Callers of groups with a long time to the first token", func() {
+	// Long prompts arrive at 1.5 times the rate that the groups can prefill. With a fixed estimate, each request
+	// waits until a typical time to the first token would just be in time; the actual time is twice as long, so every
+	// answer is late.
+	It("are rejected earlier, so that those who are served are served in time", func() {
+		fixed := simulateSlowFirstToken(func(s scheduler) strategy { return fixedEstimate{s} })
+		measured := simulateSlowFirstToken(func(s scheduler) strategy { return s })
+		GinkgoWriter.Printf("long time to first token: fixed estimate %.3f, measured %.3f\n", fixed.score(), measured.score())
+		Expect(measured.score()).To(BeNumerically(">", 1.5*fixed.score()))
 	})
 
-	// Callers differ in how long they wait, and those who wait for less than usual look as if they had been turned away before. All wait for
-	// 0.6 s, and all answers are late.
-	It("are known as coming again by their request, not by the time they have left", func() {
-		taken := playBy(func(s scheduler) decider { return returningAll{s} })
-		known := playBy(func(s scheduler) decider { return s })
-		GinkgoWriter.Printf("callers that come again: all taken for such %.3f, known %.3f\n", taken.credit(), known.credit())
-		Expect(known.credit()).To(BeNumerically(">", 1.5*taken.credit()))
+	// Deadlines differ between callers, and a caller with a shorter one than usual looks like a retry. Taken for
+	// retries, all requests wait for 0.6 s, and all answers are late.
+	It("are detected as retries by the fingerprint, not by the remaining deadline", func() {
+		allTaken := simulateSlowFirstToken(func(s scheduler) strategy { return allRetries{s} })
+		fingerprinted := simulateSlowFirstToken(func(s scheduler) strategy { return s })
+		GinkgoWriter.Printf("retries: all requests taken for retries %.3f, by fingerprint %.3f\n", allTaken.score(), fingerprinted.score())
+		Expect(fingerprinted.score()).To(BeNumerically(">", 1.5*allTaken.score()))
 	})
 })
--- a/policy/turns/patience.go
+++ b/policy/turns/patience.go
@@ -3,48 +3,53 @@
 import "time"
 
 const (
-	// usualFirst stands for what a group needs from the turn to the first part of the answer, until it is known.
-	usualFirst = 100 * time.Millisecond
-	// callerWay is what the way from the caller to the entry and back takes; no entry can measure it.
-	callerWay = 15 * time.Millisecond
-	// leastPatience lets a request wait for the next place even where its objective leaves no time.
-	leastPatience = 25 * time.Millisecond
-	// MaxRetryWait is that of a caller that comes again, whose answer is late in any case; turned away once more, it would get none.
+	// initialFirstToken is the assumed time from the grant of a turn to the first token until it has been measured.
+	initialFirstToken = 100 * time.Millisecond
+	// callerRTT is the assumed round-trip time between caller and entry, which an entry can't measure.
+	callerRTT = 15 * time.Millisecond
+	// minWait is how long a request may wait for a slot even if its objective leaves no time.
+	minWait = 25 * time.Millisecond
+	// MaxRetryWait is the longest wait of a retried request. Its answer is late in any case; rejected once more, it
+	// would get none.
 	MaxRetryWait = 600 * time.Millisecond
 )
 
-// WaitBounds returns when the first part of an answer is due, and how long the request may wait for its turn at most. returning says that the
-// request was sent before: then nothing is due any more, and due is 0.
-func WaitBounds(objective, elapsed time.Duration, returning bool) (due, patience time.Duration) {
-	if returning {
+// WaitBounds returns the time left until the first token is due, and the longest time that the request may wait for
+// its turn. A request that was sent before (retry) has missed its objective already: its firstTokenBudget is 0, which
+// means none.
+func WaitBounds(objective, elapsed time.Duration, retry bool) (firstTokenBudget, maxWait time.Duration) {
+	if retry {
 		return 0, MaxRetryWait
 	}
-	due = max(leastPatience, objective-elapsed-callerWay)
-	return due, due
+	firstTokenBudget = max(minWait, objective-elapsed-callerRTT)
+	return firstTokenBudget, firstTokenBudget
 }
 
-// patience is how long a request may wait for its turn: until its first part would come too late. Groups that are nearly full take several
-// times as long for a first part as others; requests that wait without regard to that are all served, and all late.
-func (m *model) patience(r Request) time.Duration {
+// maxWait returns how long a request may wait for its turn before its first token would miss the objective. Nearly
+// full groups take several times as long to the first token as others; if the wait ignored that, all waiting requests
+// would be served, and all of them late.
+func (m *modelQueue) maxWait(r Request) time.Duration {
 	if r.FirstTokenBudget == 0 {
 		return r.MaxWait
 	}
-	return min(r.MaxWait, max(leastPatience, r.FirstTokenBudget-m.first.bound()))
+	return min(r.MaxWait, max(minWait, r.FirstTokenBudget-m.firstToken.upperBound()))
 }
 
-// estimate is what is known of a time that varies.
+// estimate tracks the moving average and the mean absolute deviation of a duration.
 type estimate struct {
 	mean, deviation time.Duration
 }
 
-// bound is what most times stay below.
-func (e estimate) bound() time.Duration { return e.mean + e.deviation }
+// upperBound returns a value that most durations stay below.
+func (e estimate) upperBound() time.Duration { return e.mean + e.deviation }
 
-// mostNews is how many times the bound a single time may count as: one that stood still says nothing of the others.
-const mostNews = 3
+// outlierFactor caps a single measurement at this multiple of upperBound: one stalled request says nothing about the
+// others.
+const outlierFactor = 3
 
-func (e *estimate) learn(took time.Duration) {
-	off := min(took, mostNews*e.bound()) - e.mean
-	e.deviation = learned(e.deviation, max(off, -off))
-	e.mean = learned(e.mean, e.mean+off)
+// update adds a measurement.
+func (e *estimate) update(value time.Duration) {
+	diff := min(value, outlierFactor*e.upperBound()) - e.mean
+	e.deviation = ewma(e.deviation, max(diff, -diff))
+	e.mean = ewma(e.mean, e.mean+diff)
 }
--- a/policy/turns/reading_test.go
+++ b/policy/turns/reading_test.go
@@ -13,12 +13,12 @@
 	"github.com/skylarkpond/skylarkpond/policy/turns"
 )
 
-// reader is a group that reads the prompts of its requests one after the other; a long one holds up all behind it.
-type reader struct{ until time.Duration }
+// prefillQueue models a group that prefills prompts one after the other; a long prompt delays all behind it.
+type prefillQueue struct{ until time.Duration }
 
-// readers plays requests with prompts of many sizes before groups whose engines take the given times, and returns the part of the first parts that
-// come in time.
-func readers(engine capacity.Engine) float64 {
+// simulatePrefill sends prompts of many lengths to groups whose engines have the given times, and returns the share
+// of first tokens that are in time.
+func simulatePrefill(engine capacity.Engine) float64 {
 	const (
 		groupCount = 5
 		perSecond  = 80
@@ -32,9 +32,9 @@
 		list[i].Engine = engine
 	}
 	s.SetGroups(0, list, r.Float64)
-	played := make(map[string]*reader)
+	played := make(map[string]*prefillQueue)
 	for _, g := range list {
-		played[g.Head] = &reader{}
+		played[g.Head] = &prefillQueue{}
 	}
 	running := map[string]time.Duration{}
 	good, asked := 0, 0
@@ -42,7 +42,7 @@
 		for key, ends := range running {
 			if now >= ends {
 				delete(running, key)
-				s.Done(now, key, whole, r.Float64)
+				s.Done(now, key, completed, r.Float64)
 			}
 		}
 		if r.Float64() >= perSecond*time.Millisecond.Seconds() {
@@ -56,7 +56,7 @@
 			continue
 		}
 		g := played[decisions[0].Head]
-		g.until = max(now, g.until) + time.Duration(prompt/30_000*float64(time.Second)) // half of its time goes to writing
+		g.until = max(now, g.until) + time.Duration(prompt/30_000*float64(time.Second)) // half of the engine's time goes to decoding
 		if g.until+pass-now <= inTime {
 			good++
 		}
@@ -65,13 +65,14 @@
 	return float64(good) / float64(asked)
 }
 
-var _ = Describe("Prompts of many sizes", func() {
-	// Prompts of 200 to 6,000 tokens come at nearly what the groups can read. The group with the fewest requests is often the one that has got a very long
-	// prompt to read, and those who are sent there wait behind it although another group has nothing to read.
-	It("go to the group that will have read what it has soonest", func() {
+var _ = Describe("Prompts of many lengths", func() {
+	// Prompts of 200 to 6,000 tokens arrive at nearly the rate that the groups can prefill. The group with the fewest
+	// requests is often one that has a very long prompt to prefill, and requests sent there wait behind it although
+	// another group has none.
+	It("go to the group that will finish its prefill soonest", func() {
 		known := capacity.Engine{Slots: 48, Step: 6450 * time.Microsecond, PerSequence: 97 * time.Microsecond, Stride: 5, ReadPerSecond: 30_000, Pace: 1}
-		fewest, soonest := readers(capacity.Engine{Slots: 48}), readers(known)
-		GinkgoWriter.Printf("in time: fewest requests %.3f, soonest read %.3f\n", fewest, soonest)
+		fewest, soonest := simulatePrefill(capacity.Engine{Slots: 48}), simulatePrefill(known)
+		GinkgoWriter.Printf("in time: fewest requests %.3f, earliest prefill %.3f\n", fewest, soonest)
 		Expect(1 - soonest).To(BeNumerically("<", 0.7*(1-fewest)))
 	})
 })
--- a/policy/turns/returning.go
+++ b/policy/turns/returning.go
@@ -5,21 +5,23 @@
 	"time"
 )
 
-// returnsWithin is how long a request that was turned away may take to come again: callers wait as they are told, and some a little longer.
-const returnsWithin = 8 * time.Second
+// retryWindow is how long after its rejection a request still counts as a retry. Callers wait as long as Retry-After
+// tells them, and some a little longer.
+const retryWindow = 8 * time.Second
 
-// recognise tells a caller that comes again from others. How long it will still wait does not tell: callers differ by more in that than the time
-// for which they were sent away, and taken for ones that come again, all would wait until their answers are late.
-func (s *Scheduler) recognise(now time.Duration, request Request) Request {
-	at, refused := s.refused[request.Fingerprint]
-	if !refused || request.Fingerprint == 0 || now-at > returnsWithin {
+// markRetry marks a request as a retry if its fingerprint was rejected within retryWindow. The caller's remaining
+// deadline can't be used to detect this: deadlines differ between callers by more than the Retry-After delay, and if
+// all requests were taken for retries, all would wait until their answers are late.
+func (s *Scheduler) markRetry(now time.Duration, request Request) Request {
+	at, refused := s.rejectedAt[request.Fingerprint]
+	if !refused || request.Fingerprint == 0 || now-at > retryWindow {
 		return request
 	}
 	request.Retry, request.FirstTokenBudget, request.MaxWait = true, 0, MaxRetryWait
 	return request
 }
 
-// forgetRefused drops the requests that will not come again.
-func (s *Scheduler) forgetRefused(now time.Duration) {
-	maps.DeleteFunc(s.refused, func(_ uint64, at time.Duration) bool { return now-at > returnsWithin })
+// expireRejected removes the rejections that are older than retryWindow.
+func (s *Scheduler) expireRejected(now time.Duration) {
+	maps.DeleteFunc(s.rejectedAt, func(_ uint64, at time.Duration) bool { return now-at > retryWindow })
 }
--- a/policy/turns/turns.go
+++ b/policy/turns/turns.go
@@ -1,17 +1,22 @@
-// Package turns decides which request is sent to which group, which ones wait, and which are turned away.
+// Package turns schedules requests onto groups: it decides which group serves a request, which requests wait, and
+// which are rejected.
 //
-// Load pattern: many entries before few groups, of which some are lost every few seconds. Each entry alone sees a small part of the
-// requests, and load reports are late. At the worst, the groups that stand can't serve all that come, and callers come again.
+// Load pattern: many entries send requests to few groups, and some groups are lost every few seconds. Each entry sees
+// only a small part of the requests, and load reports arrive late. In the worst case the available groups can't serve
+// the offered load, and rejected callers retry.
 //
-// What goes wrong without it: entries that choose by what they see pick the same group at once (the busiest had six times the mean), and
-// requests wait in that group's engine behind others whose callers will be gone. All are served, but late; a caller who is
-// turned away late comes again late. A fixed limit for each entry is far too loose or far too tight.
+// Without central scheduling, entries that choose by their own view pick the same group at the same time (the busiest
+// group had six times the mean load), and requests queue inside that group's engine behind others whose callers will
+// have given up. All are served, but late, and a caller that is rejected late retries late. A fixed limit per entry
+// is far too loose or far too tight.
 //
-// So one entry counts what runs on each group, and gives turns: to the group with the largest share of free places; in the order of arrival
-// when there is none; and no turn to a request whose turn would come too late. That one is turned away at once, while its caller can still
-// come back, and it is told when there will be room.
+// Therefore a single entry counts the requests in progress on each group and grants turns. A turn is the permission
+// to send one request to one group; it lasts until the request ends. A turn is granted at the group that is expected
+// to answer soonest or, where that is equal or unknown, has the largest share of free slots. When no slot is free,
+// requests wait in order of arrival. A request whose turn would come too late is rejected at once, while its caller
+// can still retry, and is told when a slot is expected to be free.
 //
-// Time is a duration since any fixed moment. A Scheduler is not safe for concurrent use.
+// Times are durations since an arbitrary fixed moment. A Scheduler is not safe for concurrent use.
 package turns
 
 import (
@@ -23,81 +28,83 @@
 	"github.com/skylarkpond/skylarkpond/policy/capacity"
 )
 
-// Group is one replica that takes requests.
+// Group is one replica that serves requests.
 type Group struct {
-	// Head names the group's head.
+	// Head identifies the group by its head.
 	Head  string
 	Model string
-	// Engine is what it takes for its work. Its times are 0 where they are not known; its places always are.
+	// Engine describes the performance of the group. Its times are 0 where unknown; Slots is always set.
 	Engine capacity.Engine
 }
 
-// Request is one request that wants a turn.
+// Request is a request for a turn.
 type Request struct {
 	// Key is unique among the requests that wait or run.
 	Key   string
 	Model string
-	// FirstTokenBudget is when the first part of its answer is to be there, from now on; 0 where nothing is lost by waiting longer.
+	// FirstTokenBudget is the time left until the first token is due; 0 if waiting longer makes no difference.
 	FirstTokenBudget time.Duration
-	// MaxWait is how long it may wait for its turn at most.
+	// MaxWait is the longest time that the request may wait for its turn.
 	MaxWait time.Duration
-	// Priority is 0 for the most urgent.
+	// Priority is 0 for the most urgent requests.
 	Priority int
-	// Fingerprint is alike for all tries of one request; 0 if there is none.
+	// Fingerprint is the same for all attempts of one request; 0 if there is none.
 	Fingerprint uint64
-	// Retry says that the request was sent before, or that its caller was turned away, which the scheduler knows by the fingerprint. Its
-	// answer is late in any case, so it gives way to requests of its priority that can still be answered in time: were it the other way round, every request would be turned
-	// away once and then answered late.
+	// Retry is set if the request was sent before, or if its caller was rejected, which the scheduler detects by the
+	// fingerprint. The answer of a retry is late in any case, so it yields to requests of the same priority that can
+	// still be answered in time. Otherwise every request would be rejected once and then answered late.
 	Retry bool
-	// TriedHeads are the heads that it was sent to.
+	// TriedHeads are the heads of the groups that the request was already sent to.
 	TriedHeads []string
-	// Size is what it asks for.
+	// Size is the number of tokens that the request needs.
 	Size capacity.Work
 }
 
-// Reason says why a request is turned away.
+// Reason says why a request is rejected.
 type Reason uint8
 
 // The reasons.
 const (
-	// Granted: it is not.
+	// Granted means that the request is not rejected.
 	Granted Reason = iota
-	// NoGroup: no group of the model stands.
+	// NoGroup means that no group of the model is available.
 	NoGroup
-	// TooLate: its turn would come too late.
+	// TooLate means that the turn would come too late.
 	TooLate
-	// TriedAll: it was sent to every group that stands.
+	// TriedAll means that the request was already sent to every available group.
 	TriedAll
 )
 
-// Decision is what becomes of a request.
+// Decision is the result for one request: a turn at Head, or a rejection.
 type Decision struct {
 	Key    string
 	Head   string
 	Reason Reason
-	// RetryAfter is when there will be room, for a request that is turned away.
+	// RetryAfter is, for a rejected request, when a slot is expected to be free.
 	RetryAfter time.Duration
-	// Running and Waiting are what the decision was made from: requests of the model that run and wait.
+	// Running, Waiting and Slots are the state of the model that a rejection was based on: requests in progress,
+	// requests queued, and slots.
 	Running, Waiting, Slots int
 }
 
-// Config holds the thresholds.
+// Config holds the thresholds of a Scheduler.
 type Config struct {
-	// Overcommit is how many requests a group is given beyond its places. The engine then always has one to begin with when
-	// a place comes free, which saves it the way to here and back (some ms).
+	// Overcommit is the number of requests sent to a group beyond its slots. The engine then always has a request to
+	// start when a slot becomes free, which saves the round trip to the scheduler (some ms).
 	Overcommit int
-	// InitialTurnTime is the time that a request takes until the first ones have ended.
+	// InitialTurnTime is the assumed duration of a turn until the first requests have ended.
 	InitialTurnTime time.Duration
-	// MinRetryAfter is the shortest time to come back after; RetryAfterJitter is added by chance, so that callers that were turned away
-	// together do not come together.
+	// MinRetryAfter is the shortest delay before a retry. A random part of RetryAfterJitter is added, so that callers
+	// that were rejected together do not retry together.
 	MinRetryAfter, RetryAfterJitter time.Duration
-	// GroupFormationTime is when groups that are being formed will stand, for callers of a model without any.
+	// GroupFormationTime is the expected time until groups that are being formed are available, for callers of a
+	// model that has none.
 	GroupFormationTime time.Duration
-	// SuspectDuration is how long a group that keeps silent gets no turns.
+	// SuspectDuration is how long a silent group is granted no turns.
 	SuspectDuration time.Duration
 }
 
-// DefaultConfig returns the thresholds in use.
+// DefaultConfig returns the default thresholds.
 func DefaultConfig() Config {
 	return Config{
 		Overcommit: 1, InitialTurnTime: 1500 * time.Millisecond,
@@ -106,62 +113,63 @@
 	}
 }
 
-// Scheduler gives turns.
+// Scheduler grants turns.
 type Scheduler struct {
 	config Config
 	groups map[string]*group
-	models map[string]*model
-	// running holds the turns given, by key.
-	running map[string]turn
-	// refused holds when requests were turned away, by fingerprint.
-	refused map[uint64]time.Duration
+	models map[string]*modelQueue
+	// turns holds the granted turns by key.
+	turns map[string]turn
+	// rejectedAt holds the time of each rejection by fingerprint.
+	rejectedAt map[uint64]time.Duration
 }
 
 type group struct {
 	Group
 	running int
-	// suspect is until when it gets no turns.
-	suspect time.Duration
-	// readTo is when it will have read the prompts that it was given.
-	readTo time.Duration
-	// gone: it stands no more; it is kept while turns are out.
-	gone bool
+	// suspectUntil is the time until which the group is granted no turns.
+	suspectUntil time.Duration
+	// prefillDoneAt is when the group is expected to have prefilled the prompts assigned to it.
+	prefillDoneAt time.Duration
+	// removed marks a group that is no longer available; it is kept while turns on it are outstanding.
+	removed bool
 }
 
 type turn struct {
-	head  string
-	since time.Duration
+	head      string
+	grantedAt time.Duration
 }
 
-// model is the queue of one model's requests.
-type model struct {
-	waiting []waiter
-	// took is the mean time of a turn, first what passes from the turn to the first part of the answer.
-	took  time.Duration
-	first estimate
-	// asked, granted and refused count since the last Demands; fresh are those of callers that were not turned away before, and work is
-	// what these asked for.
-	asked, granted, refused, fresh int
-	work                           capacity.Work
+// modelQueue is the queue of requests for one model.
+type modelQueue struct {
+	queue []queuedRequest
+	// meanTurnTime is the moving average of the duration of a turn; firstToken estimates the time from the grant of a
+	// turn to the first token.
+	meanTurnTime time.Duration
+	firstToken   estimate
+	// requests, granted and rejected are counted since the last call of Demands. newRequests counts those whose
+	// caller was not rejected before, and totalSize sums their sizes.
+	requests, granted, rejected, newRequests int
+	totalSize                                capacity.Work
 }
 
-type waiter struct {
+type queuedRequest struct {
 	Request
-	since time.Duration
+	enqueuedAt time.Duration
 }
 
-// New returns a scheduler without groups.
+// New returns a Scheduler without groups.
 func New(config Config) *Scheduler {
 	return &Scheduler{
-		config: config, groups: make(map[string]*group), models: make(map[string]*model), running: make(map[string]turn),
-		refused: make(map[uint64]time.Duration),
+		config: config, groups: make(map[string]*group), models: make(map[string]*modelQueue), turns: make(map[string]turn),
+		rejectedAt: make(map[uint64]time.Duration),
 	}
 }
 
-// SetGroups says which groups take requests now, and returns the turns that this makes possible.
-func (s *Scheduler) SetGroups(now time.Duration, groups []Group, chance func() float64) []Decision {
+// SetGroups sets the available groups and returns the decisions that this makes possible.
+func (s *Scheduler) SetGroups(now time.Duration, groups []Group, random func() float64) []Decision {
 	for _, g := range s.groups {
-		g.gone = true
+		g.removed = true
 	}
 	for _, g := range groups {
 		held := s.groups[g.Head]
@@ -170,276 +178,282 @@
 			s.groups[g.Head] = held
 		}
 		held.Group = g
-		held.gone = false
+		held.removed = false
 	}
 	for head, g := range s.groups {
-		if g.gone && g.running == 0 {
+		if g.removed && g.running == 0 {
 			delete(s.groups, head)
 		}
 	}
-	return s.serveAll(now, chance)
+	return s.serveQueues(now, random)
 }
 
-func (s *Scheduler) model(name string) *model {
+func (s *Scheduler) model(name string) *modelQueue {
 	m := s.models[name]
 	if m == nil {
-		m = &model{took: s.config.InitialTurnTime, first: estimate{mean: usualFirst}}
+		m = &modelQueue{meanTurnTime: s.config.InitialTurnTime, firstToken: estimate{mean: initialFirstToken}}
 		s.models[name] = m
 	}
 	return m
 }
 
-// Submit decides on a request. No decision means that it waits.
-func (s *Scheduler) Submit(now time.Duration, request Request, chance func() float64) []Decision {
+// Submit decides on a request. If the result holds no decision for it, the request waits.
+func (s *Scheduler) Submit(now time.Duration, request Request, random func() float64) []Decision {
 	m := s.model(request.Model)
-	request = s.recognise(now, request)
-	m.note(request)
-	if head := s.best(now, request); head != nil && len(m.waiting) == 0 {
-		return []Decision{s.grant(now, head, request.Key, request.Size)}
+	request = s.markRetry(now, request)
+	m.countRequest(request)
+	if g := s.bestGroup(now, request); g != nil && len(m.queue) == 0 {
+		return []Decision{s.grant(now, g, request.Key, request.Size)}
 	}
-	if why := s.hopeless(request); why != Granted {
-		return []Decision{s.refuse(now, request, why, chance)}
+	if reason := s.unservable(request); reason != Granted {
+		return []Decision{s.reject(now, request, reason, random)}
 	}
-	if s.expectedWait(request.Model, s.ahead(m, request)) > m.patience(request) {
-		return []Decision{s.refuse(now, request, TooLate, chance)}
+	if s.expectedWait(request.Model, s.queuedAhead(m, request)) > m.maxWait(request) {
+		return []Decision{s.reject(now, request, TooLate, random)}
 	}
-	m.insert(waiter{Request: request, since: now})
-	return s.serve(now, request.Model, chance)
+	m.enqueue(queuedRequest{Request: request, enqueuedAt: now})
+	return s.serveQueue(now, request.Model, random)
 }
 
-// before says whether a request goes before another that came earlier.
-func (r Request) before(other Request) bool {
+// precedes reports whether r is served before other, which arrived earlier.
+func (r Request) precedes(other Request) bool {
 	if r.Priority != other.Priority {
 		return r.Priority < other.Priority
 	}
 	return !r.Retry && other.Retry
 }
 
-// insert keeps the order of priority, of those that were not turned away yet, then of arrival.
-func (m *model) insert(w waiter) {
-	i := len(m.waiting)
-	for i > 0 && w.before(m.waiting[i-1].Request) {
+// enqueue inserts a request into the queue, which is ordered by priority, then new requests before retries, then
+// arrival.
+func (m *modelQueue) enqueue(w queuedRequest) {
+	i := len(m.queue)
+	for i > 0 && w.precedes(m.queue[i-1].Request) {
 		i--
 	}
-	m.waiting = slices.Insert(m.waiting, i, w)
+	m.queue = slices.Insert(m.queue, i, w)
 }
 
-func (s *Scheduler) ahead(m *model, request Request) int {
+// queuedAhead counts the queued requests that are served before request.
+func (s *Scheduler) queuedAhead(m *modelQueue, request Request) int {
 	n := 0
-	for _, w := range m.waiting {
-		if !request.before(w.Request) {
+	for _, w := range m.queue {
+		if !request.precedes(w.Request) {
 			n++
 		}
 	}
 	return n
 }
 
-// hopeless says why no turn can come: no group stands, or none that was not tried.
-func (s *Scheduler) hopeless(request Request) Reason {
-	why := NoGroup
+// unservable returns why the request can't be granted a turn at all (no group is available, or all were tried), or
+// Granted if it can.
+func (s *Scheduler) unservable(request Request) Reason {
+	reason := NoGroup
 	for _, g := range s.groups {
-		if g.gone || g.Model != request.Model {
+		if g.removed || g.Model != request.Model {
 			continue
 		}
 		if !slices.Contains(request.TriedHeads, g.Head) {
 			return Granted
 		}
-		why = TriedAll
+		reason = TriedAll
 	}
-	return why
+	return reason
 }
 
-// expectedWait is how long a request waits behind others: places come free at the rate at which turns end.
+// expectedWait estimates how long a request waits behind others: slots become free at the rate at which turns end.
 func (s *Scheduler) expectedWait(name string, ahead int) time.Duration {
-	_, places := s.places(name)
-	if places == 0 {
+	_, slots := s.slots(name)
+	if slots == 0 {
 		return s.config.GroupFormationTime
 	}
-	return time.Duration(ahead+1) * s.model(name).took / time.Duration(places)
+	return time.Duration(ahead+1) * s.model(name).meanTurnTime / time.Duration(slots)
 }
 
-// places returns how many requests run on the groups of a model that stand, and how many they can run.
-func (s *Scheduler) places(name string) (running, places int) {
+// slots returns the number of running requests and of slots over the available groups of a model.
+func (s *Scheduler) slots(name string) (running, slots int) {
 	for _, g := range s.groups {
-		if !g.gone && g.Model == name {
+		if !g.removed && g.Model == name {
 			running += g.running
-			places += g.Engine.Slots
+			slots += g.Engine.Slots
 		}
 	}
-	return running, places
+	return running, slots
 }
 
-func (s *Scheduler) grant(now time.Duration, g *group, key string, work capacity.Work) Decision {
+func (s *Scheduler) grant(now time.Duration, g *group, key string, size capacity.Work) Decision {
 	g.running++
-	g.readTo = max(now, g.readTo) + g.Engine.Read(work.Prompt)
+	g.prefillDoneAt = max(now, g.prefillDoneAt) + g.Engine.Read(size.Prompt)
 	s.model(g.Model).granted++
-	s.running[key] = turn{head: g.Head, since: now}
+	s.turns[key] = turn{head: g.Head, grantedAt: now}
 	return Decision{Key: key, Head: g.Head}
 }
 
-func (s *Scheduler) refuse(now time.Duration, request Request, why Reason, chance func() float64) Decision {
-	s.refused[request.Fingerprint] = now
-	s.model(request.Model).refused++
-	d := Decision{Key: request.Key, Reason: why}
-	d.Running, d.Slots = s.places(request.Model)
-	d.Waiting = len(s.model(request.Model).waiting)
-	spread := time.Duration(chance() * float64(s.config.RetryAfterJitter))
-	switch why {
+func (s *Scheduler) reject(now time.Duration, request Request, reason Reason, random func() float64) Decision {
+	s.rejectedAt[request.Fingerprint] = now
+	s.model(request.Model).rejected++
+	d := Decision{Key: request.Key, Reason: reason}
+	d.Running, d.Slots = s.slots(request.Model)
+	d.Waiting = len(s.model(request.Model).queue)
+	jitter := time.Duration(random() * float64(s.config.RetryAfterJitter))
+	switch reason {
 	case NoGroup, TriedAll:
-		d.RetryAfter = s.config.GroupFormationTime + spread
+		d.RetryAfter = s.config.GroupFormationTime + jitter
 	default:
-		d.RetryAfter = max(s.config.MinRetryAfter, s.expectedWait(request.Model, d.Waiting)) + spread
+		d.RetryAfter = max(s.config.MinRetryAfter, s.expectedWait(request.Model, d.Waiting)) + jitter
 	}
 	return d
 }
 
-// End is how a turn ended.
+// End describes how a turn ended.
 type End struct {
-	// Complete says that the answer was given to its end, so that its time tells how long turns take.
+	// Complete is set if the full answer was delivered, so that the duration counts towards the mean duration of a
+	// turn.
 	Complete bool
-	// FirstToken is what passed from the turn to the first part of the answer; 0 if none came.
+	// FirstToken is the time from the grant of the turn to the first token; 0 if none came.
 	FirstToken time.Duration
 }
 
-// Done ends a turn, and returns the turns that this makes possible.
-func (s *Scheduler) Done(now time.Duration, key string, end End, chance func() float64) []Decision {
-	t, ok := s.running[key]
+// Done ends a turn, or removes a waiting request, and returns the decisions that this makes possible.
+func (s *Scheduler) Done(now time.Duration, key string, end End, random func() float64) []Decision {
+	t, ok := s.turns[key]
 	if !ok {
-		s.withdraw(key)
+		s.dequeue(key)
 		return nil
 	}
-	g := s.end(key)
+	g := s.release(key)
 	if g == nil || g.Model == "" {
-		return nil // an earlier scheduler gave the turn, and the group has not been listed since
+		return nil // the turn was granted by a previous scheduler, and the group has not been listed since
 	}
 	m := s.model(g.Model)
 	if end.Complete {
-		m.took = learned(m.took, now-t.since)
+		m.meanTurnTime = ewma(m.meanTurnTime, now-t.grantedAt)
 	}
 	if end.FirstToken > 0 {
-		m.first.learn(end.FirstToken)
+		m.firstToken.update(end.FirstToken)
 	}
-	return s.serve(now, g.Model, chance)
+	return s.serveQueue(now, g.Model, random)
 }
 
-// learnShare is the weight of the latest time in a mean.
-const learnShare = 0.02
+// ewmaWeight is the weight of the latest value in a moving average.
+const ewmaWeight = 0.02
 
-// learned is the mean with one more time in it.
-func learned(mean, took time.Duration) time.Duration {
-	return mean + time.Duration(learnShare*float64(took-mean))
+// ewma returns the exponentially weighted moving average after one more value.
+func ewma(mean, value time.Duration) time.Duration {
+	return mean + time.Duration(ewmaWeight*float64(value-mean))
 }
 
-// Forget ends all turns, and takes back all requests, whose keys begin with prefix.
-func (s *Scheduler) Forget(now time.Duration, prefix string, chance func() float64) []Decision {
-	return s.Reconcile(now, prefix, nil, chance)
+// Forget ends all turns and removes all waiting requests whose keys begin with prefix.
+func (s *Scheduler) Forget(now time.Duration, prefix string, random func() float64) []Decision {
+	return s.Reconcile(now, prefix, nil, random)
 }
 
-// Reconcile sets what runs of the requests whose keys begin with prefix: held names their heads. Turns that are not among them have ended,
-// those that are not known were given by another scheduler, and requests that wait are taken back. Without it, a turn that ends while
-// its entry has no link to the scheduler counts for ever: the scheduler sees full groups where nothing runs, and turns callers away.
-func (s *Scheduler) Reconcile(now time.Duration, prefix string, held map[string]string, chance func() float64) []Decision {
-	for key := range s.running {
+// Reconcile replaces the turns whose keys begin with prefix by held, which maps the keys of requests in progress to
+// their heads. Turns that are not in held have ended, those that the scheduler does not know were granted by another
+// scheduler, and waiting requests with the prefix are removed. Without it, a turn that ends while its entry has no
+// connection to the scheduler would be counted forever: the scheduler would take idle groups for full and reject
+// callers.
+func (s *Scheduler) Reconcile(now time.Duration, prefix string, held map[string]string, random func() float64) []Decision {
+	for key := range s.turns {
 		if _, runs := held[key]; strings.HasPrefix(key, prefix) && !runs {
-			s.end(key)
+			s.release(key)
 		}
 	}
 	for _, m := range s.models {
-		m.waiting = slices.DeleteFunc(m.waiting, func(w waiter) bool { return strings.HasPrefix(w.Key, prefix) })
+		m.queue = slices.DeleteFunc(m.queue, func(w queuedRequest) bool { return strings.HasPrefix(w.Key, prefix) })
 	}
 	for key, head := range held {
 		s.adopt(now, key, head)
 	}
-	return s.serveAll(now, chance)
+	return s.serveQueues(now, random)
 }
 
-// end takes a turn out, and returns the group that it was at, or nil if that is not known.
-func (s *Scheduler) end(key string) *group {
-	head := s.running[key].head
-	delete(s.running, key)
+// release removes a turn and returns its group, or nil if the group is unknown.
+func (s *Scheduler) release(key string) *group {
+	head := s.turns[key].head
+	delete(s.turns, key)
 	g := s.groups[head]
 	if g == nil {
 		return nil
 	}
 	g.running--
-	if g.gone && g.running == 0 {
+	if g.removed && g.running == 0 {
 		delete(s.groups, head)
 	}
 	return g
 }
 
-// adopt notes a turn that another scheduler gave.
+// adopt records a turn that was granted by another scheduler.
 func (s *Scheduler) adopt(now time.Duration, key, head string) {
-	if _, ok := s.running[key]; ok {
+	if _, ok := s.turns[key]; ok {
 		return
 	}
 	g := s.groups[head]
 	if g == nil {
-		g = &group{Group: Group{Head: head}, gone: true}
+		g = &group{Group: Group{Head: head}, removed: true}
 		s.groups[head] = g
 	}
 	g.running++
-	s.running[key] = turn{head: head, since: now}
+	s.turns[key] = turn{head: head, grantedAt: now}
 }
 
-// withdraw takes back a request that waits.
-func (s *Scheduler) withdraw(key string) {
+// dequeue removes a waiting request.
+func (s *Scheduler) dequeue(key string) {
 	for _, m := range s.models {
-		m.waiting = slices.DeleteFunc(m.waiting, func(w waiter) bool { return w.Key == key })
+		m.queue = slices.DeleteFunc(m.queue, func(w queuedRequest) bool { return w.Key == key })
 	}
 }
 
-// Suspect keeps turns from a group that is silent.
+// Suspect stops granting turns at a silent group for SuspectDuration.
 func (s *Scheduler) Suspect(now time.Duration, head string) {
 	if g := s.groups[head]; g != nil {
-		g.suspect = now + s.config.SuspectDuration
+		g.suspectUntil = now + s.config.SuspectDuration
 	}
 }
 
-// ClearSuspicion ends a suspicion that proved wrong.
-func (s *Scheduler) ClearSuspicion(now time.Duration, head string, chance func() float64) []Decision {
+// ClearSuspicion makes a suspected group available again, and returns the decisions that this makes possible.
+func (s *Scheduler) ClearSuspicion(now time.Duration, head string, random func() float64) []Decision {
 	g := s.groups[head]
-	if g == nil || g.suspect <= now {
+	if g == nil || g.suspectUntil <= now {
 		return nil
 	}
-	g.suspect = now
-	return s.serve(now, g.Model, chance)
+	g.suspectUntil = now
+	return s.serveQueue(now, g.Model, random)
 }
 
-// Tick turns away what has waited for too long. It is called often.
-func (s *Scheduler) Tick(now time.Duration, chance func() float64) []Decision {
-	return s.serveAll(now, chance)
+// Tick rejects the requests that have waited too long. Call it often: it bounds how late a rejection is.
+func (s *Scheduler) Tick(now time.Duration, random func() float64) []Decision {
+	return s.serveQueues(now, random)
 }
 
-func (s *Scheduler) serveAll(now time.Duration, chance func() float64) []Decision {
+func (s *Scheduler) serveQueues(now time.Duration, random func() float64) []Decision {
 	var decisions []Decision
 	for _, name := range slices.Sorted(maps.Keys(s.models)) {
-		decisions = append(decisions, s.serve(now, name, chance)...)
+		decisions = append(decisions, s.serveQueue(now, name, random)...)
 	}
 	return decisions
 }
 
-// serve gives turns to those that wait, in their order, and turns away those whose time is over.
-func (s *Scheduler) serve(now time.Duration, name string, chance func() float64) []Decision {
+// serveQueue grants turns to waiting requests in queue order and rejects those that have waited too long.
+func (s *Scheduler) serveQueue(now time.Duration, name string, random func() float64) []Decision {
 	m := s.model(name)
 	var decisions []Decision
-	kept := m.waiting[:0]
-	for _, w := range m.waiting {
-		if head := s.best(now, w.Request); head != nil {
-			decisions = append(decisions, s.grant(now, head, w.Key, w.Size))
+	kept := m.queue[:0]
+	for _, w := range m.queue {
+		if g := s.bestGroup(now, w.Request); g != nil {
+			decisions = append(decisions, s.grant(now, g, w.Key, w.Size))
 			continue
 		}
-		why := s.hopeless(w.Request)
-		if why == Granted && now-w.since >= m.patience(w.Request) {
-			why = TooLate
+		reason := s.unservable(w.Request)
+		if reason == Granted && now-w.enqueuedAt >= m.maxWait(w.Request) {
+			reason = TooLate
 		}
-		if why != Granted {
-			decisions = append(decisions, s.refuse(now, w.Request, why, chance))
+		if reason != Granted {
+			decisions = append(decisions, s.reject(now, w.Request, reason, random))
 			continue
 		}
 		kept = append(kept, w)
 	}
-	clear(m.waiting[len(kept):])
-	m.waiting = kept
+	clear(m.queue[len(kept):])
+	m.queue = kept
 	return decisions
 }
