--- a/policy/turns/load_test.go
+++ b/policy/turns/load_test.go
@@ -11,9 +11,9 @@
 	"github.com/skylarkpond/skylarkpond/policy/turns"
 )
 
-// simulation runs callers against groups in virtual time. A caller is answered in time, late, or not at all; a
+// trial runs callers against groups in virtual time. A caller is answered in time, late, or not at all; a
 // rejected caller retries once.
-type simulation struct {
+type trial struct {
 	r          *rand.Rand
 	groups     int
 	slots      int
@@ -26,7 +26,7 @@
 	inTime     int
 	late       int
 	lost       int
-	requests   int
+	total      int
 	retries    int
 }
 
@@ -104,7 +104,7 @@
 	tickTime = 10 * time.Millisecond
 )
 
-func (l *simulation) run(length time.Duration) {
+func (l *trial) run(length time.Duration) {
 	callers := map[string]*callerState{}
 	var list []*callerState
 	apply := func(now time.Duration, decisions []turns.Decision) {
@@ -143,8 +143,8 @@
 			apply(now, l.strategy.setGroups(now, n))
 		}
 		for range int(l.perTick) + boolToInt(l.r.Float64() < l.perTick-float64(int(l.perTick))) {
-			l.requests++
-			c := &callerState{key: fmt.Sprint(l.requests), fingerprint: uint64(l.requests), arrivedAt: now, nextAttempt: now}
+			l.total++
+			c := &callerState{key: fmt.Sprint(l.total), fingerprint: uint64(l.total), arrivedAt: now, nextAttempt: now}
 			callers[c.key] = c
 			list = append(list, c)
 		}
@@ -184,14 +184,12 @@
 }
 
 // score is the mean credit per request: 1 for an answer in time, 0.25 for a late one.
-func (l *simulation) score() float64 {
-	return (float64(l.inTime) + 0.25*float64(l.late)) / float64(l.requests)
-}
+func (l *trial) score() float64 { return (float64(l.inTime) + 0.25*float64(l.late)) / float64(l.total) }
 
-func simulate(unbounded bool, perTick float64, lose func(time.Duration) int) *simulation {
+func simulate(unbounded bool, perTick float64, lose func(time.Duration) int) *trial {
 	r := rand.New(rand.NewPCG(3, 9))
 	s := scheduler{Scheduler: turns.New(turns.DefaultConfig()), slots: 26, random: r.Float64}
-	l := &simulation{r: r, groups: 4, slots: 26, perTick: perTick, lostGroups: lose, strategy: s, firstToken: 80 * time.Millisecond, objective: 200 * time.Millisecond}
+	l := &trial{r: r, groups: 4, slots: 26, perTick: perTick, lostGroups: lose, strategy: s, firstToken: 80 * time.Millisecond, objective: 200 * time.Millisecond}
 	if unbounded {
 		l.strategy = unboundedQueue{s}
 	}
@@ -200,9 +198,9 @@
 }
 
 // simulateSlowFirstToken simulates groups with a long time to the first token, at 1.5 times their capacity.
-func simulateSlowFirstToken(decide func(scheduler) strategy) *simulation {
+func simulateSlowFirstToken(decide func(scheduler) strategy) *trial {
 	r := rand.New(rand.NewPCG(3, 9))
-	l := &simulation{
+	l := &trial{
 		r: r, groups: 4, slots: 26, perTick: 1.25, lostGroups: func(time.Duration) int { return 0 },
 		firstToken: 250 * time.Millisecond, objective: 400 * time.Millisecond,
 	}
