--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -172,7 +172,7 @@
 func (g *gate) setConfig(service settings.Service) {
 	config := limit.Config{
 		TokenGap: service.TokenGap, FirstToken: service.FirstToken,
-		Max: service.MaxConcurrency, Whole: service.Kind == settings.Plain,
+		Max: service.MaxConcurrency, NonStreaming: service.Kind == settings.Plain,
 	}
 	if g.limit != nil && config == g.config {
 		return
--- a/entry/admission/turn.go
+++ b/entry/admission/turn.go
@@ -84,7 +84,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.gap.add(gap)
-	g.limit.Observe(now, limit.Sample{Running: g.queue.Running(), Gap: gap, Gaps: count})
+	g.limit.Observe(now, limit.Sample{Running: g.queue.Running(), Gap: gap, GapCount: count})
 }
 
 // end frees the place. The team is charged what was done: nothing for a request without any answer, which
--- a/policy/internal/fleet/locals.go
+++ b/policy/internal/fleet/locals.go
@@ -202,7 +202,7 @@
 func (l *locals) observeGap(group int, gap time.Duration) {
 	now := l.fleet.loop.Now()
 	for _, link := range l.at[group] {
-		link.limits.Observe(now, limit.Sample{Running: link.running, Gap: gap, Gaps: link.running})
+		link.limits.Observe(now, limit.Sample{Running: link.running, Gap: gap, GapCount: link.running})
 		if link.limits.Current() != link.limit {
 			link.front.apply(link)
 		}
--- a/policy/internal/playback/home.go
+++ b/policy/internal/playback/home.go
@@ -202,7 +202,7 @@
 	if h.loop.Now() >= h.from {
 		h.Gaps.Add(gap, count)
 	}
-	h.report(limit.Sample{Gap: gap, Gaps: count})
+	h.report(limit.Sample{Gap: gap, GapCount: count})
 }
 
 // report hands a measurement to the limit, late by the lag.
--- a/policy/limit/config.go
+++ b/policy/limit/config.go
@@ -18,9 +18,9 @@
 	// Start is the limit of a new group, whose caches are cold and whose speed is unknown. Min to Max;
 	// default 16, from which the limit doubles each second that shows no strain.
 	Start int
-	// Whole says that answers come whole, as those of a plain service do: the time of the whole answer is
+	// NonStreaming says that answers come whole, as those of a plain service do: the time of the whole answer is
 	// then held against FirstToken, there is no gap, and Starting bounds nothing.
-	Whole bool
+	NonStreaming bool
 }
 
 // RangeError says which value is out of its range.
--- a/policy/limit/limit.go
+++ b/policy/limit/limit.go
@@ -27,10 +27,10 @@
 	// Running is how many requests were at work on the group when it was measured, which may be long before
 	// it is observed.
 	Running int
-	// Gap is a time between two tokens, the mean of Gaps of them (0 counts as 1); 0 if this is not about gaps.
-	Gap  time.Duration
-	Gaps int
-	// FirstToken is the time from sending a request to its first token, or, with Config.Whole, to its end;
+	// Gap is a time between two tokens, the mean of GapCount of them (0 counts as 1); 0 if this is not about gaps.
+	Gap      time.Duration
+	GapCount int
+	// FirstToken is the time from sending a request to its first token, or, with Config.NonStreaming, to its end;
 	// 0 if this is not about one.
 	FirstToken time.Duration
 	// Starting is how many requests had no first token then.
@@ -52,7 +52,7 @@
 	config = config.WithDefaults()
 	l := &Limit{cfg: config}
 	objective := config.TokenGap
-	if config.Whole {
+	if config.NonStreaming {
 		objective = config.FirstToken
 	}
 	l.running = newBound(objective, config.Start, config.Min, config.Max)
@@ -68,7 +68,7 @@
 
 // Starting returns how many of them may be without a first token, 0 for no bound.
 func (l *Limit) Starting() int {
-	if l.cfg.Whole {
+	if l.cfg.NonStreaming {
 		return 0
 	}
 	return l.start.current()
@@ -76,14 +76,14 @@
 
 // Observe takes a sample in.
 func (l *Limit) Observe(now time.Duration, s Sample) {
-	if s.Gap > 0 && !l.cfg.Whole && !l.holding(now) {
-		l.running.observe(now, evidence{took: s.Gap, count: max(1, s.Gaps), used: s.Running})
+	if s.Gap > 0 && !l.cfg.NonStreaming && !l.holding(now) {
+		l.running.observe(now, evidence{took: s.Gap, count: max(1, s.GapCount), used: s.Running})
 	}
 	if s.FirstToken <= 0 {
 		return
 	}
 	e := evidence{took: s.FirstToken, count: 1, used: s.Starting}
-	if l.cfg.Whole {
+	if l.cfg.NonStreaming {
 		e.used = s.Running
 		l.running.observe(now, e)
 		return
--- a/policy/limit/limit_test.go
+++ b/policy/limit/limit_test.go
@@ -28,7 +28,7 @@
 		if at == 0 {
 			at = g.Current()
 		}
-		g.Observe(g.now, limit.Sample{Running: at, Gap: g.gap(at), Gaps: at})
+		g.Observe(g.now, limit.Sample{Running: at, Gap: g.gap(at), GapCount: at})
 	}
 }
 
@@ -127,7 +127,7 @@
 		for range 20 * seconds {
 			g.now += 50 * ms
 			g.Observe(g.now, limit.Sample{Running: g.Current(), FirstToken: 3 * time.Second, Starting: g.Starting()})
-			g.Observe(g.now, limit.Sample{Running: g.Current(), Gap: g.gap(g.Current()), Gaps: g.Current()})
+			g.Observe(g.now, limit.Sample{Running: g.Current(), Gap: g.gap(g.Current()), GapCount: g.Current()})
 		}
 	}
 
@@ -155,7 +155,7 @@
 	})
 
 	It("holds whole answers of a plain service against the objective", func() {
-		l := limit.New(limit.Config{Whole: true, FirstToken: 200 * ms})
+		l := limit.New(limit.Config{NonStreaming: true, FirstToken: 200 * ms})
 		Expect(l.Starting()).To(BeZero())
 		now := time.Duration(0)
 		for range 2000 {
@@ -195,7 +195,7 @@
 	now := time.Duration(0)
 	return func() {
 		now += time.Millisecond
-		l.Observe(now, limit.Sample{Running: l.Current(), Gap: 60 * time.Millisecond, Gaps: 1})
+		l.Observe(now, limit.Sample{Running: l.Current(), Gap: 60 * time.Millisecond, GapCount: 1})
 		l.Observe(now, limit.Sample{Running: l.Current(), FirstToken: 300 * time.Millisecond, Starting: 3})
 	}
 }
--- a/policy/limit/rival_test.go
+++ b/policy/limit/rival_test.go
@@ -26,9 +26,9 @@
 	if s.Gap == 0 {
 		return
 	}
-	a.count += s.Gaps
+	a.count += s.GapCount
 	if s.Gap > objective {
-		a.late += s.Gaps
+		a.late += s.GapCount
 	}
 	a.used = max(a.used, s.Running)
 	if now-a.opened < time.Second {
@@ -62,7 +62,7 @@
 	if s.Gap == 0 {
 		return
 	}
-	g.gaps.Add(s.Gap, s.Gaps)
+	g.gaps.Add(s.Gap, s.GapCount)
 	g.used = max(g.used, s.Running)
 	if now-g.opened < time.Second {
 		return
