--- a/entry/relay/retries.go
+++ b/entry/relay/retries.go
@@ -80,6 +80,6 @@
 func (r *Retries) Take(service string, left time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	try := retry.Try{Result: retry.NotRun, Idempotent: true, Number: 1, Left: left}
+	try := retry.Try{Result: retry.NotRun, Idempotent: true, Number: 1, TimeLeft: left}
 	return r.budget(service).Decide(time.Since(r.started), try, 0).Reason == retry.Again
 }
--- a/entry/routing/routing.go
+++ b/entry/routing/routing.go
@@ -167,9 +167,9 @@
 // outcome machine; here it counts as not run.
 func (r *Router) Retry(service settings.Service, tries int, left time.Duration) (time.Duration, bool) {
 	now := r.now()
-	try := retry.Try{Result: retry.NotRun, Number: tries, Left: left}
+	try := retry.Try{Result: retry.NotRun, Number: tries, TimeLeft: left}
 	if service.Kind == settings.Language {
-		try.Needed = service.FirstToken
+		try.MinTime = service.FirstToken
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/policy/retry/figures_test.go
+++ b/policy/retry/figures_test.go
@@ -114,7 +114,7 @@
 		Expect(play(broken, ours).lost()).To(BeNumerically("<=", play(broken, single).lost()/10))
 	})
 
-	failed := Try{Result: NotRun, Number: 1, Left: 10 * sec}
+	failed := Try{Result: NotRun, Number: 1, TimeLeft: 10 * sec}
 	DescribeTable("are made only where they may be",
 		func(change func(*Try), reason Reason) {
 			try := failed
@@ -127,10 +127,10 @@
 		Entry("may have run, idempotent", func(t *Try) { t.Result, t.Idempotent = MayHaveRun, true }, Again),
 		Entry("may have run, not idempotent", func(t *Try) { t.Result = MayHaveRun }, NotRepeatable),
 		Entry("a final answer", func(t *Try) { t.Result, t.Idempotent = Final, true }, ResultFinal),
-		Entry("the caller has a part", func(t *Try) { t.Begun, t.Idempotent = true, true }, AnswerBegun),
+		Entry("the caller has a part", func(t *Try) { t.AnswerBegun, t.Idempotent = true, true }, AnswerBegun),
 		Entry("third try", func(t *Try) { t.Number = 3 }, TriesSpent),
-		Entry("no time left", func(t *Try) { t.Left = 0 }, DeadlineNear),
-		Entry("no time for a first token", func(t *Try) { t.Needed = 10 * sec }, DeadlineNear),
+		Entry("no time left", func(t *Try) { t.TimeLeft = 0 }, DeadlineNear),
+		Entry("no time for a first token", func(t *Try) { t.MinTime = 10 * sec }, DeadlineNear),
 	)
 
 	It("wait longer with each try, at random", func() {
@@ -152,7 +152,7 @@
 					first++
 					continue
 				}
-				had := b.Left(now)
+				had := b.Available(now)
 				again := b.Decide(now, failed, 0.5).Reason == Again
 				if again != (had >= 1) {
 					t.Fatalf("again is %v with %v left", again, had)
@@ -184,6 +184,6 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		budget.FirstTry(time.Duration(i))
-		budget.Decide(time.Duration(i), Try{Result: NotRun, Number: 1, Left: sec}, 0.5)
+		budget.Decide(time.Duration(i), Try{Result: NotRun, Number: 1, TimeLeft: sec}, 0.5)
 	}
 }
--- a/policy/retry/model_test.go
+++ b/policy/retry/model_test.go
@@ -218,7 +218,7 @@
 }
 
 func (w *world) failed(r *request, result Result) {
-	try := Try{Result: result, Idempotent: true, Number: r.number, Left: deadline - (w.now - r.arrived)}
+	try := Try{Result: result, Idempotent: true, Number: r.number, TimeLeft: deadline - (w.now - r.arrived)}
 	wait, again := w.again(r.front, w.now, try, w.random.Float64())
 	if again {
 		w.after(wait, func() { w.try(r) })
@@ -231,7 +231,7 @@
 
 func blind() (func(int, time.Duration), policy) {
 	return func(int, time.Duration) {}, func(_ int, _ time.Duration, try Try, _ float64) (time.Duration, bool) {
-		return 0, try.Number <= 3 && try.Left > 0
+		return 0, try.Number <= 3 && try.TimeLeft > 0
 	}
 }
 
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -91,13 +91,13 @@
 	Result Result
 	// Idempotent says that the request may run more than once.
 	Idempotent bool
-	// Begun says that a part of an answer went out to the caller.
-	Begun bool
+	// AnswerBegun says that a part of an answer went out to the caller.
+	AnswerBegun bool
 	// Number counts the tries of the request, this one included.
 	Number int
-	// Left is what is left of the caller's deadline, and Needed what a try takes at least: the first token
+	// TimeLeft is what is left of the caller's deadline, and MinTime what a try takes at least: the first token
 	// time of the service, or 0 where not known.
-	Left, Needed time.Duration
+	TimeLeft, MinTime time.Duration
 }
 
 // Reason says why a request is tried again or not.
@@ -158,8 +158,8 @@
 	b.retries = min(b.retries+b.config.Share, b.config.Burst)
 }
 
-// Left returns how many retries the budget holds.
-func (b *Budget) Left(now time.Duration) float64 {
+// Available returns how many retries the budget holds.
+func (b *Budget) Available(now time.Duration) float64 {
 	b.fill(now)
 	return b.retries
 }
@@ -171,7 +171,7 @@
 		return Decision{Reason: reason}
 	}
 	wait := b.backoff(try.Number, random)
-	if wait+try.Needed >= try.Left {
+	if wait+try.MinTime >= try.TimeLeft {
 		return Decision{Reason: DeadlineNear}
 	}
 	b.fill(now)
@@ -187,7 +187,7 @@
 	switch {
 	case try.Result == Final:
 		return ResultFinal
-	case try.Begun:
+	case try.AnswerBegun:
 		return AnswerBegun
 	case try.Result == MayHaveRun && !try.Idempotent:
 		return NotRepeatable
