--- a/policy/limit/config.go
+++ b/policy/limit/config.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Config holds the objectives and the thresholds that an operator may need. The zero value of a field
-// means its default.
+// Config holds the objectives and the thresholds that an operator may set. The zero value of a field means its
+// default.
 type Config struct {
-	// TokenGap is the objective for the time between two tokens, FirstToken that for the time from a
-	// request's arrival at the home to its first token, both for 95 in 100. 1 ms to 10 min; defaults 79 ms
-	// and 640 ms.
+	// TokenGap is the objective for the time between two tokens, and FirstToken the objective for the time from a
+	// request's arrival at the home to its first token, both at the 95th percentile. Range 1 ms to 10 min; defaults
+	// 79 ms and 640 ms.
 	TokenGap   time.Duration
 	FirstToken time.Duration
-	// Min and Max bound the limit. 1 to 100,000; defaults 4 and 1,024.
+	// Min and Max bound the limit. Range 1 to 100,000; defaults 4 and 1,024.
 	Min, Max int
-	// Start is the limit of a new group, whose caches are cold and whose speed is unknown. Min to Max;
-	// default 16, from which the limit doubles each second that shows no strain.
+	// Start is the initial limit of a new group, whose caches are cold and whose speed is unknown. Range Min to Max;
+	// default 16, from which the limit grows by up to 0.6 of itself each second until the objective is missed.
 	Start int
-	// NonStreaming says that answers come whole, as those of a plain service do: the time of the whole answer is
-	// then held against FirstToken, there is no gap, and Starting bounds nothing.
+	// NonStreaming is set for services that send each answer as a whole, such as plain services. The time of the
+	// whole answer is then compared with FirstToken, there is no token gap, and Starting is unlimited.
 	NonStreaming bool
 }
 
-// RangeError says which value is out of its range.
+// RangeError reports a configuration value out of range.
 type RangeError struct {
 	Field    string
 	Value    any
 	Min, Max any
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *RangeError) Error() string {
 	return fmt.Sprintf("%s is %v, not within %v to %v", e.Field, e.Value, e.Min, e.Max)
 }
@@ -45,7 +45,7 @@
 	return c
 }
 
-// Check returns a *RangeError for the first value, defaults filled in, that is out of its range, or nil.
+// Check returns a *RangeError for the first value that is out of range after defaults are applied, or nil.
 func (c Config) Check() error {
 	c = c.WithDefaults()
 	checks := []error{
--- a/policy/limit/figures_test.go
+++ b/policy/limit/figures_test.go
@@ -17,26 +17,26 @@
 
 func adaptive() playback.Limiter { return limit.New(limit.Config{}) }
 
-type played struct {
+type result struct {
 	*playback.Run
 	playback.Figures
 	gap time.Duration
 }
 
-func play(s playback.Scenario, limits playback.Limiter) played {
+func simulate(s playback.Scenario, limits playback.Limiter) result {
 	run := s.Play(playback.NewFair(fairqueue.Config{}), limits)
-	return played{Run: run, Figures: run.Figures(), gap: run.Home.Gaps.Quantile(0.95)}
+	return result{Run: run, Figures: run.Figures(), gap: run.Home.Gaps.Quantile(0.95)}
 }
 
-// limitsBetween returns the lowest and the highest limit of a part of the run.
-func (p played) limitsBetween(from, until time.Duration) (low, high int) {
+// limitsBetween returns the lowest and the highest limit in a part of the run.
+func (p result) limitsBetween(from, until time.Duration) (low, high int) {
 	part := p.Home.Limits[int(from.Seconds()):int(until.Seconds())]
 	return slices.Min(part), slices.Max(part)
 }
 
 func milliseconds(d time.Duration) string { return fmt.Sprint(d.Milliseconds()) }
 
-// smallCache is the load of long among short on an engine whose cache holds less than the batch needs.
+// smallCache mixes long requests among short ones, on an engine whose cache holds less than the batch needs.
 func smallCache() playback.Scenario {
 	s := playback.LongAmongShort(1.3)
 	s.Name += ", small cache"
@@ -44,37 +44,37 @@
 	return s
 }
 
-// A batching engine takes more than it serves well: the batch grows, all answers in it slow down, and
-// callers see tokens that stutter and answers that come after they gave up.
+// A batching engine accepts more requests than it serves well: the batch grows, all answers in it slow down, and
+// callers see tokens stutter and answers arrive after they gave up.
 var _ = Describe("figures", Ordered, func() {
 	scenarios := []playback.Scenario{
 		playback.Steady(), playback.Burst(), playback.SlowServer(), playback.LongAmongShort(1.3), smallCache(), playback.Saturation(),
 	}
-	results := make(map[string]map[string]played)
-	ours, best := "adaptive", "fixed 313"
+	results := make(map[string]map[string]result)
+	adaptiveName, bestFixedName := "adaptive", "fixed 313"
 
 	BeforeAll(func() {
 		table := playback.NewTable("load", "limit", "answered", "refused", "too late", "useful work of capacity",
 			"wait 50 / 95, s", "first token 50 / 95, s", "gap 95, ms", "limit, lowest to highest")
 		for _, s := range scenarios {
-			results[s.Name] = make(map[string]played)
-			for _, rival := range []struct {
+			results[s.Name] = make(map[string]result)
+			for _, alternative := range []struct {
 				name   string
 				limits playback.Limiter
 			}{
 				{"fixed 100", playback.FixedLimit(100)},
-				{best, playback.FixedLimit(313)},
+				{bestFixedName, playback.FixedLimit(313)},
 				{"fixed 600", playback.FixedLimit(600)},
 				{"AIMD", newAIMD()},
 				{"plain gradient", newGradient()},
 				{"adaptive, one bound", oneBound{limit.New(limit.Config{})}},
-				{ours, adaptive()},
+				{adaptiveName, adaptive()},
 			} {
-				p := play(s, rival.limits)
-				results[s.Name][rival.name] = p
+				p := simulate(s, alternative.limits)
+				results[s.Name][alternative.name] = p
 				low, high := p.limitsBetween(s.From, s.Until)
 				offered := float64(p.Offered)
-				table.Row(s.Name, rival.name, playback.Percent(float64(p.Answered), offered), playback.Percent(float64(p.Refused), offered),
+				table.Row(s.Name, alternative.name, playback.Percent(float64(p.Answered), offered), playback.Percent(float64(p.Refused), offered),
 					playback.Percent(float64(p.Late), offered), playback.Ratio(p.Useful(p.Figures)), p.Wait.Both(), p.First.Both(),
 					milliseconds(p.gap), fmt.Sprintf("%d to %d", low, high))
 			}
@@ -82,17 +82,17 @@
 		fmt.Fprintf(GinkgoWriter, "\n### Concurrency limits before one engine, the same fair queue\n\n%s", table)
 	})
 
-	It("does the work of the best fixed limit without knowing it, within the objective", func() {
+	It("reaches the throughput of the best fixed limit within the objective, without configuration", func() {
 		for _, s := range []playback.Scenario{playback.Steady(), playback.Saturation(), playback.LongAmongShort(1.3)} {
-			p, fixed := results[s.Name][ours], results[s.Name][best]
+			p, fixed := results[s.Name][adaptiveName], results[s.Name][bestFixedName]
 			Expect(p.Useful(p.Figures)).To(BeNumerically(">", 0.95*fixed.Useful(fixed.Figures)), s.Name)
 			Expect(p.gap).To(BeNumerically("<", objective*103/100), s.Name)
 		}
 	})
 
-	It("leaves nothing to be answered too late by a server at a fifth of its speed, and is back soon", func() {
-		p := results[playback.SlowServer().Name][ours]
-		fixed := results[playback.SlowServer().Name][best]
+	It("prevents late answers from a server at a fifth of its speed, and recovers soon", func() {
+		p := results[playback.SlowServer().Name][adaptiveName]
+		fixed := results[playback.SlowServer().Name][bestFixedName]
 		Expect(float64(fixed.Late)).To(BeNumerically(">", 0.1*float64(fixed.Offered)))
 		Expect(float64(p.Late)).To(BeNumerically("<", 0.005*float64(p.Offered)))
 		Expect(p.First.P95).To(BeNumerically("<", 640*time.Millisecond))
@@ -100,33 +100,33 @@
 		Expect(float64(after.Refused)).To(BeNumerically("<", 0.01*float64(after.Offered)))
 	})
 
-	It("keeps a burst's prompts out of the engine", func() {
+	It("keeps the prompts of a burst from queueing in the engine", func() {
 		name := playback.Burst().Name
-		Expect(results[name][best].First.P95).To(BeNumerically(">", 4*time.Second))
-		Expect(results[name][ours].First.P95).To(BeNumerically("<", 2*time.Second))
+		Expect(results[name][bestFixedName].First.P95).To(BeNumerically(">", 4*time.Second))
+		Expect(results[name][adaptiveName].First.P95).To(BeNumerically("<", 2*time.Second))
 	})
 
-	It("holds back when the engine's cache is full, which the gap does not show", func() {
-		p, fixed := results[smallCache().Name][ours], results[smallCache().Name][best]
+	It("backs off when the engine's cache is full, which the gap does not show", func() {
+		p, fixed := results[smallCache().Name][adaptiveName], results[smallCache().Name][bestFixedName]
 		Expect(fixed.First.P95).To(BeNumerically(">", 20*time.Second))
 		Expect(p.First.P95).To(BeNumerically("<", 3*time.Second))
 		Expect(p.Useful(p.Figures)).To(BeNumerically(">", fixed.Useful(fixed.Figures)))
 	})
 
-	It("stays steady when it hears late of what was measured", func() {
+	It("stays stable when measurements are delayed", func() {
 		table := playback.NewTable("measured to heard", "limit", "useful work of capacity", "too late", "gap 95, ms", "first token 95, s", "limit, lowest to highest after the first minute")
 		for _, lag := range []time.Duration{0, time.Second, 3 * time.Second, 10 * time.Second} {
-			for _, rival := range []struct {
+			for _, alternative := range []struct {
 				name   string
 				limits playback.Limiter
-			}{{"AIMD", newAIMD()}, {"plain gradient", newGradient()}, {ours, adaptive()}} {
+			}{{"AIMD", newAIMD()}, {"plain gradient", newGradient()}, {adaptiveName, adaptive()}} {
 				s := playback.Saturation()
 				s.Lag = lag
-				p := play(s, rival.limits)
+				p := simulate(s, alternative.limits)
 				low, high := p.limitsBetween(2*time.Minute, s.Until)
-				table.Row(lag.String(), rival.name, playback.Ratio(p.Useful(p.Figures)), playback.Percent(float64(p.Late), float64(p.Offered)),
+				table.Row(lag.String(), alternative.name, playback.Ratio(p.Useful(p.Figures)), playback.Percent(float64(p.Late), float64(p.Offered)),
 					milliseconds(p.gap), playback.Seconds(p.First.P95), fmt.Sprintf("%d to %d", low, high))
-				if rival.name == ours && lag <= 3*time.Second {
+				if alternative.name == adaptiveName && lag <= 3*time.Second {
 					Expect(p.Useful(p.Figures)).To(BeNumerically(">", 0.9), lag.String())
 					Expect(p.gap).To(BeNumerically("<", objective*105/100), lag.String())
 					Expect(low).To(BeNumerically(">", 270), lag.String())
--- a/policy/limit/limit_test.go
+++ b/policy/limit/limit_test.go
@@ -10,7 +10,7 @@
 	"github.com/skylarkpond/skylarkpond/policy/limit"
 )
 
-// group is a group whose gap is base + each x requests at work.
+// group simulates a group whose token gap is base + each × requests in progress.
 type group struct {
 	*limit.Limit
 	base, each time.Duration
@@ -19,8 +19,8 @@
 
 func (g *group) gap(running int) time.Duration { return g.base + time.Duration(running)*g.each }
 
-// run observes some seconds of gaps, twenty in each, with the given number at work, or with as many as
-// the limit allows if it is 0.
+// run observes 20 gaps a second for the given number of seconds, with running requests in progress, or with as many
+// as the limit allows if running is 0.
 func (g *group) run(seconds, running int) {
 	for range seconds * 20 {
 		g.now += 50 * time.Millisecond
@@ -48,23 +48,23 @@
 		Expect(g.Current()).To(BeNumerically("~", 295, 10))
 	})
 
-	It("does not grow while it is not in use", func() {
+	It("does not grow while it is not fully used", func() {
 		g := newGroup(20*ms, ms/5)
 		g.run(10, 8)
 		Expect(g.Current()).To(Equal(16))
 	})
 
-	It("is lowered once, not again and again, while what is at work ends slowly", func() {
+	It("is lowered once, not repeatedly, while requests in progress end slowly", func() {
 		g := newGroup(20*ms, ms/5)
 		g.run(20, 0)
-		g.each = ms / 2 // 118 would meet the objective
+		g.each = ms / 2 // the objective is met at 118
 		g.run(10, 295)
 		Expect(g.Current()).To(BeNumerically("~", 147, 10))
 		g.run(10, 0)
 		Expect(g.Current()).To(BeNumerically("~", 118, 10))
 	})
 
-	It("repeats nothing when the same news comes ten times", func() {
+	It("is not lowered again when the same measurement repeats ten times", func() {
 		g := newGroup(20*ms, ms/5)
 		g.run(20, 0)
 		g.run(1, 310)
@@ -73,7 +73,7 @@
 		Expect(g.Current()).To(Equal(lowered))
 	})
 
-	It("returns at once to what is at work when that is fine again", func() {
+	It("returns at once to the current concurrency when that meets the objective again", func() {
 		g := newGroup(20*ms, ms/5)
 		g.run(20, 0)
 		g.each = 2 * ms
@@ -84,9 +84,9 @@
 		Expect(g.Current()).To(BeNumerically(">=", 180))
 	})
 
-	// A group whose VM throttles misses the objective with a single request. Lowered to the floor, it would do
-	// nothing, and callers would be refused for no faster answers.
-	It("keeps a group that can't meet the objective at work", func() {
+	// A group whose VM is throttled misses the objective even with a single request. If the limit dropped to its
+	// minimum, the group would be idle, and callers would be rejected without making any answer faster.
+	It("keeps using a group that can't meet the objective", func() {
 		g := newGroup(20*ms, ms/5)
 		g.run(20, 0)
 		g.base = 100 * ms
@@ -97,7 +97,7 @@
 		Expect(g.Current()).To(BeNumerically("~", 295, 10))
 	})
 
-	It("bounds requests without a first token by the time to it", func() {
+	It("limits requests without a first token by the time to the first token", func() {
 		l := limit.New(limit.Config{})
 		first := l.Starting()
 		observe := func(took time.Duration, starting int) {
@@ -113,7 +113,7 @@
 		Expect(l.Starting()).To(BeNumerically(">", lowered))
 	})
 
-	It("does not take back a decrease because the group got slower meanwhile", func() {
+	It("does not revert a decrease because the group got slower meanwhile", func() {
 		g := newGroup(20*ms, ms/5)
 		g.run(20, 0)
 		g.run(2, 320)
@@ -122,7 +122,7 @@
 		Expect(g.Current()).To(BeNumerically("<", 120))
 	})
 
-	// lateFirstTokens observes first tokens that take 3 s beside the gaps.
+	// lateFirstTokens observes first tokens that take 3 s, along with gaps.
 	lateFirstTokens := func(g *group, seconds int) {
 		for range 20 * seconds {
 			g.now += 50 * ms
@@ -131,9 +131,9 @@
 		}
 	}
 
-	// The engine's cache is full: it takes no more requests into the batch, the gap is good, and first tokens
+	// The engine's cache is full: it admits no more requests into the batch, so the gap is good while first tokens
 	// take seconds. Callers see nothing for seconds, then a fluent answer.
-	It("holds back when first tokens stay late with the fewest that start", func() {
+	It("backs off when first tokens stay late although Starting is at its minimum", func() {
 		g := newGroup(20*ms, ms/5)
 		g.run(20, 0)
 		g.each = ms / 10
@@ -144,7 +144,7 @@
 		Expect(g.Current()).To(BeNumerically("<", before*2/3))
 	})
 
-	It("does not hold back a group that is slow as a whole for its first tokens", func() {
+	It("does not back off for late first tokens on a group that is slow as a whole", func() {
 		g := newGroup(20*ms, ms/5)
 		g.run(20, 0)
 		g.base = 100 * ms
@@ -154,7 +154,7 @@
 		Expect(g.Current()).To(BeNumerically("~", before, 2))
 	})
 
-	It("holds whole answers of a plain service against the objective", func() {
+	It("compares whole answers of a plain service with the objective", func() {
 		l := limit.New(limit.Config{NonStreaming: true, FirstToken: 200 * ms})
 		Expect(l.Starting()).To(BeZero())
 		now := time.Duration(0)
@@ -177,19 +177,19 @@
 		}
 	})
 
-	DescribeTable("refuses what is out of range", func(config limit.Config, field string) {
+	DescribeTable("rejects a value out of range", func(config limit.Config, field string) {
 		Expect(config.Check()).To(MatchError(HavePrefix(field + " is ")))
 	},
 		Entry("gap", limit.Config{TokenGap: time.Microsecond}, "TokenGap"),
 		Entry("first token", limit.Config{FirstToken: time.Hour}, "FirstToken"),
-		Entry("floor above ceiling", limit.Config{Min: 20, Max: 10}, "Min"),
-		Entry("start above ceiling", limit.Config{Start: 20, Max: 10}, "Start"),
+		Entry("minimum above maximum", limit.Config{Min: 20, Max: 10}, "Min"),
+		Entry("start above maximum", limit.Config{Start: 20, Max: 10}, "Start"),
 	)
 
 	It("accepts the defaults", func() { Expect(limit.Config{}.Check()).To(Succeed()) })
 })
 
-// observer returns a call that observes one gap and one first token.
+// observer returns a function that observes one gap and one first token.
 func observer() func() {
 	l := limit.New(limit.Config{})
 	now := time.Duration(0)
@@ -200,7 +200,7 @@
 	}
 }
 
-// TestObserveAllocatesNothing holds the promise of the hot path.
+// TestObserveAllocatesNothing checks that Observe, which is on the hot path, does not allocate.
 func TestObserveAllocatesNothing(t *testing.T) {
 	if allocated := testing.AllocsPerRun(10_000, observer()); allocated > 0 {
 		t.Errorf("%.2f allocations for two samples", allocated)
--- a/policy/limit/rival_test.go
+++ b/policy/limit/rival_test.go
@@ -7,14 +7,15 @@
 	"github.com/skylarkpond/skylarkpond/policy/limit"
 )
 
-// aimd is a rival that was weighed: each second the limit grows by four while it is in use and fewer than 5% of
-// the gaps are over the objective, and else shrinks by a tenth. First tokens are bounded as in limit.Limit.
+// aimd is an alternative, additive increase and multiplicative decrease: each second the limit grows by four if it is
+// in use and fewer than 5% of the gaps exceed the objective, and otherwise shrinks by a tenth. First tokens are
+// limited as in limit.Limit.
 type aimd struct {
 	*limit.Limit
 	value       float64
 	opened      time.Duration
 	count, late int
-	used        int
+	maxRunning  int
 }
 
 func newAIMD() *aimd { return &aimd{Limit: limit.New(limit.Config{}), value: 16} }
@@ -30,21 +31,21 @@
 	if s.Gap > objective {
 		a.late += s.GapCount
 	}
-	a.used = max(a.used, s.Running)
+	a.maxRunning = max(a.maxRunning, s.Running)
 	if now-a.opened < time.Second {
 		return
 	}
 	const increase, decrease = 4, 0.9
 	if a.late*20 > a.count {
 		a.value = max(4, a.value*decrease)
-	} else if float64(a.used) >= 0.8*a.value {
+	} else if float64(a.maxRunning) >= 0.8*a.value {
 		a.value = min(1024, a.value+increase)
 	}
-	a.opened, a.count, a.late, a.used = now, 0, 0, 0
+	a.opened, a.count, a.late, a.maxRunning = now, 0, 0, 0
 }
 
-// gradient is the other rival: each second the limit moves by a part of the way to itself times objective over
-// measured quantile; upwards only while it is in use. First tokens are bounded as in limit.Limit.
+// gradient is another alternative: each second the limit moves part of the way to itself times objective / measured
+// quantile; upwards only while it is in use. First tokens are limited as in limit.Limit.
 type gradient struct {
 	*limit.Limit
 	value  float64
@@ -67,16 +68,16 @@
 	if now-g.opened < time.Second {
 		return
 	}
-	const smoothing, hardest, easiest = 0.4, 0.5, 2.0
+	const smoothing, minFactor, maxFactor = 0.4, 0.5, 2.0
 	factor := float64(objective) / float64(g.gaps.Quantile(0.95))
-	factor = min(easiest, max(hardest, factor))
+	factor = min(maxFactor, max(minFactor, factor))
 	if factor < 1 || float64(g.used) >= 0.8*g.value {
 		g.value = min(1024, max(4, g.value*(1+smoothing*(factor-1))))
 	}
 	g.opened, g.gaps, g.used = now, playback.Histogram{}, 0
 }
 
-// oneBound leaves out the bound on requests without a first token.
+// oneBound omits the limit on requests without a first token.
 type oneBound struct{ *limit.Limit }
 
 func (oneBound) Starting() int { return 0 }
