--- a/policy/retry/figures_test.go
+++ b/policy/retry/figures_test.go
@@ -19,7 +19,7 @@
 	return func(time.Duration) float64 { return load }
 }
 
-func during(base, high float64, from, to time.Duration) func(time.Duration) float64 {
+func pulse(base, high float64, from, to time.Duration) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at >= from && at < to {
 			return high
@@ -29,39 +29,39 @@
 }
 
 var (
-	healthy   = named("steady at 0.7", 10*sec, 40*sec, constant(0.7))
-	impatient = named("the same, tries given up after 0.5 s", 10*sec, 40*sec, constant(0.7))
-	burst     = named("burst from 0.2 to 2.0 for 5 s", 10*sec, 20*sec, during(0.2, 2, 10*sec, 15*sec))
-	saturated = named("saturation at 1.5 for 20 s", 10*sec, 30*sec, during(0.7, 1.5, 10*sec, 30*sec))
-	wayBack   = named("the 30 s after it", 30*sec, 60*sec, saturated.load)
-	broken    = named("1 of 20 breaks each request", 10*sec, 40*sec, constant(0.7))
-	died      = named("5 of 20 die, noticed after 2 s", 10*sec, 20*sec, constant(0.6))
-
-	unbound = contender{"three blind retries", blind}
-	single  = contender{"no retries", none}
-	ours    = contender{"budget", budgeted(nil)}
-	rivals  = []contender{
-		{"budget of half", budgeted(func(c *Config) { c.Share = 0.5 })},
+	healthy      = newScenario("steady at 0.7", 10*sec, 40*sec, constant(0.7))
+	shortTimeout = newScenario("steady at 0.7, tries time out after 0.5 s", 10*sec, 40*sec, constant(0.7))
+	burst        = newScenario("burst from 0.2 to 2.0 for 5 s", 10*sec, 20*sec, pulse(0.2, 2, 10*sec, 15*sec))
+	saturated    = newScenario("saturation at 1.5 for 20 s", 10*sec, 30*sec, pulse(0.7, 1.5, 10*sec, 30*sec))
+	recovery     = newScenario("the 30 s after the saturation", 30*sec, 60*sec, saturated.load)
+	broken       = newScenario("1 of 20 fails every request", 10*sec, 40*sec, constant(0.7))
+	died         = newScenario("5 of 20 die, detected after 2 s", 10*sec, 20*sec, constant(0.6))
+
+	blind    = strategy{"three unconditional retries", blindRetries}
+	none     = strategy{"no retries", noRetries}
+	budget   = strategy{"budget", budgeted(nil)}
+	variants = []strategy{
+		{"budget with a share of 0.5", budgeted(func(c *Config) { c.Share = 0.5 })},
 		{"budget without a burst", budgeted(func(c *Config) { c.Burst = 1 })},
-		{"budget without a wait", budgeted(func(c *Config) { c.Backoff = 0 })},
+		{"budget without backoff", budgeted(func(c *Config) { c.Backoff = 0 })},
 	}
 )
 
 func init() {
-	impatient.tryTimeout = sec / 2
+	shortTimeout.tryTimeout = sec / 2
 	broken.events = func(_ time.Duration, s []*server) { s[3].broken = true }
-	died.events = die
+	died.events = killServers
 }
 
-func named(name string, from, to time.Duration, load func(time.Duration) float64) scenario {
+func newScenario(name string, from, to time.Duration, load func(time.Duration) float64) scenario {
 	return scenario{name: name, load: load, from: from, to: to, tryTimeout: sec}
 }
 
-func die(at time.Duration, servers []*server) {
+func killServers(at time.Duration, servers []*server) {
 	for _, s := range servers[:5] {
 		if at >= 10*sec && !s.dead {
 			s.dead = true
-			s.life++
+			s.generation++
 			s.diedAt = at
 			s.busy = 0
 			s.queue = nil
@@ -70,11 +70,11 @@
 }
 
 func BenchmarkFigures(b *testing.B) {
-	for _, s := range []scenario{healthy, impatient, burst, saturated, wayBack, broken, died} {
-		for _, c := range append([]contender{single, unbound, ours}, rivals...) {
+	for _, s := range []scenario{healthy, shortTimeout, burst, saturated, recovery, broken, died} {
+		for _, c := range append([]strategy{none, blind, budget}, variants...) {
 			b.Run(s.name+"/"+c.name, func(b *testing.B) {
 				for range b.N {
-					b.Logf("| %s | %s | %s |", s.name, c.name, play(s, c))
+					b.Logf("| %s | %s | %s |", s.name, c.name, simulate(s, c))
 				}
 			})
 		}
@@ -82,40 +82,40 @@
 }
 
 var _ = Describe("Retries on a budget", func() {
-	DescribeTable("hold their bounds, beside no retries and blind ones",
+	DescribeTable("bound lost requests and tries per request",
 		func(s *scenario, lost, tries float64) {
-			r := play(*s, ours)
+			r := simulate(*s, budget)
 			GinkgoWriter.Println(s.name, r)
-			Expect(r.lost()).To(BeNumerically("<=", lost))
-			Expect(r.perRequest()).To(BeNumerically("<=", tries))
-			Expect(r.perRequest()).To(BeNumerically("<=", play(*s, unbound).perRequest()+0.01))
+			Expect(r.lossRatio()).To(BeNumerically("<=", lost))
+			Expect(r.triesPerRequest()).To(BeNumerically("<=", tries))
+			Expect(r.triesPerRequest()).To(BeNumerically("<=", simulate(*s, blind).triesPerRequest()+0.01))
 		},
 		Entry("steady", &healthy, 0.002, 1.04),
 		Entry("burst", &burst, 0.57, 1.13),
 		Entry("saturation", &saturated, 0.52, 1.13),
-		Entry("the way back", &wayBack, 0.02, 1.05),
-		Entry("one server breaks what it gets", &broken, 0.002, 1.10),
+		Entry("recovery", &recovery, 0.02, 1.05),
+		Entry("one server fails every request", &broken, 0.002, 1.10),
 		Entry("a quarter dies", &died, 0.02, 1.08),
 	)
 
-	// Tries are given up a little too early. Each costs an engine its time all the same, and blind retries
-	// turn a healthy service into one that answers nobody.
+	// Tries time out a little too early. Each still costs an engine its full time, and unconditional retries turn a
+	// healthy service into one that answers nobody.
 	It("do not take a healthy service down", func() {
-		r := play(impatient, ours)
-		Expect(r.lost()).To(BeNumerically("<=", 0.12))
-		Expect(r.lost()).To(BeNumerically("<=", play(impatient, single).lost()))
-		Expect(play(impatient, unbound).lost()).To(BeNumerically(">=", 0.9))
+		r := simulate(shortTimeout, budget)
+		Expect(r.lossRatio()).To(BeNumerically("<=", 0.12))
+		Expect(r.lossRatio()).To(BeNumerically("<=", simulate(shortTimeout, none).lossRatio()))
+		Expect(simulate(shortTimeout, blind).lossRatio()).To(BeNumerically(">=", 0.9))
 	})
 
-	// A quarter of the servers dies with what they had in progress. Without retries, callers see each of
-	// those requests, and each sent there until it is noticed, fail.
-	It("cover what died", func() {
-		Expect(play(died, ours).lost()).To(BeNumerically("<=", play(died, single).lost()/4))
-		Expect(play(broken, ours).lost()).To(BeNumerically("<=", play(broken, single).lost()/10))
+	// A quarter of the servers dies with requests in progress. Without retries, callers see the failure of each of
+	// these requests and of each request sent there until the failure is detected.
+	It("cover the requests of servers that die", func() {
+		Expect(simulate(died, budget).lossRatio()).To(BeNumerically("<=", simulate(died, none).lossRatio()/4))
+		Expect(simulate(broken, budget).lossRatio()).To(BeNumerically("<=", simulate(broken, none).lossRatio()/10))
 	})
 
 	failed := Try{Result: NotRun, Number: 1, TimeLeft: 10 * sec}
-	DescribeTable("are made only where they may be",
+	DescribeTable("are made only where allowed",
 		func(change func(*Try), reason Reason) {
 			try := failed
 			change(&try)
@@ -127,13 +127,13 @@
 		Entry("may have run, idempotent", func(t *Try) { t.Result, t.Idempotent = MayHaveRun, true }, Again),
 		Entry("may have run, not idempotent", func(t *Try) { t.Result = MayHaveRun }, NotRepeatable),
 		Entry("a final answer", func(t *Try) { t.Result, t.Idempotent = Final, true }, ResultFinal),
-		Entry("the caller has a part", func(t *Try) { t.AnswerBegun, t.Idempotent = true, true }, AnswerBegun),
+		Entry("the answer has begun", func(t *Try) { t.AnswerBegun, t.Idempotent = true, true }, AnswerBegun),
 		Entry("third try", func(t *Try) { t.Number = 3 }, TriesSpent),
 		Entry("no time left", func(t *Try) { t.TimeLeft = 0 }, DeadlineNear),
 		Entry("no time for a first token", func(t *Try) { t.MinTime = 10 * sec }, DeadlineNear),
 	)
 
-	It("wait longer with each try, at random", func() {
+	It("back off exponentially with full jitter", func() {
 		b := NewBudget(DefaultConfig(), 0)
 		Expect(b.backoff(1, 0.5)).To(Equal(25 * time.Millisecond))
 		Expect(b.backoff(3, 1)).To(Equal(200 * time.Millisecond))
@@ -141,7 +141,7 @@
 		Expect(b.backoff(2, 0)).To(BeZero())
 	})
 
-	It("never exceed the budget, and a spent budget says so", func() {
+	It("never exceed the budget, and are refused when it is spent", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			b := NewBudget(DefaultConfig(), 0)
 			now, first, retries := time.Duration(0), 0.0, 0.0
@@ -167,15 +167,15 @@
 		})
 	})
 
-	DescribeTable("refuse a configuration out of range", func(change func(*Config)) {
+	DescribeTable("reject a configuration out of range", func(change func(*Config)) {
 		c := DefaultConfig()
 		Expect(c.Check()).To(Succeed())
 		change(&c)
 		Expect(errors.Is(c.Check(), ErrRange)).To(BeTrue())
 	},
 		Entry("share", func(c *Config) { c.Share = 2 }),
-		Entry("no try at all", func(c *Config) { c.MaxTries = 0 }),
-		Entry("longest wait below the first", func(c *Config) { c.MaxBackoff = 0 }),
+		Entry("no tries", func(c *Config) { c.MaxTries = 0 }),
+		Entry("maximum backoff below backoff", func(c *Config) { c.MaxBackoff = 0 }),
 	)
 })
 
--- a/policy/retry/model_test.go
+++ b/policy/retry/model_test.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// The model: fronts send requests to random servers, each with a few slots and a bounded queue. A try that
-// has no answer in time is given up; what runs goes on running for nobody.
+// Simulation: fronts send requests to random servers, each with a few slots and a bounded queue. A front gives up a
+// try that is not answered in time, but the server still completes it.
 const (
-	servers     = 20
-	slots       = 4
-	queueLength = 16
-	serviceTime = 0.2 // seconds on average
-	deadline    = 5 * time.Second
-	fronts      = 4
-	capacity    = servers * slots / serviceTime // requests a second
-	noticed     = 2 * time.Second               // after which fronts leave a dead server out
-	sec         = time.Second
+	servers        = 20
+	slots          = 4
+	queueLength    = 16
+	serviceTime    = 0.2 // mean, in seconds
+	deadline       = 5 * time.Second
+	fronts         = 4
+	capacity       = servers * slots / serviceTime // requests per second
+	detectionDelay = 2 * time.Second               // until fronts stop using a dead server
+	sec            = time.Second
 )
 
 type event struct {
@@ -41,77 +41,79 @@
 }
 
 type request struct {
-	arrived time.Duration
-	front   int
-	number  int
-	tried   []int
-	done    bool
+	arrived  time.Duration
+	front    int
+	attempts int
+	tried    []int
+	done     bool
 }
 
 type server struct {
-	busy   int
-	queue  []func() // start of a try
-	broken bool     // breaks what it is given
-	dead   bool     // refuses connections
-	life   int      // grows when it dies
-	diedAt time.Duration
+	busy       int
+	queue      []func() // each element starts a try
+	broken     bool     // fails every request
+	dead       bool     // refuses connections
+	generation int      // incremented when it dies
+	diedAt     time.Duration
 }
 
 type scenario struct {
 	name     string
 	load     func(at time.Duration) float64
 	events   func(at time.Duration, servers []*server)
-	from, to time.Duration // requests that arrived in it are counted
-	// tryTimeout is when a front gives a try up.
+	from, to time.Duration // interval of arrivals that are measured
+	// tryTimeout is how long a front waits for the answer to a try.
 	tryTimeout time.Duration
 }
 
-// policy decides on another try.
-type policy func(front int, now time.Duration, try Try, random float64) (time.Duration, bool)
+// retryPolicy decides on a retry.
+type retryPolicy func(front int, now time.Duration, try Try, random float64) (time.Duration, bool)
 
-type contender struct {
+// strategy builds a retry policy: first records the first try of a request, and again decides on a retry.
+type strategy struct {
 	name  string
-	build func() (first func(front int, now time.Duration), again policy)
+	build func() (first func(front int, now time.Duration), again retryPolicy)
 }
 
 type result struct {
 	sent, answered, tries int
-	seconds               []float64
-	possible              float64
+	latencies             []float64
+	maxAnswered           float64
 }
 
-func (r *result) lost() float64   { return 1 - float64(r.answered)/float64(r.sent) }
-func (r *result) useful() float64 { return float64(r.answered) / r.possible }
-func (r *result) perRequest() float64 {
+func (r *result) lossRatio() float64 { return 1 - float64(r.answered)/float64(r.sent) }
+func (r *result) goodput() float64   { return float64(r.answered) / r.maxAnswered }
+func (r *result) triesPerRequest() float64 {
 	return float64(r.tries) / float64(r.sent)
 }
 
-func (r *result) at(share float64) time.Duration {
-	if len(r.seconds) == 0 {
+func (r *result) latency(share float64) time.Duration {
+	if len(r.latencies) == 0 {
 		return 0
 	}
-	slices.Sort(r.seconds)
-	return time.Duration(r.seconds[int(share*float64(len(r.seconds)-1))] * 1e9)
+	slices.Sort(r.latencies)
+	return time.Duration(r.latencies[int(share*float64(len(r.latencies)-1))] * 1e9)
 }
 
 func (r *result) String() string {
-	return fmt.Sprintf("%4d | %4d | %5.1f | %5.1f | %4.2f", r.at(0.5).Milliseconds(), r.at(0.95).Milliseconds(),
-		100*r.useful(), 100*r.lost(), r.perRequest())
+	return fmt.Sprintf("%4d | %4d | %5.1f | %5.1f | %4.2f", r.latency(0.5).Milliseconds(), r.latency(0.95).Milliseconds(),
+		100*r.goodput(), 100*r.lossRatio(), r.triesPerRequest())
 }
 
-type world struct {
+// cluster is the state of a simulation run.
+type cluster struct {
 	scenario
 	now     time.Duration
 	queue   events
 	servers []*server
 	first   func(int, time.Duration)
-	again   policy
+	again   retryPolicy
 	random  *rand.Rand
 	result
 }
 
-func play(s scenario, c contender) *result {
-	w := &world{scenario: s, random: rand.New(rand.NewPCG(1, 1))}
+func simulate(s scenario, c strategy) *result {
+	w := &cluster{scenario: s, random: rand.New(rand.NewPCG(1, 1))}
 	w.first, w.again = c.build()
 	for range servers {
 		w.servers = append(w.servers, &server{})
@@ -128,30 +130,30 @@
 	return &w.result
 }
 
-func (w *world) after(wait time.Duration, do func()) { heap.Push(&w.queue, event{w.now + wait, do}) }
+func (w *cluster) after(wait time.Duration, do func()) { heap.Push(&w.queue, event{w.now + wait, do}) }
 
-func (w *world) counted(r *request) bool { return r.arrived >= w.from && r.arrived < w.to }
+func (w *cluster) measured(r *request) bool { return r.arrived >= w.from && r.arrived < w.to }
 
-func (w *world) arrive() {
+func (w *cluster) arrive() {
 	rate := w.load(w.now) * capacity
 	gap := time.Duration(w.random.ExpFloat64() / rate * 1e9)
 	w.after(gap, w.arrive)
 	r := &request{arrived: w.now, front: w.random.IntN(fronts)}
-	if w.counted(r) {
+	if w.measured(r) {
 		w.sent++
-		w.possible += math.Min(1, 1/w.load(w.now))
+		w.maxAnswered += math.Min(1, 1/w.load(w.now))
 	}
 	w.first(r.front, w.now)
 	w.try(r)
 }
 
-func (w *world) try(r *request) {
-	r.number++
-	if w.counted(r) {
+func (w *cluster) try(r *request) {
+	r.attempts++
+	if w.measured(r) {
 		w.tries++
 	}
 	i := w.random.IntN(servers)
-	for slices.Contains(r.tried, i) || w.servers[i].dead && w.now > w.servers[i].diedAt+noticed {
+	for slices.Contains(r.tried, i) || w.servers[i].dead && w.now > w.servers[i].diedAt+detectionDelay {
 		i = w.random.IntN(servers)
 	}
 	r.tried = append(r.tried, i)
@@ -160,19 +162,19 @@
 		w.failed(r, NotRun)
 		return
 	}
-	over := false // of this try, for the front
+	ended := false // whether the front is done with this try
 	end := func(result Result) {
-		if !over {
-			over = true
+		if !ended {
+			ended = true
 			w.failed(r, result)
 		}
 	}
 	w.after(w.tryTimeout, func() { end(MayHaveRun) })
-	s.queue = append(s.queue, func() { w.run(s, r, &over, end) })
+	s.queue = append(s.queue, func() { w.run(s, r, &ended, end) })
 	w.start(s)
 }
 
-func (w *world) start(s *server) {
+func (w *cluster) start(s *server) {
 	for s.busy < slots && len(s.queue) > 0 {
 		next := s.queue[0]
 		s.queue = s.queue[1:]
@@ -181,15 +183,15 @@
 	}
 }
 
-// run holds a slot for the service time, and then answers a front that still waits.
-func (w *world) run(s *server, r *request, over *bool, end func(Result)) {
-	takes := time.Duration(w.random.ExpFloat64() * serviceTime * 1e9)
+// run occupies a slot for the service time, and then answers the front if it still waits.
+func (w *cluster) run(s *server, r *request, ended *bool, end func(Result)) {
+	duration := time.Duration(w.random.ExpFloat64() * serviceTime * 1e9)
 	if s.broken {
-		takes = 10 * time.Millisecond
+		duration = 10 * time.Millisecond
 	}
-	life := s.life
-	w.after(takes, func() {
-		if s.life != life {
+	generation := s.generation
+	w.after(duration, func() {
+		if s.generation != generation {
 			end(MayHaveRun)
 			return
 		}
@@ -199,44 +201,44 @@
 			end(MayHaveRun)
 			return
 		}
-		if !*over {
-			*over = true
+		if !*ended {
+			*ended = true
 			w.answer(r)
 		}
 	})
 }
 
-func (w *world) answer(r *request) {
+func (w *cluster) answer(r *request) {
 	if r.done || w.now-r.arrived > deadline {
 		return
 	}
 	r.done = true
-	if w.counted(r) {
+	if w.measured(r) {
 		w.answered++
-		w.seconds = append(w.seconds, (w.now - r.arrived).Seconds())
+		w.latencies = append(w.latencies, (w.now - r.arrived).Seconds())
 	}
 }
 
-func (w *world) failed(r *request, result Result) {
-	try := Try{Result: result, Idempotent: true, Number: r.number, TimeLeft: deadline - (w.now - r.arrived)}
+func (w *cluster) failed(r *request, result Result) {
+	try := Try{Result: result, Idempotent: true, Number: r.attempts, TimeLeft: deadline - (w.now - r.arrived)}
 	wait, again := w.again(r.front, w.now, try, w.random.Float64())
 	if again {
 		w.after(wait, func() { w.try(r) })
 	}
 }
 
-func none() (func(int, time.Duration), policy) {
+func noRetries() (func(int, time.Duration), retryPolicy) {
 	return func(int, time.Duration) {}, func(int, time.Duration, Try, float64) (time.Duration, bool) { return 0, false }
 }
 
-func blind() (func(int, time.Duration), policy) {
+func blindRetries() (func(int, time.Duration), retryPolicy) {
 	return func(int, time.Duration) {}, func(_ int, _ time.Duration, try Try, _ float64) (time.Duration, bool) {
 		return 0, try.Number <= 3 && try.TimeLeft > 0
 	}
 }
 
-func budgeted(change func(*Config)) func() (func(int, time.Duration), policy) {
-	return func() (func(int, time.Duration), policy) {
+func budgeted(change func(*Config)) func() (func(int, time.Duration), retryPolicy) {
+	return func() (func(int, time.Duration), retryPolicy) {
 		config := DefaultConfig()
 		if change != nil {
 			change(&config)
