--- a/policy/takeover/takeover.go
+++ b/policy/takeover/takeover.go
@@ -1,50 +1,52 @@
-// Package takeover decides when an entry that no longer hears from the one in charge asks whether to take its place.
+// Package takeover decides when an entry that no longer hears from the leader tries to acquire the leader's lease.
 //
-// Load pattern: the entry in charge dies, and hundreds of others notice within the same tenth of a second.
+// Load pattern: the leader dies, and hundreds of entries notice within the same tenth of a second.
 //
-// What goes wrong without it: each asks the platform several times a second until there is a successor, and all but one of the writes that
-// follow are in vain. And the successor is any entry: one whose link carries 14 Mbit/s and whose processor is an eighth of a core
-// answers the requests for turns of all others late.
+// Without coordination, each of them asks the platform several times a second until there is a successor, and all but
+// one of the writes that follow fail. Moreover, any entry may become the successor: an entry with a link of 14 Mbit/s
+// and an eighth of a core answers the turn requests of all others late.
 //
-// So nobody asks before the lease can be taken; the entries spread their question, and those with little to give come after those
-// with much.
+// Therefore no entry asks before the lease has expired, the entries spread their attempts by a random delay, and
+// entries with little capacity wait longer than those with much.
 package takeover
 
 import "time"
 
-// Capacity is what the VM of an entry has.
+// Capacity describes the VM of an entry. A value of 0 is unknown.
 type Capacity struct {
-	// LinkMbps is its link, in Mbit/s.
+	// LinkMbps is the bandwidth of its link in Mbit/s.
 	LinkMbps float64
-	// Cores is its share of processors.
+	// Cores is the number of processor cores it may use, possibly a fraction.
 	Cores float64
 }
 
 const (
-	// spread is the time over which equal entries ask. A write takes some 10 ms, so that of 142 entries some five try in vain.
-	spread = 300 * time.Millisecond
-	// weakLast is how much later an entry asks that has next to nothing: long enough for any that has enough to go first.
-	weakLast = 400 * time.Millisecond
-	// enoughLink and enoughCores are what the entry in charge of some three hundred others needs, with room to spare: measured with 142, it
-	// sends up to 2 Mbit/s and uses up to 0.07 of a core.
-	enoughLink  = 50.0
-	enoughCores = 0.25
+	// jitter is the interval over which entries of equal capacity spread their attempts. A write takes some 10 ms, so
+	// that about five of 142 entries try in vain.
+	jitter = 300 * time.Millisecond
+	// weakPenalty is the additional delay of an entry with almost no capacity: long enough for any entry with
+	// sufficient capacity to go first.
+	weakPenalty = 400 * time.Millisecond
+	// sufficientLinkMbps and sufficientCores are what the leader of some three hundred entries needs, with headroom:
+	// measured with 142 entries, it sends up to 2 Mbit/s and uses up to 0.07 of a core.
+	sufficientLinkMbps = 50.0
+	sufficientCores    = 0.25
 )
 
-// Delay is how long after the lease can be taken an entry asks. random is from 0 to 1. An entry that does not know its capacity counts
-// as one that has enough.
+// Delay returns how long after the lease has expired an entry tries to acquire it. random is from 0 to 1. An entry
+// with unknown capacity counts as one with sufficient capacity.
 func Delay(c Capacity, random float64) time.Duration {
-	return time.Duration(random*float64(spread) + (1-c.strength())*float64(weakLast))
+	return time.Duration(random*float64(jitter) + (1-c.score())*float64(weakPenalty))
 }
 
-// strength is from 0 to 1.
-func (c Capacity) strength() float64 {
-	strength := 1.0
+// score rates the capacity from 0 (none) to 1 (sufficient).
+func (c Capacity) score() float64 {
+	score := 1.0
 	if c.LinkMbps > 0 {
-		strength = min(strength, c.LinkMbps/enoughLink)
+		score = min(score, c.LinkMbps/sufficientLinkMbps)
 	}
 	if c.Cores > 0 {
-		strength = min(strength, c.Cores/enoughCores)
+		score = min(score, c.Cores/sufficientCores)
 	}
-	return strength
+	return score
 }
--- a/policy/takeover/takeover_test.go
+++ b/policy/takeover/takeover_test.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// Of 142 entries most are weak. Chance alone, the baseline, makes a weak one the successor.
+// Of 142 entries, 10 have sufficient capacity. With a random delay alone, the baseline, a weak entry becomes the
+// successor.
 func TestTheSuccessorIsStrong(t *testing.T) {
 	weak := Capacity{LinkMbps: 14, Cores: 0.134}
 	strong := Capacity{LinkMbps: 200, Cores: 0.8}
 	r := rand.New(rand.NewPCG(1, 1))
-	const plays = 200
-	taken, byChance := 0, 0
-	for range plays {
-		first, firstByChance := time.Hour, time.Hour
-		strongFirst, strongByChance := false, false
+	const rounds = 200
+	chosen, chosenRandomOnly := 0, 0
+	for range rounds {
+		first, firstRandomOnly := time.Hour, time.Hour
+		strongFirst, strongRandomOnly := false, false
 		for i := range 142 {
 			c := weak
 			if i < 10 {
@@ -25,19 +26,19 @@
 			if d := Delay(c, random); d < first {
 				first, strongFirst = d, c == strong
 			}
-			if d := Delay(Capacity{}, random); d < firstByChance {
-				firstByChance, strongByChance = d, c == strong
+			if d := Delay(Capacity{}, random); d < firstRandomOnly {
+				firstRandomOnly, strongRandomOnly = d, c == strong
 			}
 		}
 		if strongFirst {
-			taken++
+			chosen++
 		}
-		if strongByChance {
-			byChance++
+		if strongRandomOnly {
+			chosenRandomOnly++
 		}
 	}
-	if taken < plays*95/100 || byChance > plays/4 {
-		t.Errorf("a strong one succeeds in %d of %d plays, by chance in %d", taken, plays, byChance)
+	if chosen < rounds*95/100 || chosenRandomOnly > rounds/4 {
+		t.Errorf("a strong entry became the successor in %d of %d rounds, with a random delay alone in %d", chosen, rounds, chosenRandomOnly)
 	}
 }
 
