--- a/entry/catalog/outage.go
+++ b/entry/catalog/outage.go
@@ -41,7 +41,7 @@
 	if time.Now().Before(o.next) {
 		return false
 	}
-	o.next = time.Now().Add(policy.Longest) // the others wait for the outcome of this call
+	o.next = time.Now().Add(policy.MaxPause) // the others wait for the outcome of this call
 	return true
 }
 
@@ -49,7 +49,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.failures++
-	o.next = time.Now().Add(policy.Pause(o.failures, rand.Float64()))
+	o.next = time.Now().Add(policy.Backoff(o.failures, rand.Float64()))
 }
 
 func (o *outage) over() {
--- a/entry/lease/lease.go
+++ b/entry/lease/lease.go
@@ -165,7 +165,7 @@
 		return
 	}
 	l.failures++
-	l.again = time.Now().Add(outage.Pause(l.failures, rand.Float64()))
+	l.again = time.Now().Add(outage.Backoff(l.failures, rand.Float64()))
 }
 
 // changed notes that the object was seen at another version. It is called under the lock.
--- a/policy/outage/outage.go
+++ b/policy/outage/outage.go
@@ -13,19 +13,19 @@
 import "time"
 
 const (
-	// first is the longest pause after one failed call. Single calls fail also while the platform is well.
-	first = 300 * time.Millisecond
-	// Longest is the longest pause. With a call and the spread among entries it leaves half of the 2 s in which entries must hear of a
+	// initialPause is the longest pause after one failed call. Single calls fail also while the platform is well.
+	initialPause = 300 * time.Millisecond
+	// MaxPause is the longest pause. With a call and the spread among entries it leaves half of the 2 s in which entries must hear of a
 	// change.
-	Longest = 1200 * time.Millisecond
+	MaxPause = 1200 * time.Millisecond
 )
 
-// Pause returns the pause after a number of failed calls in a row, at least one. random is from 0 to 1; it takes away up to a half, so that
+// Backoff returns the pause after a number of failed calls in a row, at least one. random is from 0 to 1; it takes away up to a half, so that
 // entries that failed together do not ask together.
-func Pause(failures int, random float64) time.Duration {
-	pause := Longest
+func Backoff(failures int, random float64) time.Duration {
+	pause := MaxPause
 	if failures < 3 {
-		pause = first << (max(1, failures) - 1)
+		pause = initialPause << (max(1, failures) - 1)
 	}
 	return pause - time.Duration(random*float64(pause)/2)
 }
--- a/policy/outage/outage_test.go
+++ b/policy/outage/outage_test.go
@@ -16,7 +16,7 @@
 		return n
 	}
 	fixed := calls(func(int) time.Duration { return 300 * time.Millisecond })
-	doubling := calls(func(failures int) time.Duration { return Pause(failures, 0.5) })
+	doubling := calls(func(failures int) time.Duration { return Backoff(failures, 0.5) })
 	if doubling*2 > fixed {
 		t.Errorf("%d calls in place of %d", doubling, fixed)
 	}
@@ -36,7 +36,7 @@
 		{40, 0, 1200 * time.Millisecond},
 		{40, 1, 600 * time.Millisecond},
 	} {
-		if got := Pause(c.failures, c.random); got != c.want {
+		if got := Backoff(c.failures, c.random); got != c.want {
 			t.Errorf("Pause(%d, %v) = %v, not %v", c.failures, c.random, got, c.want)
 		}
 	}
