--- a/policy/outage/outage_test.go
+++ b/policy/outage/outage_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// An outage of five seconds, with calls that fail at once: what one entry asks, beside an entry that asks again after 0.3 s on average.
+// In an outage of five seconds in which calls fail at once, an entry that backs off makes at most half as many calls
+// as one that calls every 0.3 s.
 func TestCallsInAnOutage(t *testing.T) {
-	const lasts = 5 * time.Second
+	const duration = 5 * time.Second
 	calls := func(pause func(failures int) time.Duration) int {
 		n := 0
-		for at := time.Duration(0); at < lasts; at += pause(n) {
+		for at := time.Duration(0); at < duration; at += pause(n) {
 			n++
 		}
 		return n
@@ -18,11 +19,11 @@
 	fixed := calls(func(int) time.Duration { return 300 * time.Millisecond })
 	doubling := calls(func(failures int) time.Duration { return Backoff(failures, 0.5) })
 	if doubling*2 > fixed {
-		t.Errorf("%d calls in place of %d", doubling, fixed)
+		t.Errorf("%d calls with backoff, %d with a fixed pause", doubling, fixed)
 	}
 }
 
-func TestPause(t *testing.T) {
+func TestBackoff(t *testing.T) {
 	for _, c := range []struct {
 		failures int
 		random   float64
@@ -37,7 +38,7 @@
 		{40, 1, 600 * time.Millisecond},
 	} {
 		if got := Backoff(c.failures, c.random); got != c.want {
-			t.Errorf("Pause(%d, %v) = %v, not %v", c.failures, c.random, got, c.want)
+			t.Errorf("Backoff(%d, %v) = %v, not %v", c.failures, c.random, got, c.want)
 		}
 	}
 }
