--- a/policy/outage/outage.go
+++ b/policy/outage/outage.go
@@ -16,7 +16,7 @@
 const (
 	// initialPause is the longest pause after one failed call. Single calls also fail while the platform is healthy.
 	initialPause = 300 * time.Millisecond
-	// MaxPause is the longest pause. Together with a call and the jitter among entries it uses half of the 2 s within
+	// MaxPause is the longest pause. Together with a call and the jitter among entries it leaves half of the 2 s within
 	// which entries must learn of a change.
 	MaxPause = 1200 * time.Millisecond
 )
