--- a/entry/gateway/lines.go
+++ b/entry/gateway/lines.go
@@ -79,7 +79,7 @@
 	s.log.WithFields(logrus.Fields{
 		"model": demand.Model, "groups": demand.Groups, "places": demand.Slots, "running": demand.Running, "waiting": demand.Waiting,
 		"asked": demand.Requests, "granted": demand.Granted, "refused": demand.Rejected, "took_ms": demand.MeanTurnTime.Milliseconds(),
-		"first_ms": demand.FirstTokenBound.Milliseconds(), "fresh": demand.NewRequests, "prompt_tokens": int(demand.MeanSize.Prompt), "answer_tokens": int(demand.MeanSize.Answer),
+		"first_ms": demand.FirstTokenBound.Milliseconds(), "fresh": demand.NewRequests, "prompt_tokens": int(demand.MeanSize.PromptTokens), "answer_tokens": int(demand.MeanSize.OutputTokens),
 	}).Info(logline.Demand)
 }
 
--- a/entry/leader/leader.go
+++ b/entry/leader/leader.go
@@ -278,7 +278,7 @@
 	decisions := l.turns.Submit(l.now(), policy.Request{
 		Key: key, Model: modelKey(ask.Service, ask.Model),
 		FirstTokenBudget: time.Duration(ask.DueMs) * time.Millisecond, MaxWait: time.Duration(ask.PatienceMs) * time.Millisecond, Priority: ask.Priority, TriedHeads: tried,
-		Retry: ask.Returning, Fingerprint: ask.Fingerprint, Size: capacity.Work{Prompt: float64(ask.Prompt), Answer: float64(ask.Answer)},
+		Retry: ask.Returning, Fingerprint: ask.Fingerprint, Size: capacity.RequestSize{PromptTokens: float64(ask.Prompt), OutputTokens: float64(ask.Answer)},
 	}, rand.Float64)
 	l.send(decisions)
 	if !slices.ContainsFunc(decisions, func(d policy.Decision) bool { return d.Key == key }) {
--- a/policy/turns/choose.go
+++ b/policy/turns/choose.go
@@ -29,7 +29,7 @@
 // firstTokenDelay estimates the time until the group starts to decode one more request: the prefill of the prompts
 // already assigned to it, and the pass in progress.
 func (g *group) firstTokenDelay(now time.Duration) time.Duration {
-	return max(0, g.prefillDoneAt-now) + g.Engine.Pass(g.running)
+	return max(0, g.prefillDoneAt-now) + g.Engine.PassTime(g.running)
 }
 
 // lessLoaded reports whether g has a larger share of free slots than other. Ties are broken by name.
--- a/policy/turns/demand.go
+++ b/policy/turns/demand.go
@@ -15,8 +15,8 @@
 		return
 	}
 	m.newRequests++
-	m.totalSize.Prompt += request.Size.Prompt
-	m.totalSize.Answer += request.Size.Answer
+	m.totalSize.PromptTokens += request.Size.PromptTokens
+	m.totalSize.OutputTokens += request.Size.OutputTokens
 }
 
 // Demand describes the requests for one model and the groups that serve it.
@@ -33,7 +33,7 @@
 	// NewRequests counts the requests whose caller was not rejected before, so that a request counts once however
 	// often it is retried. MeanSize is the mean size of these requests.
 	NewRequests int
-	MeanSize    capacity.Work
+	MeanSize    capacity.RequestSize
 }
 
 // Demands returns the demand of every model that was requested, sorted by name, and resets the counters.
@@ -46,7 +46,7 @@
 			Requests: m.requests, Granted: m.granted, Rejected: m.rejected, NewRequests: m.newRequests,
 		}
 		if m.newRequests > 0 {
-			d.MeanSize = capacity.Work{Prompt: m.totalSize.Prompt / float64(m.newRequests), Answer: m.totalSize.Answer / float64(m.newRequests)}
+			d.MeanSize = capacity.RequestSize{PromptTokens: m.totalSize.PromptTokens / float64(m.newRequests), OutputTokens: m.totalSize.OutputTokens / float64(m.newRequests)}
 		}
 		for _, g := range s.groups {
 			if !g.removed && g.Model == name {
@@ -54,7 +54,7 @@
 			}
 		}
 		d.Running, d.Slots = s.slots(name)
-		m.requests, m.granted, m.rejected, m.newRequests, m.totalSize = 0, 0, 0, 0, capacity.Work{}
+		m.requests, m.granted, m.rejected, m.newRequests, m.totalSize = 0, 0, 0, 0, capacity.RequestSize{}
 		demands = append(demands, d)
 	}
 	slices.SortFunc(demands, func(a, b Demand) int { return strings.Compare(a.Model, b.Model) })
--- a/policy/turns/reading_test.go
+++ b/policy/turns/reading_test.go
@@ -51,7 +51,7 @@
 		asked++
 		prompt := min(6000, 900*math.Exp(r.NormFloat64()))
 		key := fmt.Sprint(asked)
-		decisions := s.Submit(now, turns.Request{Key: key, Model: "m", MaxWait: time.Second, Size: capacity.Work{Prompt: prompt, Answer: 100}}, r.Float64)
+		decisions := s.Submit(now, turns.Request{Key: key, Model: "m", MaxWait: time.Second, Size: capacity.RequestSize{PromptTokens: prompt, OutputTokens: 100}}, r.Float64)
 		if len(decisions) != 1 || decisions[0].Reason != turns.Granted {
 			continue
 		}
@@ -70,7 +70,7 @@
 	// requests is often one that has a very long prompt to prefill, and requests sent there wait behind it although
 	// another group has none.
 	It("go to the group that will finish its prefill soonest", func() {
-		known := capacity.Engine{Slots: 48, Step: 6450 * time.Microsecond, PerSequence: 97 * time.Microsecond, Stride: 5, ReadPerSecond: 30_000, Pace: 1}
+		known := capacity.Engine{Slots: 48, StepTime: 6450 * time.Microsecond, StepTimePerSequence: 97 * time.Microsecond, StepsPerPass: 5, PrefillTokensPerSecond: 30_000, TimeFactor: 1}
 		fewest, soonest := simulatePrefill(capacity.Engine{Slots: 48}), simulatePrefill(known)
 		GinkgoWriter.Printf("in time: fewest requests %.3f, earliest prefill %.3f\n", fewest, soonest)
 		Expect(1 - soonest).To(BeNumerically("<", 0.7*(1-fewest)))
--- a/policy/turns/turns.go
+++ b/policy/turns/turns.go
@@ -57,7 +57,7 @@
 	// TriedHeads are the heads of the groups that the request was already sent to.
 	TriedHeads []string
 	// Size is the number of tokens that the request needs.
-	Size capacity.Work
+	Size capacity.RequestSize
 }
 
 // Reason says why a request is rejected.
@@ -150,7 +150,7 @@
 	// requests, granted and rejected are counted since the last call of Demands. newRequests counts those whose
 	// caller was not rejected before, and totalSize sums their sizes.
 	requests, granted, rejected, newRequests int
-	totalSize                                capacity.Work
+	totalSize                                capacity.RequestSize
 }
 
 type queuedRequest struct {
@@ -280,9 +280,9 @@
 	return running, slots
 }
 
-func (s *Scheduler) grant(now time.Duration, g *group, key string, size capacity.Work) Decision {
+func (s *Scheduler) grant(now time.Duration, g *group, key string, size capacity.RequestSize) Decision {
 	g.running++
-	g.prefillDoneAt = max(now, g.prefillDoneAt) + g.Engine.Read(size.Prompt)
+	g.prefillDoneAt = max(now, g.prefillDoneAt) + g.Engine.PrefillTime(size.PromptTokens)
 	s.model(g.Model).granted++
 	s.turns[key] = turn{head: g.Head, grantedAt: now}
 	return Decision{Key: key, Head: g.Head}
