--- a/policy/capacity/capacity_test.go
+++ b/policy/capacity/capacity_test.go
@@ -12,47 +12,48 @@
 
 func TestCapacity(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "What a group serves")
+	RunSpecs(t, "capacity")
 }
 
 var _ = Describe("Rate", func() {
 	engine := capacity.Engine{
-		Slots: 48, KVCacheTokens: 2_470_000, StepTime: 6450 * time.Microsecond, StepTimePerSequence: 97 * time.Microsecond, PrefillTokensPerSecond: 56_100, TimeFactor: 1,
+		Slots: 48, KVCacheTokens: 2_470_000, StepTime: 6450 * time.Microsecond, StepTimePerSequence: 97 * time.Microsecond,
+		PrefillTokensPerSecond: 56_100, TimeFactor: 1,
 	}
 	long := capacity.RequestSize{PromptTokens: 1700, OutputTokens: 100}
 	short := capacity.RequestSize{PromptTokens: 700, OutputTokens: 150}
 
-	// seconds plays a group that is never without work, and returns what its time is spent on, step by step.
-	simulate := func(e capacity.Engine, work capacity.RequestSize) float64 {
+	// simulate runs a group that always has work, step by step, and returns how many requests per second it serves.
+	simulate := func(e capacity.Engine, size capacity.RequestSize) float64 {
 		seconds := 0.0
 		const requests = 1000
-		written := 0.0
-		for written < requests*work.OutputTokens {
+		decoded := 0.0
+		for decoded < requests*size.OutputTokens {
 			seconds += e.TimeFactor * (e.StepTime.Seconds() + float64(e.Slots)*e.StepTimePerSequence.Seconds())
-			written += float64(e.Slots)
+			decoded += float64(e.Slots)
 		}
-		seconds += e.TimeFactor * requests * work.PromptTokens / e.PrefillTokensPerSecond
+		seconds += e.TimeFactor * requests * size.PromptTokens / e.PrefillTokensPerSecond
 		return requests / seconds
 	}
 
-	DescribeTable("is what a full group serves that is played step by step",
-		func(work capacity.RequestSize, pace float64) {
+	DescribeTable("is the rate of a full group simulated step by step",
+		func(size capacity.RequestSize, timeFactor float64) {
 			e := engine
-			e.TimeFactor = pace
-			Expect(e.Rate(work)).To(BeNumerically("~", simulate(e, work), 0.01*simulate(e, work)))
+			e.TimeFactor = timeFactor
+			Expect(e.Rate(size)).To(BeNumerically("~", simulate(e, size), 0.01*simulate(e, size)))
 		},
 		Entry("long prompts", long, 1.0),
 		Entry("short prompts", short, 1.0),
 		Entry("a faster model", short, 0.6),
 	)
 
-	It("is lower where the memory holds fewer requests than there are places", func() {
+	It("is lower where the KV cache holds fewer requests than there are slots", func() {
 		small := engine
 		small.KVCacheTokens = 18_000
 		Expect(small.Rate(long)).To(BeNumerically("<", 0.8*engine.Rate(long)))
 	})
 
-	It("is 0 where the engine's times or the work are not known", func() {
+	It("is 0 where the engine's times or the request size are unknown", func() {
 		Expect(capacity.Engine{Slots: 48}.Rate(long)).To(BeZero())
 		Expect(engine.Rate(capacity.RequestSize{})).To(BeZero())
 	})
