--- a/policy/limit/rival_test.go
+++ b/policy/limit/rival_test.go
@@ -7,9 +7,9 @@
 	"github.com/skylarkpond/skylarkpond/policy/limit"
 )
 
-// aimd is an alternative, additive increase and multiplicative decrease: each second the limit grows by four if it is
-// in use and fewer than 5% of the gaps exceed the objective, and otherwise shrinks by a tenth. First tokens are
-// limited as in limit.Limit.
+// aimd is an alternative, additive increase and multiplicative decrease: each second the limit shrinks by a tenth if
+// more than 5% of the gaps exceed the objective, and otherwise grows by four if it is in use. First tokens are limited
+// as in limit.Limit.
 type aimd struct {
 	*limit.Limit
 	value       float64
@@ -48,10 +48,10 @@
 // quantile; upwards only while it is in use. First tokens are limited as in limit.Limit.
 type gradient struct {
 	*limit.Limit
-	value  float64
-	opened time.Duration
-	gaps   playback.Histogram
-	used   int
+	value      float64
+	opened     time.Duration
+	gaps       playback.Histogram
+	maxRunning int
 }
 
 func newGradient() *gradient { return &gradient{Limit: limit.New(limit.Config{}), value: 16} }
@@ -64,17 +64,17 @@
 		return
 	}
 	g.gaps.Add(s.Gap, s.GapCount)
-	g.used = max(g.used, s.Running)
+	g.maxRunning = max(g.maxRunning, s.Running)
 	if now-g.opened < time.Second {
 		return
 	}
 	const smoothing, minFactor, maxFactor = 0.4, 0.5, 2.0
 	factor := float64(objective) / float64(g.gaps.Quantile(0.95))
 	factor = min(maxFactor, max(minFactor, factor))
-	if factor < 1 || float64(g.used) >= 0.8*g.value {
+	if factor < 1 || float64(g.maxRunning) >= 0.8*g.value {
 		g.value = min(1024, max(4, g.value*(1+smoothing*(factor-1))))
 	}
-	g.opened, g.gaps, g.used = now, playback.Histogram{}, 0
+	g.opened, g.gaps, g.maxRunning = now, playback.Histogram{}, 0
 }
 
 // oneBound omits the limit on requests without a first token.
--- a/policy/takeover/takeover.go
+++ b/policy/takeover/takeover.go
@@ -1,4 +1,5 @@
-// Package takeover decides when an entry that no longer hears from the leader tries to acquire the leader's lease.
+// Package takeover decides when an entry that no longer hears from the leader, the entry that grants turns to all
+// others, tries to acquire the leader's lease.
 //
 // Load pattern: the leader dies, and hundreds of entries notice within the same tenth of a second.
 //
--- a/policy/turns/demand.go
+++ b/policy/turns/demand.go
@@ -30,8 +30,8 @@
 	MeanTurnTime, FirstTokenBound time.Duration
 	// Requests, Granted and Rejected are counted since the previous call of Demands.
 	Requests, Granted, Rejected int
-	// NewRequests counts the requests whose caller was not rejected before, so that a request counts once however
-	// often it is retried. MeanSize is the mean size of these requests.
+	// NewRequests counts the requests that are not retries, so that a request counts once however often it is sent.
+	// MeanSize is the mean size of these requests.
 	NewRequests int
 	MeanSize    capacity.RequestSize
 }
@@ -46,7 +46,10 @@
 			Requests: m.requests, Granted: m.granted, Rejected: m.rejected, NewRequests: m.newRequests,
 		}
 		if m.newRequests > 0 {
-			d.MeanSize = capacity.RequestSize{PromptTokens: m.totalSize.PromptTokens / float64(m.newRequests), OutputTokens: m.totalSize.OutputTokens / float64(m.newRequests)}
+			d.MeanSize = capacity.RequestSize{
+				PromptTokens: m.totalSize.PromptTokens / float64(m.newRequests),
+				OutputTokens: m.totalSize.OutputTokens / float64(m.newRequests),
+			}
 		}
 		for _, g := range s.groups {
 			if !g.removed && g.Model == name {
--- a/policy/turns/load_test.go
+++ b/policy/turns/load_test.go
@@ -17,9 +17,9 @@
 	r          *rand.Rand
 	groups     int
 	slots      int
-	perTick    float64 // arrivals in 10 ms
+	perTick    float64 // arrivals per tick of 10 ms
 	lostGroups func(now time.Duration) int
-	// firstToken is what a group needs from the turn to the firstToken part.
+	// firstToken is the time from the grant of a turn to the first token.
 	firstToken time.Duration
 	objective  time.Duration
 	strategy   strategy
@@ -33,7 +33,7 @@
 // strategy is the scheduler or a baseline.
 type strategy interface {
 	setGroups(now time.Duration, n int) []turns.Decision
-	ask(now time.Duration, r turns.Request) []turns.Decision
+	submit(now time.Duration, r turns.Request) []turns.Decision
 	done(now time.Duration, key string, first time.Duration) []turns.Decision
 	tick(now time.Duration) []turns.Decision
 }
@@ -48,7 +48,7 @@
 	return s.SetGroups(now, groups(n, s.slots), s.random)
 }
 
-func (s scheduler) ask(now time.Duration, r turns.Request) []turns.Decision {
+func (s scheduler) submit(now time.Duration, r turns.Request) []turns.Decision {
 	return s.Submit(now, r, s.random)
 }
 
@@ -60,7 +60,7 @@
 // unboundedQueue is a baseline that keeps all requests in one FIFO queue until their deadline.
 type unboundedQueue struct{ scheduler }
 
-func (q unboundedQueue) ask(now time.Duration, r turns.Request) []turns.Decision {
+func (q unboundedQueue) submit(now time.Duration, r turns.Request) []turns.Decision {
 	r.FirstTokenBudget, r.MaxWait = 0, 5*time.Second
 	r.Retry, r.Fingerprint = false, 0
 	return q.Submit(now, r, q.random)
@@ -69,7 +69,7 @@
 // fixedEstimate is a baseline that assumes the same time to the first token for all groups.
 type fixedEstimate struct{ scheduler }
 
-func (f fixedEstimate) ask(now time.Duration, r turns.Request) []turns.Decision {
+func (f fixedEstimate) submit(now time.Duration, r turns.Request) []turns.Decision {
 	if r.FirstTokenBudget > 0 {
 		r.MaxWait = r.FirstTokenBudget - 100*time.Millisecond
 		r.FirstTokenBudget = 0
@@ -81,12 +81,13 @@
 // deadline while callers' deadlines differ.
 type allRetries struct{ scheduler }
 
-func (a allRetries) ask(now time.Duration, r turns.Request) []turns.Decision {
+func (a allRetries) submit(now time.Duration, r turns.Request) []turns.Decision {
 	r.FirstTokenBudget, r.MaxWait = 0, turns.MaxRetryWait
 	r.Retry = true
 	return a.Submit(now, r, a.random)
 }
 
+// callerState is the state of one caller and its request.
 type callerState struct {
 	key string
 	// fingerprint identifies the request in all its attempts.
@@ -104,7 +105,8 @@
 	tickTime = 10 * time.Millisecond
 )
 
-func (l *trial) run(length time.Duration) {
+// run simulates the given length of time in steps of tickTime.
+func (t *trial) run(length time.Duration) {
 	callers := map[string]*callerState{}
 	var list []*callerState
 	apply := func(now time.Duration, decisions []turns.Decision) {
@@ -115,22 +117,22 @@
 			}
 			if d.Reason == turns.Granted {
 				c.running = true
-				c.endsAt = now + time.Duration(900+l.r.IntN(700))*time.Millisecond
-				first := now + l.firstToken - c.arrivedAt
+				c.endsAt = now + time.Duration(900+t.r.IntN(700))*time.Millisecond
+				first := now + t.firstToken - c.arrivedAt
 				c.resolved = true
 				switch {
-				case first <= l.objective:
-					l.inTime++
+				case first <= t.objective:
+					t.inTime++
 				case first <= deadline:
-					l.late++
+					t.late++
 				default:
-					l.lost++
+					t.lost++
 				}
 				continue
 			}
 			if c.attempts >= 2 {
 				c.resolved = true
-				l.lost++
+				t.lost++
 				continue
 			}
 			c.nextAttempt = now + d.RetryAfter
@@ -138,34 +140,34 @@
 	}
 	current := -1
 	for now := time.Duration(0); now < length; now += tickTime {
-		if n := l.groups - l.lostGroups(now); n != current {
+		if n := t.groups - t.lostGroups(now); n != current {
 			current = n
-			apply(now, l.strategy.setGroups(now, n))
+			apply(now, t.strategy.setGroups(now, n))
 		}
-		for range int(l.perTick) + boolToInt(l.r.Float64() < l.perTick-float64(int(l.perTick))) {
-			l.total++
-			c := &callerState{key: fmt.Sprint(l.total), fingerprint: uint64(l.total), arrivedAt: now, nextAttempt: now}
+		for range int(t.perTick) + boolToInt(t.r.Float64() < t.perTick-float64(int(t.perTick))) {
+			t.total++
+			c := &callerState{key: fmt.Sprint(t.total), fingerprint: uint64(t.total), arrivedAt: now, nextAttempt: now}
 			callers[c.key] = c
 			list = append(list, c)
 		}
 		for _, c := range list {
 			if c.running && now >= c.endsAt {
 				c.running = false
-				apply(now, l.strategy.done(now, c.key, l.firstToken))
+				apply(now, t.strategy.done(now, c.key, t.firstToken))
 			}
 			if !c.resolved && !c.running && c.nextAttempt <= now && c.nextAttempt >= 0 {
 				c.nextAttempt = -1
 				c.attempts++
 				if c.attempts > 1 {
-					l.retries++
+					t.retries++
 				}
-				due, patience := turns.WaitBounds(l.objective, 0, false)
-				apply(now, l.strategy.ask(now, turns.Request{
-					Key: c.key, Model: "m", FirstTokenBudget: due, MaxWait: patience, Fingerprint: c.fingerprint,
+				budget, maxWait := turns.WaitBounds(t.objective, 0, false)
+				apply(now, t.strategy.submit(now, turns.Request{
+					Key: c.key, Model: "m", FirstTokenBudget: budget, MaxWait: maxWait, Fingerprint: c.fingerprint,
 				}))
 			}
 		}
-		apply(now, l.strategy.tick(now))
+		apply(now, t.strategy.tick(now))
 		kept := list[:0]
 		for _, c := range list {
 			if !c.resolved || c.running {
@@ -184,29 +186,33 @@
 }
 
 // score is the mean credit per request: 1 for an answer in time, 0.25 for a late one.
-func (l *trial) score() float64 { return (float64(l.inTime) + 0.25*float64(l.late)) / float64(l.total) }
+func (t *trial) score() float64 { return (float64(t.inTime) + 0.25*float64(t.late)) / float64(t.total) }
 
-func simulate(unbounded bool, perTick float64, lose func(time.Duration) int) *trial {
+// simulate runs the scheduler, or unboundedQueue, with a time to the first token of 80 ms and an objective of 200 ms.
+func simulate(unbounded bool, perTick float64, lostGroups func(time.Duration) int) *trial {
 	r := rand.New(rand.NewPCG(3, 9))
 	s := scheduler{Scheduler: turns.New(turns.DefaultConfig()), slots: 26, random: r.Float64}
-	l := &trial{r: r, groups: 4, slots: 26, perTick: perTick, lostGroups: lose, strategy: s, firstToken: 80 * time.Millisecond, objective: 200 * time.Millisecond}
+	t := &trial{
+		r: r, groups: 4, slots: 26, perTick: perTick, lostGroups: lostGroups, strategy: s,
+		firstToken: 80 * time.Millisecond, objective: 200 * time.Millisecond,
+	}
 	if unbounded {
-		l.strategy = unboundedQueue{s}
+		t.strategy = unboundedQueue{s}
 	}
-	l.run(30 * time.Second)
-	return l
+	t.run(30 * time.Second)
+	return t
 }
 
 // simulateSlowFirstToken simulates groups with a long time to the first token, at 1.5 times their capacity.
-func simulateSlowFirstToken(decide func(scheduler) strategy) *trial {
+func simulateSlowFirstToken(newStrategy func(scheduler) strategy) *trial {
 	r := rand.New(rand.NewPCG(3, 9))
-	l := &trial{
+	t := &trial{
 		r: r, groups: 4, slots: 26, perTick: 1.25, lostGroups: func(time.Duration) int { return 0 },
 		firstToken: 250 * time.Millisecond, objective: 400 * time.Millisecond,
 	}
-	l.strategy = decide(scheduler{Scheduler: turns.New(turns.DefaultConfig()), slots: 26, random: r.Float64})
-	l.run(30 * time.Second)
-	return l
+	t.strategy = newStrategy(scheduler{Scheduler: turns.New(turns.DefaultConfig()), slots: 26, random: r.Float64})
+	t.run(30 * time.Second)
+	return t
 }
 
 var _ = Describe("Callers under load", func() {
@@ -220,8 +226,8 @@
 	}
 
 	It("are all answered in time below capacity", func() {
-		l := simulate(false, 0.7, none)
-		Expect(l.score()).To(BeNumerically(">", 0.99))
+		t := simulate(false, 0.7, none)
+		Expect(t.score()).To(BeNumerically(">", 0.99))
 	})
 
 	// The load is 1.5 times the capacity. In an unbounded queue all requests wait for seconds, and all answers are
--- a/policy/turns/patience.go
+++ b/policy/turns/patience.go
@@ -7,7 +7,7 @@
 	initialFirstToken = 100 * time.Millisecond
 	// callerRTT is the assumed round-trip time between caller and entry, which an entry can't measure.
 	callerRTT = 15 * time.Millisecond
-	// minWait is how long a request may wait for a slot even if its objective leaves no time.
+	// minWait is how long a request may wait for the next free slot even if its objective leaves no time.
 	minWait = 25 * time.Millisecond
 	// MaxRetryWait is the longest wait of a retried request. Its answer is late in any case; rejected once more, it
 	// would get none.
--- a/policy/turns/reading_test.go
+++ b/policy/turns/reading_test.go
@@ -14,7 +14,7 @@
 )
 
 // prefillQueue models a group that prefills prompts one after the other; a long prompt delays all behind it.
-type prefillQueue struct{ until time.Duration }
+type prefillQueue struct{ idleAt time.Duration }
 
 // simulatePrefill sends prompts of many lengths to groups whose engines have the given times, and returns the share
 // of first tokens that are in time.
@@ -32,12 +32,12 @@
 		list[i].Engine = engine
 	}
 	s.SetGroups(0, list, r.Float64)
-	played := make(map[string]*prefillQueue)
+	queues := make(map[string]*prefillQueue)
 	for _, g := range list {
-		played[g.Head] = &prefillQueue{}
+		queues[g.Head] = &prefillQueue{}
 	}
 	running := map[string]time.Duration{}
-	good, asked := 0, 0
+	good, requests := 0, 0
 	for now := time.Duration(0); now < 60*time.Second; now += time.Millisecond {
 		for key, ends := range running {
 			if now >= ends {
@@ -48,21 +48,21 @@
 		if r.Float64() >= perSecond*time.Millisecond.Seconds() {
 			continue
 		}
-		asked++
+		requests++
 		prompt := min(6000, 900*math.Exp(r.NormFloat64()))
-		key := fmt.Sprint(asked)
+		key := fmt.Sprint(requests)
 		decisions := s.Submit(now, turns.Request{Key: key, Model: "m", MaxWait: time.Second, Size: capacity.RequestSize{PromptTokens: prompt, OutputTokens: 100}}, r.Float64)
 		if len(decisions) != 1 || decisions[0].Reason != turns.Granted {
 			continue
 		}
-		g := played[decisions[0].Head]
-		g.until = max(now, g.until) + time.Duration(prompt/30_000*float64(time.Second)) // half of the engine's time goes to decoding
-		if g.until+pass-now <= inTime {
+		g := queues[decisions[0].Head]
+		g.idleAt = max(now, g.idleAt) + time.Duration(prompt/30_000*float64(time.Second)) // half of the engine's time goes to decoding
+		if g.idleAt+pass-now <= inTime {
 			good++
 		}
-		running[key] = g.until + 1200*time.Millisecond
+		running[key] = g.idleAt + 1200*time.Millisecond
 	}
-	return float64(good) / float64(asked)
+	return float64(good) / float64(requests)
 }
 
 var _ = Describe("Prompts of many lengths", func() {
@@ -70,7 +70,10 @@
 	// requests is often one that has a very long prompt to prefill, and requests sent there wait behind it although
 	// another group has none.
 	It("go to the group that will finish its prefill soonest", func() {
-		known := capacity.Engine{Slots: 48, StepTime: 6450 * time.Microsecond, StepTimePerSequence: 97 * time.Microsecond, StepsPerPass: 5, PrefillTokensPerSecond: 30_000, TimeFactor: 1}
+		known := capacity.Engine{
+			Slots: 48, StepTime: 6450 * time.Microsecond, StepTimePerSequence: 97 * time.Microsecond, StepsPerPass: 5,
+			PrefillTokensPerSecond: 30_000, TimeFactor: 1,
+		}
 		fewest, soonest := simulatePrefill(capacity.Engine{Slots: 48}), simulatePrefill(known)
 		GinkgoWriter.Printf("in time: fewest requests %.3f, earliest prefill %.3f\n", fewest, soonest)
 		Expect(1 - soonest).To(BeNumerically("<", 0.7*(1-fewest)))
--- a/policy/turns/returning.go
+++ b/policy/turns/returning.go
@@ -13,8 +13,8 @@
 // deadline can't be used to detect this: deadlines differ between callers by more than the Retry-After delay, and if
 // all requests were taken for retries, all would wait until their answers are late.
 func (s *Scheduler) markRetry(now time.Duration, request Request) Request {
-	at, refused := s.rejectedAt[request.Fingerprint]
-	if !refused || request.Fingerprint == 0 || now-at > retryWindow {
+	at, rejected := s.rejectedAt[request.Fingerprint]
+	if !rejected || request.Fingerprint == 0 || now-at > retryWindow {
 		return request
 	}
 	request.Retry, request.FirstTokenBudget, request.MaxWait = true, 0, MaxRetryWait
--- a/policy/turns/turns.go
+++ b/policy/turns/turns.go
@@ -1,5 +1,6 @@
 // Package turns schedules requests onto groups: it decides which group serves a request, which requests wait, and
-// which are rejected.
+// which are rejected. Entries are the processes that accept callers' requests; a group is a set of VMs that serves
+// one replica of a model.
 //
 // Load pattern: many entries send requests to few groups, and some groups are lost every few seconds. Each entry sees
 // only a small part of the requests, and load reports arrive late. In the worst case the available groups can't serve
@@ -10,11 +11,11 @@
 // have given up. All are served, but late, and a caller that is rejected late retries late. A fixed limit per entry
 // is far too loose or far too tight.
 //
-// Therefore a single entry counts the requests in progress on each group and grants turns. A turn is the permission
-// to send one request to one group; it lasts until the request ends. A turn is granted at the group that is expected
-// to answer soonest or, where that is equal or unknown, has the largest share of free slots. When no slot is free,
-// requests wait in order of arrival. A request whose turn would come too late is rejected at once, while its caller
-// can still retry, and is told when a slot is expected to be free.
+// Therefore a single entry, the leader, counts the requests in progress on each group and grants turns. A turn is the
+// permission to send one request to one group; it lasts until the request ends. A turn is granted at the group that
+// is expected to answer soonest or, where that is equal or unknown, has the largest share of free slots. When no slot
+// is free, requests wait in order of arrival. A request whose turn would come too late is rejected at once, while its
+// caller can still retry, and is told when a slot is expected to be free.
 //
 // Times are durations since an arbitrary fixed moment. A Scheduler is not safe for concurrent use.
 package turns
@@ -147,8 +148,8 @@
 	// turn to the first token.
 	meanTurnTime time.Duration
 	firstToken   estimate
-	// requests, granted and rejected are counted since the last call of Demands. newRequests counts those whose
-	// caller was not rejected before, and totalSize sums their sizes.
+	// requests, granted and rejected are counted since the last call of Demands. newRequests counts those
+	// that are not retries, and totalSize sums their sizes.
 	requests, granted, rejected, newRequests int
 	totalSize                                capacity.RequestSize
 }
@@ -172,13 +173,13 @@
 		g.removed = true
 	}
 	for _, g := range groups {
-		held := s.groups[g.Head]
-		if held == nil {
-			held = &group{}
-			s.groups[g.Head] = held
+		known := s.groups[g.Head]
+		if known == nil {
+			known = &group{}
+			s.groups[g.Head] = known
 		}
-		held.Group = g
-		held.removed = false
+		known.Group = g
+		known.removed = false
 	}
 	for head, g := range s.groups {
 		if g.removed && g.running == 0 {
