--- a/policy/turns/demand.go
+++ b/policy/turns/demand.go
@@ -8,58 +8,63 @@
 	"github.com/skylarkpond/skylarkpond/policy/capacity"
 )
 
-// note counts a request.
-func (m *model) note(request Request) {
-	m.asked++
-	if request.Returning {
+// countRequest adds a request to the counters of the current interval.
+func (m *modelQueue) countRequest(request Request) {
+	m.requests++
+	if request.Retry {
 		return
 	}
-	m.fresh++
-	m.work.Prompt += request.Work.Prompt
-	m.work.Answer += request.Work.Answer
+	m.newRequests++
+	m.totalSize.PromptTokens += request.Size.PromptTokens
+	m.totalSize.OutputTokens += request.Size.OutputTokens
 }
 
-// Demand is what is known of one model.
+// Demand describes the requests for one model and the groups that serve it.
 type Demand struct {
 	Model string
-	// Groups stand, with Places in all, on which Running requests run; Waiting wait.
-	Groups, Places, Running, Waiting int
-	// Took is the mean time of a turn, First what most first parts take from the turn on.
-	Took, First time.Duration
-	// Asked, Granted and Refused count requests since the last call of Demands.
-	Asked, Granted, Refused int
-	// Fresh are those asked of callers that were not turned away before: each request counts once however often it comes. Work is what
-	// they asked for, on average.
-	Fresh int
-	Work  capacity.Work
+	// Groups is the number of available groups and Slots their total number of slots. Running requests are in
+	// progress on these groups; Waiting requests are queued.
+	Groups, Slots, Running, Waiting int
+	// MeanTurnTime is the moving average of how long a turn lasts. FirstTokenBound is a time from the grant of a turn
+	// to the first token that most requests stay below.
+	MeanTurnTime, FirstTokenBound time.Duration
+	// Requests, Granted and Rejected are counted since the previous call of Demands.
+	Requests, Granted, Rejected int
+	// NewRequests counts the requests that are not retries, so that a request counts once however often it is sent.
+	// MeanSize is the mean size of these requests.
+	NewRequests int
+	MeanSize    capacity.RequestSize
 }
 
-// Demands returns the demand of every model that was asked for, by name, and begins new counts.
+// Demands returns the demand of every model that was requested, sorted by name, and resets the counters.
 func (s *Scheduler) Demands(now time.Duration) []Demand {
-	s.forgetRefused(now)
+	s.expireRejected(now)
 	demands := make([]Demand, 0, len(s.models))
 	for name, m := range s.models {
 		d := Demand{
-			Model: name, Waiting: len(m.waiting), Took: m.took, First: m.first.bound(),
-			Asked: m.asked, Granted: m.granted, Refused: m.refused, Fresh: m.fresh,
+			Model: name, Waiting: len(m.queue), MeanTurnTime: m.meanTurnTime, FirstTokenBound: m.firstToken.upperBound(),
+			Requests: m.requests, Granted: m.granted, Rejected: m.rejected, NewRequests: m.newRequests,
 		}
-		if m.fresh > 0 {
-			d.Work = capacity.Work{Prompt: m.work.Prompt / float64(m.fresh), Answer: m.work.Answer / float64(m.fresh)}
+		if m.newRequests > 0 {
+			d.MeanSize = capacity.RequestSize{
+				PromptTokens: m.totalSize.PromptTokens / float64(m.newRequests),
+				OutputTokens: m.totalSize.OutputTokens / float64(m.newRequests),
+			}
 		}
 		for _, g := range s.groups {
-			if !g.gone && g.Model == name {
+			if !g.removed && g.Model == name {
 				d.Groups++
 			}
 		}
-		d.Running, d.Places = s.places(name)
-		m.asked, m.granted, m.refused, m.fresh, m.work = 0, 0, 0, 0, capacity.Work{}
+		d.Running, d.Slots = s.slots(name)
+		m.requests, m.granted, m.rejected, m.newRequests, m.totalSize = 0, 0, 0, 0, capacity.RequestSize{}
 		demands = append(demands, d)
 	}
 	slices.SortFunc(demands, func(a, b Demand) int { return strings.Compare(a.Model, b.Model) })
 	return demands
 }
 
-// Load is what is known of one group.
+// Load describes the load of one group.
 type Load struct {
 	Head    string
 	Model   string
@@ -68,12 +73,12 @@
 	Suspect bool
 }
 
-// Loads returns the load of every group that stands, by head.
+// Loads returns the load of every available group, sorted by head.
 func (s *Scheduler) Loads(now time.Duration) []Load {
 	loads := make([]Load, 0, len(s.groups))
 	for _, g := range s.groups {
-		if !g.gone {
-			loads = append(loads, Load{Head: g.Head, Model: g.Model, Running: g.running, Slots: g.Engine.Slots, Suspect: now < g.suspect})
+		if !g.removed {
+			loads = append(loads, Load{Head: g.Head, Model: g.Model, Running: g.running, Slots: g.Engine.Slots, Suspect: now < g.suspectUntil})
 		}
 	}
 	slices.SortFunc(loads, func(a, b Load) int { return strings.Compare(a.Head, b.Head) })
