--- a/policy/turns/demand.go
+++ b/policy/turns/demand.go
@@ -46,10 +46,7 @@
 			Requests: m.requests, Granted: m.granted, Rejected: m.rejected, NewRequests: m.newRequests,
 		}
 		if m.newRequests > 0 {
-			d.MeanSize = capacity.RequestSize{
-				PromptTokens: m.totalSize.PromptTokens / float64(m.newRequests),
-				OutputTokens: m.totalSize.OutputTokens / float64(m.newRequests),
-			}
+			d.MeanSize = capacity.RequestSize{PromptTokens: m.totalSize.PromptTokens / float64(m.newRequests), OutputTokens: m.totalSize.OutputTokens / float64(m.newRequests)}
 		}
 		for _, g := range s.groups {
 			if !g.removed && g.Model == name {
--- a/policy/turns/load_test.go
+++ b/policy/turns/load_test.go
@@ -192,10 +192,7 @@
 func simulate(unbounded bool, perTick float64, lostGroups func(time.Duration) int) *trial {
 	r := rand.New(rand.NewPCG(3, 9))
 	s := scheduler{Scheduler: turns.New(turns.DefaultConfig()), slots: 26, random: r.Float64}
-	t := &trial{
-		r: r, groups: 4, slots: 26, perTick: perTick, lostGroups: lostGroups, strategy: s,
-		firstToken: 80 * time.Millisecond, objective: 200 * time.Millisecond,
-	}
+	t := &trial{r: r, groups: 4, slots: 26, perTick: perTick, lostGroups: lostGroups, strategy: s, firstToken: 80 * time.Millisecond, objective: 200 * time.Millisecond}
 	if unbounded {
 		t.strategy = unboundedQueue{s}
 	}
--- a/policy/turns/reading_test.go
+++ b/policy/turns/reading_test.go
@@ -70,10 +70,7 @@
 	// requests is often one that has a very long prompt to prefill, and requests sent there wait behind it although
 	// another group has none.
 	It("go to the group that will finish its prefill soonest", func() {
-		known := capacity.Engine{
-			Slots: 48, StepTime: 6450 * time.Microsecond, StepTimePerSequence: 97 * time.Microsecond, StepsPerPass: 5,
-			PrefillTokensPerSecond: 30_000, TimeFactor: 1,
-		}
+		known := capacity.Engine{Slots: 48, StepTime: 6450 * time.Microsecond, StepTimePerSequence: 97 * time.Microsecond, StepsPerPass: 5, PrefillTokensPerSecond: 30_000, TimeFactor: 1}
 		fewest, soonest := simulatePrefill(capacity.Engine{Slots: 48}), simulatePrefill(known)
 		GinkgoWriter.Printf("in time: fewest requests %.3f, earliest prefill %.3f\n", fewest, soonest)
 		Expect(1 - soonest).To(BeNumerically("<", 0.7*(1-fewest)))
