--- a/entry/grouping/dissolve.go
+++ b/entry/grouping/dissolve.go
@@ -18,7 +18,7 @@
 	started := c.dissolving[group.key]
 	c.dissolving[group.key] = true
 	if !started && group.cancel {
-		c.losses.Lost()
+		c.losses.ObserveLoss()
 	}
 	c.mu.Unlock()
 	if started {
@@ -58,7 +58,7 @@
 	if chosen == nil {
 		return // its group was closed meanwhile
 	}
-	c.startDissolve(ctx, brokenGroup{key: chosen.Group.GroupKey, head: chosen, reason: "its VMs are needed for " + drain.For})
+	c.startDissolve(ctx, brokenGroup{key: chosen.Group.GroupKey, head: chosen, reason: "its VMs are needed for " + drain.Recipient})
 }
 
 const (
--- a/entry/grouping/filling.go
+++ b/entry/grouping/filling.go
@@ -28,7 +28,7 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	for i := range domains {
-		domains[i].Filling = c.filling(service+"/"+domains[i].Name, domains[i].Total, now)
+		domains[i].Registering = c.filling(service+"/"+domains[i].Name, domains[i].Total, now)
 	}
 }
 
--- a/entry/grouping/fleet.go
+++ b/entry/grouping/fleet.go
@@ -32,7 +32,7 @@
 	for _, domain := range view.input.Domains {
 		domains = append(domains, describe(domain))
 	}
-	detail := fmt.Sprintf("%d dark, %d broken, room for %d loads; %s", dark, len(view.broken), view.input.Loads, strings.Join(domains, "; "))
+	detail := fmt.Sprintf("%d dark, %d broken, room for %d loads; %s", dark, len(view.broken), view.input.AvailableLoads, strings.Join(domains, "; "))
 	c.deps.Event(Event{Kind: FleetSeen, Service: service.Name, Detail: detail})
 	c.tellUnformable(service.Name, service.Engine.Models, view.input.Domains)
 }
--- a/entry/grouping/grouping.go
+++ b/entry/grouping/grouping.go
@@ -141,7 +141,7 @@
 	// askedDark is when the VMs that did not answer were asked last.
 	askedDark time.Time
 	// losses learn how many VMs are lost, watched is up to when.
-	losses  *policy.Losses
+	losses  *policy.LossEstimator
 	watched time.Time
 	running sync.WaitGroup
 	inForce bool
@@ -179,7 +179,7 @@
 		toldFleet: make(map[string]time.Time), listed: make(map[string]listedCount),
 		whole: make(map[backend.GroupKey]wholeGroup), vouched: make(map[backend.GroupKey]int),
 		absentees: make(map[backend.ID]*absentee),
-		staging:   make(map[backend.ID]staging), unreached: make(map[backend.ID]time.Time), loads: newLoadPace(), losses: policy.NewLosses(),
+		staging:   make(map[backend.ID]staging), unreached: make(map[backend.ID]time.Time), loads: newLoadPace(), losses: policy.NewLossEstimator(),
 	}
 }
 
@@ -245,11 +245,11 @@
 		c.startDissolve(ctx, broken)
 	}
 	early := c.deps.Early()
-	view.input.Early = early
+	view.input.BeforeTraffic = early
 	view.input.LossRate = c.lossRate(service.Engine, view)
 	c.noteFilling(service.Name, view.input.Domains)
-	view.input.Loads = c.availableLoads(service.Engine, early)
-	view.input.Loading, view.input.LoadsAtOnce = c.loadsInProgress(), service.Engine.LoadsAtOnce
+	view.input.AvailableLoads = c.availableLoads(service.Engine, early)
+	view.input.LoadsInProgress, view.input.LoadsAtOnce = c.loadsInProgress(), service.Engine.LoadsAtOnce
 	plan := policy.Decide(view.input)
 	c.tellFleet(service, view)
 	for _, formation := range plan.Form {
--- a/entry/grouping/losses.go
+++ b/entry/grouping/losses.go
@@ -19,7 +19,7 @@
 		model, _ := engine.Model(head.Model) // one that is no longer configured counts no VMs
 		vms += model.Size
 	}
-	c.losses.Watched(vms, min(now.Sub(c.watched), watchedMost).Seconds())
+	c.losses.ObserveExposure(vms, min(now.Sub(c.watched), watchedMost).Seconds())
 	c.watched = now
 	return c.losses.Rate()
 }
--- a/entry/grouping/view.go
+++ b/entry/grouping/view.go
@@ -147,7 +147,7 @@
 		}
 		domain.Total++
 		if closing[server.ID] {
-			domain.Closing++
+			domain.DissolvingVMs++
 		}
 		if model, busy := taken[server.ID]; busy {
 			if model != "" {
@@ -175,7 +175,7 @@
 
 func (c *Controller) free(server *backend.Server) policy.VM {
 	vm := policy.VM{ID: string(server.ID), Loaded: c.loadedModel(server)}
-	_, vm.Cold = c.cold[server.ID]
+	_, vm.WarmFailed = c.cold[server.ID]
 	if len(server.Staged) > 0 {
 		vm.Staged = server.Staged[len(server.Staged)-1]
 	}
@@ -279,7 +279,7 @@
 	sum := 0.0
 	for _, model := range service.Engine.Models {
 		wanted := c.deps.Demand(service.Name, model.Name)
-		models = append(models, policy.Model{Name: model.Name, Size: model.Size, Share: model.Share, LoadTime: model.Load, Wanted: wanted})
+		models = append(models, policy.Model{Name: model.Name, Size: model.Size, Share: model.Share, LoadTime: model.Load, DemandGroups: wanted})
 		vms := wanted * float64(model.Size)
 		demands = append(demands, vms)
 		sum += vms
--- a/policy/grouping/convert.go
+++ b/policy/grouping/convert.go
@@ -12,7 +12,7 @@
 
 // tooFew says whether some groups are fewer than the requests of a model would fill.
 func (d *decision) tooFew(groups int, model Model) bool {
-	return d.demandKnown() && float64(groups) < model.Wanted
+	return d.demandKnown() && float64(groups) < model.DemandGroups
 }
 
 // underWay counts the domains that will have one more group of a model without further steps, but for loads.
@@ -20,7 +20,7 @@
 	n := 0
 	for i, domain := range d.in.Domains {
 		loading := atHand(d.free[i], model.Name) >= model.Size
-		if loading || (domain.Closing > 0 && domain.Closing+len(d.free[i]) >= model.Size) {
+		if loading || (domain.DissolvingVMs > 0 && domain.DissolvingVMs+len(d.free[i]) >= model.Size) {
 			n++
 		}
 	}
@@ -56,7 +56,7 @@
 	fewest := 0
 	for i, domain := range d.in.Domains {
 		free := len(d.free[i])
-		if free >= model.Size || domain.Closing > 0 {
+		if free >= model.Size || domain.DissolvingVMs > 0 {
 			continue // it needs but loads, or is being converted
 		}
 		for _, donor := range d.in.Models {
@@ -65,7 +65,7 @@
 			}
 			loads := model.Size - atHand(d.free[i], model.Name)
 			if best == nil || loads < fewest {
-				best, fewest = &Drain{Domain: domain.Name, Model: donor.Name, For: model.Name}, loads
+				best, fewest = &Drain{Domain: domain.Name, Model: donor.Name, Recipient: model.Name}, loads
 			}
 		}
 	}
--- a/policy/grouping/convert_test.go
+++ b/policy/grouping/convert_test.go
@@ -9,7 +9,7 @@
 
 // wanted returns a model whose requests fill some groups.
 func wanted(name string, size int, groups float64) grouping.Model {
-	return grouping.Model{Name: name, Size: size, Share: 0.5, LoadTime: largeLoad, Wanted: groups}
+	return grouping.Model{Name: name, Size: size, Share: 0.5, LoadTime: largeLoad, DemandGroups: groups}
 }
 
 var _ = Describe("VMs of a model that has more groups than it needs", func() {
@@ -20,28 +20,28 @@
 	// The larger model's groups were lost, and its callers are refused, while each domain is full of the smaller one's.
 	It("are given to one that turns callers away, one group at a time", func() {
 		in := grouping.Input{
-			Models: []grouping.Model{wanted("large", 5, 2), wanted("small", 3, 3)}, Loads: 3, LoadsAtOnce: 8,
+			Models: []grouping.Model{wanted("large", 5, 2), wanted("small", 3, 3)}, AvailableLoads: 3, LoadsAtOnce: 8,
 			Domains: []grouping.Domain{full("a"), full("b"), full("c")},
 		}
-		Expect(grouping.Decide(in).Drain).To(Equal([]grouping.Drain{{Domain: "a", Model: "small", For: "large"}}))
+		Expect(grouping.Decide(in).Drain).To(Equal([]grouping.Drain{{Domain: "a", Model: "small", Recipient: "large"}}))
 	})
 
 	It("stay where their model would have too few, or its demand is not known", func() {
 		in := grouping.Input{
-			Models: []grouping.Model{wanted("large", 5, 2), wanted("small", 3, 7)}, Loads: 3, LoadsAtOnce: 8,
+			Models: []grouping.Model{wanted("large", 5, 2), wanted("small", 3, 7)}, AvailableLoads: 3, LoadsAtOnce: 8,
 			Domains: []grouping.Domain{full("a"), full("b"), full("c")},
 		}
 		Expect(grouping.Decide(in).Drain).To(BeEmpty())
-		in.Models[1].Wanted = 0
+		in.Models[1].DemandGroups = 0
 		Expect(grouping.Decide(in).Drain).To(BeEmpty())
 	})
 
 	// Were groups drained until the first new one stands, a minute's demand would cost a model all its groups.
 	It("are not taken twice for the same group: what is closing or loading counts", func() {
 		closing := full("a")
-		closing.Closing, closing.Groups["small"] = 3, 2
+		closing.DissolvingVMs, closing.Groups["small"] = 3, 2
 		in := grouping.Input{
-			Models: []grouping.Model{wanted("large", 5, 1), wanted("small", 3, 3)}, Loads: 3, LoadsAtOnce: 8,
+			Models: []grouping.Model{wanted("large", 5, 1), wanted("small", 3, 3)}, AvailableLoads: 3, LoadsAtOnce: 8,
 			Domains: []grouping.Domain{closing, full("b"), full("c")},
 		}
 		Expect(grouping.Decide(in).Drain).To(BeEmpty())
@@ -51,12 +51,12 @@
 	// and so on without end.
 	It("are taken from another domain than the one that is converted already, and not formed again while their model has its goal", func() {
 		closing := domain("a", 11, vms("a", "small", "small"), map[string]int{"small": 2})
-		closing.Closing = 3
+		closing.DissolvingVMs = 3
 		in := grouping.Input{
-			Models: []grouping.Model{wanted("large", 4, 1.5), wanted("small", 3, 2)}, Loads: 3, LoadsAtOnce: 8,
+			Models: []grouping.Model{wanted("large", 4, 1.5), wanted("small", 3, 2)}, AvailableLoads: 3, LoadsAtOnce: 8,
 			Domains: []grouping.Domain{closing, domain("b", 11, vms("b", "small", "small"), map[string]int{"small": 3})},
 		}
-		Expect(grouping.Decide(in).Drain).To(Equal([]grouping.Drain{{Domain: "b", Model: "small", For: "large"}}))
+		Expect(grouping.Decide(in).Drain).To(Equal([]grouping.Drain{{Domain: "b", Model: "small", Recipient: "large"}}))
 		in.Domains[0] = domain("a", 11, vms("a", "small", "small", "small", "small", "small"), map[string]int{"small": 2})
 		in.Domains[1].Groups["small"] = 1
 		Expect(grouping.Decide(in).Form).To(BeEmpty())
@@ -65,7 +65,7 @@
 	// The drained VMs still have the smaller model's weights: formed again at once, they would never be the other's.
 	It("are not formed again for the model that gave them", func() {
 		in := grouping.Input{
-			Models: []grouping.Model{wanted("large", 5, 1), wanted("small", 3, 1)}, Loads: 3, LoadsAtOnce: 8,
+			Models: []grouping.Model{wanted("large", 5, 1), wanted("small", 3, 1)}, AvailableLoads: 3, LoadsAtOnce: 8,
 			Domains: []grouping.Domain{
 				domain("a", 11, vms("a", "small", "small", "small", "large", "large"), map[string]int{"small": 2}),
 				domain("b", 11, nil, map[string]int{"small": 3}),
@@ -83,7 +83,7 @@
 	It("take up the weights of their hosts, unless that failed lately", func() {
 		free := vms("v", "large", "small", "", "large")
 		free[1].Loaded = "small"
-		free[3].Cold = true
+		free[3].WarmFailed = true
 		plan := grouping.Decide(grouping.Input{Models: models, Domains: []grouping.Domain{domain("d", 9, free, map[string]int{"large": 1})}})
 		Expect(plan.Warm).To(Equal([]grouping.Warming{{VM: "v0", Model: "large"}}))
 	})
@@ -91,18 +91,18 @@
 	// All loads at once went to spares of a model with groups enough. A group that lacks one member waited 12 s for its load to begin.
 	It("leave loads for what completes groups", func() {
 		in := grouping.Input{
-			Models: []grouping.Model{wanted("large", 5, 1), wanted("small", 3, 1)}, Loads: 3, Loading: 4, LoadsAtOnce: 8,
+			Models: []grouping.Model{wanted("large", 5, 1), wanted("small", 3, 1)}, AvailableLoads: 3, LoadsInProgress: 4, LoadsAtOnce: 8,
 			Domains: []grouping.Domain{domain("a", 11, vms("a", ""), map[string]int{"small": 2, "large": 2})},
 		}
 		Expect(grouping.Decide(in).Stage).To(BeEmpty())
-		in.Loading = 3
+		in.LoadsInProgress = 3
 		Expect(grouping.Decide(in).Stage).To(HaveLen(1))
 	})
 
 	// Empty hosts come in two domains. In one, four of five members wait for the fifth.
 	It("go first to the domain where they complete a group", func() {
 		in := grouping.Input{
-			Models: []grouping.Model{wanted("large", 5, 2), wanted("small", 3, 1)}, Loads: 1, LoadsAtOnce: 8,
+			Models: []grouping.Model{wanted("large", 5, 2), wanted("small", 3, 1)}, AvailableLoads: 1, LoadsAtOnce: 8,
 			Domains: []grouping.Domain{
 				domain("a", 11, vms("a", ""), map[string]int{"small": 2}),
 				domain("b", 11, vms("b", "large", "large", "large", "large", ""), map[string]int{"small": 2}),
@@ -114,7 +114,7 @@
 	// The smaller model lacks a little. Its next group would drop the weights of one of four VMs that wait for a fifth.
 	It("are not taken from a group of another model that is nearly complete", func() {
 		in := grouping.Input{
-			Models: []grouping.Model{wanted("large", 5, 2.5), wanted("small", 3, 3)}, Loads: 3, LoadsAtOnce: 8,
+			Models: []grouping.Model{wanted("large", 5, 2.5), wanted("small", 3, 3)}, AvailableLoads: 3, LoadsAtOnce: 8,
 			Domains: []grouping.Domain{
 				domain("a", 11, vms("a", "large", "large", "large", "large", "small", "small"), map[string]int{"small": 1}),
 				domain("b", 11, nil, map[string]int{"small": 3, "large": 2}),
--- a/policy/grouping/grouping.go
+++ b/policy/grouping/grouping.go
@@ -30,8 +30,8 @@
 	Share float64
 	// LoadTime is how long its weights take from the weight store.
 	LoadTime time.Duration
-	// Wanted is how many groups the requests that come would fill; 0 where that is not known.
-	Wanted float64
+	// DemandGroups is how many groups the requests that come would fill; 0 where that is not known.
+	DemandGroups float64
 }
 
 // VM is one VM that is in no group that serves or forms.
@@ -43,8 +43,8 @@
 	Loaded string
 	// Staging is the model that is being staged; empty for none.
 	Staging string
-	// Cold says that it could lately not take up the weights on its host.
-	Cold bool
+	// WarmFailed says that it could lately not take up the weights on its host.
+	WarmFailed bool
 }
 
 // Domain is one fabric domain. Groups do not cross it.
@@ -53,25 +53,25 @@
 	Free []VM
 	// Groups counts the groups that serve or form, by model.
 	Groups map[string]int
-	// Closing counts the VMs of groups that are being dissolved.
-	Closing int
+	// DissolvingVMs counts the VMs of groups that are being dissolved.
+	DissolvingVMs int
 	// Total counts all usable VMs.
 	Total int
-	// Filling says that its VMs are still being listed one by one. A domain of which a few are listed holds but the smallest model's groups,
+	// Registering says that its VMs are still being listed one by one. A domain of which a few are listed holds but the smallest model's groups,
 	// and what is formed then takes the place of the others.
-	Filling bool
+	Registering bool
 }
 
 // Input is what is known at one moment.
 type Input struct {
 	Models  []Model
 	Domains []Domain
-	// Early says that no caller has come yet: loads are short and groups may be formed that need them.
-	Early bool
+	// BeforeTraffic says that no caller has come yet: loads are short and groups may be formed that need them.
+	BeforeTraffic bool
 	// LossRate is the part of the VMs in groups that is lost in a second; 0 where nothing is known of it.
 	LossRate float64
-	// Loads is how many loads may begin now, Loading how many are in progress of the LoadsAtOnce that run at full speed.
-	Loads, Loading, LoadsAtOnce int
+	// AvailableLoads is how many loads may begin now, LoadsInProgress how many are in progress of the LoadsAtOnce that run at full speed.
+	AvailableLoads, LoadsInProgress, LoadsAtOnce int
 }
 
 // Formation is one group to form. The first member is the head.
@@ -99,8 +99,8 @@
 type Drain struct {
 	Domain string
 	// Model is that of the group, For the one that gets the VMs.
-	Model string
-	For   string
+	Model     string
+	Recipient string
 }
 
 // Plan is what to do now.
@@ -127,7 +127,7 @@
 	if in.LossRate <= 0 {
 		in.LossRate = usualLossRate
 	}
-	d := &decision{in: in, loads: in.Loads, counts: make(map[string]int), free: make([][]VM, len(in.Domains)), groups: make([]map[string]int, len(in.Domains))}
+	d := &decision{in: in, loads: in.AvailableLoads, counts: make(map[string]int), free: make([][]VM, len(in.Domains)), groups: make([]map[string]int, len(in.Domains))}
 	for i, domain := range in.Domains {
 		d.free[i] = slices.Clone(domain.Free)
 		d.total += domain.Total
@@ -137,7 +137,7 @@
 			d.counts[model] += n
 		}
 	}
-	if in.Early {
+	if in.BeforeTraffic {
 		d.mix = d.planMix()
 	}
 	for d.formNext() {
@@ -170,7 +170,7 @@
 // all VMs serve in proportion to the shares.
 func (d *decision) goal(model Model) float64 {
 	if d.demandKnown() {
-		return max(1, wantedRoom*model.Wanted)
+		return max(1, wantedRoom*model.DemandGroups)
 	}
 	sum := 0.0
 	for _, other := range d.in.Models {
@@ -184,7 +184,7 @@
 
 func (d *decision) demandKnown() bool {
 	for _, model := range d.in.Models {
-		if model.Wanted <= 0 {
+		if model.DemandGroups <= 0 {
 			return false
 		}
 	}
@@ -222,8 +222,8 @@
 // short says whether a model has fewer groups than it is to have at most times.
 func (d *decision) short(model Model) bool {
 	count := float64(d.counts[model.Name])
-	if model.Wanted > 0 {
-		return count < wantedRoom*model.Wanted+oneLost
+	if model.DemandGroups > 0 {
+		return count < wantedRoom*model.DemandGroups+oneLost
 	}
 	return count < shortShare*d.goal(model)
 }
@@ -277,7 +277,7 @@
 		return nil
 	}
 	loads := max(0, model.Size-staged(d.free[i], model.Name))
-	if loads > 0 && !d.in.Early {
+	if loads > 0 && !d.in.BeforeTraffic {
 		return nil
 	}
 	return &candidate{domain: i, model: model, loads: loads, need: d.need(model), groups: d.groups[i][model.Name]}
@@ -289,14 +289,14 @@
 	switch {
 	case left < 0:
 		return false
-	case d.in.Early:
+	case d.in.BeforeTraffic:
 		return !d.waits(i) && d.groups[i][model.Name] < d.mix[i][model.Name]
 	}
 	return float64(d.counts[model.Name]) < d.goal(model) || !d.keptForStarved(i)
 }
 
 // waits says that the VMs of a domain are still being listed.
-func (d *decision) waits(i int) bool { return d.in.Early && d.in.Domains[i].Filling }
+func (d *decision) waits(i int) bool { return d.in.BeforeTraffic && d.in.Domains[i].Registering }
 
 // staged counts the VMs that have a model's weights.
 func staged(free []VM, model string) int {
--- a/policy/grouping/grouping_test.go
+++ b/policy/grouping/grouping_test.go
@@ -50,7 +50,7 @@
 	// the weight store is behind.
 	It("forms what needs no load whatever loads are left", func() {
 		for _, loads := range []int{0, -7} {
-			plan := grouping.Decide(grouping.Input{Models: models, Loads: loads, Domains: []grouping.Domain{
+			plan := grouping.Decide(grouping.Input{Models: models, AvailableLoads: loads, Domains: []grouping.Domain{
 				domain("d", 8, vms("v", "large", "large", "large", "large"), nil),
 			}})
 			Expect(plan.Form).To(HaveLen(1))
@@ -59,7 +59,7 @@
 
 	// Members that wait for one that loads serve nobody for 16 s.
 	It("forms no group that needs a load once callers come, and stages the weights instead", func() {
-		plan := grouping.Decide(grouping.Input{Models: models, Loads: 3, Domains: []grouping.Domain{
+		plan := grouping.Decide(grouping.Input{Models: models, AvailableLoads: 3, Domains: []grouping.Domain{
 			domain("d", 8, vms("v", "large", "large", "large", ""), map[string]int{"small": 1}),
 		}})
 		Expect(plan.Form).To(BeEmpty())
@@ -67,7 +67,7 @@
 	})
 
 	It("forms groups that need loads before callers come, as far as the loads reach", func() {
-		plan := grouping.Decide(grouping.Input{Models: models, Early: true, Loads: 7, Domains: []grouping.Domain{
+		plan := grouping.Decide(grouping.Input{Models: models, BeforeTraffic: true, AvailableLoads: 7, Domains: []grouping.Domain{
 			domain("d", 9, vms("v", "", "", "", "", "", "", "", "", ""), nil),
 		}})
 		Expect(plan.Form).To(ConsistOf(HaveField("Model", "large"), HaveField("Model", "small")))
@@ -75,7 +75,7 @@
 
 	// The smaller model always fits into the loads that are left, and the larger one never gets its share.
 	It("does not let a model with fewer loads overtake one that is needed more", func() {
-		plan := grouping.Decide(grouping.Input{Models: models, Early: true, Loads: 3, Domains: []grouping.Domain{
+		plan := grouping.Decide(grouping.Input{Models: models, BeforeTraffic: true, AvailableLoads: 3, Domains: []grouping.Domain{
 			domain("d", 18, vms("v", "", "", "", "", "", "", "", ""), map[string]int{"small": 2}),
 		}})
 		Expect(plan.Form).To(BeEmpty())
@@ -88,7 +88,7 @@
 			name := fmt.Sprint(i)
 			domains = append(domains, domain(name, 9, vms(name, "", "", "", "", "", "", "", "", ""), map[string]int{}))
 		}
-		plan := grouping.Decide(grouping.Input{Models: models, Early: true, Loads: 1000, Domains: domains})
+		plan := grouping.Decide(grouping.Input{Models: models, BeforeTraffic: true, AvailableLoads: 1000, Domains: domains})
 		count := map[string]int{}
 		for _, f := range plan.Form {
 			count[f.Model]++
@@ -108,7 +108,7 @@
 
 	It("stages spares for the group that leaves the most VMs without work when it loses one", func() {
 		two := []grouping.Model{{Name: "large", Size: 16, Share: 0.5, LoadTime: largeLoad}, {Name: "small", Size: 4, Share: 0.5, LoadTime: smallLoad}}
-		plan := grouping.Decide(grouping.Input{Models: two, Loads: 3, Domains: []grouping.Domain{
+		plan := grouping.Decide(grouping.Input{Models: two, AvailableLoads: 3, Domains: []grouping.Domain{
 			domain("d", 37, vms("v", "", "", ""), map[string]int{"large": 1, "small": 4}),
 		}})
 		Expect(plan.Stage).To(HaveLen(3))
@@ -121,7 +121,7 @@
 	It("drops a spare's weights for what completes a large group", func() {
 		two := []grouping.Model{{Name: "large", Size: 16, Share: 0.5, LoadTime: largeLoad}, {Name: "small", Size: 4, Share: 0.5, LoadTime: smallLoad}}
 		free := vms("v", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "small")
-		plan := grouping.Decide(grouping.Input{Models: two, Loads: 3, Domains: []grouping.Domain{
+		plan := grouping.Decide(grouping.Input{Models: two, AvailableLoads: 3, Domains: []grouping.Domain{
 			domain("d", 36, free, map[string]int{"small": 5}),
 		}})
 		Expect(plan.Stage).To(Equal([]grouping.Staging{{VM: "v15", Model: "large"}}))
@@ -132,14 +132,14 @@
 		in := grouping.Input{Models: []grouping.Model{{Name: "large", Size: 4, Share: 0.57, LoadTime: largeLoad}, {Name: "small", Size: 3, Share: 0.43, LoadTime: smallLoad}}, Domains: []grouping.Domain{
 			domain("d", 9, vms("v", "small", "small", "small"), map[string]int{"small": 2, "large": 3}),
 		}}
-		in.Models[1].Wanted = 2
+		in.Models[1].DemandGroups = 2
 		Expect(grouping.Decide(in).Form).To(ConsistOf(HaveField("Model", "small")))
 	})
 
 	It("never takes a VM twice, nor one that is staging", func() {
 		free := vms("v", "large", "large", "large", "large", "small", "small", "small")
 		free[0].Staging = "small"
-		plan := grouping.Decide(grouping.Input{Models: models, Loads: 3, Domains: []grouping.Domain{domain("d", 7, free, nil)}})
+		plan := grouping.Decide(grouping.Input{Models: models, AvailableLoads: 3, Domains: []grouping.Domain{domain("d", 7, free, nil)}})
 		seen := map[string]bool{}
 		for _, f := range plan.Form {
 			for _, id := range f.Members {
@@ -155,7 +155,7 @@
 	It("does not drop weights for another model unless that one is nearly without groups", func() {
 		survivors := vms("v", "large", "large", "large")
 		busy := domain("e", 40, nil, map[string]int{"large": 5, "small": 4})
-		in := grouping.Input{Models: models, Loads: 3, Domains: []grouping.Domain{domain("d", 8, survivors, map[string]int{"large": 1}), busy}}
+		in := grouping.Input{Models: models, AvailableLoads: 3, Domains: []grouping.Domain{domain("d", 8, survivors, map[string]int{"large": 1}), busy}}
 		Expect(grouping.Decide(in).Stage).To(BeEmpty())
 		in.Domains[1].Groups["small"] = 0
 		Expect(grouping.Decide(in).Stage).To(HaveLen(3))
@@ -166,14 +166,14 @@
 // and no VM is staged ahead.
 func waitForOwn(in grouping.Input) grouping.Plan {
 	plan := grouping.Decide(in)
-	if in.Early {
+	if in.BeforeTraffic {
 		plan.Stage = nil
 		return plan
 	}
 	plan.Stage = nil
 	for _, d := range in.Domains {
 		for _, vm := range d.Free {
-			if vm.Staged == "" && vm.Staging == "" && len(plan.Stage) < in.Loads {
+			if vm.Staged == "" && vm.Staging == "" && len(plan.Stage) < in.AvailableLoads {
 				plan.Stage = append(plan.Stage, grouping.Staging{VM: vm.ID, Model: "large"})
 			}
 		}
@@ -229,7 +229,7 @@
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []struct{ domains, vms int }{{6, 9}, {8, 37}, {68, 37}} {
 		b.Run(fmt.Sprintf("%d-domains-of-%d", size.domains, size.vms), func(b *testing.B) {
-			in := grouping.Input{Models: models, Loads: 3}
+			in := grouping.Input{Models: models, AvailableLoads: 3}
 			for i := range size.domains {
 				name := fmt.Sprint(i)
 				staged := make([]string, size.vms/4)
--- a/policy/grouping/losses.go
+++ b/policy/grouping/losses.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Losses learns which part of the VMs in groups is lost in a second.
+// LossEstimator learns which part of the VMs in groups is lost in a second.
 //
 // What goes wrong without it: spares and weights are kept for losses that do not come, while a group that lacks one member waits, or too few are
 // kept where VMs are lost by the dozen.
-type Losses struct {
+type LossEstimator struct {
 	lost, vmSeconds float64
 }
 
@@ -21,23 +21,23 @@
 	leastWatched = 1
 )
 
-// NewLosses returns what is taken until more is known.
-func NewLosses() *Losses {
-	return &Losses{lost: usualLossRate * usualWeight, vmSeconds: usualWeight}
+// NewLossEstimator returns what is taken until more is known.
+func NewLossEstimator() *LossEstimator {
+	return &LossEstimator{lost: usualLossRate * usualWeight, vmSeconds: usualWeight}
 }
 
-// Watched notes that so many VMs were in groups for the last seconds.
-func (l *Losses) Watched(vms int, seconds float64) {
+// ObserveExposure notes that so many VMs were in groups for the last seconds.
+func (l *LossEstimator) ObserveExposure(vms int, seconds float64) {
 	kept := math.Exp(-seconds / lossMemory)
 	l.lost *= kept
 	l.vmSeconds = l.vmSeconds*kept + float64(vms)*seconds
 }
 
-// Lost notes that a group has lost a member.
-func (l *Losses) Lost() { l.lost++ }
+// ObserveLoss notes that a group has lost a member.
+func (l *LossEstimator) ObserveLoss() { l.lost++ }
 
 // Rate is the part of the VMs that is lost in a second.
-func (l *Losses) Rate() float64 {
+func (l *LossEstimator) Rate() float64 {
 	if l.vmSeconds < leastWatched {
 		return usualLossRate
 	}
--- a/policy/grouping/losses_test.go
+++ b/policy/grouping/losses_test.go
@@ -9,19 +9,19 @@
 
 var _ = Describe("Losses", func() {
 	// watch plays groups of so many VMs for some seconds, of which some are lost in each.
-	watch := func(l *grouping.Losses, vms, seconds int, each float64) {
+	watch := func(l *grouping.LossEstimator, vms, seconds int, each float64) {
 		owed := 0.0
 		for range seconds {
-			l.Watched(vms, 1)
+			l.ObserveExposure(vms, 1)
 			for owed += each; owed >= 1; owed-- {
-				l.Lost()
+				l.ObserveLoss()
 			}
 		}
 	}
 
 	DescribeTable("are known within half a minute, as far as groups show them",
 		func(vms int, each float64) {
-			l := grouping.NewLosses()
+			l := grouping.NewLossEstimator()
 			watch(l, vms, 30, each)
 			Expect(l.Rate()).To(BeNumerically("~", each/float64(vms), 0.4*each/float64(vms)))
 		},
@@ -31,7 +31,7 @@
 	)
 
 	It("are forgotten within minutes once there are none", func() {
-		l := grouping.NewLosses()
+		l := grouping.NewLossEstimator()
 		watch(l, 80, 60, 1)
 		before := l.Rate()
 		watch(l, 80, 240, 0)
@@ -44,7 +44,7 @@
 	// there, and the group of the model that lacks groups waits in vain.
 	It("gets a spare of the other model where losses are rare, and not where they are frequent", func() {
 		in := grouping.Input{
-			Models: []grouping.Model{wanted("large", 12, 4), wanted("small", 6, 8.2)}, Loads: 3, LoadsAtOnce: 20,
+			Models: []grouping.Model{wanted("large", 12, 4), wanted("small", 6, 8.2)}, AvailableLoads: 3, LoadsAtOnce: 20,
 			Domains: []grouping.Domain{
 				domain("a", 26, vms("a", "small", "small", "small", "small", "small", "large", "large", "large"), map[string]int{"large": 1, "small": 1}),
 				domain("b", 135, nil, map[string]int{"large": 5, "small": 9}),
--- a/policy/grouping/mix_test.go
+++ b/policy/grouping/mix_test.go
@@ -36,7 +36,7 @@
 
 	// A domain of eleven takes one group of six and one of three. Filled with groups of three, it would hold none of six.
 	DescribeTable("fit whole domains and the models' shares", func(perDomain int, models []grouping.Model, expected map[string]int) {
-		plan := grouping.Decide(grouping.Input{Models: models, Early: true, Loads: 1000, Domains: empty(6, perDomain)})
+		plan := grouping.Decide(grouping.Input{Models: models, BeforeTraffic: true, AvailableLoads: 1000, Domains: empty(6, perDomain)})
 		Expect(counts(plan)).To(Equal(expected))
 	},
 		Entry("6 and 3 in 11", 11, pair(6, 3, 0.67), map[string]int{"l": 6, "s": 6}),
@@ -47,12 +47,12 @@
 
 	// VMs register one by one, a domain after the other. A group formed of the first three of a domain would be of the smaller model.
 	It("wait until the VMs of their domain are listed, and for no other domain", func() {
-		in := grouping.Input{Models: models, Early: true, Loads: 1000, Domains: empty(6, 3)}
+		in := grouping.Input{Models: models, BeforeTraffic: true, AvailableLoads: 1000, Domains: empty(6, 3)}
 		for i := range in.Domains {
-			in.Domains[i].Filling = true
+			in.Domains[i].Registering = true
 		}
 		Expect(grouping.Decide(in)).To(BeZero())
-		in.Domains[2].Filling = false
+		in.Domains[2].Registering = false
 		plan := grouping.Decide(in)
 		Expect(plan.Form).NotTo(BeEmpty())
 		Expect(plan.Form).To(HaveEach(HaveField("Domain", in.Domains[2].Name)))
--- a/policy/grouping/model_test.go
+++ b/policy/grouping/model_test.go
@@ -134,11 +134,11 @@
 	loading []float64 // ends
 	planner planner
 	next    int
-	losses  *grouping.Losses
+	losses  *grouping.LossEstimator
 }
 
 func newSim(at site, r *rand.Rand, plan planner) *sim {
-	s := &sim{site: at, r: r, planner: plan, losses: grouping.NewLosses()}
+	s := &sim{site: at, r: r, planner: plan, losses: grouping.NewLossEstimator()}
 	for d := range s.domains {
 		for range s.perDomain {
 			s.add(d)
@@ -204,12 +204,12 @@
 }
 
 func (s *sim) input(early bool, loads int) grouping.Input {
-	in := grouping.Input{Models: slices.Clone(s.models), Early: early, Loads: loads, LossRate: s.losses.Rate()}
+	in := grouping.Input{Models: slices.Clone(s.models), BeforeTraffic: early, AvailableLoads: loads, LossRate: s.losses.Rate()}
 	for i := range in.Models {
 		name := in.Models[i].Name
 		in.Models[i].LoadTime = time.Duration(s.pace[name] * float64(time.Second))
 		if s.now > demandKnown {
-			in.Models[i].Wanted = s.need[name]
+			in.Models[i].DemandGroups = s.need[name]
 		}
 	}
 	for d := range s.domains {
@@ -224,7 +224,7 @@
 					domain.Groups[vm.group.model]++
 				}
 				if vm.group.lost {
-					domain.Closing++
+					domain.DissolvingVMs++
 				}
 				continue
 			}
@@ -244,7 +244,7 @@
 	}
 	vm.loaded, vm.staging = "", ""
 	if g := vm.group; g != nil && !g.lost {
-		s.losses.Lost()
+		s.losses.ObserveLoss()
 		g.lost = true
 		g.broken = s.now + noticeMember
 		if g.members[0] == vm {
@@ -293,7 +293,7 @@
 			grouped += len(g.members)
 		}
 	}
-	s.losses.Watched(grouped, step)
+	s.losses.ObserveExposure(grouped, step)
 	for _, g := range s.groups {
 		if g.lost && g.broken > 0 && s.now >= g.broken {
 			g.broken = 0
--- a/policy/grouping/stage.go
+++ b/policy/grouping/stage.go
@@ -50,10 +50,10 @@
 
 // loadsForSpares leaves loads for what completes groups: a loss a second later would wait until a spare's load ends.
 func (d *decision) loadsForSpares() int {
-	if d.in.Early || d.in.LoadsAtOnce == 0 {
+	if d.in.BeforeTraffic || d.in.LoadsAtOnce == 0 {
 		return d.loads
 	}
-	return max(0, int(spareLoads*float64(d.in.LoadsAtOnce))-d.in.Loading)
+	return max(0, int(spareLoads*float64(d.in.LoadsAtOnce))-d.in.LoadsInProgress)
 }
 
 // completion is what a domain lacks for its next group of a model.
@@ -252,7 +252,7 @@
 func (d *decision) warm() {
 	for _, free := range d.free {
 		for _, vm := range free {
-			if vm.Staged != "" && vm.Staging == "" && vm.Loaded != vm.Staged && !vm.Cold {
+			if vm.Staged != "" && vm.Staging == "" && vm.Loaded != vm.Staged && !vm.WarmFailed {
 				d.plan.Warm = append(d.plan.Warm, Warming{VM: vm.ID, Model: vm.Staged})
 			}
 		}
