--- a/policy/grouping/convert.go
+++ b/policy/grouping/convert.go
@@ -10,16 +10,16 @@
 // A group is drained, so that nothing is cut, only for a model that lacks groups now and after what is under way, and only of a model that
 // keeps more than it needs. Its VMs serve nobody for the time of a load.
 
-// tooFew says whether some groups are fewer than the requests of a model would fill.
-func (d *decision) tooFew(groups int, model Model) bool {
+// belowDemand says whether some groups are fewer than the requests of a model would fill.
+func (d *decision) belowDemand(groups int, model Model) bool {
 	return d.demandKnown() && float64(groups) < model.DemandGroups
 }
 
-// underWay counts the domains that will have one more group of a model without further steps, but for loads.
-func (d *decision) underWay(model Model) int {
+// pendingGroups counts the domains that will have one more group of a model without further steps, but for loads.
+func (d *decision) pendingGroups(model Model) int {
 	n := 0
 	for i, domain := range d.in.Domains {
-		loading := atHand(d.free[i], model.Name) >= model.Size
+		loading := countStagedOrStaging(d.free[i], model.Name) >= model.Size
 		if loading || (domain.DissolvingVMs > 0 && domain.DissolvingVMs+len(d.free[i]) >= model.Size) {
 			n++
 		}
@@ -27,20 +27,20 @@
 	return n
 }
 
-// keptForStarved says whether the free VMs of a domain are to make a group of a model that lacks groups.
-func (d *decision) keptForStarved(i int) bool {
+// reservedForUnderserved says whether the free VMs of a domain are to make a group of a model that lacks groups.
+func (d *decision) reservedForUnderserved(i int) bool {
 	for _, model := range d.in.Models {
-		if len(d.free[i]) >= model.Size && d.tooFew(d.counts[model.Name], model) {
+		if len(d.free[i]) >= model.Size && d.belowDemand(d.counts[model.Name], model) {
 			return true
 		}
 	}
 	return false
 }
 
-// drain plans at most one conversion.
-func (d *decision) drain() {
+// planDrain plans at most one conversion.
+func (d *decision) planDrain() {
 	for _, model := range d.in.Models {
-		if !d.tooFew(d.counts[model.Name]+d.underWay(model), model) {
+		if !d.belowDemand(d.counts[model.Name]+d.pendingGroups(model), model) {
 			continue
 		}
 		if best := d.cheapestDrain(model); best != nil {
@@ -63,7 +63,7 @@
 			if d.groups[i][donor.Name] == 0 || !d.canSpare(donor, model) || free+donor.Size < model.Size {
 				continue
 			}
-			loads := model.Size - atHand(d.free[i], model.Name)
+			loads := model.Size - countStagedOrStaging(d.free[i], model.Name)
 			if best == nil || loads < fewest {
 				best, fewest = &Drain{Domain: domain.Name, Model: donor.Name, Recipient: model.Name}, loads
 			}
@@ -74,10 +74,10 @@
 
 // canSpare says whether a model keeps enough with one group less: what its requests fill, and one more where the other model has a group at
 // least.
-func (d *decision) canSpare(donor, receiver Model) bool {
+func (d *decision) canSpare(donor, recipient Model) bool {
 	keeps := d.goal(donor)
-	if d.counts[receiver.Name] > 0 {
-		keeps += oneLost
+	if d.counts[recipient.Name] > 0 {
+		keeps += redundantGroups
 	}
-	return donor.Name != receiver.Name && float64(d.counts[donor.Name]-1) >= keeps
+	return donor.Name != recipient.Name && float64(d.counts[donor.Name]-1) >= keeps
 }
--- a/policy/grouping/grouping.go
+++ b/policy/grouping/grouping.go
@@ -112,20 +112,20 @@
 }
 
 const (
-	// reformTime is how long a group that lost a member is away where a spare has the weights: noticed, closed, joined and opened.
-	reformTime = 3 * time.Second
-	// oneLost is how many groups more than its goal a model is to have: at most times one is being formed again.
-	oneLost = 1
-	// shortShare is the part of a model's goal below which it is short while the demand is not known.
-	shortShare = 0.75
-	// wantedRoom is how many groups a model is to have for each that its requests fill: demand varies by as much within seconds.
-	wantedRoom = 1.2
+	// groupRecoveryTime is how long a group that lost a member is away where a spare has the weights: noticed, closed, joined and opened.
+	groupRecoveryTime = 3 * time.Second
+	// redundantGroups is how many groups more than its goal a model is to have: at most times one is being formed again.
+	redundantGroups = 1
+	// shortageThreshold is the part of a model's goal below which it is short while the demand is not known.
+	shortageThreshold = 0.75
+	// demandHeadroom is how many groups a model is to have for each that its requests fill: demand varies by as much within seconds.
+	demandHeadroom = 1.2
 )
 
 // Decide plans the next steps. Equal inputs give equal plans.
 func Decide(in Input) Plan {
 	if in.LossRate <= 0 {
-		in.LossRate = usualLossRate
+		in.LossRate = defaultLossRate
 	}
 	d := &decision{in: in, loads: in.AvailableLoads, counts: make(map[string]int), free: make([][]VM, len(in.Domains)), groups: make([]map[string]int, len(in.Domains))}
 	for i, domain := range in.Domains {
@@ -143,10 +143,10 @@
 	for d.formNext() {
 	}
 	if !d.blocked {
-		d.stage()
+		d.planStaging()
 	}
-	d.warm()
-	d.drain()
+	d.planWarming()
+	d.planDrain()
 	return d.plan
 }
 
@@ -170,7 +170,7 @@
 // all VMs serve in proportion to the shares.
 func (d *decision) goal(model Model) float64 {
 	if d.demandKnown() {
-		return max(1, wantedRoom*model.DemandGroups)
+		return max(1, demandHeadroom*model.DemandGroups)
 	}
 	sum := 0.0
 	for _, other := range d.in.Models {
@@ -193,39 +193,39 @@
 
 // need is how much a model lacks: higher for one whose groups are few beside its goal.
 func (d *decision) need(model Model) float64 {
-	return needFor(d.goal(model), float64(d.counts[model.Name]))
+	return needRatio(d.goal(model), float64(d.counts[model.Name]))
 }
 
-// needFor is finite for a model without groups.
-func needFor(goal, groups float64) float64 { return goal / (groups + noneCounts) }
+// needRatio is finite for a model without groups.
+func needRatio(goal, groups float64) float64 { return goal / (groups + needOffset) }
 
-// noneCounts is what no group counts as. It is small: callers of a model without any are all turned away.
-const noneCounts = 0.25
+// needOffset is what no group counts as. It is small: callers of a model without any are all turned away.
+const needOffset = 0.25
 
-// gain is how much less a model lacks with one more group, and cost how much more with one less, by the cubes of its need. So a group is
+// gainOfGroup is how much less a model lacks with one more group, and cost how much more with one less, by the cubes of its need. So a group is
 // worth what part of its model it is, and more where the model lacks more.
-func (d *decision) gain(model Model) float64 {
+func (d *decision) gainOfGroup(model Model) float64 {
 	goal, groups := d.goal(model), float64(d.counts[model.Name])
-	return lack(goal, groups) - lack(goal, groups+1)
+	return shortfallCost(goal, groups) - shortfallCost(goal, groups+1)
 }
 
-func (d *decision) cost(model Model) float64 {
+func (d *decision) costOfLoss(model Model) float64 {
 	goal, groups := d.goal(model), float64(d.counts[model.Name])
-	return lack(goal, max(0, groups-1)) - lack(goal, groups)
+	return shortfallCost(goal, max(0, groups-1)) - shortfallCost(goal, groups)
 }
 
-func lack(goal, groups float64) float64 {
-	need := needFor(goal, groups)
+func shortfallCost(goal, groups float64) float64 {
+	need := needRatio(goal, groups)
 	return need * need * need
 }
 
-// short says whether a model has fewer groups than it is to have at most times.
-func (d *decision) short(model Model) bool {
+// isShort says whether a model has fewer groups than it is to have at most times.
+func (d *decision) isShort(model Model) bool {
 	count := float64(d.counts[model.Name])
 	if model.DemandGroups > 0 {
-		return count < wantedRoom*model.DemandGroups+oneLost
+		return count < demandHeadroom*model.DemandGroups+redundantGroups
 	}
-	return count < shortShare*d.goal(model)
+	return count < shortageThreshold*d.goal(model)
 }
 
 // candidate is one group that could be formed.
@@ -244,7 +244,7 @@
 	var best *candidate
 	for i := range d.in.Domains {
 		for _, model := range d.in.Models {
-			if c := d.candidate(i, model); c != nil && (best == nil || c.better(best)) {
+			if c := d.candidate(i, model); c != nil && (best == nil || c.preferredOver(best)) {
 				best = c
 			}
 		}
@@ -256,13 +256,13 @@
 		d.blocked = true
 		return false
 	}
-	d.take(best)
+	d.addFormation(best)
 	return true
 }
 
-// better prefers the model that lacks more, then the domain with fewer groups of it, then fewer loads: only before callers come are there any,
+// preferredOver prefers the model that lacks more, then the domain with fewer groups of it, then fewer loads: only before callers come are there any,
 // and then they cost next to nothing.
-func (c *candidate) better(other *candidate) bool {
+func (c *candidate) preferredOver(other *candidate) bool {
 	switch {
 	case c.need != other.need:
 		return c.need > other.need
@@ -273,33 +273,35 @@
 }
 
 func (d *decision) candidate(i int, model Model) *candidate {
-	if !d.mayForm(i, model) {
+	if !d.canForm(i, model) {
 		return nil
 	}
-	loads := max(0, model.Size-staged(d.free[i], model.Name))
+	loads := max(0, model.Size-countStaged(d.free[i], model.Name))
 	if loads > 0 && !d.in.BeforeTraffic {
 		return nil
 	}
 	return &candidate{domain: i, model: model, loads: loads, need: d.need(model), groups: d.groups[i][model.Name]}
 }
 
-// mayForm says whether a domain has the VMs for one more group of a model, and should have it.
-func (d *decision) mayForm(i int, model Model) bool {
+// canForm says whether a domain has the VMs for one more group of a model, and should have it.
+func (d *decision) canForm(i int, model Model) bool {
 	left := len(d.free[i]) - model.Size
 	switch {
 	case left < 0:
 		return false
 	case d.in.BeforeTraffic:
-		return !d.waits(i) && d.groups[i][model.Name] < d.mix[i][model.Name]
+		return !d.awaitsRegistration(i) && d.groups[i][model.Name] < d.mix[i][model.Name]
 	}
-	return float64(d.counts[model.Name]) < d.goal(model) || !d.keptForStarved(i)
+	return float64(d.counts[model.Name]) < d.goal(model) || !d.reservedForUnderserved(i)
 }
 
-// waits says that the VMs of a domain are still being listed.
-func (d *decision) waits(i int) bool { return d.in.BeforeTraffic && d.in.Domains[i].Registering }
+// awaitsRegistration says that the VMs of a domain are still being listed.
+func (d *decision) awaitsRegistration(i int) bool {
+	return d.in.BeforeTraffic && d.in.Domains[i].Registering
+}
 
-// staged counts the VMs that have a model's weights.
-func staged(free []VM, model string) int {
+// countStaged counts the VMs that have a model's weights.
+func countStaged(free []VM, model string) int {
 	n := 0
 	for _, vm := range free {
 		if vm.Staged == model && vm.Staging == "" {
@@ -309,8 +311,8 @@
 	return n
 }
 
-// nearest returns the VMs in the order in which they would take up the model.
-func nearest(vms []VM, model string) []VM {
+// sortByDistance returns the VMs in the order in which they would take up the model.
+func sortByDistance(vms []VM, model string) []VM {
 	sorted := slices.Clone(vms)
 	slices.SortStableFunc(sorted, func(a, b VM) int {
 		return cmp.Or(cmp.Compare(a.distance(model), b.distance(model)), cmp.Compare(a.ID, b.ID))
@@ -323,16 +325,16 @@
 	distanceLoaded = iota
 	distanceStaged
 	distanceLoad
-	// distanceOther is a load that drops another model's weights.
-	distanceOther
-	// distanceBusy is a VM that is staging now.
-	distanceBusy
+	// distanceReplace is a load that drops another model's weights.
+	distanceReplace
+	// distanceStaging is a VM that is staging now.
+	distanceStaging
 )
 
 func (v VM) distance(model string) int {
 	switch {
 	case v.Staging != "":
-		return distanceBusy
+		return distanceStaging
 	case v.Loaded == model && v.Staged == model:
 		return distanceLoaded
 	case v.Staged == model:
@@ -340,12 +342,12 @@
 	case v.Staged == "":
 		return distanceLoad
 	}
-	return distanceOther
+	return distanceReplace
 }
 
-func (d *decision) take(c *candidate) {
+func (d *decision) addFormation(c *candidate) {
 	formation := Formation{Domain: d.in.Domains[c.domain].Name, Model: c.model.Name, Loads: c.loads}
-	for _, vm := range nearest(d.free[c.domain], c.model.Name)[:c.model.Size] {
+	for _, vm := range sortByDistance(d.free[c.domain], c.model.Name)[:c.model.Size] {
 		formation.Members = append(formation.Members, vm.ID)
 		d.free[c.domain] = slices.DeleteFunc(d.free[c.domain], func(other VM) bool { return other.ID == vm.ID })
 	}
--- a/policy/grouping/losses.go
+++ b/policy/grouping/losses.go
@@ -11,26 +11,26 @@
 }
 
 const (
-	// usualLossRate is taken until more is known: one of a hundred and twenty-five VMs in a second.
-	usualLossRate = 0.008
-	// usualWeight is how much that counts, in VM-seconds: as much as what eighty VMs show in five seconds.
-	usualWeight = 400
-	// lossMemory is how many seconds are remembered: some losses must fall into them, and a bad hour must be forgotten soon.
-	lossMemory = 60
-	// leastWatched is how many VM-seconds tell anything.
-	leastWatched = 1
+	// defaultLossRate is taken until more is known: one of a hundred and twenty-five VMs in a second.
+	defaultLossRate = 0.008
+	// priorVMSeconds is how much that counts, in VM-seconds: as much as what eighty VMs show in five seconds.
+	priorVMSeconds = 400
+	// lossDecaySeconds is how many seconds are remembered: some losses must fall into them, and a bad hour must be forgotten soon.
+	lossDecaySeconds = 60
+	// minVMSeconds is how many VM-seconds tell anything.
+	minVMSeconds = 1
 )
 
 // NewLossEstimator returns what is taken until more is known.
 func NewLossEstimator() *LossEstimator {
-	return &LossEstimator{lost: usualLossRate * usualWeight, vmSeconds: usualWeight}
+	return &LossEstimator{lost: defaultLossRate * priorVMSeconds, vmSeconds: priorVMSeconds}
 }
 
 // ObserveExposure notes that so many VMs were in groups for the last seconds.
 func (l *LossEstimator) ObserveExposure(vms int, seconds float64) {
-	kept := math.Exp(-seconds / lossMemory)
-	l.lost *= kept
-	l.vmSeconds = l.vmSeconds*kept + float64(vms)*seconds
+	decay := math.Exp(-seconds / lossDecaySeconds)
+	l.lost *= decay
+	l.vmSeconds = l.vmSeconds*decay + float64(vms)*seconds
 }
 
 // ObserveLoss notes that a group has lost a member.
@@ -38,8 +38,8 @@
 
 // Rate is the part of the VMs that is lost in a second.
 func (l *LossEstimator) Rate() float64 {
-	if l.vmSeconds < leastWatched {
-		return usualLossRate
+	if l.vmSeconds < minVMSeconds {
+		return defaultLossRate
 	}
 	return l.lost / l.vmSeconds
 }
--- a/policy/grouping/mix.go
+++ b/policy/grouping/mix.go
@@ -13,41 +13,41 @@
 //
 // So each way to fill a domain, up to the last group that fits, is valued by the groups that would stand on average, given the spares that it leaves.
 
-// mixLossRate is the part of the VMs that is taken to be lost in a second, one of two hundred, while nothing is known of losses yet. Where more are lost,
+// initialLossRate is the part of the VMs that is taken to be lost in a second, one of two hundred, while nothing is known of losses yet. Where more are lost,
 // spares are loaded for it once callers come.
-const mixLossRate = 0.005
+const initialLossRate = 0.005
 
-// mixPasses bounds how often all domains are looked at again; two or three settle it.
-const mixPasses = 8
+// maxMixPasses bounds how often all domains are looked at again; two or three settle it.
+const maxMixPasses = 8
 
-// way is one way to use the VMs of a domain.
-type way struct {
+// packing is one packing to use the VMs of a domain.
+type packing struct {
 	// groups are formed and standing are those that stand on average, by model.
-	groups   []int
-	standing []float64
+	groups    []int
+	available []float64
 }
 
-// mixPlan is a plan in the making.
-type mixPlan struct {
+// mixPlanner is a plan in the making.
+type mixPlanner struct {
 	models []Model
-	// goals are the groups that the models are to have, and standing the groups of all domains that stand on average, by model.
-	goals, standing []float64
-	// ways are the ways to use a number of VMs.
-	ways map[int][]way
+	// goals are the groups that the models are to have, and available the groups of all domains that stand on average, by model.
+	goals, available []float64
+	// packings are the packings to use a number of VMs.
+	packings map[int][]packing
 }
 
 // planMix returns how many groups of each model each domain is to have.
 func (d *decision) planMix() []map[string]int {
-	p := &mixPlan{models: d.in.Models, standing: make([]float64, len(d.in.Models)), ways: make(map[int][]way)}
+	p := &mixPlanner{models: d.in.Models, available: make([]float64, len(d.in.Models)), packings: make(map[int][]packing)}
 	for _, model := range p.models {
 		p.goals = append(p.goals, d.goal(model))
 	}
-	none := way{groups: make([]int, len(p.models)), standing: make([]float64, len(p.models))}
-	chosen := make([]way, len(d.in.Domains))
+	none := packing{groups: make([]int, len(p.models)), available: make([]float64, len(p.models))}
+	chosen := make([]packing, len(d.in.Domains))
 	for i := range chosen {
 		chosen[i] = none
 	}
-	for range mixPasses {
+	for range maxMixPasses {
 		changed := false
 		for i, domain := range d.in.Domains {
 			changed = p.improve(&chosen[i], domain.Total) || changed
@@ -57,9 +57,9 @@
 		}
 	}
 	mix := make([]map[string]int, len(chosen))
-	for i, way := range chosen {
+	for i, choice := range chosen {
 		mix[i] = make(map[string]int, len(p.models))
-		for m, n := range way.groups {
+		for m, n := range choice.groups {
 			mix[i][p.models[m].Name] = n
 		}
 	}
@@ -67,50 +67,50 @@
 }
 
 // improve changes the way of a domain to the best one, the other domains being as they are, and says whether it did.
-func (p *mixPlan) improve(now *way, total int) bool {
-	best, better := *now, false
-	bestValue := p.value(*now, best)
-	for _, other := range p.waysFor(total) {
-		if value := p.value(*now, other); value > bestValue+leastGain {
-			best, bestValue, better = other, value, true
+func (p *mixPlanner) improve(current *packing, total int) bool {
+	best, improved := *current, false
+	bestValue := p.value(*current, best)
+	for _, other := range p.packingsFor(total) {
+		if value := p.value(*current, other); value > bestValue+minGain {
+			best, bestValue, improved = other, value, true
 		}
 	}
-	for m := range p.standing {
-		p.standing[m] += best.standing[m] - now.standing[m]
+	for m := range p.available {
+		p.available[m] += best.available[m] - current.available[m]
 	}
-	*now = best
-	return better
+	*current = best
+	return improved
 }
 
-// leastGain keeps two ways of the same value from taking turns.
-const leastGain = 1e-9
+// minGain keeps two ways of the same value from taking turns.
+const minGain = 1e-9
 
 // value is higher where less is lacking when a domain that is used in one way is used in another. Cubes make it worst to lack much of one
 // model.
-func (p *mixPlan) value(now, then way) float64 {
+func (p *mixPlanner) value(current, next packing) float64 {
 	value := 0.0
-	for m := range p.standing {
-		value -= lack(p.goals[m], p.standing[m]-now.standing[m]+then.standing[m])
+	for m := range p.available {
+		value -= shortfallCost(p.goals[m], p.available[m]-current.available[m]+next.available[m])
 	}
 	return value
 }
 
-// waysFor returns the ways to use some VMs. None leaves enough for one more group.
-func (p *mixPlan) waysFor(total int) []way {
-	if ways, ok := p.ways[total]; ok {
-		return ways
+// packingsFor returns the ways to use some VMs. None leaves enough for one more group.
+func (p *mixPlanner) packingsFor(total int) []packing {
+	if packings, ok := p.packings[total]; ok {
+		return packings
 	}
 	smallest := total + 1
 	for _, model := range p.models {
 		smallest = min(smallest, model.Size)
 	}
-	var ways []way
+	var packings []packing
 	groups := make([]int, len(p.models))
 	var fill func(m, left int)
 	fill = func(m, left int) {
 		if m == len(p.models) {
 			if left < smallest {
-				ways = append(ways, p.newWay(slices.Clone(groups), left))
+				packings = append(packings, p.newPacking(slices.Clone(groups), left))
 			}
 			return
 		}
@@ -122,35 +122,35 @@
 		groups[m] = 0
 	}
 	fill(0, total)
-	p.ways[total] = ways
-	return ways
+	p.packings[total] = packings
+	return packings
 }
 
-// newWay gives each spare the weights that keep most from being missed, and works out what stands on average.
-func (p *mixPlan) newWay(groups []int, spares int) way {
-	w := way{groups: groups, standing: make([]float64, len(groups))}
-	spared := make([]int, len(groups))
+// newPacking gives each spare the weights that keep most from being missed, and works out what stands on average.
+func (p *mixPlanner) newPacking(groups []int, spares int) packing {
+	w := packing{groups: groups, available: make([]float64, len(groups))}
+	sparesOf := make([]int, len(groups))
 	for range spares {
 		best, bestGain := 0, -1.0
 		for m := range groups {
-			gain := (p.standingWith(m, groups[m], spared[m]+1) - p.standingWith(m, groups[m], spared[m])) / max(p.goals[m], leastGain)
+			gain := (p.expectedAvailable(m, groups[m], sparesOf[m]+1) - p.expectedAvailable(m, groups[m], sparesOf[m])) / max(p.goals[m], minGain)
 			if gain > bestGain {
 				best, bestGain = m, gain
 			}
 		}
-		spared[best]++
+		sparesOf[best]++
 	}
 	for m := range groups {
-		w.standing[m] = p.standingWith(m, groups[m], spared[m])
+		w.available[m] = p.expectedAvailable(m, groups[m], sparesOf[m])
 	}
 	return w
 }
 
-// standingWith is how many of a domain's groups of a model stand on average, with some spares that have its weights.
-func (p *mixPlan) standingWith(m, groups, spares int) float64 {
+// expectedAvailable is how many of a domain's groups of a model stand on average, with some spares that have its weights.
+func (p *mixPlanner) expectedAvailable(m, groups, spares int) float64 {
 	model := p.models[m]
-	lostAt := mixLossRate * float64(model.Size) // groups a second, for each that stands
-	withoutSpare := chanceOfLosses(float64(groups*model.Size)*mixLossRate*model.LoadTime.Seconds(), spares+1)
-	away := reformTime.Seconds() + withoutSpare*model.LoadTime.Seconds()
-	return float64(groups) / (1 + lostAt*away)
+	lossRate := initialLossRate * float64(model.Size) // groups a second, for each that stands
+	noSpareProbability := poissonTail(float64(groups*model.Size)*initialLossRate*model.LoadTime.Seconds(), spares+1)
+	downtime := groupRecoveryTime.Seconds() + noSpareProbability*model.LoadTime.Seconds()
+	return float64(groups) / (1 + lossRate*downtime)
 }
--- a/policy/grouping/stage.go
+++ b/policy/grouping/stage.go
@@ -7,29 +7,29 @@
 
 // Prices of a staging, in loads.
 const (
-	// emptyPrice is that of a host without weights.
-	emptyPrice = 1.0
-	// otherPrice is that of a host with another model's weights, which are lost: a load for this model, and later one to make up
+	// emptyHostCost is that of a host without weights.
+	emptyHostCost = 1.0
+	// replaceWeightsCost is that of a host with another model's weights, which are lost: a load for this model, and later one to make up
 	// for the other.
-	otherPrice = 3.0
-	// restageNeed is how many times more a model must be needed than the one whose weights are dropped for it, while nothing but the shares
+	replaceWeightsCost = 3.0
+	// replaceNeedRatio is how many times more a model must be needed than the one whose weights are dropped for it, while nothing but the shares
 	// tells what callers ask for: only a model that is nearly without groups beside the other is worth it.
-	restageNeed = 4.0
-	// restageVMs is how many VMs a load must bring to serve for that: the size of a usual group that lacks one. A load that brings
+	replaceNeedRatio = 4.0
+	// replaceVMsPerLoad is how many VMs a load must bring to serve for that: the size of a usual group that lacks one. A load that brings
 	// sixteen is worth it at a quarter of the need.
-	restageVMs = 4.0
-	// spareLoads is the part of the loads at once that spares may take.
-	spareLoads = 0.5
-	// restageGain is how many times more the new group must be worth than the weights that are dropped for it, where the demand is known.
+	replaceVMsPerLoad = 4.0
+	// spareLoadFraction is the part of the loads at once that spares may take.
+	spareLoadFraction = 0.5
+	// replaceGainRatio is how many times more the new group must be worth than the weights that are dropped for it, where the demand is known.
 	// Demand changes within seconds while a load takes up to 16.
-	restageGain = 2.0
+	replaceGainRatio = 2.0
 )
 
-// stage spends the loads that are left: first on what completes the most needed groups, then on spares.
-func (d *decision) stage() {
+// planStaging spends the loads that are left: first on what completes the most needed groups, then on spares.
+func (d *decision) planStaging() {
 	done := make(map[int]bool)
 	for d.loads > 0 {
-		best := d.nextCompletion(done)
+		best := d.bestCompletion(done)
 		if best == nil {
 			break
 		}
@@ -38,9 +38,9 @@
 			d.stageVM(best.domain, vm, best.model)
 		}
 	}
-	d.loads = min(d.loads, d.loadsForSpares())
+	d.loads = min(d.loads, d.spareLoadBudget())
 	for d.loads > 0 {
-		best := d.nextSpare()
+		best := d.bestSpareLoad()
 		if best == nil {
 			break
 		}
@@ -48,12 +48,12 @@
 	}
 }
 
-// loadsForSpares leaves loads for what completes groups: a loss a second later would wait until a spare's load ends.
-func (d *decision) loadsForSpares() int {
+// spareLoadBudget leaves loads for what completes groups: a loss a second later would wait until a spare's load ends.
+func (d *decision) spareLoadBudget() int {
 	if d.in.BeforeTraffic || d.in.LoadsAtOnce == 0 {
 		return d.loads
 	}
-	return max(0, int(spareLoads*float64(d.in.LoadsAtOnce))-d.in.LoadsInProgress)
+	return max(0, int(spareLoadFraction*float64(d.in.LoadsAtOnce))-d.in.LoadsInProgress)
 }
 
 // completion is what a domain lacks for its next group of a model.
@@ -61,18 +61,18 @@
 	domain int
 	model  Model
 	vms    []VM
-	worth  float64
+	value  float64
 }
 
-// nextCompletion returns the most worthwhile one of the domains that are not done: need for each load.
-func (d *decision) nextCompletion(done map[int]bool) *completion {
+// bestCompletion returns the most worthwhile one of the domains that are not done: need for each load.
+func (d *decision) bestCompletion(done map[int]bool) *completion {
 	var best *completion
 	for i := range d.in.Domains {
-		if done[i] || d.waits(i) {
+		if done[i] || d.awaitsRegistration(i) {
 			continue
 		}
 		for _, model := range d.in.Models {
-			if c := d.completion(i, model); c != nil && (best == nil || c.worth > best.worth) {
+			if c := d.completion(i, model); c != nil && (best == nil || c.value > best.value) {
 				best = c
 			}
 		}
@@ -86,69 +86,69 @@
 	if len(free) < model.Size {
 		return nil
 	}
-	lacking := model.Size - atHand(free, model.Name)
+	lacking := model.Size - countStagedOrStaging(free, model.Name)
 	if lacking <= 0 {
 		return nil
 	}
 	c := &completion{domain: i, model: model}
 	price := 0.0
 	var dropped []string
-	for _, vm := range nearest(free, model.Name) {
+	for _, vm := range sortByDistance(free, model.Name) {
 		if lacking == 0 || vm.Staging != "" {
 			break
 		}
 		if vm.Staged == model.Name {
 			continue
 		}
-		price += emptyPrice
+		price += emptyHostCost
 		if vm.Staged != "" {
-			price += otherPrice - emptyPrice
+			price += replaceWeightsCost - emptyHostCost
 			dropped = append(dropped, vm.Staged)
 		}
 		c.vms = append(c.vms, vm)
 		lacking--
 	}
-	if lacking > 0 || len(c.vms) == 0 || !d.worthDropping(i, model, len(c.vms), dropped) {
+	if lacking > 0 || len(c.vms) == 0 || !d.worthReplacing(i, model, len(c.vms), dropped) {
 		return nil
 	}
-	c.worth = d.need(model) / price
+	c.value = d.need(model) / price
 	return c
 }
 
-// worthDropping says whether a group of a model is worth the loads that it lacks and the weights that are dropped for it.
-func (d *decision) worthDropping(i int, model Model, loads int, dropped []string) bool {
+// worthReplacing says whether a group of a model is worth the loads that it lacks and the weights that are dropped for it.
+func (d *decision) worthReplacing(i int, model Model, loads int, dropped []string) bool {
 	if d.demandKnown() && len(dropped) > 0 {
 		kept := 0.0
 		for n, name := range dropped {
-			kept += d.keepValue(i, name, n)
+			kept += d.retentionValue(i, name, n)
 		}
-		return d.short(model) && d.gain(model) > restageGain*kept
+		return d.isShort(model) && d.gainOfGroup(model) > replaceGainRatio*kept
 	}
-	need := d.need(model) * max(1, float64(model.Size)/float64(loads)/restageVMs)
+	need := d.need(model) * max(1, float64(model.Size)/float64(loads)/replaceVMsPerLoad)
 	for _, name := range dropped {
-		if need < restageNeed*d.needOf(name) {
+		if need < replaceNeedRatio*d.needByName(name) {
 			return false
 		}
 	}
 	return true
 }
 
-// keepValue is what the weights of one more VM are worth, after some were dropped: for the next loss, or to complete a further group, the more
+// retentionValue is what the weights of one more VM are worth, after some were dropped: for the next loss, or to complete a further group, the more
 // the fewer that one lacks.
-func (d *decision) keepValue(i int, name string, dropped int) float64 {
-	model, ok := d.modelOf(name)
+func (d *decision) retentionValue(i int, name string, dropped int) float64 {
+	model, ok := d.modelByName(name)
 	if !ok {
 		return 0
 	}
-	left := atHand(d.free[i], name) - dropped
-	value := d.cost(model) * d.chanceOfLosses(i, model, max(1, left))
+	left := countStagedOrStaging(d.free[i], name) - dropped
+	value := d.costOfLoss(model) * d.lossProbability(i, model, max(1, left))
 	if left <= model.Size {
-		value = max(value, d.gain(model)/float64(model.Size-left+1))
+		value = max(value, d.gainOfGroup(model)/float64(model.Size-left+1))
 	}
 	return value
 }
 
-func (d *decision) modelOf(name string) (Model, bool) {
+func (d *decision) modelByName(name string) (Model, bool) {
 	for _, model := range d.in.Models {
 		if model.Name == name {
 			return model, true
@@ -157,16 +157,16 @@
 	return Model{}, false
 }
 
-func (d *decision) needOf(name string) float64 {
-	if model, ok := d.modelOf(name); ok {
+func (d *decision) needByName(name string) float64 {
+	if model, ok := d.modelByName(name); ok {
 		return d.need(model)
 	}
 	return 0
 }
 
-// atHand counts the VMs that have a model's weights, or will have them.
-func atHand(free []VM, model string) int {
-	n := staged(free, model)
+// countStagedOrStaging counts the VMs that have a model's weights, or will have them.
+func countStagedOrStaging(free []VM, model string) int {
+	n := countStaged(free, model)
 	for _, vm := range free {
 		if vm.Staging == model {
 			n++
@@ -175,19 +175,19 @@
 	return n
 }
 
-// spare is a load for an empty host, with what it is worth.
-type spare struct {
+// spareLoad is a load for an empty host, with what it is worth.
+type spareLoad struct {
 	domain int
 	vm     VM
 	model  Model
-	worth  float64
+	value  float64
 }
 
-// nextSpare returns the load of an empty host that is worth most, over all domains, or nil if no host is empty.
-func (d *decision) nextSpare() *spare {
-	var best *spare
+// bestSpareLoad returns the load of an empty host that is worth most, over all domains, or nil if no host is empty.
+func (d *decision) bestSpareLoad() *spareLoad {
+	var best *spareLoad
 	for i, free := range d.free {
-		if d.waits(i) {
+		if d.awaitsRegistration(i) {
 			continue
 		}
 		at := slices.IndexFunc(free, func(vm VM) bool { return vm.Staged == "" && vm.Staging == "" })
@@ -195,36 +195,36 @@
 			continue
 		}
 		for _, model := range d.in.Models {
-			worth := d.spareWorth(i, model)
-			if best == nil || worth > best.worth {
-				best = &spare{domain: i, vm: free[at], model: model, worth: worth}
+			worth := d.spareValue(i, model)
+			if best == nil || worth > best.value {
+				best = &spareLoad{domain: i, vm: free[at], model: model, value: worth}
 			}
 		}
 	}
 	return best
 }
 
-// spareWorth is what another spare of a model is worth in a domain: by the chance that so many members are lost before a load can replace
+// spareValue is what another spare of a model is worth in a domain: by the chance that so many members are lost before a load can replace
 // them, and by what the model's groups are worth; or by what it does to complete a further group. Where there are neither, the need decides.
-func (d *decision) spareWorth(i int, model Model) float64 {
-	spares := atHand(d.free[i], model.Name)
-	worth := d.cost(model) * d.chanceOfLosses(i, model, spares+1)
+func (d *decision) spareValue(i int, model Model) float64 {
+	spares := countStagedOrStaging(d.free[i], model.Name)
+	worth := d.costOfLoss(model) * d.lossProbability(i, model, spares+1)
 	if lacking := model.Size - spares; lacking > 0 && spares > 0 {
-		worth = max(worth, d.gain(model)/float64(lacking))
+		worth = max(worth, d.gainOfGroup(model)/float64(lacking))
 	}
-	return worth + leastSpare*d.need(model)/float64(1+spares)
+	return worth + minSpareValue*d.need(model)/float64(1+spares)
 }
 
-// leastSpare makes the need decide where no group can be lost.
-const leastSpare = 1e-6
+// minSpareValue makes the need decide where no group can be lost.
+const minSpareValue = 1e-6
 
-// chanceOfLosses is the chance that so many VMs of a model's groups in a domain are lost in the time of a load.
-func (d *decision) chanceOfLosses(i int, model Model, losses int) float64 {
-	return chanceOfLosses(d.in.LossRate*model.LoadTime.Seconds()*float64(d.groups[i][model.Name]*model.Size), losses)
+// lossProbability is the chance that so many VMs of a model's groups in a domain are lost in the time of a load.
+func (d *decision) lossProbability(i int, model Model, losses int) float64 {
+	return poissonTail(d.in.LossRate*model.LoadTime.Seconds()*float64(d.groups[i][model.Name]*model.Size), losses)
 }
 
-// chanceOfLosses is the chance of at least so many losses where the mean is known, and VMs are lost independently.
-func chanceOfLosses(mean float64, losses int) float64 {
+// poissonTail is the chance of at least so many losses where the mean is known, and VMs are lost independently.
+func poissonTail(mean float64, losses int) float64 {
 	exactly := math.Exp(-mean)
 	fewer := 0.0
 	for n := range losses {
@@ -247,9 +247,9 @@
 	}
 }
 
-// warm lets the VMs that stay free take up the weights of their hosts. A group that loses a member then stands again as soon as the spare has
+// planWarming lets the VMs that stay free take up the weights of their hosts. A group that loses a member then stands again as soon as the spare has
 // joined; a spare that reads its weights only then keeps all the other members waiting for that.
-func (d *decision) warm() {
+func (d *decision) planWarming() {
 	for _, free := range d.free {
 		for _, vm := range free {
 			if vm.Staged != "" && vm.Staging == "" && vm.Loaded != vm.Staged && !vm.WarmFailed {
