--- a/policy/grouping/convert.go
+++ b/policy/grouping/convert.go
@@ -75,9 +75,9 @@
 // canSpare says whether a model keeps enough with one group less: what its requests fill, and one more where the other model has a group at
 // least.
 func (d *decision) canSpare(donor, recipient Model) bool {
-	keeps := d.goal(donor)
+	required := d.goal(donor)
 	if d.counts[recipient.Name] > 0 {
-		keeps += redundantGroups
+		required += redundantGroups
 	}
-	return donor.Name != recipient.Name && float64(d.counts[donor.Name]-1) >= keeps
+	return donor.Name != recipient.Name && float64(d.counts[donor.Name]-1) >= required
 }
--- a/policy/grouping/grouping.go
+++ b/policy/grouping/grouping.go
@@ -290,15 +290,13 @@
 	case left < 0:
 		return false
 	case d.in.BeforeTraffic:
-		return !d.awaitsRegistration(i) && d.groups[i][model.Name] < d.mix[i][model.Name]
+		return !d.registering(i) && d.groups[i][model.Name] < d.mix[i][model.Name]
 	}
 	return float64(d.counts[model.Name]) < d.goal(model) || !d.reservedForUnderserved(i)
 }
 
-// awaitsRegistration says that the VMs of a domain are still being listed.
-func (d *decision) awaitsRegistration(i int) bool {
-	return d.in.BeforeTraffic && d.in.Domains[i].Registering
-}
+// registering says that the VMs of a domain are still being listed.
+func (d *decision) registering(i int) bool { return d.in.BeforeTraffic && d.in.Domains[i].Registering }
 
 // countStaged counts the VMs that have a model's weights.
 func countStaged(free []VM, model string) int {
--- a/policy/grouping/stage.go
+++ b/policy/grouping/stage.go
@@ -68,7 +68,7 @@
 func (d *decision) bestCompletion(done map[int]bool) *completion {
 	var best *completion
 	for i := range d.in.Domains {
-		if done[i] || d.awaitsRegistration(i) {
+		if done[i] || d.registering(i) {
 			continue
 		}
 		for _, model := range d.in.Models {
@@ -86,43 +86,43 @@
 	if len(free) < model.Size {
 		return nil
 	}
-	lacking := model.Size - countStagedOrStaging(free, model.Name)
-	if lacking <= 0 {
+	missing := model.Size - countStagedOrStaging(free, model.Name)
+	if missing <= 0 {
 		return nil
 	}
 	c := &completion{domain: i, model: model}
-	price := 0.0
+	cost := 0.0
 	var dropped []string
 	for _, vm := range sortByDistance(free, model.Name) {
-		if lacking == 0 || vm.Staging != "" {
+		if missing == 0 || vm.Staging != "" {
 			break
 		}
 		if vm.Staged == model.Name {
 			continue
 		}
-		price += emptyHostCost
+		cost += emptyHostCost
 		if vm.Staged != "" {
-			price += replaceWeightsCost - emptyHostCost
+			cost += replaceWeightsCost - emptyHostCost
 			dropped = append(dropped, vm.Staged)
 		}
 		c.vms = append(c.vms, vm)
-		lacking--
+		missing--
 	}
-	if lacking > 0 || len(c.vms) == 0 || !d.worthReplacing(i, model, len(c.vms), dropped) {
+	if missing > 0 || len(c.vms) == 0 || !d.worthReplacing(i, model, len(c.vms), dropped) {
 		return nil
 	}
-	c.value = d.need(model) / price
+	c.value = d.need(model) / cost
 	return c
 }
 
 // worthReplacing says whether a group of a model is worth the loads that it lacks and the weights that are dropped for it.
 func (d *decision) worthReplacing(i int, model Model, loads int, dropped []string) bool {
 	if d.demandKnown() && len(dropped) > 0 {
-		kept := 0.0
+		retained := 0.0
 		for n, name := range dropped {
-			kept += d.retentionValue(i, name, n)
+			retained += d.retentionValue(i, name, n)
 		}
-		return d.isShort(model) && d.gainOfGroup(model) > replaceGainRatio*kept
+		return d.isShort(model) && d.gainOfGroup(model) > replaceGainRatio*retained
 	}
 	need := d.need(model) * max(1, float64(model.Size)/float64(loads)/replaceVMsPerLoad)
 	for _, name := range dropped {
@@ -187,7 +187,7 @@
 func (d *decision) bestSpareLoad() *spareLoad {
 	var best *spareLoad
 	for i, free := range d.free {
-		if d.awaitsRegistration(i) {
+		if d.registering(i) {
 			continue
 		}
 		at := slices.IndexFunc(free, func(vm VM) bool { return vm.Staged == "" && vm.Staging == "" })
@@ -195,9 +195,9 @@
 			continue
 		}
 		for _, model := range d.in.Models {
-			worth := d.spareValue(i, model)
-			if best == nil || worth > best.value {
-				best = &spareLoad{domain: i, vm: free[at], model: model, value: worth}
+			value := d.spareValue(i, model)
+			if best == nil || value > best.value {
+				best = &spareLoad{domain: i, vm: free[at], model: model, value: value}
 			}
 		}
 	}
@@ -208,11 +208,11 @@
 // them, and by what the model's groups are worth; or by what it does to complete a further group. Where there are neither, the need decides.
 func (d *decision) spareValue(i int, model Model) float64 {
 	spares := countStagedOrStaging(d.free[i], model.Name)
-	worth := d.costOfLoss(model) * d.lossProbability(i, model, spares+1)
-	if lacking := model.Size - spares; lacking > 0 && spares > 0 {
-		worth = max(worth, d.gainOfGroup(model)/float64(lacking))
+	value := d.costOfLoss(model) * d.lossProbability(i, model, spares+1)
+	if missing := model.Size - spares; missing > 0 && spares > 0 {
+		value = max(value, d.gainOfGroup(model)/float64(missing))
 	}
-	return worth + minSpareValue*d.need(model)/float64(1+spares)
+	return value + minSpareValue*d.need(model)/float64(1+spares)
 }
 
 // minSpareValue makes the need decide where no group can be lost.
