--- a/policy/grouping/convert.go
+++ b/policy/grouping/convert.go
@@ -1,21 +1,22 @@
 package grouping
 
-// This file gives VMs from a model that has more groups than its demand needs to one that turns callers away.
+// This file moves VMs from a model that has more groups than its demand needs to one that refuses requests.
 //
-// Load pattern: the demand of the models changes, or losses hit one more than the other. The free VMs of a domain are too few for a group of
-// the model that lacks them.
+// Workload: the demand of the models shifts, or losses hit one model more than another. The free VMs of a domain are too few for a group of
+// the model that lacks groups.
 //
-// What goes wrong without it: half of the VMs run groups that are nearly idle, while the callers of the other model are refused all day.
+// Failure mode without this policy: half of the VMs run groups that are nearly idle, while requests for the other model are refused all day.
 //
-// A group is drained, so that nothing is cut, only for a model that lacks groups now and after what is under way, and only of a model that
-// keeps more than it needs. Its VMs serve nobody for the time of a load.
+// A group is drained rather than closed, so that no request is cut off. That happens only for a model that lacks groups even after the
+// pending ones are counted, and only to a model that keeps more groups than it needs. The VMs of the drained group serve no requests for the
+// duration of a load.
 
-// belowDemand says whether some groups are fewer than the requests of a model would fill.
+// belowDemand reports whether the given number of groups is less than the requests of a model would fill.
 func (d *decision) belowDemand(groups int, model Model) bool {
 	return d.demandKnown() && float64(groups) < model.DemandGroups
 }
 
-// pendingGroups counts the domains that will have one more group of a model without further steps, but for loads.
+// pendingGroups counts the domains that will get another group of a model without further decisions, once their loads end.
 func (d *decision) pendingGroups(model Model) int {
 	n := 0
 	for i, domain := range d.in.Domains {
@@ -27,7 +28,7 @@
 	return n
 }
 
-// reservedForUnderserved says whether the free VMs of a domain are to make a group of a model that lacks groups.
+// reservedForUnderserved reports whether the free VMs of a domain are reserved for a group of a model that lacks groups.
 func (d *decision) reservedForUnderserved(i int) bool {
 	for _, model := range d.in.Models {
 		if len(d.free[i]) >= model.Size && d.belowDemand(d.counts[model.Name], model) {
@@ -37,7 +38,7 @@
 	return false
 }
 
-// planDrain plans at most one conversion.
+// planDrain plans at most one drain.
 func (d *decision) planDrain() {
 	for _, model := range d.in.Models {
 		if !d.belowDemand(d.counts[model.Name]+d.pendingGroups(model), model) {
@@ -50,7 +51,8 @@
 	}
 }
 
-// cheapestDrain returns the group whose VMs make one of a model with the fewest loads, or nil if there is none to spare.
+// cheapestDrain returns the group to drain that lets the domain form a group of the model with the fewest loads, or nil if no group can be
+// spared.
 func (d *decision) cheapestDrain(model Model) *Drain {
 	var best *Drain
 	fewest := 0
@@ -72,8 +74,8 @@
 	return best
 }
 
-// canSpare says whether a model keeps enough with one group less: what its requests fill, and one more where the other model has a group at
-// least.
+// canSpare reports whether the donor has enough groups after losing one: its goal, plus one redundant group unless the recipient has no
+// group at all.
 func (d *decision) canSpare(donor, recipient Model) bool {
 	required := d.goal(donor)
 	if d.counts[recipient.Name] > 0 {
--- a/policy/grouping/convert_test.go
+++ b/policy/grouping/convert_test.go
@@ -7,7 +7,7 @@
 	"github.com/skylarkpond/skylarkpond/policy/grouping"
 )
 
-// wanted returns a model whose requests fill some groups.
+// wanted returns a model whose requests fill the given number of groups.
 func wanted(name string, size int, groups float64) grouping.Model {
 	return grouping.Model{Name: name, Size: size, Share: 0.5, LoadTime: largeLoad, DemandGroups: groups}
 }
@@ -17,7 +17,7 @@
 		return domain(name, 11, vms(name, "small", "large"), map[string]int{"large": 0, "small": 3})
 	}
 
-	// The larger model's groups were lost, and its callers are refused, while each domain is full of the smaller one's.
+	// The groups of the larger model were lost and its requests are refused, while each domain is filled with groups of the smaller model.
 	It("are given to one that turns callers away, one group at a time", func() {
 		in := grouping.Input{
 			Models: []grouping.Model{wanted("large", 5, 2), wanted("small", 3, 3)}, AvailableLoads: 3, LoadsAtOnce: 8,
@@ -36,7 +36,7 @@
 		Expect(grouping.Decide(in).Drain).To(BeEmpty())
 	})
 
-	// Were groups drained until the first new one stands, a minute's demand would cost a model all its groups.
+	// If groups were drained until the first new group is available, one minute of demand would take all groups from a model.
 	It("are not taken twice for the same group: what is closing or loading counts", func() {
 		closing := full("a")
 		closing.DissolvingVMs, closing.Groups["small"] = 3, 2
@@ -47,8 +47,8 @@
 		Expect(grouping.Decide(in).Drain).To(BeEmpty())
 	})
 
-	// Two groups' worth is missing. Were both taken from one domain, its model would be short and form one again from the VMs that were just drained,
-	// and so on without end.
+	// The model lacks two groups. If both were taken from one domain, the donor would become short and form a group again from the VMs that were
+	// just drained, in an endless loop.
 	It("are taken from another domain than the one that is converted already, and not formed again while their model has its goal", func() {
 		closing := domain("a", 11, vms("a", "small", "small"), map[string]int{"small": 2})
 		closing.DissolvingVMs = 3
@@ -62,7 +62,7 @@
 		Expect(grouping.Decide(in).Form).To(BeEmpty())
 	})
 
-	// The drained VMs still have the smaller model's weights: formed again at once, they would never be the other's.
+	// The drained VMs still have the smaller model's weights. If they formed a group of it again at once, the other model would never get them.
 	It("are not formed again for the model that gave them", func() {
 		in := grouping.Input{
 			Models: []grouping.Model{wanted("large", 5, 1), wanted("small", 3, 1)}, AvailableLoads: 3, LoadsAtOnce: 8,
@@ -79,7 +79,7 @@
 })
 
 var _ = Describe("Spares", func() {
-	// The spare has the weights on its host alone. Taken up only after a loss, all other members would wait for that.
+	// The spare has the weights only on its host. If it loaded them only after a loss, all other members would wait for it.
 	It("take up the weights of their hosts, unless that failed lately", func() {
 		free := vms("v", "large", "small", "", "large")
 		free[1].Loaded = "small"
@@ -88,7 +88,8 @@
 		Expect(plan.Warm).To(Equal([]grouping.Warming{{VM: "v0", Model: "large"}}))
 	})
 
-	// All loads at once went to spares of a model with groups enough. A group that lacks one member waited 12 s for its load to begin.
+	// Guards against all concurrent loads going to spares of a model that has enough groups: a group that lacked one member then waited 12 s
+	// for its load to start.
 	It("leave loads for what completes groups", func() {
 		in := grouping.Input{
 			Models: []grouping.Model{wanted("large", 5, 1), wanted("small", 3, 1)}, AvailableLoads: 3, LoadsInProgress: 4, LoadsAtOnce: 8,
@@ -99,7 +100,7 @@
 		Expect(grouping.Decide(in).Stage).To(HaveLen(1))
 	})
 
-	// Empty hosts come in two domains. In one, four of five members wait for the fifth.
+	// Empty hosts are added in two domains. In one of them, four of five members wait for the fifth.
 	It("go first to the domain where they complete a group", func() {
 		in := grouping.Input{
 			Models: []grouping.Model{wanted("large", 5, 2), wanted("small", 3, 1)}, AvailableLoads: 1, LoadsAtOnce: 8,
@@ -111,7 +112,7 @@
 		Expect(grouping.Decide(in).Stage).To(Equal([]grouping.Staging{{VM: "b4", Model: "large"}}))
 	})
 
-	// The smaller model lacks a little. Its next group would drop the weights of one of four VMs that wait for a fifth.
+	// The smaller model is slightly short. Its next group would overwrite the weights of one of four VMs that wait for a fifth.
 	It("are not taken from a group of another model that is nearly complete", func() {
 		in := grouping.Input{
 			Models: []grouping.Model{wanted("large", 5, 2.5), wanted("small", 3, 3)}, AvailableLoads: 3, LoadsAtOnce: 8,
--- a/policy/grouping/grouping.go
+++ b/policy/grouping/grouping.go
@@ -1,17 +1,17 @@
-// Package grouping decides which VMs form which groups, and which weights to stage ahead.
+// Package grouping decides which VMs form which model groups, and which VMs load model weights in advance.
 //
-// Load pattern: VMs are lost for good every few seconds, now and then a whole fabric domain, and new, empty VMs come.
-// Each loss breaks the group that the VM was in. Weights come from a store that starts only a few loads a second, and a load takes
-// ten times as long as reading the weights from the VM's own host.
+// Workload: a VM is lost permanently every few seconds, occasionally a whole fabric domain is lost, and new VMs arrive without weights.
+// Each loss breaks the group that the VM belonged to. Weights are loaded from a weight store that can start only a few loads per second,
+// and a load takes ten times as long as reading the weights from the VM's own host.
 //
-// What goes wrong without it: survivors wait for a replacement of their own group although another group of the domain
-// could be completed with them; a group is formed that needs a load, and all its members wait 12 to 16 s for the one; all loads
-// begin at once and each takes several times as long; one model gets all VMs and the callers of the other are refused.
+// Failure modes without this policy: the survivors of a broken group wait for a replacement although they could complete another group in
+// the same domain; a group is formed with one member that still has to load, and all its members wait 12 to 16 s for that one; all loads
+// start at once and each takes several times as long; one model gets all VMs and requests for the other model are refused.
 //
-// So groups are formed of VMs that have the weights at hand (before callers come, also of others, by a plan for whole domains), models in
-// proportion to the VMs that their demand needs, and the few loads go to whatever completes the most needed group with the fewest. What makes
-// a group without a load serves; what is left over in a domain gets the weights that the next loss will need, so that the group stands
-// again within a second.
+// The policy therefore forms groups from VMs that already have the weights. Before the first request it may also use VMs without weights,
+// following a plan for whole domains. It divides VMs among models in proportion to the VMs that their demand needs, and spends the few loads
+// on completing the most needed group with the fewest loads. A group that can be formed without a load is put into service. The remaining
+// VMs of a domain load the weights that the next loss will need, so that a broken group recovers within a second.
 package grouping
 
 import (
@@ -24,86 +24,87 @@
 // Model is one model of the service.
 type Model struct {
 	Name string
-	// Size is how many VMs one group takes.
+	// Size is the number of VMs in one group.
 	Size int
-	// Share is the part of the VMs that the model's demand needs. Only the ratio of the models' shares counts.
+	// Share is the fraction of the VMs that the model's demand needs. Only the ratio between the models' shares counts.
 	Share float64
-	// LoadTime is how long its weights take from the weight store.
+	// LoadTime is the duration of loading the weights from the weight store.
 	LoadTime time.Duration
-	// DemandGroups is how many groups the requests that come would fill; 0 where that is not known.
+	// DemandGroups is the number of groups that the current requests would keep fully occupied; 0 if unknown.
 	DemandGroups float64
 }
 
-// VM is one VM that is in no group that serves or forms.
+// VM is a VM that belongs to no group that is serving or being formed.
 type VM struct {
 	ID string
-	// Staged is the model whose weights lie on the host; empty for none.
+	// Staged is the model whose weights are stored on the host; empty if there are none.
 	Staged string
-	// Loaded is the model of its last group, which it takes up again at once.
+	// Loaded is the model of the VM's last group, whose weights it still holds and can serve again at once.
 	Loaded string
-	// Staging is the model that is being staged; empty for none.
+	// Staging is the model whose weights are being loaded onto the host; empty if there is none.
 	Staging string
-	// WarmFailed says that it could lately not take up the weights on its host.
+	// WarmFailed reports that a recent attempt to load the host's weights into the VM failed.
 	WarmFailed bool
 }
 
-// Domain is one fabric domain. Groups do not cross it.
+// Domain is a fabric domain. A group never spans two domains.
 type Domain struct {
 	Name string
 	Free []VM
-	// Groups counts the groups that serve or form, by model.
+	// Groups counts the groups that are serving or being formed, by model.
 	Groups map[string]int
 	// DissolvingVMs counts the VMs of groups that are being dissolved.
 	DissolvingVMs int
-	// Total counts all usable VMs.
+	// Total counts all usable VMs of the domain.
 	Total int
-	// Registering says that its VMs are still being listed one by one. A domain of which a few are listed holds but the smallest model's groups,
-	// and what is formed then takes the place of the others.
+	// Registering reports that the domain's VMs are still being listed one by one. A partly listed domain only has room for groups of the
+	// smallest model, and groups formed then would take the VMs that the larger models need.
 	Registering bool
 }
 
-// Input is what is known at one moment.
+// Input is the state known at one moment.
 type Input struct {
 	Models  []Model
 	Domains []Domain
-	// BeforeTraffic says that no caller has come yet: loads are short and groups may be formed that need them.
+	// BeforeTraffic reports that no request has arrived yet. Loads are short then, and groups that need loads may be formed.
 	BeforeTraffic bool
-	// LossRate is the part of the VMs in groups that is lost in a second; 0 where nothing is known of it.
+	// LossRate is the fraction of the VMs in groups that is lost per second; 0 if unknown.
 	LossRate float64
-	// AvailableLoads is how many loads may begin now, LoadsInProgress how many are in progress of the LoadsAtOnce that run at full speed.
+	// AvailableLoads is the number of loads that may start now. LoadsInProgress is the number of running loads, and LoadsAtOnce the number
+	// that can run concurrently at full speed.
 	AvailableLoads, LoadsInProgress, LoadsAtOnce int
 }
 
-// Formation is one group to form. The first member is the head.
+// Formation is a group to form. Its first member is the head.
 type Formation struct {
 	Domain  string
 	Model   string
 	Members []string
-	// Loads is how many members need the weights from the store.
+	// Loads is the number of members that must load the weights from the weight store.
 	Loads int
 }
 
-// Staging is one VM whose host is to hold a model's weights.
+// Staging tells a VM to load a model's weights from the weight store onto its host.
 type Staging struct {
 	VM    string
 	Model string
 }
 
-// Warming is one free VM that is to take a model's weights up from its host.
+// Warming tells a free VM to load a model's weights from its host into the VM.
 type Warming struct {
 	VM    string
 	Model string
 }
 
-// Drain is a group that is to end its work and give its VMs to another model.
+// Drain is a group that finishes its requests and then gives its VMs to another model.
 type Drain struct {
 	Domain string
-	// Model is that of the group, For the one that gets the VMs.
+	// Model is the model of the drained group, Recipient the model that gets its VMs.
 	Model     string
 	Recipient string
 }
 
-// Plan is what to do now.
+// Plan lists the actions to take now.
 type Plan struct {
 	Form  []Formation
 	Stage []Staging
@@ -112,17 +113,19 @@
 }
 
 const (
-	// groupRecoveryTime is how long a group that lost a member is away where a spare has the weights: noticed, closed, joined and opened.
+	// groupRecoveryTime is how long a group that lost a member is unavailable if a spare VM has the weights: the loss is detected, the old
+	// group closed, the spare joined and the new group opened.
 	groupRecoveryTime = 3 * time.Second
-	// redundantGroups is how many groups more than its goal a model is to have: at most times one is being formed again.
+	// redundantGroups is the number of groups that a model should have beyond its goal, because most of the time one group is recovering.
 	redundantGroups = 1
-	// shortageThreshold is the part of a model's goal below which it is short while the demand is not known.
+	// shortageThreshold is the fraction of its goal below which a model is short of groups while the demand is unknown.
 	shortageThreshold = 0.75
-	// demandHeadroom is how many groups a model is to have for each that its requests fill: demand varies by as much within seconds.
+	// demandHeadroom is the number of groups to provide for each group that the requests would fill. Demand varies by this factor within
+	// seconds.
 	demandHeadroom = 1.2
 )
 
-// Decide plans the next steps. Equal inputs give equal plans.
+// Decide plans the next actions. It is deterministic: equal inputs give equal plans.
 func Decide(in Input) Plan {
 	if in.LossRate <= 0 {
 		in.LossRate = defaultLossRate
@@ -153,21 +156,21 @@
 type decision struct {
 	in    Input
 	loads int
-	// counts are groups by model, those of the plan included.
+	// counts is the number of groups by model, including those in the plan.
 	counts map[string]int
-	// free are the VMs left, groups the groups by model, those of the plan included, by domain.
+	// free lists the remaining VMs by domain. groups counts the groups by domain and model, including those in the plan.
 	free   [][]VM
 	groups []map[string]int
 	total  int
-	// mix is how many groups of each model a domain is to have before callers come, by domain.
+	// mix is the number of groups of each model that each domain should have before the first request, by domain.
 	mix []map[string]int
-	// blocked says that a group waits for loads, so that none are to be spent on less.
+	// blocked reports that the most needed group waits for loads, so that no loads may be spent on anything less needed.
 	blocked bool
 	plan    Plan
 }
 
-// goal is how many groups a model is to have: what its requests fill, with room, or, where the demand of a model is not known yet, its part when
-// all VMs serve in proportion to the shares.
+// goal is the number of groups that a model should have: the number that its requests fill, plus headroom. While the demand of any model is
+// unknown, it is the model's number of groups if all VMs were divided in proportion to the shares.
 func (d *decision) goal(model Model) float64 {
 	if d.demandKnown() {
 		return max(1, demandHeadroom*model.DemandGroups)
@@ -191,19 +194,20 @@
 	return true
 }
 
-// need is how much a model lacks: higher for one whose groups are few beside its goal.
+// need rates how urgently a model needs groups. It grows as the number of groups falls relative to the goal.
 func (d *decision) need(model Model) float64 {
 	return needRatio(d.goal(model), float64(d.counts[model.Name]))
 }
 
-// needRatio is finite for a model without groups.
+// needRatio is the ratio of the goal to the number of groups, and is finite for a model without groups.
 func needRatio(goal, groups float64) float64 { return goal / (groups + needOffset) }
 
-// needOffset is what no group counts as. It is small: callers of a model without any are all turned away.
+// needOffset is added to the number of groups to avoid a division by zero. It is small because a model without any group refuses all its
+// requests.
 const needOffset = 0.25
 
-// gainOfGroup is how much less a model lacks with one more group, and cost how much more with one less, by the cubes of its need. So a group is
-// worth what part of its model it is, and more where the model lacks more.
+// gainOfGroup is the decrease of a model's shortfall cost with one more group, and costOfLoss the increase with one group less. The cost is
+// the cube of the need, so a group is worth more the larger its fraction of the model's groups is and the greater the model's need is.
 func (d *decision) gainOfGroup(model Model) float64 {
 	goal, groups := d.goal(model), float64(d.counts[model.Name])
 	return shortfallCost(goal, groups) - shortfallCost(goal, groups+1)
@@ -219,7 +223,7 @@
 	return need * need * need
 }
 
-// isShort says whether a model has fewer groups than it is to have at most times.
+// isShort reports whether a model has fewer groups than it should have most of the time.
 func (d *decision) isShort(model Model) bool {
 	count := float64(d.counts[model.Name])
 	if model.DemandGroups > 0 {
@@ -228,18 +232,18 @@
 	return count < shortageThreshold*d.goal(model)
 }
 
-// candidate is one group that could be formed.
+// candidate is a group that could be formed.
 type candidate struct {
 	domain int
 	model  Model
 	loads  int
 	need   float64
-	// groups is how many of the model the domain has.
+	// groups is the number of groups of the model in the domain.
 	groups int
 }
 
-// formNext adds the most needed group to the plan, and returns false when there is none. A group that is needed more than all others
-// and waits for loads is not overtaken by one that needs fewer: the larger model would never get its share.
+// formNext adds the most needed group to the plan and returns false if there is none. If the most needed group has to wait for loads, no
+// other group that needs fewer loads is formed before it; otherwise the larger model would never get its share.
 func (d *decision) formNext() bool {
 	var best *candidate
 	for i := range d.in.Domains {
@@ -260,8 +264,8 @@
 	return true
 }
 
-// preferredOver prefers the model that lacks more, then the domain with fewer groups of it, then fewer loads: only before callers come are there any,
-// and then they cost next to nothing.
+// preferredOver orders candidates by the need of their model, then by how few groups of it the domain has, then by how few loads they need.
+// Loads come last because candidates with loads exist only before the first request, when loads cost almost nothing.
 func (c *candidate) preferredOver(other *candidate) bool {
 	switch {
 	case c.need != other.need:
@@ -283,7 +287,7 @@
 	return &candidate{domain: i, model: model, loads: loads, need: d.need(model), groups: d.groups[i][model.Name]}
 }
 
-// canForm says whether a domain has the VMs for one more group of a model, and should have it.
+// canForm reports whether a domain has enough VMs for another group of a model and should have that group.
 func (d *decision) canForm(i int, model Model) bool {
 	left := len(d.free[i]) - model.Size
 	switch {
@@ -295,10 +299,10 @@
 	return float64(d.counts[model.Name]) < d.goal(model) || !d.reservedForUnderserved(i)
 }
 
-// registering says that the VMs of a domain are still being listed.
+// registering reports that the domain's VMs are still being listed, so that nothing is planned for it yet.
 func (d *decision) registering(i int) bool { return d.in.BeforeTraffic && d.in.Domains[i].Registering }
 
-// countStaged counts the VMs that have a model's weights.
+// countStaged counts the VMs whose hosts have a model's weights.
 func countStaged(free []VM, model string) int {
 	n := 0
 	for _, vm := range free {
@@ -309,7 +313,7 @@
 	return n
 }
 
-// sortByDistance returns the VMs in the order in which they would take up the model.
+// sortByDistance returns the VMs ordered by how little they have to do to serve the model.
 func sortByDistance(vms []VM, model string) []VM {
 	sorted := slices.Clone(vms)
 	slices.SortStableFunc(sorted, func(a, b VM) int {
@@ -318,14 +322,14 @@
 	return sorted
 }
 
-// Distances of a VM from serving a model.
+// Distances of a VM from serving a model, in ascending order of effort.
 const (
 	distanceLoaded = iota
 	distanceStaged
 	distanceLoad
-	// distanceReplace is a load that drops another model's weights.
+	// distanceReplace is a load that overwrites another model's weights.
 	distanceReplace
-	// distanceStaging is a VM that is staging now.
+	// distanceStaging is a VM whose host is loading weights now.
 	distanceStaging
 )
 
--- a/policy/grouping/grouping_test.go
+++ b/policy/grouping/grouping_test.go
@@ -16,7 +16,7 @@
 	RunSpecs(t, "groups of several models")
 }
 
-// Times of a load.
+// Load times.
 const (
 	largeLoad = 16 * time.Second
 	smallLoad = 12 * time.Second
@@ -24,7 +24,7 @@
 
 var models = []grouping.Model{{Name: "large", Size: 4, Share: 0.57, LoadTime: largeLoad}, {Name: "small", Size: 3, Share: 0.43, LoadTime: smallLoad}}
 
-// vms returns free VMs with staged weights, such as "large".
+// vms returns free VMs with the given staged weights, such as "large".
 func vms(prefix string, staged ...string) []grouping.VM {
 	list := make([]grouping.VM, 0, len(staged))
 	for i, model := range staged {
@@ -46,8 +46,8 @@
 		Expect(plan.Form[0]).To(And(HaveField("Model", "large"), HaveField("Loads", 0), HaveField("Members", HaveLen(4))))
 	})
 
-	// The loads that are left are spent, and an unloaded group counts as one that waits for loads. All repairs would stand still for as long as
-	// the weight store is behind.
+	// Guards against treating a group that needs no loads as one that waits for loads when the load budget is used up or overdrawn: all
+	// recoveries would stop for as long as the weight store is behind.
 	It("forms what needs no load whatever loads are left", func() {
 		for _, loads := range []int{0, -7} {
 			plan := grouping.Decide(grouping.Input{Models: models, AvailableLoads: loads, Domains: []grouping.Domain{
@@ -57,7 +57,7 @@
 		}
 	})
 
-	// Members that wait for one that loads serve nobody for 16 s.
+	// Members that wait for another member's load serve no requests for 16 s.
 	It("forms no group that needs a load once callers come, and stages the weights instead", func() {
 		plan := grouping.Decide(grouping.Input{Models: models, AvailableLoads: 3, Domains: []grouping.Domain{
 			domain("d", 8, vms("v", "large", "large", "large", ""), map[string]int{"small": 1}),
@@ -73,7 +73,7 @@
 		Expect(plan.Form).To(ConsistOf(HaveField("Model", "large"), HaveField("Model", "small")))
 	})
 
-	// The smaller model always fits into the loads that are left, and the larger one never gets its share.
+	// The smaller model always fits the remaining loads; if it went first, the larger one would never get its share.
 	It("does not let a model with fewer loads overtake one that is needed more", func() {
 		plan := grouping.Decide(grouping.Input{Models: models, BeforeTraffic: true, AvailableLoads: 3, Domains: []grouping.Domain{
 			domain("d", 18, vms("v", "", "", "", "", "", "", "", ""), map[string]int{"small": 2}),
@@ -97,8 +97,8 @@
 		Expect(count["small"]).To(BeNumerically(">=", 6))
 	})
 
-	// Three VMs with the weights wait for a loss while groups of their model are nearly full. Serving, they are a group more; and when one of them
-	// is lost, the other two are spares.
+	// Three VMs with the weights wait for a loss while the groups of their model are almost fully occupied. In service they add a group, and when
+	// one of them is lost, the other two become spares.
 	It("lets a group's worth of free VMs serve, also while no model is short", func() {
 		plan := grouping.Decide(grouping.Input{Models: models, Domains: []grouping.Domain{
 			domain("d", 9, vms("v", "small", "small", "small"), map[string]int{"small": 2, "large": 3}),
@@ -117,7 +117,7 @@
 		}
 	})
 
-	// Fifteen VMs have the larger model's weights, and the one spare has the other's.
+	// Fifteen VMs have the larger model's weights, and the only spare has the other model's.
 	It("drops a spare's weights for what completes a large group", func() {
 		two := []grouping.Model{{Name: "large", Size: 16, Share: 0.5, LoadTime: largeLoad}, {Name: "small", Size: 4, Share: 0.5, LoadTime: smallLoad}}
 		free := vms("v", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "small")
@@ -127,7 +127,7 @@
 		Expect(plan.Stage).To(Equal([]grouping.Staging{{VM: "v15", Model: "large"}}))
 	})
 
-	// Callers jump to half as many again. The groups are full and turn them away, while spares with the weights stand idle.
+	// Demand rises by half. The groups are full and refuse requests while spares with the weights are idle.
 	It("puts spares to work for a model whose requests fill its groups", func() {
 		in := grouping.Input{Models: []grouping.Model{{Name: "large", Size: 4, Share: 0.57, LoadTime: largeLoad}, {Name: "small", Size: 3, Share: 0.43, LoadTime: smallLoad}}, Domains: []grouping.Domain{
 			domain("d", 9, vms("v", "small", "small", "small"), map[string]int{"small": 2, "large": 3}),
@@ -151,7 +151,7 @@
 		Expect(plan.Form).To(ConsistOf(HaveField("Model", "small")))
 	})
 
-	// A load of 16 s drops weights that the next loss would have needed.
+	// A load of 16 s would overwrite weights that the next loss needs.
 	It("does not drop weights for another model unless that one is nearly without groups", func() {
 		survivors := vms("v", "large", "large", "large")
 		busy := domain("e", 40, nil, map[string]int{"large": 5, "small": 4})
@@ -162,8 +162,8 @@
 	})
 })
 
-// waitForOwn is the plain baseline: a broken group waits until its own model's weights are loaded on whatever replaces the lost member,
-// and no VM is staged ahead.
+// waitForOwn is the baseline: a broken group waits until its own model's weights are loaded on the replacement of the lost member, and no VM
+// loads weights in advance.
 func waitForOwn(in grouping.Input) grouping.Plan {
 	plan := grouping.Decide(in)
 	if in.BeforeTraffic {
@@ -181,12 +181,12 @@
 	return plan
 }
 
-// halfLacking is what the demand may lack at most beside what it lacks with the plain baseline.
+// halfLacking is the highest allowed ratio of the unserved demand to that of the baseline.
 const halfLacking = 0.5
 
 var _ = Describe("Groups under steady loss", func() {
-	// Two members die every three seconds and a domain goes dark for a while; new VMs come empty, and the weight store loads one in
-	// two seconds. Without spares that have the weights, each loss costs a group for the 12 to 16 s of a load.
+	// Two members are lost every three seconds, one domain is unreachable for a while, new VMs arrive without weights, and the weight store
+	// completes one load in two seconds. Without spares that have the weights, each loss costs a group for the 12 to 16 s of a load.
 	It("stand for most of the demand, and for more than without staged spares", func() {
 		plain, planned := mean(small, waitForOwn, 30), mean(small, grouping.Decide, 30)
 		GinkgoWriter.Printf("plain: served %.3f idle %.3f; planned: served %.3f (large %.3f, small %.3f) idle %.3f\n",
@@ -200,8 +200,8 @@
 })
 
 var _ = Describe("Groups of sixteen under steady loss", func() {
-	// One of sixteen members dies. Its domain is full of smaller groups, and the one spare has their weights: fifteen VMs wait for a load of
-	// 16 s, and callers of the larger model are refused meanwhile.
+	// One of sixteen members is lost. Its domain is filled with groups of the smaller model, and the only spare has that model's weights: fifteen
+	// VMs wait for a load of 16 s while requests for the larger model are refused.
 	It("stand for nearly all of the demand of both models", func() {
 		plain, planned := mean(grown, waitForOwn, 30), mean(grown, grouping.Decide, 30)
 		GinkgoWriter.Printf("plain: served %.3f; planned: served %.3f (large %.3f, small %.3f) idle %.3f\n",
@@ -213,8 +213,8 @@
 })
 
 var _ = Describe("Groups that leave a remainder in their domains", func() {
-	// Members die every three seconds. A domain has two VMs beside its groups, or three; where they have the wrong weights, a group of six or twelve
-	// waits for a load.
+	// A member is lost every three seconds. A domain has two or three VMs outside its groups; if they have the wrong weights, a group of six or
+	// twelve waits for a load.
 	DescribeTable("stand for more of the demand than without staged spares", func(at site) {
 		plain, planned := mean(at, waitForOwn, 20), mean(at, grouping.Decide, 20)
 		GinkgoWriter.Printf("plain: served %.3f; planned: served %.3f (large %.3f, small %.3f) idle %.3f\n",
--- a/policy/grouping/losses_test.go
+++ b/policy/grouping/losses_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = Describe("Losses", func() {
-	// watch plays groups of so many VMs for some seconds, of which some are lost in each.
+	// watch simulates groups of the given number of VMs for some seconds, with a mean of each losses per second.
 	watch := func(l *grouping.LossEstimator, vms, seconds int, each float64) {
 		owed := 0.0
 		for range seconds {
@@ -40,8 +40,8 @@
 })
 
 var _ = Describe("A group that lacks one member", func() {
-	// Its domain has three spares, all with the weights of the other model, kept for its next losses. Where VMs are rarely lost, the third of them is of no use
-	// there, and the group of the model that lacks groups waits in vain.
+	// The domain has three spares, all with the other model's weights, reserved for its next losses. Where losses are rare, the third spare is of
+	// no use there, while the group of the model that lacks groups waits for it in vain.
 	It("gets a spare of the other model where losses are rare, and not where they are frequent", func() {
 		in := grouping.Input{
 			Models: []grouping.Model{wanted("large", 12, 4), wanted("small", 6, 8.2)}, AvailableLoads: 3, LoadsAtOnce: 20,
--- a/policy/grouping/mix.go
+++ b/policy/grouping/mix.go
@@ -2,41 +2,44 @@
 
 import "slices"
 
-// This file plans the groups of all domains together, before callers come.
+// This file plans the groups of all domains together, before the first request.
 //
-// Load pattern: groups are formed within seconds, from nothing, for a demand of which only the models' shares are known; a domain holds one
-// or two groups of the larger models, and some VMs remain that fit none. Later, VMs are lost one by one.
+// Workload: groups are formed within seconds from VMs without weights, for a demand of which only the models' shares are known. A domain
+// holds one or two groups of the larger models, and some VMs remain that fit no group. Later, VMs are lost one by one.
 //
-// What goes wrong without it: each group is chosen by itself, and what is chosen first leaves no room for the rest. A domain of 11 VMs that
-// gets three groups of three holds none of six; with all domains like that, one model has twice its part and the other's callers are turned
-// away all day. Or VMs are counted as spares that are enough for a group: once callers come they form one, of the model whose weights they happen to have.
+// Failure modes without this policy: each group is chosen on its own, and the first choices leave no room for the rest. A domain of 11 VMs
+// that gets three groups of three has no room for one of six; if all domains are filled that way, one model gets twice its share and the
+// requests of the other are refused all day. Or enough VMs for a whole group are counted as spares, and with the first requests they form a
+// group of whichever model's weights they happen to have.
 //
-// So each way to fill a domain, up to the last group that fits, is valued by the groups that would stand on average, given the spares that it leaves.
+// The planner therefore evaluates each way to pack a domain with groups until no further group fits, by the expected number of available
+// groups given the spares that it leaves.
 
-// initialLossRate is the part of the VMs that is taken to be lost in a second, one of two hundred, while nothing is known of losses yet. Where more are lost,
-// spares are loaded for it once callers come.
+// initialLossRate is the fraction of the VMs assumed to be lost per second, 1 of 200, before any losses are observed. If more are lost, spares
+// for that are loaded after the first requests.
 const initialLossRate = 0.005
 
-// maxMixPasses bounds how often all domains are looked at again; two or three settle it.
+// maxMixPasses bounds the passes over all domains; the plan usually converges after two or three.
 const maxMixPasses = 8
 
-// packing is one packing to use the VMs of a domain.
+// packing is one way to divide the VMs of a domain into groups.
 type packing struct {
-	// groups are formed and standing are those that stand on average, by model.
+	// groups is the number of groups formed, and available the expected number of groups that are available, both by model.
 	groups    []int
 	available []float64
 }
 
-// mixPlanner is a plan in the making.
+// mixPlanner searches for the best packing of each domain.
 type mixPlanner struct {
 	models []Model
-	// goals are the groups that the models are to have, and available the groups of all domains that stand on average, by model.
+	// goals is the number of groups that each model should have, and available the expected number of available groups over all domains, by
+	// model.
 	goals, available []float64
-	// packings are the packings to use a number of VMs.
+	// packings caches the possible packings by the number of VMs.
 	packings map[int][]packing
 }
 
-// planMix returns how many groups of each model each domain is to have.
+// planMix returns the number of groups of each model that each domain should have.
 func (d *decision) planMix() []map[string]int {
 	p := &mixPlanner{models: d.in.Models, available: make([]float64, len(d.in.Models)), packings: make(map[int][]packing)}
 	for _, model := range p.models {
@@ -66,7 +69,7 @@
 	return mix
 }
 
-// improve changes the way of a domain to the best one, the other domains being as they are, and says whether it did.
+// improve replaces the packing of a domain by the best one, with the other domains unchanged, and reports whether it changed.
 func (p *mixPlanner) improve(current *packing, total int) bool {
 	best, improved := *current, false
 	bestValue := p.value(*current, best)
@@ -82,11 +85,11 @@
 	return improved
 }
 
-// minGain keeps two ways of the same value from taking turns.
+// minGain prevents the planner from alternating between two packings of the same value.
 const minGain = 1e-9
 
-// value is higher where less is lacking when a domain that is used in one way is used in another. Cubes make it worst to lack much of one
-// model.
+// value is higher the lower the total shortfall cost is after a domain changes from the current packing to the next one. The cost is cubic,
+// so a large shortfall of one model counts more than small shortfalls of several.
 func (p *mixPlanner) value(current, next packing) float64 {
 	value := 0.0
 	for m := range p.available {
@@ -95,7 +98,7 @@
 	return value
 }
 
-// packingsFor returns the ways to use some VMs. None leaves enough for one more group.
+// packingsFor returns the ways to divide the given number of VMs. No packing leaves enough VMs for another group.
 func (p *mixPlanner) packingsFor(total int) []packing {
 	if packings, ok := p.packings[total]; ok {
 		return packings
@@ -126,7 +129,8 @@
 	return packings
 }
 
-// newPacking gives each spare the weights that keep most from being missed, and works out what stands on average.
+// newPacking gives each spare the weights of the model that gains most availability relative to its goal, and computes the expected number
+// of available groups.
 func (p *mixPlanner) newPacking(groups []int, spares int) packing {
 	w := packing{groups: groups, available: make([]float64, len(groups))}
 	sparesOf := make([]int, len(groups))
@@ -146,10 +150,10 @@
 	return w
 }
 
-// expectedAvailable is how many of a domain's groups of a model stand on average, with some spares that have its weights.
+// expectedAvailable is the expected number of a domain's groups of a model that are available, given the number of spares with its weights.
 func (p *mixPlanner) expectedAvailable(m, groups, spares int) float64 {
 	model := p.models[m]
-	lossRate := initialLossRate * float64(model.Size) // groups a second, for each that stands
+	lossRate := initialLossRate * float64(model.Size) // losses per second of one available group
 	noSpareProbability := poissonTail(float64(groups*model.Size)*initialLossRate*model.LoadTime.Seconds(), spares+1)
 	downtime := groupRecoveryTime.Seconds() + noSpareProbability*model.LoadTime.Seconds()
 	return float64(groups) / (1 + lossRate*downtime)
--- a/policy/grouping/mix_test.go
+++ b/policy/grouping/mix_test.go
@@ -9,7 +9,7 @@
 	"github.com/skylarkpond/skylarkpond/policy/grouping"
 )
 
-// empty returns some domains of free VMs without weights.
+// empty returns domains of free VMs without weights.
 func empty(domains, perDomain int) []grouping.Domain {
 	list := make([]grouping.Domain, 0, domains)
 	for i := range domains {
@@ -34,7 +34,7 @@
 		}
 	}
 
-	// A domain of eleven takes one group of six and one of three. Filled with groups of three, it would hold none of six.
+	// A domain of eleven fits one group of six and one of three. Filled with groups of three, it has no room for one of six.
 	DescribeTable("fit whole domains and the models' shares", func(perDomain int, models []grouping.Model, expected map[string]int) {
 		plan := grouping.Decide(grouping.Input{Models: models, BeforeTraffic: true, AvailableLoads: 1000, Domains: empty(6, perDomain)})
 		Expect(counts(plan)).To(Equal(expected))
@@ -45,7 +45,7 @@
 		Entry("16 and 4 in 37", 37, pair(16, 4, 0.5), map[string]int{"l": 7, "s": 26}),
 	)
 
-	// VMs register one by one, a domain after the other. A group formed of the first three of a domain would be of the smaller model.
+	// VMs register one by one, domain after domain. A group formed of the first three VMs of a domain would always be of the smaller model.
 	It("wait until the VMs of their domain are listed, and for no other domain", func() {
 		in := grouping.Input{Models: models, BeforeTraffic: true, AvailableLoads: 1000, Domains: empty(6, 3)}
 		for i := range in.Domains {
--- a/policy/grouping/model_test.go
+++ b/policy/grouping/model_test.go
@@ -9,46 +9,46 @@
 	"github.com/skylarkpond/skylarkpond/policy/grouping"
 )
 
-// The model plays a service in virtual time, in steps: VMs that die for good or go dark with their domain, new ones that come empty, groups
-// that break and are formed again, and a weight store whose loads slow each other.
+// This file simulates a service in virtual time, in fixed steps: VMs are lost permanently or become unreachable with their domain, new VMs
+// arrive without weights, groups break and are formed again, and concurrent loads slow each other down.
 const (
 	step    = 0.1 // seconds
 	dayEnds = 34.0
 )
 
-// site is what a service's VMs are like.
+// site describes the VMs and models of a service.
 type site struct {
 	domains, perDomain int
 	models             []grouping.Model
-	// pace is the seconds of a load, need how many groups the demand takes, by model.
+	// pace is the load time in seconds, need the number of groups that the demand fills, by model.
 	pace, need map[string]float64
-	// loadSlow is how many loads run at full speed, loadRate how many may begin in a second.
+	// loadSlow is the number of loads that run at full speed, loadRate the number that may start per second.
 	loadSlow int
 	loadRate float64
-	// lost is how many VMs are lost each time.
+	// lost is the number of VMs lost in each loss event.
 	lost int
 }
 
 var (
-	// small are six fabric domains of 9 VMs.
+	// small has six fabric domains of 9 VMs.
 	small = site{
 		domains: 6, perDomain: 9, models: models,
 		pace: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 3.4, "small": 3.4},
 		loadSlow: 6, loadRate: 4, lost: 2,
 	}
-	// eleven are six of 11, in which one group of each model leaves two VMs.
+	// eleven has six domains of 11 VMs, in which one group of each model leaves two VMs.
 	eleven = site{
 		domains: 6, perDomain: 11, models: []grouping.Model{{Name: "large", Size: 6, Share: 0.67}, {Name: "small", Size: 3, Share: 0.33}},
 		pace: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 3.2, "small": 3.7},
 		loadSlow: 8, loadRate: 5.5, lost: 1,
 	}
-	// twentySeven are six of 27.
+	// twentySeven has six domains of 27 VMs.
 	twentySeven = site{
 		domains: 6, perDomain: 27, models: []grouping.Model{{Name: "large", Size: 12, Share: 0.5}, {Name: "small", Size: 6, Share: 0.5}},
 		pace: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 2, "small": 9},
 		loadSlow: 19, loadRate: 12, lost: 2,
 	}
-	// grown are six of 37. A group of the larger model takes nearly half of a domain.
+	// grown has six domains of 37 VMs. A group of the larger model takes almost half of a domain.
 	grown = site{
 		domains: 6, perDomain: 37, models: []grouping.Model{{Name: "large", Size: 16, Share: 0.49}, {Name: "small", Size: 4, Share: 0.51}},
 		pace: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 4, "small": 17},
@@ -56,22 +56,22 @@
 	}
 )
 
-// times of the model's operations, in seconds, as measured on runs of the real programs.
+// Durations of operations in seconds, as measured on runs of the real programs.
 const (
-	noticeMember = 0.9 // until a lost member is noticed and the head closed
-	noticeHead   = 4.5 // until a lost head's registration has lapsed
+	noticeMember = 0.9 // until a lost member is detected and the head closed the group
+	noticeHead   = 4.5 // until the registration of a lost head has expired
 	formLoaded   = 0.9
 	formStaged   = 2.1
 	drainTakes   = 2.0
-	demandKnown  = 3.0 // from the first caller on
+	demandKnown  = 3.0 // after the first request
 )
 
 type loss struct {
 	at     float64
 	zone   int
 	count  int
-	domain bool    // the whole domain goes dark
-	back   float64 // when it is back
+	domain bool    // the whole domain becomes unreachable
+	back   float64 // when the domain is reachable again
 }
 
 type arrival struct {
@@ -85,8 +85,8 @@
 	arrivals []arrival
 }
 
-// lossyDay loses some VMs of groups every three seconds, one domain for a while, and gets two empty ones every three seconds from
-// 12 s on.
+// lossyDay generates a run that loses some VMs of groups every three seconds and one domain for a while, and gets two VMs without weights
+// every three seconds from about 12 s on.
 func (s site) lossyDay(r *rand.Rand) day {
 	var d day
 	zone := r.IntN(3)
@@ -107,7 +107,7 @@
 	staged  string
 	loaded  string
 	staging string
-	ready   float64 // when the staging ends
+	ready   float64 // when the current staging ends
 	group   *simGroup
 	dead    bool
 	darkTo  float64
@@ -116,12 +116,12 @@
 type simGroup struct {
 	model   string
 	members []*simVM
-	open    float64 // when it serves
-	broken  float64 // when its survivors are free; 0 while whole
-	lost    bool    // serves no more
+	open    float64 // when it starts to serve
+	broken  float64 // when its remaining members become free; 0 if complete
+	lost    bool    // no longer serves
 }
 
-// planner is grouping.Decide, or a baseline.
+// planner is grouping.Decide or a baseline.
 type planner func(grouping.Input) grouping.Plan
 
 type sim struct {
@@ -131,7 +131,7 @@
 	vms     []*simVM
 	groups  []*simGroup
 	tokens  float64
-	loading []float64 // ends
+	loading []float64 // end times of the running loads
 	planner planner
 	next    int
 	losses  *grouping.LossEstimator
@@ -152,7 +152,7 @@
 	s.vms = append(s.vms, &simVM{id: fmt.Sprintf("vm%03d", s.next), domain: domain})
 }
 
-// start forms the groups before callers come: all loads are done by then.
+// start forms the groups before the first request, as if all loads completed immediately.
 func (s *sim) start() {
 	for range 20 {
 		plan := s.planner(s.input(true, 100))
@@ -192,7 +192,7 @@
 	return g
 }
 
-// drain ends the work of a group; its VMs are free once that is done.
+// drain stops a group; its VMs become free after drainTakes.
 func (s *sim) drain(d grouping.Drain) {
 	for _, g := range s.groups {
 		if !g.lost && g.model == d.Model && fmt.Sprint(g.members[0].domain) == d.Domain {
@@ -235,7 +235,7 @@
 	return in
 }
 
-// strike loses a VM: its group stands still at once, and its members are free once that was noticed.
+// strike loses a VM, permanently or until darkTo: its group stops serving at once, and the other members become free once the loss is detected.
 func (s *sim) strike(vm *simVM, darkTo float64) {
 	if darkTo > 0 {
 		vm.darkTo = darkTo
@@ -335,11 +335,11 @@
 	}
 }
 
-// figures are what callers get.
+// figures summarizes what the callers of a run got.
 type figures struct {
-	served  float64            // share of the demand that stands, mean over time and models
+	served  float64            // fraction of the demand that is served, mean over time and models
 	byModel map[string]float64 // the same by model
-	idle    float64            // VM-seconds that served nobody, as a share
+	idle    float64            // fraction of the VM-seconds outside serving groups
 }
 
 func (s *sim) play(d day) figures {
@@ -389,7 +389,7 @@
 	return f
 }
 
-// mean plays days of several seeds.
+// mean averages the figures of runs with different seeds.
 func mean(at site, plan planner, seeds int) figures {
 	total := figures{byModel: map[string]float64{}}
 	for seed := range seeds {
--- a/policy/grouping/packing_test.go
+++ b/policy/grouping/packing_test.go
@@ -11,15 +11,15 @@
 	"github.com/skylarkpond/skylarkpond/policy/grouping"
 )
 
-// deployment is one that is drawn: domains alike, and models with a demand.
+// deployment is a randomly generated service: equal domains, and models with a demand.
 type deployment struct {
 	domains, perDomain int
 	models             []grouping.Model
-	// wanted are the groups that the demand fills, by model.
+	// wanted is the number of groups that the demand fills, by model.
 	wanted map[string]float64
 }
 
-// drawDeployment draws models of two to nine VMs whose demand needs up to 0.6 of all VMs, in proportion to their shares.
+// drawDeployment generates models of two to nine VMs whose demand needs up to 0.6 of all VMs, in proportion to their shares.
 func drawDeployment(r *rand.Rand) deployment {
 	d := deployment{domains: 2 + r.IntN(2), perDomain: 7 + r.IntN(12), wanted: map[string]float64{}}
 	sum := 0.0
@@ -38,7 +38,7 @@
 	return d
 }
 
-// served is the part of the demand that some groups can serve, mean over the models.
+// served is the fraction of the demand that the given groups can serve, averaged over the models.
 func (d deployment) served(groups map[string]int) float64 {
 	total := 0.0
 	for _, model := range d.models {
@@ -47,7 +47,7 @@
 	return total
 }
 
-// best is what the best of all packings serves.
+// best is the fraction of the demand that the best of all packings serves, found by exhaustive search.
 func (d deployment) best() float64 {
 	best := 0.0
 	groups := map[string]int{}
@@ -80,7 +80,7 @@
 	return site{domains: d.domains, perDomain: d.perDomain, models: d.models, pace: pace, need: d.wanted, loadSlow: 8, loadRate: 4}
 }
 
-// standing counts the groups that serve.
+// standing counts the groups in service by model.
 func (s *sim) standing() map[string]int {
 	count := map[string]int{}
 	for _, g := range s.groups {
@@ -93,12 +93,12 @@
 
 const (
 	drawn = 60
-	// ofBest is the part of what the best packing serves that a plan is to reach.
+	// ofBest is the fraction of the best packing's served demand that a plan must reach.
 	ofBest = 0.95
 )
 
-// meanOfBest plays drawn deployments and returns the part of what the best packing serves that is reached, on average. change is what comes after
-// the groups were formed.
+// meanOfBest simulates random deployments and returns the mean ratio of the served demand to that of the best packing. change runs after the
+// initial groups were formed.
 func meanOfBest(stream uint64, change func(d deployment, s *sim)) float64 {
 	total := 0.0
 	for seed := range drawn {
@@ -117,7 +117,7 @@
 	return total
 }
 
-// playOn goes on until some seconds after the demand is known.
+// playOn simulates until the given number of seconds after the demand becomes known.
 func (s *sim) playOn(seconds float64) {
 	for s.now < demandKnown+seconds {
 		s.advance()
@@ -130,7 +130,7 @@
 		Expect(meanOfBest(11, func(deployment, *sim) {})).To(BeNumerically(">=", ofBest))
 	})
 
-	// The shares said one thing, and callers ask for another: the models' demands change places.
+	// The demand differs from the configured shares: the demands of the first and the last model are exchanged.
 	It("serve on average nearly that again thirty seconds after the demand has changed", func() {
 		reached := meanOfBest(12, func(d deployment, s *sim) {
 			first, last := d.models[0], d.models[len(d.models)-1]
@@ -141,7 +141,7 @@
 		Expect(reached).To(BeNumerically(">=", ofBest))
 	})
 
-	// Operators give a model no share, and nobody asks for it until noon.
+	// Operators configure a model with share 0, and its first requests arrive hours later.
 	It("serve a model without a share once its demand begins", func() {
 		d := deployment{domains: 2, perDomain: 11, models: []grouping.Model{
 			{Name: "used", Size: 3, Share: 1, LoadTime: 10 * time.Second}, {Name: "new", Size: 4, LoadTime: 10 * time.Second},
--- a/policy/grouping/stage.go
+++ b/policy/grouping/stage.go
@@ -5,27 +5,27 @@
 	"slices"
 )
 
-// Prices of a staging, in loads.
+// Costs of loading weights onto a host, in loads.
 const (
-	// emptyHostCost is that of a host without weights.
+	// emptyHostCost applies to a host without weights.
 	emptyHostCost = 1.0
-	// replaceWeightsCost is that of a host with another model's weights, which are lost: a load for this model, and later one to make up
-	// for the other.
+	// replaceWeightsCost applies to a host that holds another model's weights, which are overwritten: one load for this model and, later,
+	// another one to restore what was overwritten.
 	replaceWeightsCost = 3.0
-	// replaceNeedRatio is how many times more a model must be needed than the one whose weights are dropped for it, while nothing but the shares
-	// tells what callers ask for: only a model that is nearly without groups beside the other is worth it.
+	// replaceNeedRatio is how many times more a model must be needed than the model whose weights it overwrites, while only the configured
+	// shares indicate the demand. Overwriting pays off only for a model that has almost no groups compared with the other.
 	replaceNeedRatio = 4.0
-	// replaceVMsPerLoad is how many VMs a load must bring to serve for that: the size of a usual group that lacks one. A load that brings
-	// sixteen is worth it at a quarter of the need.
+	// replaceVMsPerLoad is the number of VMs that one load must bring into service for replaceNeedRatio to apply: the size of a typical group
+	// that lacks one member. For a load that brings sixteen VMs into service, a quarter of the need suffices.
 	replaceVMsPerLoad = 4.0
-	// spareLoadFraction is the part of the loads at once that spares may take.
+	// spareLoadFraction is the fraction of the concurrent loads that spares may use.
 	spareLoadFraction = 0.5
-	// replaceGainRatio is how many times more the new group must be worth than the weights that are dropped for it, where the demand is known.
-	// Demand changes within seconds while a load takes up to 16.
+	// replaceGainRatio is how many times more a new group must be worth than the weights that are overwritten for it, while the demand is
+	// known. Demand changes within seconds, but a load takes up to 16 s.
 	replaceGainRatio = 2.0
 )
 
-// planStaging spends the loads that are left: first on what completes the most needed groups, then on spares.
+// planStaging spends the remaining loads: first on completing the most needed groups, then on spares.
 func (d *decision) planStaging() {
 	done := make(map[int]bool)
 	for d.loads > 0 {
@@ -48,7 +48,8 @@
 	}
 }
 
-// spareLoadBudget leaves loads for what completes groups: a loss a second later would wait until a spare's load ends.
+// spareLoadBudget limits the loads spent on spares. Without the limit, a group that loses a member a second later would have to wait until
+// a spare's load ends.
 func (d *decision) spareLoadBudget() int {
 	if d.in.BeforeTraffic || d.in.LoadsAtOnce == 0 {
 		return d.loads
@@ -56,7 +57,7 @@
 	return max(0, int(spareLoadFraction*float64(d.in.LoadsAtOnce))-d.in.LoadsInProgress)
 }
 
-// completion is what a domain lacks for its next group of a model.
+// completion is the set of loads that a domain needs for its next group of a model.
 type completion struct {
 	domain int
 	model  Model
@@ -64,7 +65,7 @@
 	value  float64
 }
 
-// bestCompletion returns the most worthwhile one of the domains that are not done: need for each load.
+// bestCompletion returns the completion with the highest need per load among the domains that are not done.
 func (d *decision) bestCompletion(done map[int]bool) *completion {
 	var best *completion
 	for i := range d.in.Domains {
@@ -80,7 +81,8 @@
 	return best
 }
 
-// completion returns nil where the free VMs make no group, or one that lacks no loads, or none that is worth what would be dropped.
+// completion returns nil if the domain has too few free VMs for a group, if the group needs no loads, or if it is not worth the weights that
+// would be overwritten.
 func (d *decision) completion(i int, model Model) *completion {
 	free := d.free[i]
 	if len(free) < model.Size {
@@ -115,7 +117,7 @@
 	return c
 }
 
-// worthReplacing says whether a group of a model is worth the loads that it lacks and the weights that are dropped for it.
+// worthReplacing reports whether a group of a model is worth the loads that it needs and the weights that are overwritten for it.
 func (d *decision) worthReplacing(i int, model Model, loads int, dropped []string) bool {
 	if d.demandKnown() && len(dropped) > 0 {
 		retained := 0.0
@@ -133,8 +135,8 @@
 	return true
 }
 
-// retentionValue is what the weights of one more VM are worth, after some were dropped: for the next loss, or to complete a further group, the more
-// the fewer that one lacks.
+// retentionValue is the value of keeping the weights of one more VM after some were overwritten: for replacing the next lost VM, or for
+// completing another group, which counts more the fewer VMs that group lacks.
 func (d *decision) retentionValue(i int, name string, dropped int) float64 {
 	model, ok := d.modelByName(name)
 	if !ok {
@@ -164,7 +166,7 @@
 	return 0
 }
 
-// countStagedOrStaging counts the VMs that have a model's weights, or will have them.
+// countStagedOrStaging counts the VMs whose hosts have a model's weights or are loading them.
 func countStagedOrStaging(free []VM, model string) int {
 	n := countStaged(free, model)
 	for _, vm := range free {
@@ -175,7 +177,7 @@
 	return n
 }
 
-// spareLoad is a load for an empty host, with what it is worth.
+// spareLoad is a load of a model's weights onto an empty host, with its value.
 type spareLoad struct {
 	domain int
 	vm     VM
@@ -183,7 +185,7 @@
 	value  float64
 }
 
-// bestSpareLoad returns the load of an empty host that is worth most, over all domains, or nil if no host is empty.
+// bestSpareLoad returns the most valuable load onto an empty host over all domains, or nil if no host is empty.
 func (d *decision) bestSpareLoad() *spareLoad {
 	var best *spareLoad
 	for i, free := range d.free {
@@ -204,8 +206,9 @@
 	return best
 }
 
-// spareValue is what another spare of a model is worth in a domain: by the chance that so many members are lost before a load can replace
-// them, and by what the model's groups are worth; or by what it does to complete a further group. Where there are neither, the need decides.
+// spareValue is the value of another spare with a model's weights in a domain: the cost of losing a group of the model, weighted by the
+// probability that more VMs are lost than there are spares before a load can replace them, or its contribution to completing another group.
+// If both are zero, the need decides.
 func (d *decision) spareValue(i int, model Model) float64 {
 	spares := countStagedOrStaging(d.free[i], model.Name)
 	value := d.costOfLoss(model) * d.lossProbability(i, model, spares+1)
@@ -215,15 +218,15 @@
 	return value + minSpareValue*d.need(model)/float64(1+spares)
 }
 
-// minSpareValue makes the need decide where no group can be lost.
+// minSpareValue scales the need so that it decides only where no group can be lost.
 const minSpareValue = 1e-6
 
-// lossProbability is the chance that so many VMs of a model's groups in a domain are lost in the time of a load.
+// lossProbability is the probability that at least the given number of VMs of a model's groups in a domain are lost during one load.
 func (d *decision) lossProbability(i int, model Model, losses int) float64 {
 	return poissonTail(d.in.LossRate*model.LoadTime.Seconds()*float64(d.groups[i][model.Name]*model.Size), losses)
 }
 
-// poissonTail is the chance of at least so many losses where the mean is known, and VMs are lost independently.
+// poissonTail is the probability of at least the given number of independent losses with the given mean.
 func poissonTail(mean float64, losses int) float64 {
 	exactly := math.Exp(-mean)
 	fewer := 0.0
@@ -247,8 +250,8 @@
 	}
 }
 
-// planWarming lets the VMs that stay free take up the weights of their hosts. A group that loses a member then stands again as soon as the spare has
-// joined; a spare that reads its weights only then keeps all the other members waiting for that.
+// planWarming lets the free VMs load the weights from their hosts into memory. A group that loses a member then recovers as soon as the
+// spare has joined. If the spare read its weights only then, all other members would wait for it.
 func (d *decision) planWarming() {
 	for _, free := range d.free {
 		for _, vm := range free {
