--- a/policy/grouping/convert_test.go
+++ b/policy/grouping/convert_test.go
@@ -18,7 +18,7 @@
 	}
 
 	// The groups of the larger model were lost and its requests are refused, while each domain is filled with groups of the smaller model.
-	It("are given to one that turns callers away, one group at a time", func() {
+	It("are given to a model that refuses requests, one group at a time", func() {
 		in := grouping.Input{
 			Models: []grouping.Model{wanted("large", 5, 2), wanted("small", 3, 3)}, AvailableLoads: 3, LoadsAtOnce: 8,
 			Domains: []grouping.Domain{full("a"), full("b"), full("c")},
@@ -49,7 +49,7 @@
 
 	// The model lacks two groups. If both were taken from one domain, the donor would become short and form a group again from the VMs that were
 	// just drained, in an endless loop.
-	It("are taken from another domain than the one that is converted already, and not formed again while their model has its goal", func() {
+	It("are taken from a domain that is not being converted already, and not grouped again while their model meets its goal", func() {
 		closing := domain("a", 11, vms("a", "small", "small"), map[string]int{"small": 2})
 		closing.DissolvingVMs = 3
 		in := grouping.Input{
@@ -63,7 +63,7 @@
 	})
 
 	// The drained VMs still have the smaller model's weights. If they formed a group of it again at once, the other model would never get them.
-	It("are not formed again for the model that gave them", func() {
+	It("are not grouped again for the model that gave them up", func() {
 		in := grouping.Input{
 			Models: []grouping.Model{wanted("large", 5, 1), wanted("small", 3, 1)}, AvailableLoads: 3, LoadsAtOnce: 8,
 			Domains: []grouping.Domain{
@@ -80,7 +80,7 @@
 
 var _ = Describe("Spares", func() {
 	// The spare has the weights only on its host. If it loaded them only after a loss, all other members would wait for it.
-	It("take up the weights of their hosts, unless that failed lately", func() {
+	It("load the weights from their hosts into memory, unless that failed recently", func() {
 		free := vms("v", "large", "small", "", "large")
 		free[1].Loaded = "small"
 		free[3].WarmFailed = true
@@ -90,7 +90,7 @@
 
 	// Guards against all concurrent loads going to spares of a model that has enough groups: a group that lacked one member then waited 12 s
 	// for its load to start.
-	It("leave loads for what completes groups", func() {
+	It("leave loads for completing groups", func() {
 		in := grouping.Input{
 			Models: []grouping.Model{wanted("large", 5, 1), wanted("small", 3, 1)}, AvailableLoads: 3, LoadsInProgress: 4, LoadsAtOnce: 8,
 			Domains: []grouping.Domain{domain("a", 11, vms("a", ""), map[string]int{"small": 2, "large": 2})},
--- a/policy/grouping/grouping_test.go
+++ b/policy/grouping/grouping_test.go
@@ -48,7 +48,7 @@
 
 	// Guards against treating a group that needs no loads as one that waits for loads when the load budget is used up or overdrawn: all
 	// recoveries would stop for as long as the weight store is behind.
-	It("forms what needs no load whatever loads are left", func() {
+	It("forms groups that need no load even when no loads are left", func() {
 		for _, loads := range []int{0, -7} {
 			plan := grouping.Decide(grouping.Input{Models: models, AvailableLoads: loads, Domains: []grouping.Domain{
 				domain("d", 8, vms("v", "large", "large", "large", "large"), nil),
@@ -58,7 +58,7 @@
 	})
 
 	// Members that wait for another member's load serve no requests for 16 s.
-	It("forms no group that needs a load once callers come, and stages the weights instead", func() {
+	It("forms no group that needs a load after the first request, and stages the weights instead", func() {
 		plan := grouping.Decide(grouping.Input{Models: models, AvailableLoads: 3, Domains: []grouping.Domain{
 			domain("d", 8, vms("v", "large", "large", "large", ""), map[string]int{"small": 1}),
 		}})
@@ -66,7 +66,7 @@
 		Expect(plan.Stage).To(Equal([]grouping.Staging{{VM: "v3", Model: "large"}}))
 	})
 
-	It("forms groups that need loads before callers come, as far as the loads reach", func() {
+	It("forms groups that need loads before the first request, within the available loads", func() {
 		plan := grouping.Decide(grouping.Input{Models: models, BeforeTraffic: true, AvailableLoads: 7, Domains: []grouping.Domain{
 			domain("d", 9, vms("v", "", "", "", "", "", "", "", "", ""), nil),
 		}})
@@ -74,7 +74,7 @@
 	})
 
 	// The smaller model always fits the remaining loads; if it went first, the larger one would never get its share.
-	It("does not let a model with fewer loads overtake one that is needed more", func() {
+	It("does not form a group that needs fewer loads before one that is needed more", func() {
 		plan := grouping.Decide(grouping.Input{Models: models, BeforeTraffic: true, AvailableLoads: 3, Domains: []grouping.Domain{
 			domain("d", 18, vms("v", "", "", "", "", "", "", "", ""), map[string]int{"small": 2}),
 		}})
@@ -99,7 +99,7 @@
 
 	// Three VMs with the weights wait for a loss while the groups of their model are almost fully occupied. In service they add a group, and when
 	// one of them is lost, the other two become spares.
-	It("lets a group's worth of free VMs serve, also while no model is short", func() {
+	It("puts enough free VMs for a group into service even while no model is short", func() {
 		plan := grouping.Decide(grouping.Input{Models: models, Domains: []grouping.Domain{
 			domain("d", 9, vms("v", "small", "small", "small"), map[string]int{"small": 2, "large": 3}),
 		}})
@@ -118,7 +118,7 @@
 	})
 
 	// Fifteen VMs have the larger model's weights, and the only spare has the other model's.
-	It("drops a spare's weights for what completes a large group", func() {
+	It("overwrites a spare's weights to complete a large group", func() {
 		two := []grouping.Model{{Name: "large", Size: 16, Share: 0.5, LoadTime: largeLoad}, {Name: "small", Size: 4, Share: 0.5, LoadTime: smallLoad}}
 		free := vms("v", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "small")
 		plan := grouping.Decide(grouping.Input{Models: two, AvailableLoads: 3, Domains: []grouping.Domain{
@@ -128,7 +128,7 @@
 	})
 
 	// Demand rises by half. The groups are full and refuse requests while spares with the weights are idle.
-	It("puts spares to work for a model whose requests fill its groups", func() {
+	It("puts spares into service for a model whose requests fill its groups", func() {
 		in := grouping.Input{Models: []grouping.Model{{Name: "large", Size: 4, Share: 0.57, LoadTime: largeLoad}, {Name: "small", Size: 3, Share: 0.43, LoadTime: smallLoad}}, Domains: []grouping.Domain{
 			domain("d", 9, vms("v", "small", "small", "small"), map[string]int{"small": 2, "large": 3}),
 		}}
@@ -152,7 +152,7 @@
 	})
 
 	// A load of 16 s would overwrite weights that the next loss needs.
-	It("does not drop weights for another model unless that one is nearly without groups", func() {
+	It("does not overwrite weights for another model unless that model has almost no groups", func() {
 		survivors := vms("v", "large", "large", "large")
 		busy := domain("e", 40, nil, map[string]int{"large": 5, "small": 4})
 		in := grouping.Input{Models: models, AvailableLoads: 3, Domains: []grouping.Domain{domain("d", 8, survivors, map[string]int{"large": 1}), busy}}
@@ -181,18 +181,18 @@
 	return plan
 }
 
-// halfLacking is the highest allowed ratio of the unserved demand to that of the baseline.
-const halfLacking = 0.5
+// maxUnservedRatio is the highest allowed ratio of the unserved demand to that of the baseline.
+const maxUnservedRatio = 0.5
 
 var _ = Describe("Groups under steady loss", func() {
 	// Two members are lost every three seconds, one domain is unreachable for a while, new VMs arrive without weights, and the weight store
 	// completes one load in two seconds. Without spares that have the weights, each loss costs a group for the 12 to 16 s of a load.
-	It("stand for most of the demand, and for more than without staged spares", func() {
+	It("serve most of the demand, and more than without staged spares", func() {
 		plain, planned := mean(small, waitForOwn, 30), mean(small, grouping.Decide, 30)
 		GinkgoWriter.Printf("plain: served %.3f idle %.3f; planned: served %.3f (large %.3f, small %.3f) idle %.3f\n",
 			plain.served, plain.idle, planned.served, planned.byModel["large"], planned.byModel["small"], planned.idle)
 		Expect(planned.served).To(BeNumerically(">", 0.85))
-		Expect(1 - planned.served).To(BeNumerically("<=", halfLacking*(1-plain.served)))
+		Expect(1 - planned.served).To(BeNumerically("<=", maxUnservedRatio*(1-plain.served)))
 		for _, m := range models {
 			Expect(planned.byModel[m.Name]).To(BeNumerically(">", 0.8))
 		}
@@ -202,24 +202,24 @@
 var _ = Describe("Groups of sixteen under steady loss", func() {
 	// One of sixteen members is lost. Its domain is filled with groups of the smaller model, and the only spare has that model's weights: fifteen
 	// VMs wait for a load of 16 s while requests for the larger model are refused.
-	It("stand for nearly all of the demand of both models", func() {
+	It("serve nearly all of the demand of both models", func() {
 		plain, planned := mean(grown, waitForOwn, 30), mean(grown, grouping.Decide, 30)
 		GinkgoWriter.Printf("plain: served %.3f; planned: served %.3f (large %.3f, small %.3f) idle %.3f\n",
 			plain.served, planned.served, planned.byModel["large"], planned.byModel["small"], planned.idle)
 		Expect(planned.byModel["large"]).To(BeNumerically(">", 0.93))
 		Expect(planned.byModel["small"]).To(BeNumerically(">", 0.98))
-		Expect(1 - planned.served).To(BeNumerically("<=", halfLacking*(1-plain.served)))
+		Expect(1 - planned.served).To(BeNumerically("<=", maxUnservedRatio*(1-plain.served)))
 	})
 })
 
 var _ = Describe("Groups that leave a remainder in their domains", func() {
 	// A member is lost every three seconds. A domain has two or three VMs outside its groups; if they have the wrong weights, a group of six or
 	// twelve waits for a load.
-	DescribeTable("stand for more of the demand than without staged spares", func(at site) {
+	DescribeTable("serve more of the demand than without staged spares", func(at site) {
 		plain, planned := mean(at, waitForOwn, 20), mean(at, grouping.Decide, 20)
 		GinkgoWriter.Printf("plain: served %.3f; planned: served %.3f (large %.3f, small %.3f) idle %.3f\n",
 			plain.served, planned.served, planned.byModel["large"], planned.byModel["small"], planned.idle)
-		Expect(1 - planned.served).To(BeNumerically("<=", halfLacking*(1-plain.served)))
+		Expect(1 - planned.served).To(BeNumerically("<=", maxUnservedRatio*(1-plain.served)))
 		for _, m := range at.models {
 			Expect(planned.byModel[m.Name]).To(BeNumerically(">", 0.8))
 		}
--- a/policy/grouping/losses_test.go
+++ b/policy/grouping/losses_test.go
@@ -8,22 +8,22 @@
 )
 
 var _ = Describe("Losses", func() {
-	// watch simulates groups of the given number of VMs for some seconds, with a mean of each losses per second.
-	watch := func(l *grouping.LossEstimator, vms, seconds int, each float64) {
-		owed := 0.0
+	// watch simulates groups of the given number of VMs for some seconds, with the given mean number of losses per second.
+	watch := func(l *grouping.LossEstimator, vms, seconds int, perSecond float64) {
+		pending := 0.0
 		for range seconds {
 			l.ObserveExposure(vms, 1)
-			for owed += each; owed >= 1; owed-- {
+			for pending += perSecond; pending >= 1; pending-- {
 				l.ObserveLoss()
 			}
 		}
 	}
 
-	DescribeTable("are known within half a minute, as far as groups show them",
-		func(vms int, each float64) {
+	DescribeTable("are estimated within half a minute",
+		func(vms int, perSecond float64) {
 			l := grouping.NewLossEstimator()
-			watch(l, vms, 30, each)
-			Expect(l.Rate()).To(BeNumerically("~", each/float64(vms), 0.4*each/float64(vms)))
+			watch(l, vms, 30, perSecond)
+			Expect(l.Rate()).To(BeNumerically("~", perSecond/float64(vms), 0.4*perSecond/float64(vms)))
 		},
 		Entry("two of fifty every three seconds", 50, 2.0/3),
 		Entry("two of 150 every three seconds", 150, 2.0/3),
--- a/policy/grouping/mix_test.go
+++ b/policy/grouping/mix_test.go
@@ -27,7 +27,7 @@
 	return count
 }
 
-var _ = Describe("Groups before callers come", func() {
+var _ = Describe("Groups before the first request", func() {
 	pair := func(large, small int, share float64) []grouping.Model {
 		return []grouping.Model{
 			{Name: "l", Size: large, Share: share, LoadTime: largeLoad}, {Name: "s", Size: small, Share: 1 - share, LoadTime: smallLoad},
--- a/policy/grouping/model_test.go
+++ b/policy/grouping/model_test.go
@@ -13,18 +13,18 @@
 // arrive without weights, groups break and are formed again, and concurrent loads slow each other down.
 const (
 	step    = 0.1 // seconds
-	dayEnds = 34.0
+	runEnds = 34.0
 )
 
 // site describes the VMs and models of a service.
 type site struct {
 	domains, perDomain int
 	models             []grouping.Model
-	// pace is the load time in seconds, need the number of groups that the demand fills, by model.
-	pace, need map[string]float64
-	// loadSlow is the number of loads that run at full speed, loadRate the number that may start per second.
-	loadSlow int
-	loadRate float64
+	// loadTime is the load time in seconds, need the number of groups that the demand fills, by model.
+	loadTime, need map[string]float64
+	// fullSpeedLoads is the number of loads that run at full speed, loadRate the number that may start per second.
+	fullSpeedLoads int
+	loadRate       float64
 	// lost is the number of VMs lost in each loss event.
 	lost int
 }
@@ -33,37 +33,37 @@
 	// small has six fabric domains of 9 VMs.
 	small = site{
 		domains: 6, perDomain: 9, models: models,
-		pace: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 3.4, "small": 3.4},
-		loadSlow: 6, loadRate: 4, lost: 2,
+		loadTime: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 3.4, "small": 3.4},
+		fullSpeedLoads: 6, loadRate: 4, lost: 2,
 	}
 	// eleven has six domains of 11 VMs, in which one group of each model leaves two VMs.
 	eleven = site{
 		domains: 6, perDomain: 11, models: []grouping.Model{{Name: "large", Size: 6, Share: 0.67}, {Name: "small", Size: 3, Share: 0.33}},
-		pace: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 3.2, "small": 3.7},
-		loadSlow: 8, loadRate: 5.5, lost: 1,
+		loadTime: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 3.2, "small": 3.7},
+		fullSpeedLoads: 8, loadRate: 5.5, lost: 1,
 	}
 	// twentySeven has six domains of 27 VMs.
 	twentySeven = site{
 		domains: 6, perDomain: 27, models: []grouping.Model{{Name: "large", Size: 12, Share: 0.5}, {Name: "small", Size: 6, Share: 0.5}},
-		pace: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 2, "small": 9},
-		loadSlow: 19, loadRate: 12, lost: 2,
+		loadTime: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 2, "small": 9},
+		fullSpeedLoads: 19, loadRate: 12, lost: 2,
 	}
 	// grown has six domains of 37 VMs. A group of the larger model takes almost half of a domain.
 	grown = site{
 		domains: 6, perDomain: 37, models: []grouping.Model{{Name: "large", Size: 16, Share: 0.49}, {Name: "small", Size: 4, Share: 0.51}},
-		pace: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 4, "small": 17},
-		loadSlow: 27, loadRate: 16, lost: 2,
+		loadTime: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 4, "small": 17},
+		fullSpeedLoads: 27, loadRate: 16, lost: 2,
 	}
 )
 
 // Durations of operations in seconds, as measured on runs of the real programs.
 const (
-	noticeMember = 0.9 // until a lost member is detected and the head closed the group
-	noticeHead   = 4.5 // until the registration of a lost head has expired
-	formLoaded   = 0.9
-	formStaged   = 2.1
-	drainTakes   = 2.0
-	demandKnown  = 3.0 // after the first request
+	detectMemberLoss = 0.9 // until a lost member is detected and the head closed the group
+	detectHeadLoss   = 4.5 // until the registration of a lost head has expired
+	formLoaded       = 0.9
+	formStaged       = 2.1
+	drainTakes       = 2.0
+	demandKnown      = 3.0 // after the first request
 )
 
 type loss struct {
@@ -80,15 +80,15 @@
 	count int
 }
 
-type day struct {
+type scenario struct {
 	losses   []loss
 	arrivals []arrival
 }
 
-// lossyDay generates a run that loses some VMs of groups every three seconds and one domain for a while, and gets two VMs without weights
+// lossyScenario generates a run that loses some VMs of groups every three seconds and one domain for a while, and gets two VMs without weights
 // every three seconds from about 12 s on.
-func (s site) lossyDay(r *rand.Rand) day {
-	var d day
+func (s site) lossyScenario(r *rand.Rand) scenario {
+	var d scenario
 	zone := r.IntN(3)
 	for at := 2.0 + r.Float64(); at < 28; at += 2.2 + 1.6*r.Float64() {
 		d.losses = append(d.losses, loss{at: at, zone: zone, count: s.lost})
@@ -102,15 +102,15 @@
 }
 
 type simVM struct {
-	id      string
-	domain  int
-	staged  string
-	loaded  string
-	staging string
-	ready   float64 // when the current staging ends
-	group   *simGroup
-	dead    bool
-	darkTo  float64
+	id               string
+	domain           int
+	staged           string
+	loaded           string
+	staging          string
+	ready            float64 // when the current staging ends
+	group            *simGroup
+	dead             bool
+	unreachableUntil float64
 }
 
 type simGroup struct {
@@ -207,7 +207,7 @@
 	in := grouping.Input{Models: slices.Clone(s.models), BeforeTraffic: early, AvailableLoads: loads, LossRate: s.losses.Rate()}
 	for i := range in.Models {
 		name := in.Models[i].Name
-		in.Models[i].LoadTime = time.Duration(s.pace[name] * float64(time.Second))
+		in.Models[i].LoadTime = time.Duration(s.loadTime[name] * float64(time.Second))
 		if s.now > demandKnown {
 			in.Models[i].DemandGroups = s.need[name]
 		}
@@ -215,7 +215,7 @@
 	for d := range s.domains {
 		domain := grouping.Domain{Name: fmt.Sprint(d), Groups: map[string]int{}}
 		for _, vm := range s.vms {
-			if vm.domain != d || vm.dead || s.now < vm.darkTo {
+			if vm.domain != d || vm.dead || s.now < vm.unreachableUntil {
 				continue
 			}
 			domain.Total++
@@ -235,10 +235,10 @@
 	return in
 }
 
-// strike loses a VM, permanently or until darkTo: its group stops serving at once, and the other members become free once the loss is detected.
-func (s *sim) strike(vm *simVM, darkTo float64) {
-	if darkTo > 0 {
-		vm.darkTo = darkTo
+// loseVM loses a VM, permanently or until unreachableUntil: its group stops serving at once, and the other members become free once the loss is detected.
+func (s *sim) loseVM(vm *simVM, unreachableUntil float64) {
+	if unreachableUntil > 0 {
+		vm.unreachableUntil = unreachableUntil
 	} else {
 		vm.dead = true
 	}
@@ -246,21 +246,21 @@
 	if g := vm.group; g != nil && !g.lost {
 		s.losses.ObserveLoss()
 		g.lost = true
-		g.broken = s.now + noticeMember
+		g.broken = s.now + detectMemberLoss
 		if g.members[0] == vm {
-			g.broken = s.now + noticeHead
+			g.broken = s.now + detectHeadLoss
 		}
 	}
-	if vm.group != nil && darkTo > 0 {
+	if vm.group != nil && unreachableUntil > 0 {
 		vm.group = nil
 	}
 }
 
-func (s *sim) lose(l loss) {
+func (s *sim) applyLoss(l loss) {
 	if l.domain {
 		for _, vm := range s.vms {
 			if vm.domain == 2*l.zone && !vm.dead {
-				s.strike(vm, l.back)
+				s.loseVM(vm, l.back)
 			}
 		}
 		return
@@ -268,7 +268,7 @@
 	for range l.count {
 		var grouped, all []*simVM
 		for _, vm := range s.vms {
-			if vm.domain/2 != l.zone || vm.dead || s.now < vm.darkTo {
+			if vm.domain/2 != l.zone || vm.dead || s.now < vm.unreachableUntil {
 				continue
 			}
 			all = append(all, vm)
@@ -280,7 +280,7 @@
 			grouped = all
 		}
 		if len(grouped) > 0 {
-			s.strike(grouped[s.r.IntN(len(grouped))], 0)
+			s.loseVM(grouped[s.r.IntN(len(grouped))], 0)
 		}
 	}
 }
@@ -314,7 +314,7 @@
 }
 
 func (s *sim) act() {
-	room := min(int(s.tokens), s.loadSlow-len(s.loading))
+	room := min(int(s.tokens), s.fullSpeedLoads-len(s.loading))
 	plan := s.planner(s.input(false, max(0, room)))
 	for _, f := range plan.Form {
 		s.form(f)
@@ -327,32 +327,32 @@
 	}
 	for _, st := range plan.Stage {
 		vm := s.vm(st.VM)
-		slow := max(1, float64(len(s.loading)+1)/float64(s.loadSlow))
-		vm.staging, vm.ready = st.Model, s.now+s.pace[st.Model]*slow
+		slow := max(1, float64(len(s.loading)+1)/float64(s.fullSpeedLoads))
+		vm.staging, vm.ready = st.Model, s.now+s.loadTime[st.Model]*slow
 		vm.staged = ""
 		s.loading = append(s.loading, vm.ready)
 		s.tokens--
 	}
 }
 
-// figures summarizes what the callers of a run got.
-type figures struct {
+// results summarizes what the callers of a run got.
+type results struct {
 	served  float64            // fraction of the demand that is served, mean over time and models
 	byModel map[string]float64 // the same by model
 	idle    float64            // fraction of the VM-seconds outside serving groups
 }
 
-func (s *sim) play(d day) figures {
-	f := figures{byModel: map[string]float64{}}
+func (s *sim) run(d scenario) results {
+	f := results{byModel: map[string]float64{}}
 	s.start()
 	steps := 0
 	losses, arrivals := d.losses, d.arrivals
 	slices.SortFunc(losses, func(a, b loss) int { return int(1000 * (a.at - b.at)) })
 	alive, serving := 0.0, 0.0
-	for s.now < dayEnds {
+	for s.now < runEnds {
 		s.advance()
 		for len(losses) > 0 && losses[0].at <= s.now {
-			s.lose(losses[0])
+			s.applyLoss(losses[0])
 			losses = losses[1:]
 		}
 		for len(arrivals) > 0 && arrivals[0].at <= s.now {
@@ -371,7 +371,7 @@
 			}
 		}
 		for _, vm := range s.vms {
-			if !vm.dead && s.now >= vm.darkTo {
+			if !vm.dead && s.now >= vm.unreachableUntil {
 				alive++
 			}
 		}
@@ -390,12 +390,12 @@
 }
 
 // mean averages the figures of runs with different seeds.
-func mean(at site, plan planner, seeds int) figures {
-	total := figures{byModel: map[string]float64{}}
+func mean(at site, plan planner, seeds int) results {
+	total := results{byModel: map[string]float64{}}
 	for seed := range seeds {
 		r := rand.New(rand.NewPCG(uint64(seed), 7))
-		d := at.lossyDay(r)
-		f := newSim(at, r, plan).play(d)
+		d := at.lossyScenario(r)
+		f := newSim(at, r, plan).run(d)
 		total.served += f.served / float64(seeds)
 		total.idle += f.idle / float64(seeds)
 		for name, share := range f.byModel {
--- a/policy/grouping/packing_test.go
+++ b/policy/grouping/packing_test.go
@@ -19,8 +19,8 @@
 	wanted map[string]float64
 }
 
-// drawDeployment generates models of two to nine VMs whose demand needs up to 0.6 of all VMs, in proportion to their shares.
-func drawDeployment(r *rand.Rand) deployment {
+// randomDeployment generates models of two to nine VMs whose demand needs up to 0.6 of all VMs, in proportion to their shares.
+func randomDeployment(r *rand.Rand) deployment {
 	d := deployment{domains: 2 + r.IntN(2), perDomain: 7 + r.IntN(12), wanted: map[string]float64{}}
 	sum := 0.0
 	for i := range 2 + r.IntN(2) {
@@ -73,15 +73,15 @@
 }
 
 func (d deployment) site() site {
-	pace := map[string]float64{}
+	loadTime := map[string]float64{}
 	for _, model := range d.models {
-		pace[model.Name] = model.LoadTime.Seconds()
+		loadTime[model.Name] = model.LoadTime.Seconds()
 	}
-	return site{domains: d.domains, perDomain: d.perDomain, models: d.models, pace: pace, need: d.wanted, loadSlow: 8, loadRate: 4}
+	return site{domains: d.domains, perDomain: d.perDomain, models: d.models, loadTime: loadTime, need: d.wanted, fullSpeedLoads: 8, loadRate: 4}
 }
 
-// standing counts the groups in service by model.
-func (s *sim) standing() map[string]int {
+// servingGroups counts the groups in service by model.
+func (s *sim) servingGroups() map[string]int {
 	count := map[string]int{}
 	for _, g := range s.groups {
 		if !g.lost && s.now >= g.open {
@@ -92,53 +92,53 @@
 }
 
 const (
-	drawn = 60
-	// ofBest is the fraction of the best packing's served demand that a plan must reach.
-	ofBest = 0.95
+	deployments = 60
+	// minOfBest is the fraction of the best packing's served demand that a plan must reach.
+	minOfBest = 0.95
 )
 
 // meanOfBest simulates random deployments and returns the mean ratio of the served demand to that of the best packing. change runs after the
 // initial groups were formed.
 func meanOfBest(stream uint64, change func(d deployment, s *sim)) float64 {
 	total := 0.0
-	for seed := range drawn {
+	for seed := range deployments {
 		r := rand.New(rand.NewPCG(uint64(seed), stream))
-		d := drawDeployment(r)
+		d := randomDeployment(r)
 		s := newSim(d.site(), r, grouping.Decide)
 		s.start()
 		change(d, s)
-		reached := d.served(s.standing()) / d.best()
-		if reached < ofBest {
-			GinkgoWriter.Printf("seed %d: %.3f of the best %+v %v\n", seed, reached, d, s.standing())
+		reached := d.served(s.servingGroups()) / d.best()
+		if reached < minOfBest {
+			GinkgoWriter.Printf("seed %d: %.3f of the best %+v %v\n", seed, reached, d, s.servingGroups())
 		}
-		total += reached / drawn
+		total += reached / deployments
 	}
 	GinkgoWriter.Printf("%.3f of the best\n", total)
 	return total
 }
 
-// playOn simulates until the given number of seconds after the demand becomes known.
-func (s *sim) playOn(seconds float64) {
+// advancePastDemand simulates until the given number of seconds after the demand becomes known.
+func (s *sim) advancePastDemand(seconds float64) {
 	for s.now < demandKnown+seconds {
 		s.advance()
 		s.act()
 	}
 }
 
-var _ = Describe("Drawn deployments", func() {
-	It("serve on average nearly what the best packing would, before callers come", func() {
-		Expect(meanOfBest(11, func(deployment, *sim) {})).To(BeNumerically(">=", ofBest))
+var _ = Describe("Random deployments", func() {
+	It("serve on average nearly what the best packing would, before the first request", func() {
+		Expect(meanOfBest(11, func(deployment, *sim) {})).To(BeNumerically(">=", minOfBest))
 	})
 
 	// The demand differs from the configured shares: the demands of the first and the last model are exchanged.
-	It("serve on average nearly that again thirty seconds after the demand has changed", func() {
+	It("serve on average nearly as much thirty seconds after the demand has changed", func() {
 		reached := meanOfBest(12, func(d deployment, s *sim) {
 			first, last := d.models[0], d.models[len(d.models)-1]
 			vms := func(m grouping.Model) float64 { return d.wanted[m.Name] * float64(m.Size) }
 			d.wanted[first.Name], d.wanted[last.Name] = vms(last)/float64(first.Size), vms(first)/float64(last.Size)
-			s.playOn(30)
+			s.advancePastDemand(30)
 		})
-		Expect(reached).To(BeNumerically(">=", ofBest))
+		Expect(reached).To(BeNumerically(">=", minOfBest))
 	})
 
 	// Operators configure a model with share 0, and its first requests arrive hours later.
@@ -148,9 +148,9 @@
 		}, wanted: map[string]float64{"used": 2, "new": 1.5}}
 		s := newSim(d.site(), rand.New(rand.NewPCG(1, 13)), grouping.Decide)
 		s.start()
-		Expect(s.standing()).NotTo(HaveKey("new"))
-		s.playOn(30)
-		GinkgoWriter.Printf("a new model: %v\n", s.standing())
-		Expect(d.served(s.standing())).To(BeNumerically(">=", ofBest*d.best()))
+		Expect(s.servingGroups()).NotTo(HaveKey("new"))
+		s.advancePastDemand(30)
+		GinkgoWriter.Printf("a new model: %v\n", s.servingGroups())
+		Expect(d.served(s.servingGroups())).To(BeNumerically(">=", minOfBest*d.best()))
 	})
 })
