--- a/policy/fairqueue/figures_test.go
+++ b/policy/fairqueue/figures_test.go
@@ -18,16 +18,16 @@
 	return &playback.FIFO{MaxItems: 2048, MaxWait: 2 * time.Second, Retry: time.Second}
 }
 
-func fairQueue() playback.Queue { return playback.NewFair(fairqueue.Config{}) }
+func fairQueue() playback.Queue { return playback.NewFairQueue(fairqueue.Config{}) }
 
 type played struct {
 	*playback.Run
-	playback.Figures
+	playback.Summary
 }
 
 func play(s playback.Scenario, queue playback.Queue) played {
 	run := s.Play(queue, playback.FixedLimit(s.SteadyLimit()))
-	return played{Run: run, Figures: run.Figures()}
+	return played{Run: run, Summary: run.Summary()}
 }
 
 func printTable(title string, table *playback.Table) {
@@ -45,11 +45,11 @@
 	fair := make(map[string]played)
 
 	BeforeAll(func() {
-		table := playback.NewTable(append([]string{"load", "queue"}, playback.FigureColumns...)...)
+		table := playback.NewTable(append([]string{"load", "queue"}, playback.SummaryColumns...)...)
 		for _, s := range scenarios {
 			fifo[s.Name], fair[s.Name] = play(s, plainQueue()), play(s, fairQueue())
-			table.Row(append([]string{s.Name, "FIFO"}, fifo[s.Name].Cells(fifo[s.Name].Figures)...)...)
-			table.Row(append([]string{s.Name, "fair"}, fair[s.Name].Cells(fair[s.Name].Figures)...)...)
+			table.AddRow(append([]string{s.Name, "FIFO"}, fifo[s.Name].Cells(fifo[s.Name].Summary)...)...)
+			table.AddRow(append([]string{s.Name, "fair"}, fair[s.Name].Cells(fair[s.Name].Summary)...)...)
 		}
 		printTable("Fair queue and first in first out, the same fixed limit", table)
 	})
@@ -60,15 +60,15 @@
 
 	It("does as much useful work as first in first out, within a tenth", func() {
 		for _, s := range scenarios {
-			Expect(fair[s.Name].Useful(fair[s.Name].Figures)).To(
-				BeNumerically(">", 0.9*fifo[s.Name].Useful(fifo[s.Name].Figures)), s.Name)
+			Expect(fair[s.Name].Goodput(fair[s.Name].Summary)).To(
+				BeNumerically(">", 0.9*fifo[s.Name].Goodput(fifo[s.Name].Summary)), s.Name)
 		}
 	})
 
 	It("refuses at once nearly all that it refuses in saturation, and lets the rest wait less", func() {
 		for _, s := range []playback.Scenario{playback.Saturation(), playback.FewTeams()} {
 			f := fair[s.Name]
-			Expect(float64(f.AtOnce)).To(BeNumerically(">", 0.95*float64(f.Refused)), s.Name)
+			Expect(float64(f.RefusedImmediately)).To(BeNumerically(">", 0.95*float64(f.Refused)), s.Name)
 			Expect(f.Wait.P50).To(BeNumerically("<", fifo[s.Name].Wait.P50/5), s.Name)
 			Expect(f.Wait.P95).To(BeNumerically("<", fifo[s.Name].Wait.P95*2/3), s.Name)
 		}
@@ -113,7 +113,7 @@
 					shortRefused = refused
 				}
 			}
-			table.Row(append(cells, playback.Ratio(p.Useful(p.Figures)))...)
+			table.AddRow(append(cells, playback.Ratio(p.Goodput(p.Summary)))...)
 			return shortRefused
 		}
 		var refused []float64
@@ -121,7 +121,7 @@
 			s := playback.LongAmongShort(load)
 			refused = append(refused, row(s, "FIFO", plainQueue()))
 			for _, reserve := range []float64{0.01, 0.25, 0.4, 0.5, 0.6, 0.7} {
-				queue := playback.NewFair(fairqueue.Config{ShortReserve: reserve})
+				queue := playback.NewFairQueue(fairqueue.Config{ShortReserve: reserve})
 				refused = append(refused, row(s, fmt.Sprintf("reserve %.2f", reserve), queue))
 			}
 		}
@@ -135,21 +135,21 @@
 		for _, headStart := range []float64{1, 64, 256} {
 			s := playback.Saturation()
 			s.Traffic.Teams[0].Priority = 9
-			p := play(s, playback.NewFair(fairqueue.Config{HeadStart: headStart}))
-			fair := playback.FairShares(p.OfferedOf, p.Work)
+			p := play(s, playback.NewFairQueue(fairqueue.Config{HeadStart: headStart}))
+			fair := playback.FairShares(p.OfferedWorkByTeam, p.Work)
 			first, others := s.Traffic.Teams[0], s.Traffic.Teams[1:]
 			row := func(who string, team *playback.Team) {
-				table.Row(fmt.Sprint(headStart), who, playback.Percent(p.AnsweredOf[team], 1),
-					playback.Ratio(p.WorkOf[team]/fair[team]), p.WaitOf[team].Both())
+				table.AddRow(fmt.Sprint(headStart), who, playback.Percent(p.AnsweredRatioByTeam[team], 1),
+					playback.Ratio(p.WorkByTeam[team]/fair[team]), p.WaitByTeam[team].Format())
 			}
 			worst := slices.MinFunc(others, func(a, b *playback.Team) int {
-				return cmp.Compare(p.WorkOf[a]/fair[a], p.WorkOf[b]/fair[b])
+				return cmp.Compare(p.WorkByTeam[a]/fair[a], p.WorkByTeam[b]/fair[b])
 			})
 			row("priority 9", first)
 			row("priority 0, the worst of 9", worst)
-			Expect(p.WorkOf[worst]/fair[worst]).To(BeNumerically(">", 0.85), "priority 0")
+			Expect(p.WorkByTeam[worst]/fair[worst]).To(BeNumerically(">", 0.85), "priority 0")
 			if headStart == 64 {
-				Expect(p.WorkOf[first]/fair[first]).To(BeNumerically("<", 1.2), "priority 9")
+				Expect(p.WorkByTeam[first]/fair[first]).To(BeNumerically("<", 1.2), "priority 9")
 			}
 		}
 		printTable("Priority, 1.5x the capacity, ten equal teams", table)
@@ -168,7 +168,7 @@
 			p := play(s, tries)
 			most, refusing := tries.after(68)
 			peak = append(peak, most)
-			table.Row(run.name, playback.Percent(float64(p.Answered), float64(p.Offered)), playback.Ratio(p.Tries),
+			table.AddRow(run.name, playback.Percent(float64(p.Answered), float64(p.Offered)), playback.Ratio(p.MeanTries),
 				fmt.Sprint(most), fmt.Sprint(refusing))
 		}
 		printTable("Burst of 10x for 5 s, callers obey Retry-After and try up to ten times", table)
@@ -184,22 +184,22 @@
 
 // twoHeavy adds a row for the first two teams and one for the others, and returns them.
 func twoHeavy(table *playback.Table, queue string, p played) (heavy, light got) {
-	fair := playback.FairShares(p.OfferedOf, p.Work)
+	fair := playback.FairShares(p.OfferedWorkByTeam, p.Work)
 	heavy, light = got{answered: 1, share: 9}, got{answered: 1, share: 9}
 	for i, team := range p.Scenario.Traffic.Teams {
 		g := &light
 		if i < 2 {
 			g = &heavy
 		}
-		g.answered = min(g.answered, p.AnsweredOf[team])
-		g.share = min(g.share, p.WorkOf[team]/fair[team])
-		g.wait = max(g.wait, p.WaitOf[team].P95)
+		g.answered = min(g.answered, p.AnsweredRatioByTeam[team])
+		g.share = min(g.share, p.WorkByTeam[team]/fair[team])
+		g.wait = max(g.wait, p.WaitByTeam[team].P95)
 	}
 	for _, row := range []struct {
 		name string
 		got
 	}{{"2 that send 40% each", heavy}, {"8 that send 2.5% each", light}} {
-		table.Row(row.name, queue, playback.Percent(row.answered, 1), playback.Ratio(row.share), playback.Seconds(row.wait))
+		table.AddRow(row.name, queue, playback.Percent(row.answered, 1), playback.Ratio(row.share), playback.Seconds(row.wait))
 	}
 	return heavy, light
 }
--- a/policy/internal/fleet/figures_test.go
+++ b/policy/internal/fleet/figures_test.go
@@ -74,7 +74,7 @@
 		Length: 2 * warm, From: warm, Until: 2 * warm,
 	}
 	if l.heavy {
-		c.Traffic.Teams[0].Load, c.Traffic.Teams[1].Load = 16, 16
+		c.Traffic.Teams[0].TrafficWeight, c.Traffic.Teams[1].TrafficWeight = 16, 16
 	}
 	return c
 }
@@ -102,7 +102,7 @@
 	DescribeTable("answers what few callers send, where local limits refuse", func(fronts, groups int, warm time.Duration, rival way, most float64) {
 		home := fewTeams.on(fronts, groups, warm).Play(homesAdaptive.build)
 		Expect(answered(home)).To(BeNumerically(">", 0.99))
-		Expect(home.First.P95).To(BeNumerically("<", 640*time.Millisecond))
+		Expect(home.FirstToken.P95).To(BeNumerically("<", 640*time.Millisecond))
 		Expect(home.MostAtWork).To(BeNumerically("<", bestLimit))
 		Expect(answered(fewTeams.on(fronts, groups, warm).Play(rival.build))).To(BeNumerically("<", most))
 	},
@@ -133,10 +133,10 @@
 				for _, w := range ways {
 					r := l.on(size[0], size[1], 40*time.Second).Play(w.build)
 					offered := float64(r.Offered)
-					table.Row(fmt.Sprintf("%d / %d", size[0], size[1]), l.name, w.name,
+					table.AddRow(fmt.Sprintf("%d / %d", size[0], size[1]), l.name, w.name,
 						playback.Percent(float64(r.Answered), offered), playback.Percent(float64(r.Refused), offered),
 						playback.Percent(float64(r.Late), offered), playback.Ratio(r.Useful), playback.Ratio(r.WorstShare()),
-						r.Wait.Both(), r.First.Both(), fmt.Sprint(r.Gap.Milliseconds()), fmt.Sprint(r.MostAtWork))
+						r.Wait.Format(), r.FirstToken.Format(), fmt.Sprint(r.Gap.Milliseconds()), fmt.Sprint(r.MostAtWork))
 				}
 			}
 		}
--- a/policy/internal/fleet/fleet.go
+++ b/policy/internal/fleet/fleet.go
@@ -52,7 +52,7 @@
 
 // Result is what callers got.
 type Result struct {
-	playback.Figures
+	playback.Summary
 	// Useful is the work of the answered requests as a share of the capacity of all groups.
 	Useful float64
 	// Gap is the gap between tokens at 95 in 100, MostAtWork the most requests that any engine held.
@@ -125,12 +125,12 @@
 
 func (f *Fleet) result(requests []*playback.Request, wayBack time.Duration) Result {
 	figures := playback.Summarize(requests, f.cfg.From, f.cfg.Until)
-	figures.First.P50 += wayBack
-	figures.First.P95 += wayBack
+	figures.FirstToken.P50 += wayBack
+	figures.FirstToken.P95 += wayBack
 	perSecond, _ := f.cfg.Engine.Capacity(playback.SteadyGap, f.cfg.Traffic.Prompt, f.cfg.Traffic.MeanOutput())
 	capacity := perSecond * f.cfg.Traffic.MeanWork() * float64(f.cfg.Groups)
 	return Result{
-		Figures:    figures,
+		Summary:    figures,
 		Useful:     figures.Work / (f.cfg.Until - f.cfg.From).Seconds() / capacity,
 		Gap:        f.gaps.Quantile(0.95),
 		MostAtWork: f.mostAtWork,
--- a/policy/internal/fleet/homes.go
+++ b/policy/internal/fleet/homes.go
@@ -24,8 +24,8 @@
 			h.sent[i] = make([]uint16, f.cfg.Groups)
 		}
 		for _, engine := range f.engines {
-			home := playback.NewHome(f.loop, engine, playback.NewFair(fairqueue.Config{}), limits(1), 0, 1, f.cfg.Until)
-			home.Refused = h.refused
+			home := playback.NewHome(f.loop, engine, playback.NewFairQueue(fairqueue.Config{}), limits(1), 0, 1, f.cfg.Until)
+			home.OnRefused = h.refused
 			f.observe(engine)
 			h.homes = append(h.homes, home)
 		}
--- a/policy/internal/fleet/locals.go
+++ b/policy/internal/fleet/locals.go
@@ -20,7 +20,7 @@
 // localFront is a front with its own limits.
 type localFront struct {
 	locals *locals
-	queue  *playback.Fair
+	queue  *playback.FairQueue
 	links  []*link
 	limit  int
 }
@@ -61,7 +61,7 @@
 const expireEvery = 50 * time.Millisecond
 
 func (l *locals) newFront(i, subset int, part float64, limits Limits) *localFront {
-	front := &localFront{locals: l, queue: playback.NewFair(fairqueue.Config{})}
+	front := &localFront{locals: l, queue: playback.NewFairQueue(fairqueue.Config{})}
 	for k := range subset {
 		// Consecutive fronts take consecutive groups, so that each group has as many fronts as any other.
 		group := (i*subset + k) % len(l.at)
--- a/policy/internal/playback/engine.go
+++ b/policy/internal/playback/engine.go
@@ -60,8 +60,8 @@
 	// OnStep, if set, hears of each step: its length, which is the gap between tokens, and how many requests
 	// got a token.
 	OnStep func(gap time.Duration, decoding int)
-	// Worked counts the tokens generated and the prompt tokens prefilled, in units of work.
-	Worked float64
+	// WorkDone counts the tokens generated and the prompt tokens prefilled, in units of work.
+	WorkDone float64
 }
 
 // NewEngine returns an idle engine.
@@ -146,7 +146,7 @@
 
 func (e *Engine) endStep(length time.Duration, prompted []*Request, prefilled int) {
 	e.steps++
-	e.Worked += float64(e.decoding) + float64(prefilled)/promptTokensPerWork
+	e.WorkDone += float64(e.decoding) + float64(prefilled)/promptTokensPerWork
 	e.usedKV += e.decoding
 	if e.OnStep != nil && e.decoding > 0 {
 		e.OnStep(length, e.decoding)
--- a/policy/internal/playback/fair.go
+++ b/policy/internal/playback/fair.go
@@ -6,15 +6,15 @@
 	"github.com/skylarkpond/skylarkpond/policy/fairqueue"
 )
 
-// Fair drives a fairqueue.Queue as a Queue.
-type Fair struct {
+// FairQueue drives a fairqueue.Queue as a Queue.
+type FairQueue struct {
 	queue    *fairqueue.Queue
 	requests map[string]*Request
 }
 
-// NewFair returns a Fair over a new queue.
-func NewFair(config fairqueue.Config) *Fair {
-	return &Fair{queue: fairqueue.New(config), requests: make(map[string]*Request)}
+// NewFairQueue returns a Fair over a new queue.
+func NewFairQueue(config fairqueue.Config) *FairQueue {
+	return &FairQueue{queue: fairqueue.New(config), requests: make(map[string]*Request)}
 }
 
 func item(r *Request) fairqueue.Item {
@@ -25,7 +25,7 @@
 }
 
 // Offer implements Queue.
-func (f *Fair) Offer(now time.Duration, r *Request) (Decision, time.Duration) {
+func (f *FairQueue) Offer(now time.Duration, r *Request) (Decision, time.Duration) {
 	verdict := f.queue.Offer(now, item(r))
 	switch verdict.Decision {
 	case fairqueue.Admitted:
@@ -39,7 +39,7 @@
 }
 
 // Next implements Queue.
-func (f *Fair) Next(now time.Duration) *Request {
+func (f *FairQueue) Next(now time.Duration) *Request {
 	next, ok := f.queue.Next(now)
 	if !ok {
 		return nil
@@ -48,7 +48,7 @@
 }
 
 // Expire implements Queue.
-func (f *Fair) Expire(now time.Duration) []*Request {
+func (f *FairQueue) Expire(now time.Duration) []*Request {
 	var expired []*Request
 	for _, late := range f.queue.Expire(now) {
 		expired = append(expired, f.take(late))
@@ -56,25 +56,25 @@
 	return expired
 }
 
-func (f *Fair) take(item fairqueue.Item) *Request {
+func (f *FairQueue) take(item fairqueue.Item) *Request {
 	r := f.requests[item.ID]
 	delete(f.requests, item.ID)
 	return r
 }
 
 // RetryAfter implements Queue.
-func (f *Fair) RetryAfter(now time.Duration, r *Request) time.Duration {
+func (f *FairQueue) RetryAfter(now time.Duration, r *Request) time.Duration {
 	return f.queue.RetryAfter(now, item(r))
 }
 
 // Done implements Queue.
-func (f *Fair) Done(now time.Duration, r *Request, work int) { f.queue.Done(now, r.ID, work) }
+func (f *FairQueue) Done(now time.Duration, r *Request, work int) { f.queue.Done(now, r.ID, work) }
 
 // SetLimit implements Queue.
-func (f *Fair) SetLimit(limit int) { f.queue.SetLimit(limit) }
+func (f *FairQueue) SetLimit(limit int) { f.queue.SetLimit(limit) }
 
 // SetStartLimit implements Queue.
-func (f *Fair) SetStartLimit(limit int) { f.queue.SetStartLimit(limit) }
+func (f *FairQueue) SetStartLimit(limit int) { f.queue.SetStartLimit(limit) }
 
 // Started implements Queue.
-func (f *Fair) Started(r *Request) { f.queue.Started(r.ID) }
+func (f *FairQueue) Started(r *Request) { f.queue.Started(r.ID) }
--- a/policy/internal/playback/figures.go
+++ b/policy/internal/playback/figures.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// Figures is what callers got of a run.
-type Figures struct {
+// Summary is what callers got of a run.
+type Summary struct {
 	Offered, Answered, Refused, Late int
-	// AtOnce counts the refusals that came without any wait.
-	AtOnce int
+	// RefusedImmediately counts the refusals that came without any wait.
+	RefusedImmediately int
 	// Work is the work of the answered requests in tokens, WorkOf that of each team.
-	Work   float64
-	WorkOf map[*Team]float64
-	// OfferedOf is the work that each team asked for.
-	OfferedOf map[*Team]float64
-	// Wait is from a try's arrival to its being sent, First to its first token, Refusal to its refusal.
-	Wait, First, Refusal Quantiles
-	WaitOf               map[*Team]Quantiles
-	AnsweredOf           map[*Team]float64
-	// Tries is the mean number of tries of a request.
-	Tries float64
+	Work       float64
+	WorkByTeam map[*Team]float64
+	// OfferedWorkByTeam is the work that each team asked for.
+	OfferedWorkByTeam map[*Team]float64
+	// Wait is from a try's arrival to its being sent, FirstToken to its first token, Refusal to its refusal.
+	Wait, FirstToken, Refusal Quantiles
+	WaitByTeam                map[*Team]Quantiles
+	AnsweredRatioByTeam       map[*Team]float64
+	// MeanTries is the mean number of tries of a request.
+	MeanTries float64
 }
 
 // Quantiles are the quantiles that the tables show.
 type Quantiles struct{ P50, P95 time.Duration }
 
 // Summarize returns the figures of the requests that first arrived from from up to until.
-func Summarize(requests []*Request, from, until time.Duration) Figures {
-	f := Figures{
-		WorkOf:     make(map[*Team]float64),
-		OfferedOf:  make(map[*Team]float64),
-		WaitOf:     make(map[*Team]Quantiles),
-		AnsweredOf: make(map[*Team]float64),
+func Summarize(requests []*Request, from, until time.Duration) Summary {
+	f := Summary{
+		WorkByTeam:          make(map[*Team]float64),
+		OfferedWorkByTeam:   make(map[*Team]float64),
+		WaitByTeam:          make(map[*Team]Quantiles),
+		AnsweredRatioByTeam: make(map[*Team]float64),
 	}
 	var wait, first, refusal []time.Duration
 	waitOf := make(map[*Team][]time.Duration)
@@ -46,20 +46,20 @@
 		f.Offered++
 		tries += r.Tries
 		countOf[r.Team]++
-		f.OfferedOf[r.Team] += float64(r.Work())
+		f.OfferedWorkByTeam[r.Team] += float64(r.Work())
 		switch r.Outcome {
 		case Refused:
 			f.Refused++
 			if r.Ended == r.Arrived {
-				f.AtOnce++
+				f.RefusedImmediately++
 			}
 			refusal = append(refusal, r.Ended-r.Arrived)
 			continue
 		case Answered:
 			f.Answered++
-			f.AnsweredOf[r.Team]++
+			f.AnsweredRatioByTeam[r.Team]++
 			f.Work += float64(r.Work())
-			f.WorkOf[r.Team] += float64(r.Work())
+			f.WorkByTeam[r.Team] += float64(r.Work())
 		case Late:
 			f.Late++
 		case Pending:
@@ -72,11 +72,11 @@
 		}
 	}
 	for team, count := range countOf {
-		f.AnsweredOf[team] /= count
-		f.WaitOf[team] = quantiles(waitOf[team])
+		f.AnsweredRatioByTeam[team] /= count
+		f.WaitByTeam[team] = quantiles(waitOf[team])
 	}
-	f.Wait, f.First, f.Refusal = quantiles(wait), quantiles(first), quantiles(refusal)
-	f.Tries = float64(tries) / math.Max(1, float64(f.Offered))
+	f.Wait, f.FirstToken, f.Refusal = quantiles(wait), quantiles(first), quantiles(refusal)
+	f.MeanTries = float64(tries) / math.Max(1, float64(f.Offered))
 	return f
 }
 
@@ -124,11 +124,11 @@
 
 // WorstShare returns the smallest ratio of what a team got to its fair share of all that was done, which
 // is 1 when the division was fair.
-func (f Figures) WorstShare() float64 {
-	fair := FairShares(f.OfferedOf, f.Work)
+func (f Summary) WorstShare() float64 {
+	fair := FairShares(f.OfferedWorkByTeam, f.Work)
 	worst := math.Inf(1)
 	for team, part := range fair {
-		worst = min(worst, f.WorkOf[team]/part)
+		worst = min(worst, f.WorkByTeam[team]/part)
 	}
 	return worst
 }
--- a/policy/internal/playback/home.go
+++ b/policy/internal/playback/home.go
@@ -74,9 +74,9 @@
 	Gaps   Histogram
 	Limits []int
 	from   time.Duration
-	// Refused, if set, hears of refusals in place of the caller.
-	Refused func(r *Request)
-	waiting int
+	// OnRefused, if set, hears of refusals in place of the caller.
+	OnRefused func(r *Request)
+	waiting   int
 }
 
 // Load returns how many requests are at work and queued.
@@ -127,8 +127,8 @@
 
 func (h *Home) refuse(r *Request, retryAfter time.Duration) {
 	r.Ended = h.loop.Now()
-	if h.Refused != nil {
-		h.Refused(r)
+	if h.OnRefused != nil {
+		h.OnRefused(r)
 		return
 	}
 	if r.Tries >= h.tries || retryAfter <= 0 {
--- a/policy/internal/playback/scenario.go
+++ b/policy/internal/playback/scenario.go
@@ -16,8 +16,8 @@
 	Length, From, Until time.Duration
 	// Tries is how often a caller asks; it obeys Retry-After.
 	Tries int
-	// Lag is how late the limit hears of what was measured.
-	Lag time.Duration
+	// ObservationDelay is how late the limit hears of what was measured.
+	ObservationDelay time.Duration
 }
 
 // The sizes of the model: those of one of 630 replicas at the peak of 12,000 requests and 2.8 million
@@ -84,8 +84,8 @@
 // FewTeams is 1.5 times the capacity, of which two of ten teams send 80%.
 func FewTeams() Scenario {
 	s := plain("2 of 10 teams send 80%, 1.5x", 1.5)
-	s.Traffic.Teams[0].Load = 16
-	s.Traffic.Teams[1].Load = 16
+	s.Traffic.Teams[0].TrafficWeight = 16
+	s.Traffic.Teams[1].TrafficWeight = 16
 	return s
 }
 
@@ -107,7 +107,7 @@
 func LongAmongShort(load float64) Scenario {
 	s := plain(fmt.Sprintf("5%% are 40x as long, %.1fx", load), load)
 	s.Traffic.Output = 80
-	s.Traffic.LongPart, s.Traffic.LongTimes = 0.05, 40
+	s.Traffic.LongFraction, s.Traffic.LongFactor = 0.05, 40
 	s.Length, s.From, s.Until = 12*time.Minute, 3*time.Minute, 9*time.Minute
 	s.setRate(func(time.Duration) float64 { return load }, load)
 	return s
@@ -141,7 +141,7 @@
 func (s Scenario) Play(queue Queue, limits Limiter) *Run {
 	loop := &Loop{}
 	engine := NewEngine(loop, s.Engine)
-	home := NewHome(loop, engine, queue, limits, s.Lag, s.Tries, s.From)
+	home := NewHome(loop, engine, queue, limits, s.ObservationDelay, s.Tries, s.From)
 	requests := s.Traffic.Requests(s.Length)
 	for _, r := range requests {
 		loop.At(r.Arrived, func() { home.Arrive(r) })
@@ -153,8 +153,8 @@
 	return &Run{Scenario: s, Requests: requests, Home: home, Engine: engine}
 }
 
-// Figures returns what the callers of the measured time got.
-func (r *Run) Figures() Figures { return Summarize(r.Requests, r.Scenario.From, r.Scenario.Until) }
+// Summary returns what the callers of the measured time got.
+func (r *Run) Summary() Summary { return Summarize(r.Requests, r.Scenario.From, r.Scenario.Until) }
 
 // Between returns what the callers of another part of the run got.
-func (r *Run) Between(from, until time.Duration) Figures { return Summarize(r.Requests, from, until) }
+func (r *Run) Between(from, until time.Duration) Summary { return Summarize(r.Requests, from, until) }
--- a/policy/internal/playback/traffic.go
+++ b/policy/internal/playback/traffic.go
@@ -12,17 +12,17 @@
 	Name     string
 	Share    float64
 	Priority int
-	// Load is the team's part of the requests; the parts need not add up to 1.
-	Load float64
-	// Claims scales the work that is estimated for its requests: below 1 it understates.
-	Claims float64
+	// TrafficWeight is the team's part of the requests; the parts need not add up to 1.
+	TrafficWeight float64
+	// EstimateFactor scales the work that is estimated for its requests: below 1 it understates.
+	EstimateFactor float64
 }
 
 // Teams returns count equal teams with share 1.
 func Teams(count int) []*Team {
 	teams := make([]*Team, count)
 	for i := range teams {
-		teams[i] = &Team{Name: fmt.Sprintf("team-%02d", i), Share: 1, Load: 1, Claims: 1}
+		teams[i] = &Team{Name: fmt.Sprintf("team-%02d", i), Share: 1, TrafficWeight: 1, EstimateFactor: 1}
 	}
 	return teams
 }
@@ -35,9 +35,9 @@
 	MaxRate float64
 	// Prompt and Output are mean lengths in tokens; lengths are exponentially distributed.
 	Prompt, Output float64
-	// LongPart of the requests generate LongTimes as many tokens as Output.
-	LongPart  float64
-	LongTimes float64
+	// LongFraction of the requests generate LongTimes as many tokens as Output.
+	LongFraction float64
+	LongFactor   float64
 	// EstimateError is the standard deviation of the logarithm of estimated over true work.
 	EstimateError float64
 	// Patience is how long a caller waits beyond PatiencePerToken x the tokens it asked for.
@@ -48,7 +48,7 @@
 
 // MeanOutput returns the mean length of an answer in tokens.
 func (t *Traffic) MeanOutput() float64 {
-	return t.Output * (1 - t.LongPart + t.LongPart*t.LongTimes)
+	return t.Output * (1 - t.LongFraction + t.LongFraction*t.LongFactor)
 }
 
 // MeanWork returns the mean work of a request in tokens.
@@ -59,7 +59,7 @@
 	random := rand.New(rand.NewPCG(t.Seed, 0x5eed))
 	total := 0.0
 	for _, team := range t.Teams {
-		total += team.Load
+		total += team.TrafficWeight
 	}
 	var requests []*Request
 	at := time.Duration(0)
@@ -80,7 +80,7 @@
 
 func (t *Traffic) pick(point float64) *Team {
 	for _, team := range t.Teams {
-		point -= team.Load
+		point -= team.TrafficWeight
 		if point < 0 {
 			return team
 		}
@@ -90,8 +90,8 @@
 
 func (t *Traffic) request(random *rand.Rand, team *Team) *Request {
 	output := t.Output
-	if random.Float64() < t.LongPart {
-		output *= t.LongTimes
+	if random.Float64() < t.LongFraction {
+		output *= t.LongFactor
 	}
 	r := &Request{
 		Team:   team,
@@ -100,7 +100,7 @@
 		Spread: random.Float64(),
 	}
 	r.Patience = t.Patience + time.Duration(r.Output)*t.PatiencePerToken
-	guess := float64(r.Work()) * team.Claims * math.Exp(random.NormFloat64()*t.EstimateError)
+	guess := float64(r.Work()) * team.EstimateFactor * math.Exp(random.NormFloat64()*t.EstimateError)
 	r.Estimate = 1 + int(guess)
 	return r
 }
--- a/policy/limit/figures_test.go
+++ b/policy/limit/figures_test.go
@@ -19,13 +19,13 @@
 
 type played struct {
 	*playback.Run
-	playback.Figures
+	playback.Summary
 	gap time.Duration
 }
 
 func play(s playback.Scenario, limits playback.Limiter) played {
-	run := s.Play(playback.NewFair(fairqueue.Config{}), limits)
-	return played{Run: run, Figures: run.Figures(), gap: run.Home.Gaps.Quantile(0.95)}
+	run := s.Play(playback.NewFairQueue(fairqueue.Config{}), limits)
+	return played{Run: run, Summary: run.Summary(), gap: run.Home.Gaps.Quantile(0.95)}
 }
 
 // limitsBetween returns the lowest and the highest limit of a part of the run.
@@ -74,8 +74,8 @@
 				results[s.Name][rival.name] = p
 				low, high := p.limitsBetween(s.From, s.Until)
 				offered := float64(p.Offered)
-				table.Row(s.Name, rival.name, playback.Percent(float64(p.Answered), offered), playback.Percent(float64(p.Refused), offered),
-					playback.Percent(float64(p.Late), offered), playback.Ratio(p.Useful(p.Figures)), p.Wait.Both(), p.First.Both(),
+				table.AddRow(s.Name, rival.name, playback.Percent(float64(p.Answered), offered), playback.Percent(float64(p.Refused), offered),
+					playback.Percent(float64(p.Late), offered), playback.Ratio(p.Goodput(p.Summary)), p.Wait.Format(), p.FirstToken.Format(),
 					milliseconds(p.gap), fmt.Sprintf("%d to %d", low, high))
 			}
 		}
@@ -85,7 +85,7 @@
 	It("does the work of the best fixed limit without knowing it, within the objective", func() {
 		for _, s := range []playback.Scenario{playback.Steady(), playback.Saturation(), playback.LongAmongShort(1.3)} {
 			p, fixed := results[s.Name][ours], results[s.Name][best]
-			Expect(p.Useful(p.Figures)).To(BeNumerically(">", 0.95*fixed.Useful(fixed.Figures)), s.Name)
+			Expect(p.Goodput(p.Summary)).To(BeNumerically(">", 0.95*fixed.Goodput(fixed.Summary)), s.Name)
 			Expect(p.gap).To(BeNumerically("<", objective*103/100), s.Name)
 		}
 	})
@@ -95,22 +95,22 @@
 		fixed := results[playback.SlowServer().Name][best]
 		Expect(float64(fixed.Late)).To(BeNumerically(">", 0.1*float64(fixed.Offered)))
 		Expect(float64(p.Late)).To(BeNumerically("<", 0.005*float64(p.Offered)))
-		Expect(p.First.P95).To(BeNumerically("<", 640*time.Millisecond))
+		Expect(p.FirstToken.P95).To(BeNumerically("<", 640*time.Millisecond))
 		after := p.Between(2*time.Minute+20*time.Second, 4*time.Minute)
 		Expect(float64(after.Refused)).To(BeNumerically("<", 0.01*float64(after.Offered)))
 	})
 
 	It("keeps a burst's prompts out of the engine", func() {
 		name := playback.Burst().Name
-		Expect(results[name][best].First.P95).To(BeNumerically(">", 4*time.Second))
-		Expect(results[name][ours].First.P95).To(BeNumerically("<", 2*time.Second))
+		Expect(results[name][best].FirstToken.P95).To(BeNumerically(">", 4*time.Second))
+		Expect(results[name][ours].FirstToken.P95).To(BeNumerically("<", 2*time.Second))
 	})
 
 	It("holds back when the engine's cache is full, which the gap does not show", func() {
 		p, fixed := results[smallCache().Name][ours], results[smallCache().Name][best]
-		Expect(fixed.First.P95).To(BeNumerically(">", 20*time.Second))
-		Expect(p.First.P95).To(BeNumerically("<", 3*time.Second))
-		Expect(p.Useful(p.Figures)).To(BeNumerically(">", fixed.Useful(fixed.Figures)))
+		Expect(fixed.FirstToken.P95).To(BeNumerically(">", 20*time.Second))
+		Expect(p.FirstToken.P95).To(BeNumerically("<", 3*time.Second))
+		Expect(p.Goodput(p.Summary)).To(BeNumerically(">", fixed.Goodput(fixed.Summary)))
 	})
 
 	It("stays steady when it hears late of what was measured", func() {
@@ -121,13 +121,13 @@
 				limits playback.Limiter
 			}{{"AIMD", newAIMD()}, {"plain gradient", newGradient()}, {ours, adaptive()}} {
 				s := playback.Saturation()
-				s.Lag = lag
+				s.ObservationDelay = lag
 				p := play(s, rival.limits)
 				low, high := p.limitsBetween(2*time.Minute, s.Until)
-				table.Row(lag.String(), rival.name, playback.Ratio(p.Useful(p.Figures)), playback.Percent(float64(p.Late), float64(p.Offered)),
-					milliseconds(p.gap), playback.Seconds(p.First.P95), fmt.Sprintf("%d to %d", low, high))
+				table.AddRow(lag.String(), rival.name, playback.Ratio(p.Goodput(p.Summary)), playback.Percent(float64(p.Late), float64(p.Offered)),
+					milliseconds(p.gap), playback.Seconds(p.FirstToken.P95), fmt.Sprintf("%d to %d", low, high))
 				if rival.name == ours && lag <= 3*time.Second {
-					Expect(p.Useful(p.Figures)).To(BeNumerically(">", 0.9), lag.String())
+					Expect(p.Goodput(p.Summary)).To(BeNumerically(">", 0.9), lag.String())
 					Expect(p.gap).To(BeNumerically("<", objective*105/100), lag.String())
 					Expect(low).To(BeNumerically(">", 270), lag.String())
 					Expect(high).To(BeNumerically("<", 350), lag.String())
