--- a/policy/internal/playback/engine.go
+++ b/policy/internal/playback/engine.go
@@ -34,7 +34,7 @@
 
 // Capacity returns how many requests a second the engine carries when a step takes gap, for requests of
 // the given mean lengths, and how many are then at work on it.
-func (c EngineConfig) Capacity(gap time.Duration, prompt, output float64) (perSecond, atWork float64) {
+func (c EngineConfig) Capacity(gap time.Duration, prompt, output float64) (perSecond, inFlight float64) {
 	step := gap.Seconds()
 	perRequest := c.PerSequence.Seconds()*output + c.PerPromptToken.Seconds()*prompt
 	perSecond = (step - c.Base.Seconds()) / (step * perRequest)
@@ -76,12 +76,12 @@
 func (e *Engine) Running() int { return len(e.waiting) + len(e.prefilling) + e.decoding }
 
 // Submit hands a request to the engine. onFirst runs with its first token, onFinish with its last.
-func (e *Engine) Submit(r *Request, onFirst, onFinish func(*Request)) {
+func (e *Engine) Submit(r *Request, onFirstToken, onFinish func(*Request)) {
 	e.submitted++
 	r.submitted = e.submitted
-	r.onFirst, r.onFinish = onFirst, onFinish
+	r.onFirstToken, r.onFinish = onFirstToken, onFinish
 	r.phase = waiting
-	r.left = r.Prompt
+	r.promptLeft = r.Prompt
 	heap.Push(&e.waiting, r)
 	if !e.stepping {
 		e.step()
@@ -94,13 +94,13 @@
 	case waiting:
 		e.waiting.remove(r)
 	case prefilling:
-		e.prefilling = without(e.prefilling, r)
+		e.prefilling = removeRequest(e.prefilling, r)
 		e.usedKV -= r.heldKV
 	case decoding:
-		e.leave(r)
-		e.finishing[r.joined+int64(r.Output-1)] = without(e.finishing[r.joined+int64(r.Output-1)], r)
+		e.releaseDecoding(r)
+		e.finishing[r.firstStep+int64(r.Output-1)] = removeRequest(e.finishing[r.firstStep+int64(r.Output-1)], r)
 	}
-	r.phase = outside
+	r.phase = notInEngine
 }
 
 func (e *Engine) step() {
@@ -133,10 +133,10 @@
 // prefill spends the step's chunk, oldest request first, and returns the requests whose prompt is done.
 func (e *Engine) prefill() (done []*Request, prefilled int) {
 	for _, r := range e.prefilling {
-		part := min(r.left, e.cfg.Chunk-prefilled)
-		r.left -= part
+		part := min(r.promptLeft, e.cfg.Chunk-prefilled)
+		r.promptLeft -= part
 		prefilled += part
-		if r.left > 0 {
+		if r.promptLeft > 0 {
 			break
 		}
 		done = append(done, r)
@@ -144,7 +144,7 @@
 	return done, prefilled
 }
 
-func (e *Engine) endStep(length time.Duration, prompted []*Request, prefilled int) {
+func (e *Engine) endStep(length time.Duration, prefillDone []*Request, prefilled int) {
 	e.steps++
 	e.WorkDone += float64(e.decoding) + float64(prefilled)/promptTokensPerWork
 	e.usedKV += e.decoding
@@ -153,46 +153,46 @@
 	}
 	finished := e.finishing[e.steps]
 	delete(e.finishing, e.steps)
-	for _, r := range prompted {
-		finished = e.join(r, finished)
+	for _, r := range prefillDone {
+		finished = e.startDecoding(r, finished)
 	}
 	for _, r := range finished {
 		if r.phase != decoding {
 			continue
 		}
-		e.leave(r)
-		r.phase = outside
+		e.releaseDecoding(r)
+		r.phase = notInEngine
 		r.onFinish(r)
 	}
 	e.step()
 }
 
-// join moves a request whose prompt is done into the decoding batch; its first token comes with this step.
-func (e *Engine) join(r *Request, finished []*Request) []*Request {
+// startDecoding moves a request whose prompt is done into the decoding batch; its first token comes with this step.
+func (e *Engine) startDecoding(r *Request, finished []*Request) []*Request {
 	if r.phase != prefilling {
 		return finished
 	}
-	e.prefilling = without(e.prefilling, r)
+	e.prefilling = removeRequest(e.prefilling, r)
 	r.phase = decoding
-	r.joined = e.steps
+	r.firstStep = e.steps
 	e.decoding++
 	r.FirstToken = e.loop.Now()
-	r.onFirst(r)
+	r.onFirstToken(r)
 	if r.Output <= 1 {
 		return append(finished, r)
 	}
-	last := r.joined + int64(r.Output-1)
+	last := r.firstStep + int64(r.Output-1)
 	e.finishing[last] = append(e.finishing[last], r)
 	return finished
 }
 
-// leave gives back what a decoding request holds.
-func (e *Engine) leave(r *Request) {
+// releaseDecoding gives back what a decoding request holds.
+func (e *Engine) releaseDecoding(r *Request) {
 	e.decoding--
-	e.usedKV -= r.heldKV + int(e.steps-r.joined)
+	e.usedKV -= r.heldKV + int(e.steps-r.firstStep)
 }
 
-func without(list []*Request, r *Request) []*Request {
+func removeRequest(list []*Request, r *Request) []*Request {
 	for i, other := range list {
 		if other == r {
 			return append(list[:i:i], list[i+1:]...)
--- a/policy/internal/playback/fair.go
+++ b/policy/internal/playback/fair.go
@@ -17,7 +17,7 @@
 	return &FairQueue{queue: fairqueue.New(config), requests: make(map[string]*Request)}
 }
 
-func item(r *Request) fairqueue.Item {
+func toItem(r *Request) fairqueue.Item {
 	return fairqueue.Item{
 		ID: r.ID, Team: r.Team.Name, Share: r.Team.Share, Priority: r.Team.Priority,
 		Work: r.Estimate, Deadline: r.Deadline(), Spread: r.Spread,
@@ -26,7 +26,7 @@
 
 // Offer implements Queue.
 func (f *FairQueue) Offer(now time.Duration, r *Request) (Decision, time.Duration) {
-	verdict := f.queue.Offer(now, item(r))
+	verdict := f.queue.Offer(now, toItem(r))
 	switch verdict.Decision {
 	case fairqueue.Admitted:
 		return Admit, 0
@@ -64,7 +64,7 @@
 
 // RetryAfter implements Queue.
 func (f *FairQueue) RetryAfter(now time.Duration, r *Request) time.Duration {
-	return f.queue.RetryAfter(now, item(r))
+	return f.queue.RetryAfter(now, toItem(r))
 }
 
 // Done implements Queue.
--- a/policy/internal/playback/figures.go
+++ b/policy/internal/playback/figures.go
@@ -92,30 +92,30 @@
 // than its share gets all it asks for, and the rest is divided among the others (max-min fairness).
 func FairShares(offered map[*Team]float64, capacity float64) map[*Team]float64 {
 	fair := make(map[*Team]float64, len(offered))
-	open := make(map[*Team]bool, len(offered))
+	unsettled := make(map[*Team]bool, len(offered))
 	for team := range offered {
-		open[team] = true
+		unsettled[team] = true
 	}
-	for len(open) > 0 {
+	for len(unsettled) > 0 {
 		shares := 0.0
-		for team := range open {
+		for team := range unsettled {
 			shares += team.Share
 		}
-		part := capacity / shares
+		perShare := capacity / shares
 		settled := false
-		for team := range open {
-			if offered[team] <= part*team.Share {
+		for team := range unsettled {
+			if offered[team] <= perShare*team.Share {
 				fair[team] = offered[team]
 				capacity -= offered[team]
-				delete(open, team)
+				delete(unsettled, team)
 				settled = true
 			}
 		}
 		if settled {
 			continue
 		}
-		for team := range open {
-			fair[team] = part * team.Share
+		for team := range unsettled {
+			fair[team] = perShare * team.Share
 		}
 		return fair
 	}
@@ -127,8 +127,8 @@
 func (f Summary) WorstShare() float64 {
 	fair := FairShares(f.OfferedWorkByTeam, f.Work)
 	worst := math.Inf(1)
-	for team, part := range fair {
-		worst = min(worst, f.WorkByTeam[team]/part)
+	for team, fairWork := range fair {
+		worst = min(worst, f.WorkByTeam[team]/fairWork)
 	}
 	return worst
 }
@@ -140,15 +140,15 @@
 }
 
 const (
-	histogramFrom = 100 * time.Microsecond
-	histogramStep = 1.02
+	histogramMin = 100 * time.Microsecond
+	bucketRatio  = 1.02
 )
 
 // Add counts d count times.
 func (h *Histogram) Add(d time.Duration, count int) {
 	bucket := 0
-	if d > histogramFrom {
-		bucket = int(math.Log(float64(d)/float64(histogramFrom)) / math.Log(histogramStep))
+	if d > histogramMin {
+		bucket = int(math.Log(float64(d)/float64(histogramMin)) / math.Log(bucketRatio))
 	}
 	h.counts[min(bucket, len(h.counts)-1)] += float64(count)
 	h.total += float64(count)
@@ -156,11 +156,11 @@
 
 // Quantile returns the upper end of the bucket that holds the quantile q.
 func (h *Histogram) Quantile(q float64) time.Duration {
-	left := q * h.total
+	remaining := q * h.total
 	for i, count := range h.counts {
-		left -= count
-		if left <= 0 {
-			return time.Duration(float64(histogramFrom) * math.Pow(histogramStep, float64(i+1)))
+		remaining -= count
+		if remaining <= 0 {
+			return time.Duration(float64(histogramMin) * math.Pow(bucketRatio, float64(i+1)))
 		}
 	}
 	return 0
--- a/policy/internal/playback/home.go
+++ b/policy/internal/playback/home.go
@@ -55,8 +55,8 @@
 // Observe does nothing.
 func (f FixedLimit) Observe(time.Duration, limit.Sample) {}
 
-// expireEvery is how often a home looks for requests that have waited too long.
-const expireEvery = 50 * time.Millisecond
+// expireInterval is how often a home looks for requests that have waited too long.
+const expireInterval = 50 * time.Millisecond
 
 // Home drives a queue and a limit before one engine.
 type Home struct {
@@ -64,33 +64,33 @@
 	engine *Engine
 	queue  Queue
 	limits Limiter
-	// lag is how late limits hears of what was measured.
-	lag time.Duration
-	// tries is how often a caller asks before it gives up; it obeys Retry-After.
-	tries int
+	// observationDelay is how late limits hears of what was measured.
+	observationDelay time.Duration
+	// maxTries is how often a caller asks before it gives up; it obeys Retry-After.
+	maxTries int
 	// running counts what is at work, starting what of it has no first token.
 	running, starting int
 	// Gaps collects the gaps between tokens, Limits the limit, once a second.
-	Gaps   Histogram
-	Limits []int
-	from   time.Duration
+	Gaps        Histogram
+	Limits      []int
+	measureFrom time.Duration
 	// OnRefused, if set, hears of refusals in place of the caller.
 	OnRefused func(r *Request)
-	waiting   int
+	queued    int
 }
 
 // Load returns how many requests are at work and queued.
-func (h *Home) Load() int { return h.running + h.waiting }
+func (h *Home) Load() int { return h.running + h.queued }
 
 // Running returns how many requests are at work.
 func (h *Home) Running() int { return h.running }
 
 // NewHome returns a home; it measures gaps from the time from on.
-func NewHome(loop *Loop, engine *Engine, queue Queue, limits Limiter, lag time.Duration, tries int, from time.Duration) *Home {
-	h := &Home{loop: loop, engine: engine, queue: queue, limits: limits, lag: lag, tries: tries, from: from}
+func NewHome(loop *Loop, engine *Engine, queue Queue, limits Limiter, observationDelay time.Duration, maxTries int, measureFrom time.Duration) *Home {
+	h := &Home{loop: loop, engine: engine, queue: queue, limits: limits, observationDelay: observationDelay, maxTries: maxTries, measureFrom: measureFrom}
 	h.applyLimit()
 	engine.OnStep = h.observeGap
-	loop.Every(expireEvery, h.expire)
+	loop.Every(expireInterval, h.expire)
 	loop.Every(time.Second, func() { h.Limits = append(h.Limits, limits.Current()) })
 	return h
 }
@@ -113,8 +113,8 @@
 	case Admit:
 		h.send(r)
 	case Enqueue:
-		h.waiting++
-		h.drain()
+		h.queued++
+		h.dispatchQueued()
 	case Refuse:
 		h.refuse(r, retryAfter)
 	}
@@ -131,16 +131,16 @@
 		h.OnRefused(r)
 		return
 	}
-	if r.Tries >= h.tries || retryAfter <= 0 {
+	if r.Tries >= h.maxTries || retryAfter <= 0 {
 		r.Outcome = Refused
 		return
 	}
 	h.loop.After(retryAfter, func() { h.Arrive(r) })
 }
 
-func (h *Home) drain() {
+func (h *Home) dispatchQueued() {
 	for r := h.queue.Next(h.loop.Now()); r != nil; r = h.queue.Next(h.loop.Now()) {
-		h.waiting--
+		h.queued--
 		h.send(r)
 	}
 }
@@ -148,11 +148,11 @@
 func (h *Home) expire() {
 	now := h.loop.Now()
 	for _, r := range h.queue.Expire(now) {
-		h.waiting--
+		h.queued--
 		h.refuse(r, h.queue.RetryAfter(now, r))
 	}
 	h.applyLimit()
-	h.drain()
+	h.dispatchQueued()
 }
 
 func (h *Home) send(r *Request) {
@@ -160,25 +160,25 @@
 	h.running++
 	h.starting++
 	h.engine.Submit(r, h.observeFirstToken, h.finish)
-	h.loop.At(r.Deadline(), func() { h.giveUp(r) })
+	h.loop.At(r.Deadline(), func() { h.cancelLate(r) })
 }
 
-func (h *Home) finish(r *Request) { h.end(r, Answered, r.Work()) }
+func (h *Home) finish(r *Request) { h.complete(r, Answered, r.Work()) }
 
-// giveUp cancels a request whose deadline passed while it ran.
-func (h *Home) giveUp(r *Request) {
+// cancelLate cancels a request whose deadline passed while it ran.
+func (h *Home) cancelLate(r *Request) {
 	if r.Outcome != Pending {
 		return
 	}
 	generated := 0
 	if r.phase == decoding {
-		generated = int(h.engine.steps-r.joined) + 1
+		generated = int(h.engine.steps-r.firstStep) + 1
 	}
 	h.engine.Cancel(r)
-	h.end(r, Late, Work(r.Prompt-r.left, generated))
+	h.complete(r, Late, Work(r.Prompt-r.promptLeft, generated))
 }
 
-func (h *Home) end(r *Request, outcome Outcome, work int) {
+func (h *Home) complete(r *Request, outcome Outcome, work int) {
 	now := h.loop.Now()
 	r.Outcome = outcome
 	r.Ended = now
@@ -188,29 +188,29 @@
 	}
 	h.queue.Done(now, r, work)
 	h.applyLimit()
-	h.drain()
+	h.dispatchQueued()
 }
 
 func (h *Home) observeFirstToken(r *Request) {
-	h.report(limit.Sample{FirstToken: r.FirstToken - r.Started, Starting: h.starting})
+	h.reportSample(limit.Sample{FirstToken: r.FirstToken - r.Started, Starting: h.starting})
 	h.starting--
 	h.queue.Started(r)
-	h.drain()
+	h.dispatchQueued()
 }
 
 func (h *Home) observeGap(gap time.Duration, count int) {
-	if h.loop.Now() >= h.from {
+	if h.loop.Now() >= h.measureFrom {
 		h.Gaps.Add(gap, count)
 	}
-	h.report(limit.Sample{Gap: gap, Gaps: count})
+	h.reportSample(limit.Sample{Gap: gap, Gaps: count})
 }
 
-// report hands a measurement to the limit, late by the lag.
-func (h *Home) report(s limit.Sample) {
+// reportSample hands a measurement to the limit, late by the lag.
+func (h *Home) reportSample(s limit.Sample) {
 	s.Running = h.running
-	if h.lag == 0 {
+	if h.observationDelay == 0 {
 		h.limits.Observe(h.loop.Now(), s)
 		return
 	}
-	h.loop.After(h.lag, func() { h.limits.Observe(h.loop.Now(), s) })
+	h.loop.After(h.observationDelay, func() { h.limits.Observe(h.loop.Now(), s) })
 }
--- a/policy/internal/playback/request.go
+++ b/policy/internal/playback/request.go
@@ -39,19 +39,19 @@
 	// outcome was known.
 	Started, FirstToken, Ended time.Duration
 
-	phase     phase
-	left      int   // prompt tokens that are not prefilled yet
-	joined    int64 // the step after which it joined the decoding batch
-	onFirst   func(*Request)
-	onFinish  func(*Request)
-	heldKV    int
-	submitted uint64
+	phase        phase
+	promptLeft   int   // prompt tokens that are not prefilled yet
+	firstStep    int64 // the step after which it joined the decoding batch
+	onFirstToken func(*Request)
+	onFinish     func(*Request)
+	heldKV       int
+	submitted    uint64
 }
 
 type phase int
 
 const (
-	outside phase = iota
+	notInEngine phase = iota
 	waiting
 	prefilling
 	decoding
--- a/policy/internal/playback/scenario.go
+++ b/policy/internal/playback/scenario.go
@@ -30,8 +30,8 @@
 	SteadyGap = 71 * time.Millisecond
 )
 
-// plain returns a scenario in which ten equal teams use the given share of the capacity.
-func plain(name string, load float64) Scenario {
+// baseScenario returns a scenario in which ten equal teams use the given share of the capacity.
+func baseScenario(name string, load float64) Scenario {
 	s := Scenario{
 		Name:   name,
 		Engine: DefaultEngine(),
@@ -54,23 +54,23 @@
 // SteadyLimit returns how many requests are at work on the engine at the gap SteadyGap: the best fixed
 // limit for a healthy engine, which an operator could only know by measuring.
 func (s *Scenario) SteadyLimit() int {
-	_, atWork := s.Engine.Capacity(SteadyGap, s.Traffic.Prompt, s.Traffic.MeanOutput())
-	return int(atWork)
+	_, inFlight := s.Engine.Capacity(SteadyGap, s.Traffic.Prompt, s.Traffic.MeanOutput())
+	return int(inFlight)
 }
 
 // setRate sets the rate as a multiple of the capacity; the multiple is at most highest.
-func (s *Scenario) setRate(multiple func(at time.Duration) float64, highest float64) {
+func (s *Scenario) setRate(multiple func(at time.Duration) float64, maxMultiple float64) {
 	perSecond, _ := s.Engine.Capacity(SteadyGap, s.Traffic.Prompt, s.Traffic.MeanOutput())
-	s.Traffic.MaxRate = perSecond * highest
+	s.Traffic.MaxRate = perSecond * maxMultiple
 	s.Traffic.Rate = func(at time.Duration) float64 { return perSecond * multiple(at) }
 }
 
 // Steady is a load of seven tenths of the capacity, at which nothing should be refused.
-func Steady() Scenario { return plain("steady 0.7x", 0.7) }
+func Steady() Scenario { return baseScenario("steady 0.7x", 0.7) }
 
 // Burst is a steady load of seven tenths that grows to ten times as much for 5 s.
 func Burst() Scenario {
-	s := plain("burst 10x for 5 s", 0.7)
+	s := baseScenario("burst 10x for 5 s", 0.7)
 	from := time.Minute
 	s.setRate(func(at time.Duration) float64 {
 		if at >= from && at < from+5*time.Second {
@@ -83,7 +83,7 @@
 
 // FewTeams is 1.5 times the capacity, of which two of ten teams send 80%.
 func FewTeams() Scenario {
-	s := plain("2 of 10 teams send 80%, 1.5x", 1.5)
+	s := baseScenario("2 of 10 teams send 80%, 1.5x", 1.5)
 	s.Traffic.Teams[0].TrafficWeight = 16
 	s.Traffic.Teams[1].TrafficWeight = 16
 	return s
@@ -91,7 +91,7 @@
 
 // SlowServer is a steady load on a backend server that drops to a fifth of its speed for a minute.
 func SlowServer() Scenario {
-	s := plain("a fifth of the speed for 60 s", 0.7)
+	s := baseScenario("a fifth of the speed for 60 s", 0.7)
 	s.Length, s.Until = 4*time.Minute, 3*time.Minute
 	s.Speed = func(at time.Duration) float64 {
 		if at >= time.Minute && at < 2*time.Minute {
@@ -105,7 +105,7 @@
 // LongAmongShort is a load of the given multiple of the capacity in which 5% of the requests generate 40
 // times as many tokens, two thirds of all.
 func LongAmongShort(load float64) Scenario {
-	s := plain(fmt.Sprintf("5%% are 40x as long, %.1fx", load), load)
+	s := baseScenario(fmt.Sprintf("5%% are 40x as long, %.1fx", load), load)
 	s.Traffic.Output = 80
 	s.Traffic.LongFraction, s.Traffic.LongFactor = 0.05, 40
 	s.Length, s.From, s.Until = 12*time.Minute, 3*time.Minute, 9*time.Minute
@@ -115,7 +115,7 @@
 
 // Saturation is 1.5 times the capacity for three minutes, then seven tenths of it.
 func Saturation() Scenario {
-	s := plain("1.5x for 3 min", 0.7)
+	s := baseScenario("1.5x for 3 min", 0.7)
 	s.Length, s.From, s.Until = 6*time.Minute, time.Minute, 4*time.Minute
 	s.setRate(func(at time.Duration) float64 {
 		if at >= time.Minute && at < 4*time.Minute {
@@ -134,8 +134,8 @@
 	Engine   *Engine
 }
 
-// drainFor is how long a run goes on after the last arrival.
-const drainFor = 3 * time.Minute
+// drainTime is how long a run goes on after the last arrival.
+const drainTime = 3 * time.Minute
 
 // Play plays the scenario against a queue and a limit.
 func (s Scenario) Play(queue Queue, limits Limiter) *Run {
@@ -149,7 +149,7 @@
 	if s.Speed != nil {
 		loop.Every(time.Second, func() { engine.SetSpeed(s.Speed(loop.Now())) })
 	}
-	loop.Run(s.Length + drainFor)
+	loop.Run(s.Length + drainTime)
 	return &Run{Scenario: s, Requests: requests, Home: home, Engine: engine}
 }
 
--- a/policy/internal/playback/traffic.go
+++ b/policy/internal/playback/traffic.go
@@ -71,14 +71,14 @@
 		if random.Float64()*t.MaxRate > t.Rate(at) {
 			continue
 		}
-		r := t.request(random, t.pick(random.Float64()*total))
+		r := t.request(random, t.pickTeam(random.Float64()*total))
 		r.ID = fmt.Sprintf("r%d", len(requests))
 		r.Arrived = at
 		requests = append(requests, r)
 	}
 }
 
-func (t *Traffic) pick(point float64) *Team {
+func (t *Traffic) pickTeam(point float64) *Team {
 	for _, team := range t.Teams {
 		point -= team.TrafficWeight
 		if point < 0 {
@@ -100,7 +100,7 @@
 		Spread: random.Float64(),
 	}
 	r.Patience = t.Patience + time.Duration(r.Output)*t.PatiencePerToken
-	guess := float64(r.Work()) * team.EstimateFactor * math.Exp(random.NormFloat64()*t.EstimateError)
-	r.Estimate = 1 + int(guess)
+	estimate := float64(r.Work()) * team.EstimateFactor * math.Exp(random.NormFloat64()*t.EstimateError)
+	r.Estimate = 1 + int(estimate)
 	return r
 }
