--- a/policy/grouping/convert.go
+++ b/policy/grouping/convert.go
@@ -16,7 +16,7 @@
 	return d.demandKnown() && float64(groups) < model.DemandGroups
 }
 
-// pendingGroups counts the domains that will get another group of a model without further decisions, once their loads end.
+// pendingGroups counts the domains that will get another group of a model without further decisions, apart from starting loads.
 func (d *decision) pendingGroups(model Model) int {
 	n := 0
 	for i, domain := range d.in.Domains {
--- a/policy/grouping/grouping.go
+++ b/policy/grouping/grouping.go
@@ -218,6 +218,7 @@
 	return shortfallCost(goal, max(0, groups-1)) - shortfallCost(goal, groups)
 }
 
+// shortfallCost is the cube of the need. Cubing makes a large shortfall of one model cost more than small ones of several.
 func shortfallCost(goal, groups float64) float64 {
 	need := needRatio(goal, groups)
 	return need * need * need
--- a/policy/internal/playback/doc.go
+++ b/policy/internal/playback/doc.go
@@ -1,7 +1,6 @@
-// Package playback plays load against the decisions of module policy in virtual time. It is test
-// support: nothing that serves imports it.
+// Package playback is a discrete-event simulator that runs synthetic load against the policies of this module in virtual time. It is test
+// support and is not imported by production code.
 //
-// It holds an event loop, a small model of a batching engine, a generator of requests, the patterns of
-// load that the decisions answer, and the figures that a caller would notice. Everything is
-// deterministic: the same seed gives the same figures on every run.
+// It contains an event loop, a simple model of a batching inference engine, a request generator, the load scenarios that the policies are
+// designed for, and a summary of what callers observe. It is deterministic: the same seed yields the same results on every run.
 package playback
--- a/policy/internal/playback/engine.go
+++ b/policy/internal/playback/engine.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// EngineConfig describes a batching engine. One step gives each decoding request one token and prefills
-// up to Chunk tokens of prompts; it takes Base + PerSequence x decoding + PerPromptToken x prefilled.
+// EngineConfig describes a batching engine. One step generates one token for each decoding request and prefills up to Chunk prompt tokens.
+// It takes Base + PerSequence x decoding requests + PerPromptToken x prefilled tokens.
 type EngineConfig struct {
 	Base           time.Duration
 	PerSequence    time.Duration
 	PerPromptToken time.Duration
-	// Chunk bounds the prompt tokens prefilled in one step.
+	// Chunk bounds the number of prompt tokens prefilled in one step.
 	Chunk int
-	// MaxBatch bounds the requests in the batch, KVTokens their tokens in the KV cache; what does not fit
-	// waits in the engine, higher priority first.
+	// MaxBatch bounds the number of requests in the batch, KVTokens the number of their tokens in the KV cache. Requests that do not fit wait
+	// in the engine, higher priority first.
 	MaxBatch int
 	KVTokens int
 }
 
-// DefaultEngine is an engine that carries about 19 requests and 4,400 tokens a second with a gap of
-// 70 ms between tokens: the load of one of 630 replicas at 12,000 requests and 2.8 million tokens a second.
+// DefaultEngine returns the configuration of an engine with a capacity of about 19 requests and 4,400 tokens per second at a gap of 70 ms
+// between tokens. That is the load of one of 630 replicas at a total of 12,000 requests and 2.8 million tokens per second.
 func DefaultEngine() EngineConfig {
 	return EngineConfig{
 		Base:           20 * time.Millisecond,
@@ -32,8 +32,8 @@
 	}
 }
 
-// Capacity returns how many requests a second the engine carries when a step takes gap, for requests of
-// the given mean lengths, and how many are then at work on it.
+// Capacity returns the number of requests per second that the engine sustains when a step takes gap, for requests of the given mean lengths,
+// and the number of requests that are then in flight.
 func (c EngineConfig) Capacity(gap time.Duration, prompt, output float64) (perSecond, inFlight float64) {
 	step := gap.Seconds()
 	perRequest := c.PerSequence.Seconds()*output + c.PerPromptToken.Seconds()*prompt
@@ -41,8 +41,8 @@
 	return perSecond, perSecond * output * step
 }
 
-// Engine is a batching engine in virtual time. It does not model preemption: a request in the batch
-// keeps its place until it ends or is cancelled.
+// Engine simulates a batching engine in virtual time. It does not model preemption: a request in the batch stays there until it completes or
+// is cancelled.
 type Engine struct {
 	loop  *Loop
 	cfg   EngineConfig
@@ -57,10 +57,10 @@
 	steps      int64
 	stepping   bool
 
-	// OnStep, if set, hears of each step: its length, which is the gap between tokens, and how many requests
-	// got a token.
+	// OnStep, if set, is called after each step with its duration, which is the gap between tokens, and the number of requests that got a
+	// token.
 	OnStep func(gap time.Duration, decoding int)
-	// WorkDone counts the tokens generated and the prompt tokens prefilled, in units of work.
+	// WorkDone is the total work of the generated tokens and the prefilled prompt tokens, in units of generated tokens.
 	WorkDone float64
 }
 
@@ -69,13 +69,13 @@
 	return &Engine{loop: loop, cfg: cfg, speed: 1, finishing: make(map[int64][]*Request)}
 }
 
-// SetSpeed makes the engine run at the given share of its full speed from the next step on.
+// SetSpeed sets the engine's speed to the given fraction of full speed, from the next step on.
 func (e *Engine) SetSpeed(speed float64) { e.speed = speed }
 
-// Running returns how many requests are in the engine, those that wait in it included.
+// Running returns the number of requests in the engine, including those waiting in it.
 func (e *Engine) Running() int { return len(e.waiting) + len(e.prefilling) + e.decoding }
 
-// Submit hands a request to the engine. onFirst runs with its first token, onFinish with its last.
+// Submit passes a request to the engine. onFirstToken is called with its first token, onFinish with its last.
 func (e *Engine) Submit(r *Request, onFirstToken, onFinish func(*Request)) {
 	e.submitted++
 	r.submitted = e.submitted
@@ -88,7 +88,7 @@
 	}
 }
 
-// Cancel takes a request out of the engine.
+// Cancel removes a request from the engine.
 func (e *Engine) Cancel(r *Request) {
 	switch r.phase {
 	case waiting:
@@ -130,7 +130,7 @@
 	}
 }
 
-// prefill spends the step's chunk, oldest request first, and returns the requests whose prompt is done.
+// prefill spends the chunk of one step, oldest request first, and returns the requests whose prompts are completely prefilled.
 func (e *Engine) prefill() (done []*Request, prefilled int) {
 	for _, r := range e.prefilling {
 		part := min(r.promptLeft, e.cfg.Chunk-prefilled)
@@ -167,7 +167,7 @@
 	e.step()
 }
 
-// startDecoding moves a request whose prompt is done into the decoding batch; its first token comes with this step.
+// startDecoding moves a prefilled request to the decoding batch. Its first token is generated in this step.
 func (e *Engine) startDecoding(r *Request, finished []*Request) []*Request {
 	if r.phase != prefilling {
 		return finished
@@ -186,7 +186,7 @@
 	return finished
 }
 
-// releaseDecoding gives back what a decoding request holds.
+// releaseDecoding frees the batch slot and the KV cache of a decoding request.
 func (e *Engine) releaseDecoding(r *Request) {
 	e.decoding--
 	e.usedKV -= r.heldKV + int(e.steps-r.firstStep)
@@ -201,7 +201,7 @@
 	return list
 }
 
-// waitHeap holds what waits in the engine: higher priority first, then first in first out.
+// waitHeap orders the requests waiting in the engine by descending priority, then by submission.
 type waitHeap []*Request
 
 func (h waitHeap) Len() int      { return len(h) }
--- a/policy/internal/playback/fair.go
+++ b/policy/internal/playback/fair.go
@@ -6,13 +6,13 @@
 	"github.com/skylarkpond/skylarkpond/policy/fairqueue"
 )
 
-// FairQueue drives a fairqueue.Queue as a Queue.
+// FairQueue adapts a fairqueue.Queue to the Queue interface.
 type FairQueue struct {
 	queue    *fairqueue.Queue
 	requests map[string]*Request
 }
 
-// NewFairQueue returns a Fair over a new queue.
+// NewFairQueue returns a FairQueue with an empty queue.
 func NewFairQueue(config fairqueue.Config) *FairQueue {
 	return &FairQueue{queue: fairqueue.New(config), requests: make(map[string]*Request)}
 }
--- a/policy/internal/playback/fifo.go
+++ b/policy/internal/playback/fifo.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// FIFO is the plain baseline of a Queue: first in first out over all teams, a bounded length, a bounded
-// wait, no look at deadlines, and the same Retry-After for all.
+// FIFO is the baseline Queue: first in, first out over all teams, with bounded length and bounded wait. It ignores deadlines and returns the
+// same Retry-After to every caller.
 type FIFO struct {
 	MaxItems int
 	MaxWait  time.Duration
@@ -62,7 +62,7 @@
 // SetLimit implements Queue.
 func (f *FIFO) SetLimit(limit int) { f.limit = limit }
 
-// SetStartLimit implements Queue: the baseline has none.
+// SetStartLimit implements Queue. The baseline has no start limit.
 func (f *FIFO) SetStartLimit(int) {}
 
 // Started implements Queue.
--- a/policy/internal/playback/figures.go
+++ b/policy/internal/playback/figures.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// Summary is what callers got of a run.
+// Summary describes the outcome of a run as its callers observe it.
 type Summary struct {
 	Offered, Answered, Refused, Late int
-	// RefusedImmediately counts the refusals that came without any wait.
+	// RefusedImmediately counts the requests that were refused without waiting.
 	RefusedImmediately int
-	// Work is the work of the answered requests in tokens, WorkOf that of each team.
+	// Work is the work of the answered requests in tokens, WorkByTeam the same for each team.
 	Work       float64
 	WorkByTeam map[*Team]float64
-	// OfferedWorkByTeam is the work that each team asked for.
+	// OfferedWorkByTeam is the work that each team requested.
 	OfferedWorkByTeam map[*Team]float64
-	// Wait is from a try's arrival to its being sent, FirstToken to its first token, Refusal to its refusal.
+	// Wait is the time from the arrival of a try until it is sent to the engine, FirstToken until its first token, and Refusal until its
+	// refusal.
 	Wait, FirstToken, Refusal Quantiles
 	WaitByTeam                map[*Team]Quantiles
 	AnsweredRatioByTeam       map[*Team]float64
-	// MeanTries is the mean number of tries of a request.
+	// MeanTries is the mean number of tries per request.
 	MeanTries float64
 }
 
-// Quantiles are the quantiles that the tables show.
+// Quantiles holds the quantiles that the result tables show.
 type Quantiles struct{ P50, P95 time.Duration }
 
-// Summarize returns the figures of the requests that first arrived from from up to until.
+// Summarize returns the summary of the requests whose first try arrived at or after from and before until.
 func Summarize(requests []*Request, from, until time.Duration) Summary {
 	f := Summary{
 		WorkByTeam:          make(map[*Team]float64),
@@ -88,8 +89,8 @@
 	return Quantiles{P50: values[len(values)/2], P95: values[len(values)*95/100]}
 }
 
-// FairShares returns what each team may get when capacity is divided by share: a team that asks for less
-// than its share gets all it asks for, and the rest is divided among the others (max-min fairness).
+// FairShares divides the capacity among the teams in proportion to their shares. A team that offers less than its share gets all that it
+// offers, and the rest is divided among the others (max-min fairness).
 func FairShares(offered map[*Team]float64, capacity float64) map[*Team]float64 {
 	fair := make(map[*Team]float64, len(offered))
 	unsettled := make(map[*Team]bool, len(offered))
@@ -122,8 +123,8 @@
 	return fair
 }
 
-// WorstShare returns the smallest ratio of what a team got to its fair share of all that was done, which
-// is 1 when the division was fair.
+// WorstShare returns the smallest ratio of a team's completed work to its fair share of all completed work. It is 1 if the division was
+// fair.
 func (f Summary) WorstShare() float64 {
 	fair := FairShares(f.OfferedWorkByTeam, f.Work)
 	worst := math.Inf(1)
@@ -133,7 +134,7 @@
 	return worst
 }
 
-// Histogram counts durations in buckets that are 2% wide.
+// Histogram counts durations in buckets that grow by 2%.
 type Histogram struct {
 	counts [1024]float64
 	total  float64
@@ -144,7 +145,7 @@
 	bucketRatio  = 1.02
 )
 
-// Add counts d count times.
+// Add records the duration d count times.
 func (h *Histogram) Add(d time.Duration, count int) {
 	bucket := 0
 	if d > histogramMin {
@@ -154,7 +155,7 @@
 	h.total += float64(count)
 }
 
-// Quantile returns the upper end of the bucket that holds the quantile q.
+// Quantile returns the upper bound of the bucket that contains the quantile q.
 func (h *Histogram) Quantile(q float64) time.Duration {
 	remaining := q * h.total
 	for i, count := range h.counts {
--- a/policy/internal/playback/home.go
+++ b/policy/internal/playback/home.go
@@ -6,86 +6,86 @@
 	"github.com/skylarkpond/skylarkpond/policy/limit"
 )
 
-// Decision is what a Queue says to an offered request.
+// Decision is a Queue's admission decision on a request.
 type Decision int
 
-// The decisions.
+// Admission decisions.
 const (
 	Admit Decision = iota
 	Enqueue
 	Refuse
 )
 
-// Queue is admission and the queue before one engine, as a Home drives it.
+// Queue does admission control and queueing in front of one engine, driven by a Home.
 type Queue interface {
-	// Offer decides on a request; with Refuse comes when the caller may come back.
+	// Offer decides on a request. With Refuse it also returns the time after which the caller may retry.
 	Offer(now time.Duration, r *Request) (Decision, time.Duration)
-	// Next returns the request to send next, or nil.
+	// Next returns the next request to send to the engine, or nil.
 	Next(now time.Duration) *Request
-	// Expire returns the requests that have waited too long.
+	// Expire removes and returns the requests that have waited too long.
 	Expire(now time.Duration) []*Request
-	// RetryAfter is told to the caller of an expired request.
+	// RetryAfter returns the time after which the caller of an expired request may retry.
 	RetryAfter(now time.Duration, r *Request) time.Duration
-	// Done says that a request which was sent is over, and the work that it took.
+	// Done reports the end of a request that was sent to the engine, and the work that it took.
 	Done(now time.Duration, r *Request, work int)
 	SetLimit(limit int)
-	// SetStartLimit bounds the requests that are sent and have no first token, 0 does not; Started says
-	// that a first token came.
+	// SetStartLimit bounds the number of requests that were sent and have no first token yet; 0 means unbounded. Started reports the first
+	// token of a request.
 	SetStartLimit(limit int)
 	Started(r *Request)
 }
 
-// Limiter decides how many requests may be at work on the engine, as limit.Limit does.
+// Limiter limits the number of requests in flight on the engine, as limit.Limit does.
 type Limiter interface {
 	Current() int
-	// Starting bounds the requests without a first token; 0 does not.
+	// Starting returns the limit on the number of requests without a first token; 0 means unbounded.
 	Starting() int
 	Observe(now time.Duration, s limit.Sample)
 }
 
-// FixedLimit is the plain baseline of a Limiter.
+// FixedLimit is the baseline Limiter: a constant limit.
 type FixedLimit int
 
 // Current returns the limit.
 func (f FixedLimit) Current() int { return int(f) }
 
-// Starting returns 0.
+// Starting returns 0: the number of requests without a first token is unbounded.
 func (f FixedLimit) Starting() int { return 0 }
 
-// Observe does nothing.
+// Observe ignores the sample.
 func (f FixedLimit) Observe(time.Duration, limit.Sample) {}
 
-// expireInterval is how often a home looks for requests that have waited too long.
+// expireInterval is the interval at which a home removes requests that have waited too long.
 const expireInterval = 50 * time.Millisecond
 
-// Home drives a queue and a limit before one engine.
+// Home simulates the entry that owns the queue and the concurrency limit of one engine.
 type Home struct {
 	loop   *Loop
 	engine *Engine
 	queue  Queue
 	limits Limiter
-	// observationDelay is how late limits hears of what was measured.
+	// observationDelay is the delay with which measurements reach limits.
 	observationDelay time.Duration
-	// maxTries is how often a caller asks before it gives up; it obeys Retry-After.
+	// maxTries is how often a caller tries a request before it gives up. Between tries it waits for Retry-After.
 	maxTries int
-	// running counts what is at work, starting what of it has no first token.
+	// running is the number of requests in flight, starting the number of those without a first token.
 	running, starting int
-	// Gaps collects the gaps between tokens, Limits the limit, once a second.
+	// Gaps collects the gaps between tokens. Limits records the limit once per second.
 	Gaps        Histogram
 	Limits      []int
 	measureFrom time.Duration
-	// OnRefused, if set, hears of refusals in place of the caller.
+	// OnRefused, if set, is called for a refused request instead of returning the refusal to the caller.
 	OnRefused func(r *Request)
 	queued    int
 }
 
-// Load returns how many requests are at work and queued.
+// Load returns the number of requests in flight and in the queue.
 func (h *Home) Load() int { return h.running + h.queued }
 
-// Running returns how many requests are at work.
+// Running returns the number of requests in flight.
 func (h *Home) Running() int { return h.running }
 
-// NewHome returns a home; it measures gaps from the time from on.
+// NewHome returns a Home that records the gaps between tokens from measureFrom on.
 func NewHome(loop *Loop, engine *Engine, queue Queue, limits Limiter, observationDelay time.Duration, maxTries int, measureFrom time.Duration) *Home {
 	h := &Home{loop: loop, engine: engine, queue: queue, limits: limits, observationDelay: observationDelay, maxTries: maxTries, measureFrom: measureFrom}
 	h.applyLimit()
@@ -95,7 +95,7 @@
 	return h
 }
 
-// Arrive offers a request, and again as often as its caller tries.
+// Arrive offers a new try of a request. A refused request arrives again until its caller has used all tries.
 func (h *Home) Arrive(r *Request) {
 	now := h.loop.Now()
 	if r.Tries == 0 {
@@ -106,7 +106,7 @@
 	h.Offer(r)
 }
 
-// Offer offers a request that has arrived before.
+// Offer offers a request whose arrival was already recorded.
 func (h *Home) Offer(r *Request) {
 	decision, retryAfter := h.queue.Offer(h.loop.Now(), r)
 	switch decision {
@@ -165,7 +165,7 @@
 
 func (h *Home) finish(r *Request) { h.complete(r, Answered, r.Work()) }
 
-// cancelLate cancels a request whose deadline passed while it ran.
+// cancelLate cancels a request that is still running at its deadline.
 func (h *Home) cancelLate(r *Request) {
 	if r.Outcome != Pending {
 		return
@@ -205,7 +205,7 @@
 	h.reportSample(limit.Sample{Gap: gap, Gaps: count})
 }
 
-// reportSample hands a measurement to the limit, late by the lag.
+// reportSample passes a measurement to the limiter after the observation delay.
 func (h *Home) reportSample(s limit.Sample) {
 	s.Running = h.running
 	if h.observationDelay == 0 {
--- a/policy/internal/playback/loop.go
+++ b/policy/internal/playback/loop.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// Loop runs events in the order of their virtual time; events of the same time run in the order in
-// which they were added.
+// Loop runs events in order of virtual time. Events with the same time run in the order in which they were added.
 type Loop struct {
 	now    time.Duration
 	events eventHeap
@@ -19,19 +18,19 @@
 	run func()
 }
 
-// Now returns the virtual time.
+// Now returns the current virtual time.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// At runs f at the virtual time at, or now if that has passed.
+// At schedules f for the virtual time at, or for the current time if at has passed.
 func (l *Loop) At(at time.Duration, f func()) {
 	l.added++
 	heap.Push(&l.events, event{at: max(at, l.now), seq: l.added, run: f})
 }
 
-// After runs f when d has passed.
+// After schedules f to run after the duration d.
 func (l *Loop) After(d time.Duration, f func()) { l.At(l.now+d, f) }
 
-// Every runs f each period, from one period on, as long as the loop runs.
+// Every runs f once per period, first after one period, until the loop stops.
 func (l *Loop) Every(period time.Duration, f func()) {
 	l.After(period, func() {
 		f()
@@ -39,7 +38,7 @@
 	})
 }
 
-// Run runs all events up to the virtual time until.
+// Run runs all events up to and including the virtual time until.
 func (l *Loop) Run(until time.Duration) {
 	for len(l.events) > 0 && l.events[0].at <= until {
 		next := heap.Pop(&l.events).(event)
--- a/policy/internal/playback/request.go
+++ b/policy/internal/playback/request.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// Outcome is what became of a request.
+// Outcome is the result of a request.
 type Outcome int
 
-// The outcomes of a request.
+// Outcomes of a request.
 const (
-	// Pending: it is still on its way.
+	// Pending means that the request has not ended yet.
 	Pending Outcome = iota
-	// Answered: the whole answer came within the deadline.
+	// Answered means that the complete answer arrived within the deadline.
 	Answered
-	// Refused: it was turned away, without having run.
+	// Refused means that the request was refused without having run.
 	Refused
-	// Late: it ran, and its deadline passed before the whole answer had come: work for nothing.
+	// Late means that the deadline passed while the request was running, before the complete answer arrived, so that its work was wasted.
 	Late
 )
 
-// Request is one request and what became of it. Times are virtual.
+// Request is a simulated request and its result. All times are virtual.
 type Request struct {
 	ID   string
 	Team *Team
-	// Prompt and Output are its true lengths in tokens; Estimate is the work that the front expects.
+	// Prompt and Output are the actual lengths in tokens. Estimate is the work that the front estimates.
 	Prompt, Output int
 	Estimate       int
-	// Patience is how long the caller waits for the whole answer.
+	// Patience is how long the caller waits for the complete answer.
 	Patience time.Duration
-	// Spread is the random number that spreads Retry-After.
+	// Spread is the random number that adds jitter to Retry-After.
 	Spread float64
-	// Front is the front that took it in, where there are several.
+	// Front is the index of the front, the entry that accepted the request from the client, if several are simulated.
 	Front int
 
 	Outcome Outcome
-	// FirstArrived is the time of the caller's first try, Arrived that of this one.
+	// FirstArrived is the time of the caller's first try, Arrived that of the current try.
 	FirstArrived, Arrived time.Duration
 	Tries                 int
-	// Started is when it was sent to the engine, FirstToken when its first token came, Ended when the
-	// outcome was known.
+	// Started is the time at which the request was sent to the engine, FirstToken that of its first token, and Ended that at which its outcome
+	// was known.
 	Started, FirstToken, Ended time.Duration
 
 	phase        phase
-	promptLeft   int   // prompt tokens that are not prefilled yet
-	firstStep    int64 // the step after which it joined the decoding batch
+	promptLeft   int   // prompt tokens not prefilled yet
+	firstStep    int64 // number of the step that generated the first token
 	onFirstToken func(*Request)
 	onFinish     func(*Request)
 	heldKV       int
@@ -57,14 +57,14 @@
 	decoding
 )
 
-// Deadline is when the caller stops waiting for this try.
+// Deadline returns the time at which the caller stops waiting for the current try.
 func (r *Request) Deadline() time.Duration { return r.Arrived + r.Patience }
 
-// Work is the true work in tokens.
+// Work returns the actual work of the request in tokens.
 func (r *Request) Work() int { return Work(r.Prompt, r.Output) }
 
-// promptTokensPerWork is how many prompt tokens cost as much as one generated token.
+// promptTokensPerWork is the number of prompt tokens that cost as much as one generated token.
 const promptTokensPerWork = 6
 
-// Work counts the work of a request in generated tokens; a prompt token costs a sixth of one.
+// Work returns the work of a request in generated tokens. A prompt token costs a sixth of a generated one.
 func Work(prompt, output int) int { return output + prompt/promptTokensPerWork }
--- a/policy/internal/playback/scenario.go
+++ b/policy/internal/playback/scenario.go
@@ -5,32 +5,31 @@
 	"time"
 )
 
-// Scenario is a pattern of load on one engine.
+// Scenario is a load pattern on one engine.
 type Scenario struct {
 	Name    string
 	Engine  EngineConfig
 	Traffic Traffic
-	// Speed, if set, is the engine's speed over time as a share of full speed.
+	// Speed, if set, is the engine's speed over time as a fraction of full speed.
 	Speed func(at time.Duration) float64
-	// Length is how long requests arrive; From and Until bound those that are measured.
+	// Length is how long requests arrive. From and Until delimit the measured interval.
 	Length, From, Until time.Duration
-	// Tries is how often a caller asks; it obeys Retry-After.
+	// Tries is how often a caller tries a request. It honors Retry-After.
 	Tries int
-	// ObservationDelay is how late the limit hears of what was measured.
+	// ObservationDelay is the delay with which measurements reach the limiter.
 	ObservationDelay time.Duration
 }
 
-// The sizes of the model: those of one of 630 replicas at the peak of 12,000 requests and 2.8 million
-// tokens a second.
+// Sizes of the simulated replica: one of 630 at a peak of 12,000 requests and 2.8 million tokens per second.
 const (
 	MeanPrompt = 500
 	MeanOutput = 233
-	// SteadyGap is the gap between tokens at which a replica counts as fully used: nine tenths of the
-	// objective of 79 ms, so that 95 in 100 gaps meet it.
+	// SteadyGap is the gap between tokens at which a replica counts as fully used: nine tenths of the objective of 79 ms, so that 95 of 100
+	// gaps meet the objective.
 	SteadyGap = 71 * time.Millisecond
 )
 
-// baseScenario returns a scenario in which ten equal teams use the given share of the capacity.
+// baseScenario returns a scenario in which ten equal teams use the given fraction of the capacity.
 func baseScenario(name string, load float64) Scenario {
 	s := Scenario{
 		Name:   name,
@@ -45,30 +44,30 @@
 	return s
 }
 
-// CapacityWork returns the work a second that the engine carries at the gap SteadyGap.
+// CapacityWork returns the work per second that the engine sustains at the gap SteadyGap.
 func (s *Scenario) CapacityWork() float64 {
 	perSecond, _ := s.Engine.Capacity(SteadyGap, s.Traffic.Prompt, s.Traffic.MeanOutput())
 	return perSecond * s.Traffic.MeanWork()
 }
 
-// SteadyLimit returns how many requests are at work on the engine at the gap SteadyGap: the best fixed
-// limit for a healthy engine, which an operator could only know by measuring.
+// SteadyLimit returns the number of requests in flight at the gap SteadyGap. It is the best fixed limit for a healthy engine, which an
+// operator could determine only by measurement.
 func (s *Scenario) SteadyLimit() int {
 	_, inFlight := s.Engine.Capacity(SteadyGap, s.Traffic.Prompt, s.Traffic.MeanOutput())
 	return int(inFlight)
 }
 
-// setRate sets the rate as a multiple of the capacity; the multiple is at most highest.
+// setRate sets the arrival rate over time as a multiple of the capacity, of at most maxMultiple.
 func (s *Scenario) setRate(multiple func(at time.Duration) float64, maxMultiple float64) {
 	perSecond, _ := s.Engine.Capacity(SteadyGap, s.Traffic.Prompt, s.Traffic.MeanOutput())
 	s.Traffic.MaxRate = perSecond * maxMultiple
 	s.Traffic.Rate = func(at time.Duration) float64 { return perSecond * multiple(at) }
 }
 
-// Steady is a load of seven tenths of the capacity, at which nothing should be refused.
+// Steady is a load of 0.7 times the capacity, at which nothing should be refused.
 func Steady() Scenario { return baseScenario("steady 0.7x", 0.7) }
 
-// Burst is a steady load of seven tenths that grows to ten times as much for 5 s.
+// Burst is a load of 0.7 times the capacity that rises tenfold for 5 s.
 func Burst() Scenario {
 	s := baseScenario("burst 10x for 5 s", 0.7)
 	from := time.Minute
@@ -81,7 +80,7 @@
 	return s
 }
 
-// FewTeams is 1.5 times the capacity, of which two of ten teams send 80%.
+// FewTeams is a load of 1.5 times the capacity, 80% of which comes from two of ten teams.
 func FewTeams() Scenario {
 	s := baseScenario("2 of 10 teams send 80%, 1.5x", 1.5)
 	s.Traffic.Teams[0].TrafficWeight = 16
@@ -89,7 +88,7 @@
 	return s
 }
 
-// SlowServer is a steady load on a backend server that drops to a fifth of its speed for a minute.
+// SlowServer is a steady load on a backend server that runs at a fifth of its speed for one minute.
 func SlowServer() Scenario {
 	s := baseScenario("a fifth of the speed for 60 s", 0.7)
 	s.Length, s.Until = 4*time.Minute, 3*time.Minute
@@ -102,8 +101,8 @@
 	return s
 }
 
-// LongAmongShort is a load of the given multiple of the capacity in which 5% of the requests generate 40
-// times as many tokens, two thirds of all.
+// LongAmongShort is a load of the given multiple of the capacity in which 5% of the requests generate 40 times as many tokens as the others:
+// two thirds of all tokens.
 func LongAmongShort(load float64) Scenario {
 	s := baseScenario(fmt.Sprintf("5%% are 40x as long, %.1fx", load), load)
 	s.Traffic.Output = 80
@@ -113,7 +112,7 @@
 	return s
 }
 
-// Saturation is 1.5 times the capacity for three minutes, then seven tenths of it.
+// Saturation is a load of 1.5 times the capacity for three minutes, then 0.7 times.
 func Saturation() Scenario {
 	s := baseScenario("1.5x for 3 min", 0.7)
 	s.Length, s.From, s.Until = 6*time.Minute, time.Minute, 4*time.Minute
@@ -126,7 +125,7 @@
 	return s
 }
 
-// Run is a scenario that was played.
+// Run is a completed simulation of a scenario.
 type Run struct {
 	Scenario Scenario
 	Requests []*Request
@@ -134,10 +133,10 @@
 	Engine   *Engine
 }
 
-// drainTime is how long a run goes on after the last arrival.
+// drainTime is how long a run continues after the last arrival.
 const drainTime = 3 * time.Minute
 
-// Play plays the scenario against a queue and a limit.
+// Play simulates the scenario with the given queue and limiter.
 func (s Scenario) Play(queue Queue, limits Limiter) *Run {
 	loop := &Loop{}
 	engine := NewEngine(loop, s.Engine)
@@ -153,8 +152,8 @@
 	return &Run{Scenario: s, Requests: requests, Home: home, Engine: engine}
 }
 
-// Summary returns what the callers of the measured time got.
+// Summary returns the summary of the measured interval.
 func (r *Run) Summary() Summary { return Summarize(r.Requests, r.Scenario.From, r.Scenario.Until) }
 
-// Between returns what the callers of another part of the run got.
+// Between returns the summary of the requests that first arrived in another interval of the run.
 func (r *Run) Between(from, until time.Duration) Summary { return Summarize(r.Requests, from, until) }
--- a/policy/internal/playback/table.go
+++ b/policy/internal/playback/table.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Table is a table of figures in Markdown.
+// Table is a Markdown table of results.
 type Table struct{ text strings.Builder }
 
-// NewTable returns a table with the given columns; the first holds text, the others figures.
+// NewTable returns a table with the given columns. The first column holds text, the others numbers.
 func NewTable(columns ...string) *Table {
 	t := &Table{}
 	t.AddRow(columns...)
@@ -17,21 +17,21 @@
 	return t
 }
 
-// AddRow adds a row.
+// AddRow appends a row.
 func (t *Table) AddRow(cells ...string) {
 	t.text.WriteString("| " + strings.Join(cells, " | ") + " |\n")
 }
 
-// String returns the table in Markdown.
+// String returns the table as Markdown.
 func (t *Table) String() string { return t.text.String() }
 
-// Format formats the quantiles of a time in seconds.
+// Format returns both quantiles in seconds, as "P50 / P95".
 func (q Quantiles) Format() string { return Seconds(q.P50) + " / " + Seconds(q.P95) }
 
-// Seconds formats a time in seconds.
+// Seconds formats a duration in seconds with two decimals.
 func Seconds(d time.Duration) string { return fmt.Sprintf("%.2f", d.Seconds()) }
 
-// Percent formats a part in percent.
+// Percent formats part as a percentage of whole, or "-" if whole is 0.
 func Percent(part, whole float64) string {
 	if whole == 0 {
 		return "-"
@@ -39,16 +39,16 @@
 	return fmt.Sprintf("%.1f%%", 100*part/whole)
 }
 
-// Ratio formats a ratio.
+// Ratio formats a ratio with two decimals.
 func Ratio(r float64) string { return fmt.Sprintf("%.2f", r) }
 
-// SummaryColumns are the columns of Figures.Cells.
+// SummaryColumns are the headings of the cells that Run.Cells returns.
 var SummaryColumns = []string{
 	"answered", "refused", "of these at once", "too late", "useful work of capacity",
 	"worst team of its fair share", "wait 50 / 95, s", "first token 50 / 95, s", "refused after 95, s",
 }
 
-// Cells returns the figures as cells of a table. Capacity is the work a second that the group carries.
+// Cells returns the summary as cells of a table row.
 func (r *Run) Cells(f Summary) []string {
 	offered := float64(f.Offered)
 	return []string{
@@ -64,7 +64,7 @@
 	}
 }
 
-// Goodput returns the work of the answered requests of the measured time as a share of the capacity.
+// Goodput returns the work of the answered requests per second of the measured interval, as a fraction of the capacity.
 func (r *Run) Goodput(f Summary) float64 {
 	s := r.Scenario
 	return f.Work / (s.Until - s.From).Seconds() / s.CapacityWork()
--- a/policy/internal/playback/traffic.go
+++ b/policy/internal/playback/traffic.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Team is one team of callers.
+// Team is a group of callers with a common share and priority.
 type Team struct {
 	Name     string
 	Share    float64
 	Priority int
-	// TrafficWeight is the team's part of the requests; the parts need not add up to 1.
+	// TrafficWeight is the team's relative portion of the requests. The weights need not add up to 1.
 	TrafficWeight float64
-	// EstimateFactor scales the work that is estimated for its requests: below 1 it understates.
+	// EstimateFactor scales the estimated work of the team's requests; a value below 1 understates it.
 	EstimateFactor float64
 }
 
-// Teams returns count equal teams with share 1.
+// Teams returns count equal teams with a share of 1.
 func Teams(count int) []*Team {
 	teams := make([]*Team, count)
 	for i := range teams {
@@ -27,20 +27,20 @@
 	return teams
 }
 
-// Traffic describes the requests that arrive.
+// Traffic describes the arriving requests.
 type Traffic struct {
 	Teams []*Team
-	// Rate returns the requests a second at a time; it is below MaxRate.
+	// Rate returns the arrival rate in requests per second at a time. It must not exceed MaxRate.
 	Rate    func(at time.Duration) float64
 	MaxRate float64
-	// Prompt and Output are mean lengths in tokens; lengths are exponentially distributed.
+	// Prompt and Output are mean lengths in tokens. Lengths are exponentially distributed.
 	Prompt, Output float64
-	// LongFraction of the requests generate LongTimes as many tokens as Output.
+	// LongFraction is the fraction of the requests that generate LongFactor times as many tokens as Output.
 	LongFraction float64
 	LongFactor   float64
-	// EstimateError is the standard deviation of the logarithm of estimated over true work.
+	// EstimateError is the standard deviation of the logarithm of the ratio of estimated to actual work.
 	EstimateError float64
-	// Patience is how long a caller waits beyond PatiencePerToken x the tokens it asked for.
+	// Patience is how long a caller waits in addition to PatiencePerToken x the number of tokens that it requested.
 	Patience         time.Duration
 	PatiencePerToken time.Duration
 	Seed             uint64
@@ -54,7 +54,7 @@
 // MeanWork returns the mean work of a request in tokens.
 func (t *Traffic) MeanWork() float64 { return t.MeanOutput() + t.Prompt/promptTokensPerWork }
 
-// Requests returns the requests up to the time until, in order of arrival.
+// Requests returns the requests that arrive up to the time until, in order of arrival.
 func (t *Traffic) Requests(until time.Duration) []*Request {
 	random := rand.New(rand.NewPCG(t.Seed, 0x5eed))
 	total := 0.0
