--- a/policy/grouping/grouping_test.go
+++ b/policy/grouping/grouping_test.go
@@ -16,7 +16,7 @@
 	RunSpecs(t, "groups of several models")
 }
 
-// Times of a load.
+// Load times.
 const (
 	largeLoad = 16 * time.Second
 	smallLoad = 12 * time.Second
@@ -24,7 +24,7 @@
 
 var models = []grouping.Model{{Name: "large", Size: 4, Share: 0.57, LoadTime: largeLoad}, {Name: "small", Size: 3, Share: 0.43, LoadTime: smallLoad}}
 
-// vms returns free VMs with staged weights, such as "large".
+// vms returns free VMs with the given staged weights, such as "large".
 func vms(prefix string, staged ...string) []grouping.VM {
 	list := make([]grouping.VM, 0, len(staged))
 	for i, model := range staged {
@@ -46,36 +46,36 @@
 		Expect(plan.Form[0]).To(And(HaveField("Model", "large"), HaveField("Loads", 0), HaveField("Members", HaveLen(4))))
 	})
 
-	// The loads that are left are spent, and an unloaded group counts as one that waits for loads. All repairs would stand still for as long as
-	// the weight store is behind.
-	It("forms what needs no load whatever loads are left", func() {
+	// Guards against treating a group that needs no loads as one that waits for loads when the load budget is used up or overdrawn: all
+	// recoveries would stop for as long as the weight store is behind.
+	It("forms groups that need no load even when no loads are left", func() {
 		for _, loads := range []int{0, -7} {
-			plan := grouping.Decide(grouping.Input{Models: models, Loads: loads, Domains: []grouping.Domain{
+			plan := grouping.Decide(grouping.Input{Models: models, AvailableLoads: loads, Domains: []grouping.Domain{
 				domain("d", 8, vms("v", "large", "large", "large", "large"), nil),
 			}})
 			Expect(plan.Form).To(HaveLen(1))
 		}
 	})
 
-	// Members that wait for one that loads serve nobody for 16 s.
-	It("forms no group that needs a load once callers come, and stages the weights instead", func() {
-		plan := grouping.Decide(grouping.Input{Models: models, Loads: 3, Domains: []grouping.Domain{
+	// Members that wait for another member's load serve no requests for 16 s.
+	It("forms no group that needs a load after the first request, and stages the weights instead", func() {
+		plan := grouping.Decide(grouping.Input{Models: models, AvailableLoads: 3, Domains: []grouping.Domain{
 			domain("d", 8, vms("v", "large", "large", "large", ""), map[string]int{"small": 1}),
 		}})
 		Expect(plan.Form).To(BeEmpty())
 		Expect(plan.Stage).To(Equal([]grouping.Staging{{VM: "v3", Model: "large"}}))
 	})
 
-	It("forms groups that need loads before callers come, as far as the loads reach", func() {
-		plan := grouping.Decide(grouping.Input{Models: models, Early: true, Loads: 7, Domains: []grouping.Domain{
+	It("forms groups that need loads before the first request, within the available loads", func() {
+		plan := grouping.Decide(grouping.Input{Models: models, BeforeTraffic: true, AvailableLoads: 7, Domains: []grouping.Domain{
 			domain("d", 9, vms("v", "", "", "", "", "", "", "", "", ""), nil),
 		}})
 		Expect(plan.Form).To(ConsistOf(HaveField("Model", "large"), HaveField("Model", "small")))
 	})
 
-	// The smaller model always fits into the loads that are left, and the larger one never gets its share.
-	It("does not let a model with fewer loads overtake one that is needed more", func() {
-		plan := grouping.Decide(grouping.Input{Models: models, Early: true, Loads: 3, Domains: []grouping.Domain{
+	// The smaller model always fits the remaining loads; if it went first, the larger one would never get its share.
+	It("does not form a group that needs fewer loads before one that is needed more", func() {
+		plan := grouping.Decide(grouping.Input{Models: models, BeforeTraffic: true, AvailableLoads: 3, Domains: []grouping.Domain{
 			domain("d", 18, vms("v", "", "", "", "", "", "", "", ""), map[string]int{"small": 2}),
 		}})
 		Expect(plan.Form).To(BeEmpty())
@@ -88,7 +88,7 @@
 			name := fmt.Sprint(i)
 			domains = append(domains, domain(name, 9, vms(name, "", "", "", "", "", "", "", "", ""), map[string]int{}))
 		}
-		plan := grouping.Decide(grouping.Input{Models: models, Early: true, Loads: 1000, Domains: domains})
+		plan := grouping.Decide(grouping.Input{Models: models, BeforeTraffic: true, AvailableLoads: 1000, Domains: domains})
 		count := map[string]int{}
 		for _, f := range plan.Form {
 			count[f.Model]++
@@ -97,9 +97,9 @@
 		Expect(count["small"]).To(BeNumerically(">=", 6))
 	})
 
-	// Three VMs with the weights wait for a loss while groups of their model are nearly full. Serving, they are a group more; and when one of them
-	// is lost, the other two are spares.
-	It("lets a group's worth of free VMs serve, also while no model is short", func() {
+	// Three VMs with the weights wait for a loss while the groups of their model are almost fully occupied. In service they add a group, and when
+	// one of them is lost, the other two become spares.
+	It("puts enough free VMs for a group into service even while no model is short", func() {
 		plan := grouping.Decide(grouping.Input{Models: models, Domains: []grouping.Domain{
 			domain("d", 9, vms("v", "small", "small", "small"), map[string]int{"small": 2, "large": 3}),
 		}})
@@ -108,7 +108,7 @@
 
 	It("stages spares for the group that leaves the most VMs without work when it loses one", func() {
 		two := []grouping.Model{{Name: "large", Size: 16, Share: 0.5, LoadTime: largeLoad}, {Name: "small", Size: 4, Share: 0.5, LoadTime: smallLoad}}
-		plan := grouping.Decide(grouping.Input{Models: two, Loads: 3, Domains: []grouping.Domain{
+		plan := grouping.Decide(grouping.Input{Models: two, AvailableLoads: 3, Domains: []grouping.Domain{
 			domain("d", 37, vms("v", "", "", ""), map[string]int{"large": 1, "small": 4}),
 		}})
 		Expect(plan.Stage).To(HaveLen(3))
@@ -117,29 +117,29 @@
 		}
 	})
 
-	// Fifteen VMs have the larger model's weights, and the one spare has the other's.
-	It("drops a spare's weights for what completes a large group", func() {
+	// Fifteen VMs have the larger model's weights, and the only spare has the other model's.
+	It("overwrites a spare's weights to complete a large group", func() {
 		two := []grouping.Model{{Name: "large", Size: 16, Share: 0.5, LoadTime: largeLoad}, {Name: "small", Size: 4, Share: 0.5, LoadTime: smallLoad}}
 		free := vms("v", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "large", "small")
-		plan := grouping.Decide(grouping.Input{Models: two, Loads: 3, Domains: []grouping.Domain{
+		plan := grouping.Decide(grouping.Input{Models: two, AvailableLoads: 3, Domains: []grouping.Domain{
 			domain("d", 36, free, map[string]int{"small": 5}),
 		}})
 		Expect(plan.Stage).To(Equal([]grouping.Staging{{VM: "v15", Model: "large"}}))
 	})
 
-	// Callers jump to half as many again. The groups are full and turn them away, while spares with the weights stand idle.
-	It("puts spares to work for a model whose requests fill its groups", func() {
+	// Demand rises by half. The groups are full and refuse requests while spares with the weights are idle.
+	It("puts spares into service for a model whose requests fill its groups", func() {
 		in := grouping.Input{Models: []grouping.Model{{Name: "large", Size: 4, Share: 0.57, LoadTime: largeLoad}, {Name: "small", Size: 3, Share: 0.43, LoadTime: smallLoad}}, Domains: []grouping.Domain{
 			domain("d", 9, vms("v", "small", "small", "small"), map[string]int{"small": 2, "large": 3}),
 		}}
-		in.Models[1].Wanted = 2
+		in.Models[1].DemandGroups = 2
 		Expect(grouping.Decide(in).Form).To(ConsistOf(HaveField("Model", "small")))
 	})
 
 	It("never takes a VM twice, nor one that is staging", func() {
 		free := vms("v", "large", "large", "large", "large", "small", "small", "small")
 		free[0].Staging = "small"
-		plan := grouping.Decide(grouping.Input{Models: models, Loads: 3, Domains: []grouping.Domain{domain("d", 7, free, nil)}})
+		plan := grouping.Decide(grouping.Input{Models: models, AvailableLoads: 3, Domains: []grouping.Domain{domain("d", 7, free, nil)}})
 		seen := map[string]bool{}
 		for _, f := range plan.Form {
 			for _, id := range f.Members {
@@ -151,29 +151,29 @@
 		Expect(plan.Form).To(ConsistOf(HaveField("Model", "small")))
 	})
 
-	// A load of 16 s drops weights that the next loss would have needed.
-	It("does not drop weights for another model unless that one is nearly without groups", func() {
+	// A load of 16 s would overwrite weights that the next loss needs.
+	It("does not overwrite weights for another model unless that model has almost no groups", func() {
 		survivors := vms("v", "large", "large", "large")
 		busy := domain("e", 40, nil, map[string]int{"large": 5, "small": 4})
-		in := grouping.Input{Models: models, Loads: 3, Domains: []grouping.Domain{domain("d", 8, survivors, map[string]int{"large": 1}), busy}}
+		in := grouping.Input{Models: models, AvailableLoads: 3, Domains: []grouping.Domain{domain("d", 8, survivors, map[string]int{"large": 1}), busy}}
 		Expect(grouping.Decide(in).Stage).To(BeEmpty())
 		in.Domains[1].Groups["small"] = 0
 		Expect(grouping.Decide(in).Stage).To(HaveLen(3))
 	})
 })
 
-// waitForOwn is the plain baseline: a broken group waits until its own model's weights are loaded on whatever replaces the lost member,
-// and no VM is staged ahead.
+// waitForOwn is the baseline: a broken group waits until its own model's weights are loaded on the replacement of the lost member, and no VM
+// loads weights in advance.
 func waitForOwn(in grouping.Input) grouping.Plan {
 	plan := grouping.Decide(in)
-	if in.Early {
+	if in.BeforeTraffic {
 		plan.Stage = nil
 		return plan
 	}
 	plan.Stage = nil
 	for _, d := range in.Domains {
 		for _, vm := range d.Free {
-			if vm.Staged == "" && vm.Staging == "" && len(plan.Stage) < in.Loads {
+			if vm.Staged == "" && vm.Staging == "" && len(plan.Stage) < in.AvailableLoads {
 				plan.Stage = append(plan.Stage, grouping.Staging{VM: vm.ID, Model: "large"})
 			}
 		}
@@ -181,18 +181,18 @@
 	return plan
 }
 
-// halfLacking is what the demand may lack at most beside what it lacks with the plain baseline.
-const halfLacking = 0.5
+// maxUnservedRatio is the highest allowed ratio of the unserved demand to that of the baseline.
+const maxUnservedRatio = 0.5
 
 var _ = Describe("Groups under steady loss", func() {
-	// Two members die every three seconds and a domain goes dark for a while; new VMs come empty, and the weight store loads one in
-	// two seconds. Without spares that have the weights, each loss costs a group for the 12 to 16 s of a load.
-	It("stand for most of the demand, and for more than without staged spares", func() {
+	// Two members are lost every three seconds, one domain is unreachable for a while, new VMs arrive without weights, and the weight store
+	// completes one load in two seconds. Without spares that have the weights, each loss costs a group for the 12 to 16 s of a load.
+	It("serve most of the demand, and more than without staged spares", func() {
 		plain, planned := mean(small, waitForOwn, 30), mean(small, grouping.Decide, 30)
 		GinkgoWriter.Printf("plain: served %.3f idle %.3f; planned: served %.3f (large %.3f, small %.3f) idle %.3f\n",
 			plain.served, plain.idle, planned.served, planned.byModel["large"], planned.byModel["small"], planned.idle)
 		Expect(planned.served).To(BeNumerically(">", 0.85))
-		Expect(1 - planned.served).To(BeNumerically("<=", halfLacking*(1-plain.served)))
+		Expect(1 - planned.served).To(BeNumerically("<=", maxUnservedRatio*(1-plain.served)))
 		for _, m := range models {
 			Expect(planned.byModel[m.Name]).To(BeNumerically(">", 0.8))
 		}
@@ -200,26 +200,26 @@
 })
 
 var _ = Describe("Groups of sixteen under steady loss", func() {
-	// One of sixteen members dies. Its domain is full of smaller groups, and the one spare has their weights: fifteen VMs wait for a load of
-	// 16 s, and callers of the larger model are refused meanwhile.
-	It("stand for nearly all of the demand of both models", func() {
+	// One of sixteen members is lost. Its domain is filled with groups of the smaller model, and the only spare has that model's weights: fifteen
+	// VMs wait for a load of 16 s while requests for the larger model are refused.
+	It("serve nearly all of the demand of both models", func() {
 		plain, planned := mean(grown, waitForOwn, 30), mean(grown, grouping.Decide, 30)
 		GinkgoWriter.Printf("plain: served %.3f; planned: served %.3f (large %.3f, small %.3f) idle %.3f\n",
 			plain.served, planned.served, planned.byModel["large"], planned.byModel["small"], planned.idle)
 		Expect(planned.byModel["large"]).To(BeNumerically(">", 0.93))
 		Expect(planned.byModel["small"]).To(BeNumerically(">", 0.98))
-		Expect(1 - planned.served).To(BeNumerically("<=", halfLacking*(1-plain.served)))
+		Expect(1 - planned.served).To(BeNumerically("<=", maxUnservedRatio*(1-plain.served)))
 	})
 })
 
 var _ = Describe("Groups that leave a remainder in their domains", func() {
-	// Members die every three seconds. A domain has two VMs beside its groups, or three; where they have the wrong weights, a group of six or twelve
-	// waits for a load.
-	DescribeTable("stand for more of the demand than without staged spares", func(at site) {
+	// A member is lost every three seconds. A domain has two or three VMs outside its groups; if they have the wrong weights, a group of six or
+	// twelve waits for a load.
+	DescribeTable("serve more of the demand than without staged spares", func(at site) {
 		plain, planned := mean(at, waitForOwn, 20), mean(at, grouping.Decide, 20)
 		GinkgoWriter.Printf("plain: served %.3f; planned: served %.3f (large %.3f, small %.3f) idle %.3f\n",
 			plain.served, planned.served, planned.byModel["large"], planned.byModel["small"], planned.idle)
-		Expect(1 - planned.served).To(BeNumerically("<=", halfLacking*(1-plain.served)))
+		Expect(1 - planned.served).To(BeNumerically("<=", maxUnservedRatio*(1-plain.served)))
 		for _, m := range at.models {
 			Expect(planned.byModel[m.Name]).To(BeNumerically(">", 0.8))
 		}
@@ -229,7 +229,7 @@
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []struct{ domains, vms int }{{6, 9}, {8, 37}, {68, 37}} {
 		b.Run(fmt.Sprintf("%d-domains-of-%d", size.domains, size.vms), func(b *testing.B) {
-			in := grouping.Input{Models: models, Loads: 3}
+			in := grouping.Input{Models: models, AvailableLoads: 3}
 			for i := range size.domains {
 				name := fmt.Sprint(i)
 				staged := make([]string, size.vms/4)
--- a/policy/grouping/losses.go
+++ b/policy/grouping/losses.go
@@ -2,44 +2,45 @@
 
 import "math"
 
-// Losses learns which part of the VMs in groups is lost in a second.
+// LossEstimator estimates the fraction of the VMs in groups that is lost per second.
 //
-// What goes wrong without it: spares and weights are kept for losses that do not come, while a group that lacks one member waits, or too few are
-// kept where VMs are lost by the dozen.
-type Losses struct {
+// Without it, spares and weights are reserved for losses that do not occur while a group that lacks one member waits, or too few are reserved
+// where VMs are lost by the dozen.
+type LossEstimator struct {
 	lost, vmSeconds float64
 }
 
 const (
-	// usualLossRate is taken until more is known: one of a hundred and twenty-five VMs in a second.
-	usualLossRate = 0.008
-	// usualWeight is how much that counts, in VM-seconds: as much as what eighty VMs show in five seconds.
-	usualWeight = 400
-	// lossMemory is how many seconds are remembered: some losses must fall into them, and a bad hour must be forgotten soon.
-	lossMemory = 60
-	// leastWatched is how many VM-seconds tell anything.
-	leastWatched = 1
+	// defaultLossRate is assumed until losses have been observed: 1 of 125 VMs per second.
+	defaultLossRate = 0.008
+	// priorVMSeconds is the weight of the default rate, in VM-seconds: as much as observing 80 VMs for 5 s.
+	priorVMSeconds = 400
+	// lossDecaySeconds is the time constant with which old observations decay. It must be long enough to contain some losses and short enough
+	// that a period of frequent losses is soon forgotten.
+	lossDecaySeconds = 60
+	// minVMSeconds is the smallest number of VM-seconds from which a rate is computed.
+	minVMSeconds = 1
 )
 
-// NewLosses returns what is taken until more is known.
-func NewLosses() *Losses {
-	return &Losses{lost: usualLossRate * usualWeight, vmSeconds: usualWeight}
+// NewLossEstimator returns an estimator that starts with the default rate.
+func NewLossEstimator() *LossEstimator {
+	return &LossEstimator{lost: defaultLossRate * priorVMSeconds, vmSeconds: priorVMSeconds}
 }
 
-// Watched notes that so many VMs were in groups for the last seconds.
-func (l *Losses) Watched(vms int, seconds float64) {
-	kept := math.Exp(-seconds / lossMemory)
-	l.lost *= kept
-	l.vmSeconds = l.vmSeconds*kept + float64(vms)*seconds
+// ObserveExposure records that the given number of VMs were in groups during the last seconds.
+func (l *LossEstimator) ObserveExposure(vms int, seconds float64) {
+	decay := math.Exp(-seconds / lossDecaySeconds)
+	l.lost *= decay
+	l.vmSeconds = l.vmSeconds*decay + float64(vms)*seconds
 }
 
-// Lost notes that a group has lost a member.
-func (l *Losses) Lost() { l.lost++ }
+// ObserveLoss records that a group has lost a member.
+func (l *LossEstimator) ObserveLoss() { l.lost++ }
 
-// Rate is the part of the VMs that is lost in a second.
-func (l *Losses) Rate() float64 {
-	if l.vmSeconds < leastWatched {
-		return usualLossRate
+// Rate returns the estimated fraction of the VMs in groups that is lost per second.
+func (l *LossEstimator) Rate() float64 {
+	if l.vmSeconds < minVMSeconds {
+		return defaultLossRate
 	}
 	return l.lost / l.vmSeconds
 }
--- a/policy/grouping/mix.go
+++ b/policy/grouping/mix.go
@@ -2,52 +2,55 @@
 
 import "slices"
 
-// This file plans the groups of all domains together, before callers come.
+// This file plans the groups of all domains together, before the first request.
 //
-// Load pattern: groups are formed within seconds, from nothing, for a demand of which only the models' shares are known; a domain holds one
-// or two groups of the larger models, and some VMs remain that fit none. Later, VMs are lost one by one.
+// Workload: groups are formed within seconds from VMs without weights, for a demand of which only the models' shares are known. A domain
+// holds one or two groups of the larger models, and some VMs remain that fit no group. Later, VMs are lost one by one.
 //
-// What goes wrong without it: each group is chosen by itself, and what is chosen first leaves no room for the rest. A domain of 11 VMs that
-// gets three groups of three holds none of six; with all domains like that, one model has twice its part and the other's callers are turned
-// away all day. Or VMs are counted as spares that are enough for a group: once callers come they form one, of the model whose weights they happen to have.
+// Failure modes without this policy: each group is chosen on its own, and the first choices leave no room for the rest. A domain of 11 VMs
+// that gets three groups of three has no room for one of six; if all domains are filled that way, one model gets twice its share and the
+// requests of the other are refused all day. Or enough VMs for a whole group are counted as spares, and with the first requests they form a
+// group of whichever model's weights they happen to have.
 //
-// So each way to fill a domain, up to the last group that fits, is valued by the groups that would stand on average, given the spares that it leaves.
+// The planner therefore evaluates each way to pack a domain with groups until no further group fits, by the expected number of available
+// groups given the spares that it leaves.
 
-// mixLossRate is the part of the VMs that is taken to be lost in a second, one of two hundred, while nothing is known of losses yet. Where more are lost,
-// spares are loaded for it once callers come.
-const mixLossRate = 0.005
+// initialLossRate is the fraction of the VMs assumed to be lost per second, 1 of 200, before any losses are observed. If more are lost, spares
+// for that are loaded after the first requests.
+const initialLossRate = 0.005
 
-// mixPasses bounds how often all domains are looked at again; two or three settle it.
-const mixPasses = 8
+// maxMixPasses bounds the passes over all domains; the plan usually converges after two or three.
+const maxMixPasses = 8
 
-// way is one way to use the VMs of a domain.
-type way struct {
-	// groups are formed and standing are those that stand on average, by model.
-	groups   []int
-	standing []float64
+// packing is one way to divide the VMs of a domain into groups.
+type packing struct {
+	// groups is the number of groups formed, and available the expected number of groups that are available, both by model.
+	groups    []int
+	available []float64
 }
 
-// mixPlan is a plan in the making.
-type mixPlan struct {
+// mixPlanner searches for the best packing of each domain.
+type mixPlanner struct {
 	models []Model
-	// goals are the groups that the models are to have, and standing the groups of all domains that stand on average, by model.
-	goals, standing []float64
-	// ways are the ways to use a number of VMs.
-	ways map[int][]way
+	// goals is the number of groups that each model should have, and available the expected number of available groups over all domains, by
+	// model.
+	goals, available []float64
+	// packings caches the possible packings by the number of VMs.
+	packings map[int][]packing
 }
 
-// planMix returns how many groups of each model each domain is to have.
+// planMix returns the number of groups of each model that each domain should have.
 func (d *decision) planMix() []map[string]int {
-	p := &mixPlan{models: d.in.Models, standing: make([]float64, len(d.in.Models)), ways: make(map[int][]way)}
+	p := &mixPlanner{models: d.in.Models, available: make([]float64, len(d.in.Models)), packings: make(map[int][]packing)}
 	for _, model := range p.models {
 		p.goals = append(p.goals, d.goal(model))
 	}
-	none := way{groups: make([]int, len(p.models)), standing: make([]float64, len(p.models))}
-	chosen := make([]way, len(d.in.Domains))
+	none := packing{groups: make([]int, len(p.models)), available: make([]float64, len(p.models))}
+	chosen := make([]packing, len(d.in.Domains))
 	for i := range chosen {
 		chosen[i] = none
 	}
-	for range mixPasses {
+	for range maxMixPasses {
 		changed := false
 		for i, domain := range d.in.Domains {
 			changed = p.improve(&chosen[i], domain.Total) || changed
@@ -57,60 +60,60 @@
 		}
 	}
 	mix := make([]map[string]int, len(chosen))
-	for i, way := range chosen {
+	for i, choice := range chosen {
 		mix[i] = make(map[string]int, len(p.models))
-		for m, n := range way.groups {
+		for m, n := range choice.groups {
 			mix[i][p.models[m].Name] = n
 		}
 	}
 	return mix
 }
 
-// improve changes the way of a domain to the best one, the other domains being as they are, and says whether it did.
-func (p *mixPlan) improve(now *way, total int) bool {
-	best, better := *now, false
-	bestValue := p.value(*now, best)
-	for _, other := range p.waysFor(total) {
-		if value := p.value(*now, other); value > bestValue+leastGain {
-			best, bestValue, better = other, value, true
+// improve replaces the packing of a domain by the best one, with the other domains unchanged, and reports whether it changed.
+func (p *mixPlanner) improve(current *packing, total int) bool {
+	best, improved := *current, false
+	bestValue := p.value(*current, best)
+	for _, other := range p.packingsFor(total) {
+		if value := p.value(*current, other); value > bestValue+minGain {
+			best, bestValue, improved = other, value, true
 		}
 	}
-	for m := range p.standing {
-		p.standing[m] += best.standing[m] - now.standing[m]
+	for m := range p.available {
+		p.available[m] += best.available[m] - current.available[m]
 	}
-	*now = best
-	return better
+	*current = best
+	return improved
 }
 
-// leastGain keeps two ways of the same value from taking turns.
-const leastGain = 1e-9
+// minGain prevents the planner from alternating between two packings of the same value.
+const minGain = 1e-9
 
-// value is higher where less is lacking when a domain that is used in one way is used in another. Cubes make it worst to lack much of one
-// model.
-func (p *mixPlan) value(now, then way) float64 {
+// value is higher the lower the total shortfall cost is after a domain changes from the current packing to the next one. The cost is cubic,
+// so a large shortfall of one model counts more than small shortfalls of several.
+func (p *mixPlanner) value(current, next packing) float64 {
 	value := 0.0
-	for m := range p.standing {
-		value -= lack(p.goals[m], p.standing[m]-now.standing[m]+then.standing[m])
+	for m := range p.available {
+		value -= shortfallCost(p.goals[m], p.available[m]-current.available[m]+next.available[m])
 	}
 	return value
 }
 
-// waysFor returns the ways to use some VMs. None leaves enough for one more group.
-func (p *mixPlan) waysFor(total int) []way {
-	if ways, ok := p.ways[total]; ok {
-		return ways
+// packingsFor returns the ways to divide the given number of VMs. No packing leaves enough VMs for another group.
+func (p *mixPlanner) packingsFor(total int) []packing {
+	if packings, ok := p.packings[total]; ok {
+		return packings
 	}
 	smallest := total + 1
 	for _, model := range p.models {
 		smallest = min(smallest, model.Size)
 	}
-	var ways []way
+	var packings []packing
 	groups := make([]int, len(p.models))
 	var fill func(m, left int)
 	fill = func(m, left int) {
 		if m == len(p.models) {
 			if left < smallest {
-				ways = append(ways, p.newWay(slices.Clone(groups), left))
+				packings = append(packings, p.newPacking(slices.Clone(groups), left))
 			}
 			return
 		}
@@ -122,35 +125,36 @@
 		groups[m] = 0
 	}
 	fill(0, total)
-	p.ways[total] = ways
-	return ways
+	p.packings[total] = packings
+	return packings
 }
 
-// newWay gives each spare the weights that keep most from being missed, and works out what stands on average.
-func (p *mixPlan) newWay(groups []int, spares int) way {
-	w := way{groups: groups, standing: make([]float64, len(groups))}
-	spared := make([]int, len(groups))
+// newPacking gives each spare the weights of the model that gains most availability relative to its goal, and computes the expected number
+// of available groups.
+func (p *mixPlanner) newPacking(groups []int, spares int) packing {
+	w := packing{groups: groups, available: make([]float64, len(groups))}
+	sparesOf := make([]int, len(groups))
 	for range spares {
 		best, bestGain := 0, -1.0
 		for m := range groups {
-			gain := (p.standingWith(m, groups[m], spared[m]+1) - p.standingWith(m, groups[m], spared[m])) / max(p.goals[m], leastGain)
+			gain := (p.expectedAvailable(m, groups[m], sparesOf[m]+1) - p.expectedAvailable(m, groups[m], sparesOf[m])) / max(p.goals[m], minGain)
 			if gain > bestGain {
 				best, bestGain = m, gain
 			}
 		}
-		spared[best]++
+		sparesOf[best]++
 	}
 	for m := range groups {
-		w.standing[m] = p.standingWith(m, groups[m], spared[m])
+		w.available[m] = p.expectedAvailable(m, groups[m], sparesOf[m])
 	}
 	return w
 }
 
-// standingWith is how many of a domain's groups of a model stand on average, with some spares that have its weights.
-func (p *mixPlan) standingWith(m, groups, spares int) float64 {
+// expectedAvailable is the expected number of a domain's groups of a model that are available, given the number of spares with its weights.
+func (p *mixPlanner) expectedAvailable(m, groups, spares int) float64 {
 	model := p.models[m]
-	lostAt := mixLossRate * float64(model.Size) // groups a second, for each that stands
-	withoutSpare := chanceOfLosses(float64(groups*model.Size)*mixLossRate*model.LoadTime.Seconds(), spares+1)
-	away := reformTime.Seconds() + withoutSpare*model.LoadTime.Seconds()
-	return float64(groups) / (1 + lostAt*away)
+	lossRate := initialLossRate * float64(model.Size) // losses per second of one available group
+	noSpareProbability := poissonTail(float64(groups*model.Size)*initialLossRate*model.LoadTime.Seconds(), spares+1)
+	downtime := groupRecoveryTime.Seconds() + noSpareProbability*model.LoadTime.Seconds()
+	return float64(groups) / (1 + lossRate*downtime)
 }
--- a/policy/grouping/model_test.go
+++ b/policy/grouping/model_test.go
@@ -9,69 +9,69 @@
 	"github.com/skylarkpond/skylarkpond/policy/grouping"
 )
 
-// The model plays a service in virtual time, in steps: VMs that die for good or go dark with their domain, new ones that come empty, groups
-// that break and are formed again, and a weight store whose loads slow each other.
+// This file simulates a service in virtual time, in fixed steps: VMs are lost permanently or become unreachable with their domain, new VMs
+// arrive without weights, groups break and are formed again, and concurrent loads slow each other down.
 const (
 	step    = 0.1 // seconds
-	dayEnds = 34.0
+	runEnds = 34.0
 )
 
-// site is what a service's VMs are like.
+// site describes the VMs and models of a service.
 type site struct {
 	domains, perDomain int
 	models             []grouping.Model
-	// pace is the seconds of a load, need how many groups the demand takes, by model.
-	pace, need map[string]float64
-	// loadSlow is how many loads run at full speed, loadRate how many may begin in a second.
-	loadSlow int
-	loadRate float64
-	// lost is how many VMs are lost each time.
+	// loadTime is the load time in seconds, need the number of groups that the demand fills, by model.
+	loadTime, need map[string]float64
+	// fullSpeedLoads is the number of loads that run at full speed, loadRate the number that may start per second.
+	fullSpeedLoads int
+	loadRate       float64
+	// lost is the number of VMs lost in each loss event.
 	lost int
 }
 
 var (
-	// small are six fabric domains of 9 VMs.
+	// small has six fabric domains of 9 VMs.
 	small = site{
 		domains: 6, perDomain: 9, models: models,
-		pace: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 3.4, "small": 3.4},
-		loadSlow: 6, loadRate: 4, lost: 2,
+		loadTime: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 3.4, "small": 3.4},
+		fullSpeedLoads: 6, loadRate: 4, lost: 2,
 	}
-	// eleven are six of 11, in which one group of each model leaves two VMs.
+	// eleven has six domains of 11 VMs, in which one group of each model leaves two VMs.
 	eleven = site{
 		domains: 6, perDomain: 11, models: []grouping.Model{{Name: "large", Size: 6, Share: 0.67}, {Name: "small", Size: 3, Share: 0.33}},
-		pace: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 3.2, "small": 3.7},
-		loadSlow: 8, loadRate: 5.5, lost: 1,
+		loadTime: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 3.2, "small": 3.7},
+		fullSpeedLoads: 8, loadRate: 5.5, lost: 1,
 	}
-	// twentySeven are six of 27.
+	// twentySeven has six domains of 27 VMs.
 	twentySeven = site{
 		domains: 6, perDomain: 27, models: []grouping.Model{{Name: "large", Size: 12, Share: 0.5}, {Name: "small", Size: 6, Share: 0.5}},
-		pace: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 2, "small": 9},
-		loadSlow: 19, loadRate: 12, lost: 2,
+		loadTime: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 2, "small": 9},
+		fullSpeedLoads: 19, loadRate: 12, lost: 2,
 	}
-	// grown are six of 37. A group of the larger model takes nearly half of a domain.
+	// grown has six domains of 37 VMs. A group of the larger model takes almost half of a domain.
 	grown = site{
 		domains: 6, perDomain: 37, models: []grouping.Model{{Name: "large", Size: 16, Share: 0.49}, {Name: "small", Size: 4, Share: 0.51}},
-		pace: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 4, "small": 17},
-		loadSlow: 27, loadRate: 16, lost: 2,
+		loadTime: map[string]float64{"large": 16, "small": 12}, need: map[string]float64{"large": 4, "small": 17},
+		fullSpeedLoads: 27, loadRate: 16, lost: 2,
 	}
 )
 
-// times of the model's operations, in seconds, as measured on runs of the real programs.
+// Durations of operations in seconds, as measured on runs of the real programs.
 const (
-	noticeMember = 0.9 // until a lost member is noticed and the head closed
-	noticeHead   = 4.5 // until a lost head's registration has lapsed
-	formLoaded   = 0.9
-	formStaged   = 2.1
-	drainTakes   = 2.0
-	demandKnown  = 3.0 // from the first caller on
+	detectMemberLoss = 0.9 // until a lost member is detected and the head closed the group
+	detectHeadLoss   = 4.5 // until the registration of a lost head has expired
+	formLoaded       = 0.9
+	formStaged       = 2.1
+	drainTakes       = 2.0
+	demandKnown      = 3.0 // after the first request
 )
 
 type loss struct {
 	at     float64
 	zone   int
 	count  int
-	domain bool    // the whole domain goes dark
-	back   float64 // when it is back
+	domain bool    // the whole domain becomes unreachable
+	back   float64 // when the domain is reachable again
 }
 
 type arrival struct {
@@ -80,15 +80,15 @@
 	count int
 }
 
-type day struct {
+type scenario struct {
 	losses   []loss
 	arrivals []arrival
 }
 
-// lossyDay loses some VMs of groups every three seconds, one domain for a while, and gets two empty ones every three seconds from
-// 12 s on.
-func (s site) lossyDay(r *rand.Rand) day {
-	var d day
+// lossyScenario generates a run that loses some VMs of groups every three seconds and one domain for a while, and gets two VMs without weights
+// every three seconds from about 12 s on.
+func (s site) lossyScenario(r *rand.Rand) scenario {
+	var d scenario
 	zone := r.IntN(3)
 	for at := 2.0 + r.Float64(); at < 28; at += 2.2 + 1.6*r.Float64() {
 		d.losses = append(d.losses, loss{at: at, zone: zone, count: s.lost})
@@ -102,26 +102,26 @@
 }
 
 type simVM struct {
-	id      string
-	domain  int
-	staged  string
-	loaded  string
-	staging string
-	ready   float64 // when the staging ends
-	group   *simGroup
-	dead    bool
-	darkTo  float64
+	id               string
+	domain           int
+	staged           string
+	loaded           string
+	staging          string
+	ready            float64 // when the current staging ends
+	group            *simGroup
+	dead             bool
+	unreachableUntil float64
 }
 
 type simGroup struct {
 	model   string
 	members []*simVM
-	open    float64 // when it serves
-	broken  float64 // when its survivors are free; 0 while whole
-	lost    bool    // serves no more
+	open    float64 // when it starts to serve
+	broken  float64 // when its remaining members become free; 0 if complete
+	lost    bool    // no longer serves
 }
 
-// planner is grouping.Decide, or a baseline.
+// planner is grouping.Decide or a baseline.
 type planner func(grouping.Input) grouping.Plan
 
 type sim struct {
@@ -131,14 +131,14 @@
 	vms     []*simVM
 	groups  []*simGroup
 	tokens  float64
-	loading []float64 // ends
+	loading []float64 // end times of the running loads
 	planner planner
 	next    int
-	losses  *grouping.Losses
+	losses  *grouping.LossEstimator
 }
 
 func newSim(at site, r *rand.Rand, plan planner) *sim {
-	s := &sim{site: at, r: r, planner: plan, losses: grouping.NewLosses()}
+	s := &sim{site: at, r: r, planner: plan, losses: grouping.NewLossEstimator()}
 	for d := range s.domains {
 		for range s.perDomain {
 			s.add(d)
@@ -152,7 +152,7 @@
 	s.vms = append(s.vms, &simVM{id: fmt.Sprintf("vm%03d", s.next), domain: domain})
 }
 
-// start forms the groups before callers come: all loads are done by then.
+// start forms the groups before the first request, as if all loads completed immediately.
 func (s *sim) start() {
 	for range 20 {
 		plan := s.planner(s.input(true, 100))
@@ -192,7 +192,7 @@
 	return g
 }
 
-// drain ends the work of a group; its VMs are free once that is done.
+// drain stops a group; its VMs become free after drainTakes.
 func (s *sim) drain(d grouping.Drain) {
 	for _, g := range s.groups {
 		if !g.lost && g.model == d.Model && fmt.Sprint(g.members[0].domain) == d.Domain {
@@ -204,18 +204,18 @@
 }
 
 func (s *sim) input(early bool, loads int) grouping.Input {
-	in := grouping.Input{Models: slices.Clone(s.models), Early: early, Loads: loads, LossRate: s.losses.Rate()}
+	in := grouping.Input{Models: slices.Clone(s.models), BeforeTraffic: early, AvailableLoads: loads, LossRate: s.losses.Rate()}
 	for i := range in.Models {
 		name := in.Models[i].Name
-		in.Models[i].LoadTime = time.Duration(s.pace[name] * float64(time.Second))
+		in.Models[i].LoadTime = time.Duration(s.loadTime[name] * float64(time.Second))
 		if s.now > demandKnown {
-			in.Models[i].Wanted = s.need[name]
+			in.Models[i].DemandGroups = s.need[name]
 		}
 	}
 	for d := range s.domains {
 		domain := grouping.Domain{Name: fmt.Sprint(d), Groups: map[string]int{}}
 		for _, vm := range s.vms {
-			if vm.domain != d || vm.dead || s.now < vm.darkTo {
+			if vm.domain != d || vm.dead || s.now < vm.unreachableUntil {
 				continue
 			}
 			domain.Total++
@@ -224,7 +224,7 @@
 					domain.Groups[vm.group.model]++
 				}
 				if vm.group.lost {
-					domain.Closing++
+					domain.DissolvingVMs++
 				}
 				continue
 			}
@@ -235,32 +235,32 @@
 	return in
 }
 
-// strike loses a VM: its group stands still at once, and its members are free once that was noticed.
-func (s *sim) strike(vm *simVM, darkTo float64) {
-	if darkTo > 0 {
-		vm.darkTo = darkTo
+// loseVM loses a VM, permanently or until unreachableUntil: its group stops serving at once, and the other members become free once the loss is detected.
+func (s *sim) loseVM(vm *simVM, unreachableUntil float64) {
+	if unreachableUntil > 0 {
+		vm.unreachableUntil = unreachableUntil
 	} else {
 		vm.dead = true
 	}
 	vm.loaded, vm.staging = "", ""
 	if g := vm.group; g != nil && !g.lost {
-		s.losses.Lost()
+		s.losses.ObserveLoss()
 		g.lost = true
-		g.broken = s.now + noticeMember
+		g.broken = s.now + detectMemberLoss
 		if g.members[0] == vm {
-			g.broken = s.now + noticeHead
+			g.broken = s.now + detectHeadLoss
 		}
 	}
-	if vm.group != nil && darkTo > 0 {
+	if vm.group != nil && unreachableUntil > 0 {
 		vm.group = nil
 	}
 }
 
-func (s *sim) lose(l loss) {
+func (s *sim) applyLoss(l loss) {
 	if l.domain {
 		for _, vm := range s.vms {
 			if vm.domain == 2*l.zone && !vm.dead {
-				s.strike(vm, l.back)
+				s.loseVM(vm, l.back)
 			}
 		}
 		return
@@ -268,7 +268,7 @@
 	for range l.count {
 		var grouped, all []*simVM
 		for _, vm := range s.vms {
-			if vm.domain/2 != l.zone || vm.dead || s.now < vm.darkTo {
+			if vm.domain/2 != l.zone || vm.dead || s.now < vm.unreachableUntil {
 				continue
 			}
 			all = append(all, vm)
@@ -280,7 +280,7 @@
 			grouped = all
 		}
 		if len(grouped) > 0 {
-			s.strike(grouped[s.r.IntN(len(grouped))], 0)
+			s.loseVM(grouped[s.r.IntN(len(grouped))], 0)
 		}
 	}
 }
@@ -293,7 +293,7 @@
 			grouped += len(g.members)
 		}
 	}
-	s.losses.Watched(grouped, step)
+	s.losses.ObserveExposure(grouped, step)
 	for _, g := range s.groups {
 		if g.lost && g.broken > 0 && s.now >= g.broken {
 			g.broken = 0
@@ -314,7 +314,7 @@
 }
 
 func (s *sim) act() {
-	room := min(int(s.tokens), s.loadSlow-len(s.loading))
+	room := min(int(s.tokens), s.fullSpeedLoads-len(s.loading))
 	plan := s.planner(s.input(false, max(0, room)))
 	for _, f := range plan.Form {
 		s.form(f)
@@ -327,32 +327,32 @@
 	}
 	for _, st := range plan.Stage {
 		vm := s.vm(st.VM)
-		slow := max(1, float64(len(s.loading)+1)/float64(s.loadSlow))
-		vm.staging, vm.ready = st.Model, s.now+s.pace[st.Model]*slow
+		slow := max(1, float64(len(s.loading)+1)/float64(s.fullSpeedLoads))
+		vm.staging, vm.ready = st.Model, s.now+s.loadTime[st.Model]*slow
 		vm.staged = ""
 		s.loading = append(s.loading, vm.ready)
 		s.tokens--
 	}
 }
 
-// figures are what callers get.
-type figures struct {
-	served  float64            // share of the demand that stands, mean over time and models
+// results summarizes what the callers of a run got.
+type results struct {
+	served  float64            // fraction of the demand that is served, mean over time and models
 	byModel map[string]float64 // the same by model
-	idle    float64            // VM-seconds that served nobody, as a share
+	idle    float64            // fraction of the VM-seconds outside serving groups
 }
 
-func (s *sim) play(d day) figures {
-	f := figures{byModel: map[string]float64{}}
+func (s *sim) run(d scenario) results {
+	f := results{byModel: map[string]float64{}}
 	s.start()
 	steps := 0
 	losses, arrivals := d.losses, d.arrivals
 	slices.SortFunc(losses, func(a, b loss) int { return int(1000 * (a.at - b.at)) })
 	alive, serving := 0.0, 0.0
-	for s.now < dayEnds {
+	for s.now < runEnds {
 		s.advance()
 		for len(losses) > 0 && losses[0].at <= s.now {
-			s.lose(losses[0])
+			s.applyLoss(losses[0])
 			losses = losses[1:]
 		}
 		for len(arrivals) > 0 && arrivals[0].at <= s.now {
@@ -371,7 +371,7 @@
 			}
 		}
 		for _, vm := range s.vms {
-			if !vm.dead && s.now >= vm.darkTo {
+			if !vm.dead && s.now >= vm.unreachableUntil {
 				alive++
 			}
 		}
@@ -389,13 +389,13 @@
 	return f
 }
 
-// mean plays days of several seeds.
-func mean(at site, plan planner, seeds int) figures {
-	total := figures{byModel: map[string]float64{}}
+// mean averages the figures of runs with different seeds.
+func mean(at site, plan planner, seeds int) results {
+	total := results{byModel: map[string]float64{}}
 	for seed := range seeds {
 		r := rand.New(rand.NewPCG(uint64(seed), 7))
-		d := at.lossyDay(r)
-		f := newSim(at, r, plan).play(d)
+		d := at.lossyScenario(r)
+		f := newSim(at, r, plan).run(d)
 		total.served += f.served / float64(seeds)
 		total.idle += f.idle / float64(seeds)
 		for name, share := range f.byModel {
--- a/policy/internal/playback/engine.go
+++ b/policy/internal/playback/engine.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// EngineConfig describes a batching engine. One step gives each decoding request one token and prefills
-// up to Chunk tokens of prompts; it takes Base + PerSequence x decoding + PerPromptToken x prefilled.
+// EngineConfig describes a batching engine. One step generates one token for each decoding request and prefills up to Chunk prompt tokens.
+// It takes Base + PerSequence x decoding requests + PerPromptToken x prefilled tokens.
 type EngineConfig struct {
 	Base           time.Duration
 	PerSequence    time.Duration
 	PerPromptToken time.Duration
-	// Chunk bounds the prompt tokens prefilled in one step.
+	// Chunk bounds the number of prompt tokens prefilled in one step.
 	Chunk int
-	// MaxBatch bounds the requests in the batch, KVTokens their tokens in the KV cache; what does not fit
-	// waits in the engine, higher priority first.
+	// MaxBatch bounds the number of requests in the batch, KVTokens the number of their tokens in the KV cache. Requests that do not fit wait
+	// in the engine, higher priority first.
 	MaxBatch int
 	KVTokens int
 }
 
-// DefaultEngine is an engine that carries about 19 requests and 4,400 tokens a second with a gap of
-// 70 ms between tokens: the load of one of 630 replicas at 12,000 requests and 2.8 million tokens a second.
+// DefaultEngine returns the configuration of an engine with a capacity of about 19 requests and 4,400 tokens per second at a gap of 70 ms
+// between tokens. That is the load of one of 630 replicas at a total of 12,000 requests and 2.8 million tokens per second.
 func DefaultEngine() EngineConfig {
 	return EngineConfig{
 		Base:           20 * time.Millisecond,
@@ -32,17 +32,17 @@
 	}
 }
 
-// Capacity returns how many requests a second the engine carries when a step takes gap, for requests of
-// the given mean lengths, and how many are then at work on it.
-func (c EngineConfig) Capacity(gap time.Duration, prompt, output float64) (perSecond, atWork float64) {
+// Capacity returns the number of requests per second that the engine sustains when a step takes gap, for requests of the given mean lengths,
+// and the number of requests that are then in flight.
+func (c EngineConfig) Capacity(gap time.Duration, prompt, output float64) (perSecond, inFlight float64) {
 	step := gap.Seconds()
 	perRequest := c.PerSequence.Seconds()*output + c.PerPromptToken.Seconds()*prompt
 	perSecond = (step - c.Base.Seconds()) / (step * perRequest)
 	return perSecond, perSecond * output * step
 }
 
-// Engine is a batching engine in virtual time. It does not model preemption: a request in the batch
-// keeps its place until it ends or is cancelled.
+// Engine simulates a batching engine in virtual time. It does not model preemption: a request in the batch stays there until it completes or
+// is cancelled.
 type Engine struct {
 	loop  *Loop
 	cfg   EngineConfig
@@ -57,11 +57,11 @@
 	steps      int64
 	stepping   bool
 
-	// OnStep, if set, hears of each step: its length, which is the gap between tokens, and how many requests
-	// got a token.
+	// OnStep, if set, is called after each step with its duration, which is the gap between tokens, and the number of requests that got a
+	// token.
 	OnStep func(gap time.Duration, decoding int)
-	// Worked counts the tokens generated and the prompt tokens prefilled, in units of work.
-	Worked float64
+	// WorkDone is the total work of the generated tokens and the prefilled prompt tokens, in units of generated tokens.
+	WorkDone float64
 }
 
 // NewEngine returns an idle engine.
@@ -69,38 +69,38 @@
 	return &Engine{loop: loop, cfg: cfg, speed: 1, finishing: make(map[int64][]*Request)}
 }
 
-// SetSpeed makes the engine run at the given share of its full speed from the next step on.
+// SetSpeed sets the engine's speed to the given fraction of full speed, from the next step on.
 func (e *Engine) SetSpeed(speed float64) { e.speed = speed }
 
-// Running returns how many requests are in the engine, those that wait in it included.
+// Running returns the number of requests in the engine, including those waiting in it.
 func (e *Engine) Running() int { return len(e.waiting) + len(e.prefilling) + e.decoding }
 
-// Submit hands a request to the engine. onFirst runs with its first token, onFinish with its last.
-func (e *Engine) Submit(r *Request, onFirst, onFinish func(*Request)) {
+// Submit passes a request to the engine. onFirstToken is called with its first token, onFinish with its last.
+func (e *Engine) Submit(r *Request, onFirstToken, onFinish func(*Request)) {
 	e.submitted++
 	r.submitted = e.submitted
-	r.onFirst, r.onFinish = onFirst, onFinish
+	r.onFirstToken, r.onFinish = onFirstToken, onFinish
 	r.phase = waiting
-	r.left = r.Prompt
+	r.promptLeft = r.Prompt
 	heap.Push(&e.waiting, r)
 	if !e.stepping {
 		e.step()
 	}
 }
 
-// Cancel takes a request out of the engine.
+// Cancel removes a request from the engine.
 func (e *Engine) Cancel(r *Request) {
 	switch r.phase {
 	case waiting:
 		e.waiting.remove(r)
 	case prefilling:
-		e.prefilling = without(e.prefilling, r)
+		e.prefilling = removeRequest(e.prefilling, r)
 		e.usedKV -= r.heldKV
 	case decoding:
-		e.leave(r)
-		e.finishing[r.joined+int64(r.Output-1)] = without(e.finishing[r.joined+int64(r.Output-1)], r)
+		e.releaseDecoding(r)
+		e.finishing[r.firstStep+int64(r.Output-1)] = removeRequest(e.finishing[r.firstStep+int64(r.Output-1)], r)
 	}
-	r.phase = outside
+	r.phase = notInEngine
 }
 
 func (e *Engine) step() {
@@ -130,13 +130,13 @@
 	}
 }
 
-// prefill spends the step's chunk, oldest request first, and returns the requests whose prompt is done.
+// prefill spends the chunk of one step, oldest request first, and returns the requests whose prompts are completely prefilled.
 func (e *Engine) prefill() (done []*Request, prefilled int) {
 	for _, r := range e.prefilling {
-		part := min(r.left, e.cfg.Chunk-prefilled)
-		r.left -= part
+		part := min(r.promptLeft, e.cfg.Chunk-prefilled)
+		r.promptLeft -= part
 		prefilled += part
-		if r.left > 0 {
+		if r.promptLeft > 0 {
 			break
 		}
 		done = append(done, r)
@@ -144,55 +144,55 @@
 	return done, prefilled
 }
 
-func (e *Engine) endStep(length time.Duration, prompted []*Request, prefilled int) {
+func (e *Engine) endStep(length time.Duration, prefillDone []*Request, prefilled int) {
 	e.steps++
-	e.Worked += float64(e.decoding) + float64(prefilled)/promptTokensPerWork
+	e.WorkDone += float64(e.decoding) + float64(prefilled)/promptTokensPerWork
 	e.usedKV += e.decoding
 	if e.OnStep != nil && e.decoding > 0 {
 		e.OnStep(length, e.decoding)
 	}
 	finished := e.finishing[e.steps]
 	delete(e.finishing, e.steps)
-	for _, r := range prompted {
-		finished = e.join(r, finished)
+	for _, r := range prefillDone {
+		finished = e.startDecoding(r, finished)
 	}
 	for _, r := range finished {
 		if r.phase != decoding {
 			continue
 		}
-		e.leave(r)
-		r.phase = outside
+		e.releaseDecoding(r)
+		r.phase = notInEngine
 		r.onFinish(r)
 	}
 	e.step()
 }
 
-// join moves a request whose prompt is done into the decoding batch; its first token comes with this step.
-func (e *Engine) join(r *Request, finished []*Request) []*Request {
+// startDecoding moves a prefilled request to the decoding batch. Its first token is generated in this step.
+func (e *Engine) startDecoding(r *Request, finished []*Request) []*Request {
 	if r.phase != prefilling {
 		return finished
 	}
-	e.prefilling = without(e.prefilling, r)
+	e.prefilling = removeRequest(e.prefilling, r)
 	r.phase = decoding
-	r.joined = e.steps
+	r.firstStep = e.steps
 	e.decoding++
 	r.FirstToken = e.loop.Now()
-	r.onFirst(r)
+	r.onFirstToken(r)
 	if r.Output <= 1 {
 		return append(finished, r)
 	}
-	last := r.joined + int64(r.Output-1)
+	last := r.firstStep + int64(r.Output-1)
 	e.finishing[last] = append(e.finishing[last], r)
 	return finished
 }
 
-// leave gives back what a decoding request holds.
-func (e *Engine) leave(r *Request) {
+// releaseDecoding frees the batch slot and the KV cache of a decoding request.
+func (e *Engine) releaseDecoding(r *Request) {
 	e.decoding--
-	e.usedKV -= r.heldKV + int(e.steps-r.joined)
+	e.usedKV -= r.heldKV + int(e.steps-r.firstStep)
 }
 
-func without(list []*Request, r *Request) []*Request {
+func removeRequest(list []*Request, r *Request) []*Request {
 	for i, other := range list {
 		if other == r {
 			return append(list[:i:i], list[i+1:]...)
@@ -201,7 +201,7 @@
 	return list
 }
 
-// waitHeap holds what waits in the engine: higher priority first, then first in first out.
+// waitHeap orders the requests waiting in the engine by descending priority, then by submission.
 type waitHeap []*Request
 
 func (h waitHeap) Len() int      { return len(h) }
--- a/policy/internal/playback/figures.go
+++ b/policy/internal/playback/figures.go
@@ -6,34 +6,35 @@
 	"time"
 )
 
-// Figures is what callers got of a run.
-type Figures struct {
+// Summary describes the outcome of a run as its callers observe it.
+type Summary struct {
 	Offered, Answered, Refused, Late int
-	// AtOnce counts the refusals that came without any wait.
-	AtOnce int
-	// Work is the work of the answered requests in tokens, WorkOf that of each team.
-	Work   float64
-	WorkOf map[*Team]float64
-	// OfferedOf is the work that each team asked for.
-	OfferedOf map[*Team]float64
-	// Wait is from a try's arrival to its being sent, First to its first token, Refusal to its refusal.
-	Wait, First, Refusal Quantiles
-	WaitOf               map[*Team]Quantiles
-	AnsweredOf           map[*Team]float64
-	// Tries is the mean number of tries of a request.
-	Tries float64
+	// RefusedImmediately counts the requests that were refused without waiting.
+	RefusedImmediately int
+	// Work is the work of the answered requests in tokens, WorkByTeam the same for each team.
+	Work       float64
+	WorkByTeam map[*Team]float64
+	// OfferedWorkByTeam is the work that each team requested.
+	OfferedWorkByTeam map[*Team]float64
+	// Wait is the time from the arrival of a try until it is sent to the engine, FirstToken until its first token, and Refusal until its
+	// refusal.
+	Wait, FirstToken, Refusal Quantiles
+	WaitByTeam                map[*Team]Quantiles
+	AnsweredRatioByTeam       map[*Team]float64
+	// MeanTries is the mean number of tries per request.
+	MeanTries float64
 }
 
-// Quantiles are the quantiles that the tables show.
+// Quantiles holds the quantiles that the result tables show.
 type Quantiles struct{ P50, P95 time.Duration }
 
-// Summarize returns the figures of the requests that first arrived from from up to until.
-func Summarize(requests []*Request, from, until time.Duration) Figures {
-	f := Figures{
-		WorkOf:     make(map[*Team]float64),
-		OfferedOf:  make(map[*Team]float64),
-		WaitOf:     make(map[*Team]Quantiles),
-		AnsweredOf: make(map[*Team]float64),
+// Summarize returns the summary of the requests whose first try arrived at or after from and before until.
+func Summarize(requests []*Request, from, until time.Duration) Summary {
+	f := Summary{
+		WorkByTeam:          make(map[*Team]float64),
+		OfferedWorkByTeam:   make(map[*Team]float64),
+		WaitByTeam:          make(map[*Team]Quantiles),
+		AnsweredRatioByTeam: make(map[*Team]float64),
 	}
 	var wait, first, refusal []time.Duration
 	waitOf := make(map[*Team][]time.Duration)
@@ -46,20 +47,20 @@
 		f.Offered++
 		tries += r.Tries
 		countOf[r.Team]++
-		f.OfferedOf[r.Team] += float64(r.Work())
+		f.OfferedWorkByTeam[r.Team] += float64(r.Work())
 		switch r.Outcome {
 		case Refused:
 			f.Refused++
 			if r.Ended == r.Arrived {
-				f.AtOnce++
+				f.RefusedImmediately++
 			}
 			refusal = append(refusal, r.Ended-r.Arrived)
 			continue
 		case Answered:
 			f.Answered++
-			f.AnsweredOf[r.Team]++
+			f.AnsweredRatioByTeam[r.Team]++
 			f.Work += float64(r.Work())
-			f.WorkOf[r.Team] += float64(r.Work())
+			f.WorkByTeam[r.Team] += float64(r.Work())
 		case Late:
 			f.Late++
 		case Pending:
@@ -72,11 +73,11 @@
 		}
 	}
 	for team, count := range countOf {
-		f.AnsweredOf[team] /= count
-		f.WaitOf[team] = quantiles(waitOf[team])
+		f.AnsweredRatioByTeam[team] /= count
+		f.WaitByTeam[team] = quantiles(waitOf[team])
 	}
-	f.Wait, f.First, f.Refusal = quantiles(wait), quantiles(first), quantiles(refusal)
-	f.Tries = float64(tries) / math.Max(1, float64(f.Offered))
+	f.Wait, f.FirstToken, f.Refusal = quantiles(wait), quantiles(first), quantiles(refusal)
+	f.MeanTries = float64(tries) / math.Max(1, float64(f.Offered))
 	return f
 }
 
@@ -88,79 +89,79 @@
 	return Quantiles{P50: values[len(values)/2], P95: values[len(values)*95/100]}
 }
 
-// FairShares returns what each team may get when capacity is divided by share: a team that asks for less
-// than its share gets all it asks for, and the rest is divided among the others (max-min fairness).
+// FairShares divides the capacity among the teams in proportion to their shares. A team that offers less than its share gets all that it
+// offers, and the rest is divided among the others (max-min fairness).
 func FairShares(offered map[*Team]float64, capacity float64) map[*Team]float64 {
 	fair := make(map[*Team]float64, len(offered))
-	open := make(map[*Team]bool, len(offered))
+	unsettled := make(map[*Team]bool, len(offered))
 	for team := range offered {
-		open[team] = true
+		unsettled[team] = true
 	}
-	for len(open) > 0 {
+	for len(unsettled) > 0 {
 		shares := 0.0
-		for team := range open {
+		for team := range unsettled {
 			shares += team.Share
 		}
-		part := capacity / shares
+		perShare := capacity / shares
 		settled := false
-		for team := range open {
-			if offered[team] <= part*team.Share {
+		for team := range unsettled {
+			if offered[team] <= perShare*team.Share {
 				fair[team] = offered[team]
 				capacity -= offered[team]
-				delete(open, team)
+				delete(unsettled, team)
 				settled = true
 			}
 		}
 		if settled {
 			continue
 		}
-		for team := range open {
-			fair[team] = part * team.Share
+		for team := range unsettled {
+			fair[team] = perShare * team.Share
 		}
 		return fair
 	}
 	return fair
 }
 
-// WorstShare returns the smallest ratio of what a team got to its fair share of all that was done, which
-// is 1 when the division was fair.
-func (f Figures) WorstShare() float64 {
-	fair := FairShares(f.OfferedOf, f.Work)
+// WorstShare returns the smallest ratio of a team's completed work to its fair share of all completed work. It is 1 if the division was
+// fair.
+func (f Summary) WorstShare() float64 {
+	fair := FairShares(f.OfferedWorkByTeam, f.Work)
 	worst := math.Inf(1)
-	for team, part := range fair {
-		worst = min(worst, f.WorkOf[team]/part)
+	for team, fairWork := range fair {
+		worst = min(worst, f.WorkByTeam[team]/fairWork)
 	}
 	return worst
 }
 
-// Histogram counts durations in buckets that are 2% wide.
+// Histogram counts durations in buckets that grow by 2%.
 type Histogram struct {
 	counts [1024]float64
 	total  float64
 }
 
 const (
-	histogramFrom = 100 * time.Microsecond
-	histogramStep = 1.02
+	histogramMin = 100 * time.Microsecond
+	bucketRatio  = 1.02
 )
 
-// Add counts d count times.
+// Add records the duration d count times.
 func (h *Histogram) Add(d time.Duration, count int) {
 	bucket := 0
-	if d > histogramFrom {
-		bucket = int(math.Log(float64(d)/float64(histogramFrom)) / math.Log(histogramStep))
+	if d > histogramMin {
+		bucket = int(math.Log(float64(d)/float64(histogramMin)) / math.Log(bucketRatio))
 	}
 	h.counts[min(bucket, len(h.counts)-1)] += float64(count)
 	h.total += float64(count)
 }
 
-// Quantile returns the upper end of the bucket that holds the quantile q.
+// Quantile returns the upper bound of the bucket that contains the quantile q.
 func (h *Histogram) Quantile(q float64) time.Duration {
-	left := q * h.total
+	remaining := q * h.total
 	for i, count := range h.counts {
-		left -= count
-		if left <= 0 {
-			return time.Duration(float64(histogramFrom) * math.Pow(histogramStep, float64(i+1)))
+		remaining -= count
+		if remaining <= 0 {
+			return time.Duration(float64(histogramMin) * math.Pow(bucketRatio, float64(i+1)))
 		}
 	}
 	return 0
