--- a/entry/controller/controller.go
+++ b/entry/controller/controller.go
@@ -50,7 +50,7 @@
 	// who is live, as when the network between them is cut, would otherwise take it from each other each
 	// round, which is a write a second for each domain; and since whoever takes over watches anew, neither
 	// would ever replace a silent member. It is twice forming.Grace, so that each turn is long enough for that.
-	RivalPause = 2 * forming.Grace
+	RivalPause = 2 * forming.SilenceGrace
 )
 
 // workers bounds the domains worked on at a time, and probers the probes and orders under way per domain.
--- a/entry/controller/controller_test.go
+++ b/entry/controller/controller_test.go
@@ -78,7 +78,7 @@
 		c := w.entry("a")
 		rounds(w, c, 3)
 		w.engine("v1").silent = true
-		rounds(w, c, int(forming.Grace/controller.Interval)+4)
+		rounds(w, c, int(forming.SilenceGrace/controller.Interval)+4)
 		Expect(groups(w)).To(Equal([]string{"serving: v2 v3"}))
 	})
 
--- a/entry/controller/cost_test.go
+++ b/entry/controller/cost_test.go
@@ -64,8 +64,8 @@
 
 		w.engine("v1").silent = true
 		down = counter(controller.MetricDowntime + "chat")
-		rounds(w, c, int(forming.Grace/controller.Interval)-1)
-		Expect(counter(controller.MetricDowntime+"chat") - down).To(Equal(forming.Grace - controller.Interval))
+		rounds(w, c, int(forming.SilenceGrace/controller.Interval)-1)
+		Expect(counter(controller.MetricDowntime+"chat") - down).To(Equal(forming.SilenceGrace - controller.Interval))
 		Expect(c.Status()[0].Down).To(Equal(map[string]int{"chat": 1}))
 	})
 
--- a/entry/controller/measure.go
+++ b/entry/controller/measure.go
@@ -39,8 +39,8 @@
 	for name, down := range w.plan.DownGroups {
 		w.count(MetricDowntime+name, since*time.Duration(down))
 	}
-	w.count(MetricStranded, since*time.Duration(w.plan.Stranded))
-	gauges := map[string]int{MetricStrandedNow + string(w.fabric): w.plan.Stranded}
+	w.count(MetricStranded, since*time.Duration(w.plan.StrandedAccelerators))
+	gauges := map[string]int{MetricStrandedNow + string(w.fabric): w.plan.StrandedAccelerators}
 	for name := range w.plan.Targets {
 		gauges[MetricDown+name+"."+string(w.fabric)] = w.plan.DownGroups[name]
 	}
@@ -72,7 +72,7 @@
 	for _, name := range slices.Sorted(maps.Keys(w.plan.DownGroups)) {
 		parts = append(parts, fmt.Sprintf("%s down %d", name, w.plan.DownGroups[name]))
 	}
-	parts = append(parts, fmt.Sprintf("stranded accelerators %d", w.plan.Stranded))
+	parts = append(parts, fmt.Sprintf("stranded accelerators %d", w.plan.StrandedAccelerators))
 	detail := strings.Join(parts, ", ")
 	if detail != w.lastMeasured {
 		w.record(timeline.Event{Kind: timeline.DomainMeasured, Detail: detail})
@@ -83,7 +83,7 @@
 // newStatus is what Status shows of the round that ended.
 func (w *work) newStatus() Status {
 	status := Status{
-		Domain: w.fabric, Targets: w.plan.Targets, Down: w.plan.DownGroups, Stranded: w.plan.Stranded, Held: w.held(),
+		Domain: w.fabric, Targets: w.plan.Targets, Down: w.plan.DownGroups, Stranded: w.plan.StrandedAccelerators, Held: w.held(),
 	}
 	if w.placement != nil {
 		status.Epoch = w.placement.Epoch
@@ -102,6 +102,6 @@
 			held[name] = fmt.Sprintf("no fabric domain has room for %d more", count)
 		}
 	}
-	maps.Copy(held, w.plan.Held)
+	maps.Copy(held, w.plan.BlockedReasons)
 	return held
 }
--- a/entry/controller/split_test.go
+++ b/entry/controller/split_test.go
@@ -36,6 +36,6 @@
 		both(4 * pause)
 		Expect(groups(w)).To(Equal([]string{"serving: v2 v3"}))
 		Expect(w.placement().Epoch - before).To(BeNumerically("<=", 4))
-		Expect(controller.RivalPause).To(BeNumerically(">", forming.Grace))
+		Expect(controller.RivalPause).To(BeNumerically(">", forming.SilenceGrace))
 	})
 })
--- a/entry/controller/view.go
+++ b/entry/controller/view.go
@@ -142,8 +142,8 @@
 	answer := w.states[listed.Name]
 	state := answer.state
 	v := forming.VM{
-		Name: string(listed.Name), Accelerators: listed.Accelerators, Service: listed.Service, Listed: true,
-		Leaving: listed.Leaving, Present: answer.ok,
+		Name: string(listed.Name), Accelerators: listed.Accelerators, DedicatedTo: listed.Service, Listed: true,
+		Leaving: listed.Leaving, Responding: answer.ok,
 	}
 	if !answer.ok {
 		v.Aside = aside.VM != "" && !w.asideOver(aside)
@@ -151,7 +151,7 @@
 	}
 	v.Leaving = v.Leaving || state.Leaving
 	v.Aside = aside.VM != "" && aside.BootID == state.BootID && !w.asideOver(aside)
-	v.Boot = string(state.BootID)
+	v.BootID = string(state.BootID)
 	v.Group = string(state.Group)
 	v.Epoch = state.Epoch
 	v.Ready = state.Ready
@@ -167,7 +167,7 @@
 	for _, g := range placement.Groups {
 		group := w.viewGroup(g)
 		for _, m := range g.Members {
-			group.Members = append(group.Members, forming.Member{VM: string(m.VM), Boot: string(m.BootID)})
+			group.Members = append(group.Members, forming.Member{VM: string(m.VM), BootID: string(m.BootID)})
 		}
 		found = append(found, group)
 	}
@@ -183,9 +183,9 @@
 	whole, known := w.c.Loads.Whole(g.ID)
 	group.HomeWhole = whole && known
 	group.HomeNotWhole = w.c.Loads.NotWhole(g.ID)
-	group.InProgress, group.Known = w.c.Loads.InProgress(g.ID)
+	group.InProgress, group.HomeReported = w.c.Loads.InProgress(g.ID)
 	if g.State != vm.Serving && g.State != vm.Draining {
-		group.InProgress, group.Known = 0, true
+		group.InProgress, group.HomeReported = 0, true
 	}
 	return group
 }
--- a/policy/forming/account.go
+++ b/policy/forming/account.go
@@ -21,8 +21,8 @@
 		}
 	}
 	for _, vm := range p.view.VMs {
-		if vm.Listed && vm.Present && !vm.Leaving && !busy[vm.Name] {
-			p.plan.Stranded += vm.Accelerators
+		if vm.Listed && vm.Responding && !vm.Leaving && !busy[vm.Name] {
+			p.plan.StrandedAccelerators += vm.Accelerators
 		}
 	}
 }
--- a/policy/forming/condition.go
+++ b/policy/forming/condition.go
@@ -11,32 +11,32 @@
 
 // Bounds of patience.
 const (
-	// Grace is how long a silent member is waited for before it is replaced. Pauses of a VM (live
+	// SilenceGrace is how long a silent member is waited for before it is replaced. Pauses of a VM (live
 	// migration, a stop-the-world collection) last up to some seconds, while replacing costs a load of a
 	// minute or more: ten seconds more downtime on a death, against a whole load saved on a pause.
-	Grace = 10 * time.Second
-	// CommonGrace is the patience when many VMs of the domain are silent at once. VMs do not die by the
+	SilenceGrace = 10 * time.Second
+	// CorrelatedSilenceGrace is the patience when many VMs of the domain are silent at once. VMs do not die by the
 	// dozen independently: it is the network or the power, the members keep their state if it is the
 	// network, and loading all of them anew under the pace of loads takes far longer than this.
-	CommonGrace = 60 * time.Second
-	// CommonShare is the share of silent VMs that counts as many. Of a fleet of 2,520 VMs, 14 a day fail for
+	CorrelatedSilenceGrace = 60 * time.Second
+	// CorrelatedSilenceShare is the share of silent VMs that counts as many. Of a fleet of 2,520 VMs, 14 a day fail for
 	// hours and 360 restart in minutes, so that about one in a thousand is away at a time: a third of a
 	// domain at once has a common cause.
-	CommonShare = 1.0 / 3
+	CorrelatedSilenceShare = 1.0 / 3
 	// UnlistedGrace is how long a member may be missing from the list, which lags, while it still answers.
 	UnlistedGrace = 30 * time.Second
 	// LoadTimeout is when a load counts as failed. The largest weights load in a few minutes at the
 	// store's rate; orders that were lost are repeated long before.
 	LoadTimeout = 15 * time.Minute
-	// BlindHold is how long a home may call a group not whole in which nothing is wrong, as when the way from
+	// HomeCutOffGrace is how long a home may call a group not whole in which nothing is wrong, as when the way from
 	// there to a member is cut, before the group is formed anew: under another id, and so most likely with
 	// another home. Links are switched over within seconds, and forming anew costs a load. One at a time in
 	// a domain: were homes blind for being overloaded, draining all their groups would make it worse.
-	BlindHold = 30 * time.Second
-	// ReleaseGrace is how long a member may take to confirm that it left a drained group.
-	ReleaseGrace = 5 * time.Second
-	// RemovedDrainTimeout bounds the drain of a group whose service is no longer in the settings.
-	RemovedDrainTimeout = 10 * time.Minute
+	HomeCutOffGrace = 30 * time.Second
+	// ReleaseTimeout is how long a member may take to confirm that it left a drained group.
+	ReleaseTimeout = 5 * time.Second
+	// RemovedServiceDrainTimeout bounds the drain of a group whose service is no longer in the settings.
+	RemovedServiceDrainTimeout = 10 * time.Minute
 )
 
 // fault says what is wrong with a member.
@@ -115,13 +115,13 @@
 	switch {
 	case !ok:
 		return faultGone
-	case !v.Present && !v.Listed && v.SilentFor >= Grace:
+	case !v.Responding && !v.Listed && v.SilentFor >= SilenceGrace:
 		return faultGone
-	case !v.Present && v.SilentFor >= p.grace:
+	case !v.Responding && v.SilentFor >= p.grace:
 		return faultSilent
-	case !v.Present:
+	case !v.Responding:
 		return faultPause
-	case g.State != Forming && v.Boot != m.Boot:
+	case g.State != Forming && v.BootID != m.BootID:
 		return faultLost
 	case g.State == Serving && (v.Group != g.ID || v.Epoch != g.Epoch || !v.Ready):
 		return faultLost
@@ -137,7 +137,7 @@
 func wholeIn(vms []VM, g *Group) bool {
 	for _, m := range g.Members {
 		v := find(vms, m.VM)
-		if !v.Present || v.Boot != m.Boot || v.Group != g.ID || v.Epoch != g.Epoch || !v.Ready {
+		if !v.Responding || v.BootID != m.BootID || v.Group != g.ID || v.Epoch != g.Epoch || !v.Ready {
 			return false
 		}
 	}
@@ -166,12 +166,12 @@
 			continue
 		}
 		listed++
-		if !vm.Present {
+		if !vm.Responding {
 			silent++
 		}
 	}
-	if silent > 1 && float64(silent) >= CommonShare*float64(listed) {
-		return CommonGrace
+	if silent > 1 && float64(silent) >= CorrelatedSilenceShare*float64(listed) {
+		return CorrelatedSilenceGrace
 	}
-	return Grace
+	return SilenceGrace
 }
--- a/policy/forming/decide.go
+++ b/policy/forming/decide.go
@@ -64,7 +64,7 @@
 			p.pool = append(p.pool, vm)
 		}
 	}
-	p.plan.Held = make(map[string]string)
+	p.plan.BlockedReasons = make(map[string]string)
 	p.plan.Live = p.live()
 	targets, unplaced := Split(v.Services, p.domains())
 	p.targets = targets
@@ -91,7 +91,7 @@
 	live := make(map[string]int)
 	for _, vm := range p.view.VMs {
 		if vm.Listed && !vm.Leaving && !vm.Aside && vm.SilentFor < p.grace {
-			live[vm.Service]++
+			live[vm.DedicatedTo]++
 		}
 	}
 	return live
@@ -135,7 +135,7 @@
 			p.drain(g, "", c.reason())
 		case !wanted:
 			p.drain(g, "", "service no longer wanted")
-		case g.BlindFor >= BlindHold && !p.drainsAny():
+		case g.HomeCutOffFor >= HomeCutOffGrace && !p.drainsAny():
 			p.drain(g, "", "its home can't reach its members")
 		case g.State == Loading && p.whole(g):
 			p.step(Step{Kind: StepServe, Group: g.ID, Service: g.Service, Reason: "every member is ready"})
@@ -150,11 +150,11 @@
 // before it still has at work. A group with a member lost for good has nothing left to drain: its
 // requests broke off, and if it is the head that is gone, nobody will ever say so.
 func (p *planner) advanceDraining(g *Group) {
-	drained := p.condition(g).lost() || g.Known && g.InProgress == 0 && p.running(g) == 0
+	drained := p.condition(g).lost() || g.HomeReported && g.InProgress == 0 && p.running(g) == 0
 	if !drained && g.InState < p.drainTimeout(g) {
 		return
 	}
-	if p.released(g) || g.InState >= p.drainTimeout(g)+ReleaseGrace {
+	if p.released(g) || g.InState >= p.drainTimeout(g)+ReleaseTimeout {
 		p.dissolve(g, "drained")
 		return
 	}
@@ -164,7 +164,7 @@
 // running is how many requests the group's head says it runs.
 func (p *planner) running(g *Group) int {
 	head := p.vms[g.Members[0].VM]
-	if !head.Present || head.Group != g.ID {
+	if !head.Responding || head.Group != g.ID {
 		return 0
 	}
 	return head.Running
@@ -174,14 +174,14 @@
 	if s, ok := p.services[g.Service]; ok {
 		return s.DrainTimeout
 	}
-	return RemovedDrainTimeout
+	return RemovedServiceDrainTimeout
 }
 
 // released says that no member that answers still has the group's state.
 func (p *planner) released(g *Group) bool {
 	for _, m := range g.Members {
 		v := p.vms[m.VM]
-		if v.Present && v.Boot == m.Boot && v.Group == g.ID {
+		if v.Responding && v.BootID == m.BootID && v.Group == g.ID {
 			return false
 		}
 	}
@@ -240,8 +240,8 @@
 	}
 	sort.Slice(fitting, func(i, j int) bool {
 		a, b := fitting[i], fitting[j]
-		if (a.Service == "") != (b.Service == "") {
-			return a.Service != ""
+		if (a.DedicatedTo == "") != (b.DedicatedTo == "") {
+			return a.DedicatedTo != ""
 		}
 		if a.Restarts != b.Restarts {
 			return a.Restarts < b.Restarts
@@ -252,7 +252,7 @@
 }
 
 func fits(vm VM, s Service) bool {
-	return vm.Service == s.Name || (vm.Service == "" && !s.Dedicated)
+	return vm.DedicatedTo == s.Name || (vm.DedicatedTo == "" && !s.Dedicated)
 }
 
 // load starts the most urgent load that waits, at the pace that the settings give.
@@ -262,7 +262,7 @@
 		return
 	}
 	if !p.view.LoadAllowed {
-		p.plan.Held[g.Service] = "loads are paced"
+		p.plan.BlockedReasons[g.Service] = "loads are paced"
 		return
 	}
 	p.step(Step{Kind: StepLoad, Group: g.ID, Service: g.Service, Reason: "members are free"})
--- a/policy/forming/decide_test.go
+++ b/policy/forming/decide_test.go
@@ -22,18 +22,18 @@
 	list := make([]forming.VM, 0, count)
 	for i := range count {
 		name := fmt.Sprintf("v%d", i+1)
-		list = append(list, forming.VM{Name: name, Accelerators: 8, Listed: true, Present: true, Boot: "b-" + name})
+		list = append(list, forming.VM{Name: name, Accelerators: 8, Listed: true, Responding: true, BootID: "b-" + name})
 	}
 	return list
 }
 
 // serving puts the VMs from..from+size-1 of the view into a group that serves.
 func serving(v *forming.View, id string, s forming.Service, from int) {
-	g := forming.Group{ID: id, Service: s.Name, Version: s.Version, State: forming.Serving, Epoch: 1, Known: true}
+	g := forming.Group{ID: id, Service: s.Name, Version: s.Version, State: forming.Serving, Epoch: 1, HomeReported: true}
 	for i := from; i < from+s.GroupSize; i++ {
 		vm := &v.VMs[i]
 		vm.Group, vm.Epoch, vm.Ready = id, 1, true
-		g.Members = append(g.Members, forming.Member{VM: vm.Name, Boot: vm.Boot})
+		g.Members = append(g.Members, forming.Member{VM: vm.Name, BootID: vm.BootID})
 	}
 	v.Groups = append(v.Groups, g)
 }
@@ -65,7 +65,7 @@
 			serving(&v, "g1", s, 0)
 			change(&v)
 			t.Observe(now, &v)
-			return v.Groups[0].BlindFor
+			return v.Groups[0].HomeCutOffFor
 		}
 		cut := func(v *forming.View) { v.Groups[0].HomeNotWhole = true }
 		t := forming.NewTracker()
@@ -79,7 +79,7 @@
 			{cut, 1},
 			{cut, 2},
 			{func(v *forming.View) { cut(v); v.VMs[1].Ready = false }, 0},
-			{func(v *forming.View) { cut(v); v.VMs[0].Present = false }, 0},
+			{func(v *forming.View) { cut(v); v.VMs[0].Responding = false }, 0},
 		} {
 			Expect(observe(t, time.Duration(second)*time.Second, c.change)).To(Equal(c.blind*time.Second), "at %d", second)
 		}
@@ -98,37 +98,37 @@
 		},
 		Entry("nothing", func(*forming.View) {}),
 		Entry("a pause is waited out", func(v *forming.View) {
-			v.VMs[1].Present, v.VMs[1].SilentFor = false, forming.Grace-1
+			v.VMs[1].Responding, v.VMs[1].SilentFor = false, forming.SilenceGrace-1
 		}),
 		Entry("a dead member is replaced", func(v *forming.View) {
-			v.VMs[1].Present, v.VMs[1].SilentFor = false, forming.Grace
+			v.VMs[1].Responding, v.VMs[1].SilentFor = false, forming.SilenceGrace
 		}, "dissolve g1", "form v1 v3"),
 		Entry("silent for the controller only", func(v *forming.View) {
-			v.VMs[1].Present, v.VMs[1].SilentFor = false, forming.Grace
+			v.VMs[1].Responding, v.VMs[1].SilentFor = false, forming.SilenceGrace
 			v.Groups[0].HomeWhole = true
 		}),
 		Entry("dead, and no VM free: its return is waited for", func(v *forming.View) {
-			v.VMs[1].Present, v.VMs[1].SilentFor = false, forming.Grace
+			v.VMs[1].Responding, v.VMs[1].SilentFor = false, forming.SilenceGrace
 			v.VMs[2].Leaving = true
 		}, "mark g1"),
 		Entry("dead, and the other member leaves: nothing is left to wait for", func(v *forming.View) {
-			v.VMs[1].Present, v.VMs[1].SilentFor = false, forming.Grace
+			v.VMs[1].Responding, v.VMs[1].SilentFor = false, forming.SilenceGrace
 			v.VMs[0].Leaving, v.VMs[2].Leaving = true, true
 		}, "dissolve g1"),
 		Entry("silent for the controller only, and listed as leaving", func(v *forming.View) {
-			v.VMs[1].Present, v.VMs[1].SilentFor, v.VMs[1].Leaving = false, forming.Grace, true
+			v.VMs[1].Responding, v.VMs[1].SilentFor, v.VMs[1].Leaving = false, forming.SilenceGrace, true
 			v.Groups[0].HomeWhole = true
 		}, "drain g1"),
 		Entry("restarted under the same address: ordered again at once", func(v *forming.View) {
-			v.VMs[1].Boot, v.VMs[1].Group, v.VMs[1].Ready = "b2", "", false
+			v.VMs[1].BootID, v.VMs[1].Group, v.VMs[1].Ready = "b2", "", false
 		}, "dissolve g1", "form v1 v2"),
 		Entry("obeyed an order of an older controller", func(v *forming.View) { v.VMs[1].Group = "g0" },
 			"dissolve g1", "form v1 v2"),
 		Entry("its home can't reach it for a while", func(v *forming.View) {
-			v.Groups[0].HomeNotWhole, v.Groups[0].BlindFor = true, forming.BlindHold-1
+			v.Groups[0].HomeNotWhole, v.Groups[0].HomeCutOffFor = true, forming.HomeCutOffGrace-1
 		}),
 		Entry("its home can't reach it for long, though nothing is wrong with it", func(v *forming.View) {
-			v.Groups[0].HomeNotWhole, v.Groups[0].BlindFor = true, forming.BlindHold
+			v.Groups[0].HomeNotWhole, v.Groups[0].HomeCutOffFor = true, forming.HomeCutOffGrace
 		}, "drain g1"),
 		Entry("a leaving member drains its group", func(v *forming.View) { v.VMs[1].Leaving = true }, "drain g1"),
 		Entry("the list lags: a member not listed for a moment", func(v *forming.View) {
@@ -138,7 +138,7 @@
 		Entry("new version, no room beside the only replica", func(v *forming.View) { v.Services[0].Version = "m:2" }),
 		Entry("new version with room", func(v *forming.View) {
 			v.Services[0].Version = "m:2"
-			v.VMs = append(v.VMs, forming.VM{Name: "v4", Listed: true, Present: true})
+			v.VMs = append(v.VMs, forming.VM{Name: "v4", Listed: true, Responding: true})
 		}, "form v3 v4"),
 	)
 
@@ -167,29 +167,29 @@
 		}),
 		Entry("drains, home silent", func(v *forming.View) {
 			v.Groups[0].State = forming.Draining
-			v.Groups[0].Known = false
+			v.Groups[0].HomeReported = false
 		}),
 		Entry("drains, head still busy for an earlier home", func(v *forming.View) {
 			v.Groups[0].State = forming.Draining
 			v.VMs[0].Running = 1
 		}),
 		Entry("drains, head gone, so that it can't say what it runs", func(v *forming.View) {
-			v.Groups[0].State, v.Groups[0].Known = forming.Draining, false
-			v.VMs[0].Present, v.VMs[0].Listed, v.VMs[0].SilentFor = false, false, forming.Grace
+			v.Groups[0].State, v.Groups[0].HomeReported = forming.Draining, false
+			v.VMs[0].Responding, v.VMs[0].Listed, v.VMs[0].SilentFor = false, false, forming.SilenceGrace
 		}, "release g1"),
 		Entry("drains, a member restarted: nothing is left to drain", func(v *forming.View) {
 			v.Groups[0].State, v.Groups[0].InProgress = forming.Draining, 1
-			v.VMs[1].Boot, v.VMs[1].Group, v.VMs[1].Ready = "b2", "", false
+			v.VMs[1].BootID, v.VMs[1].Group, v.VMs[1].Ready = "b2", "", false
 		}, "release g1"),
 		Entry("drains, a member silent: it may go on", func(v *forming.View) {
 			v.Groups[0].State, v.Groups[0].InProgress = forming.Draining, 1
-			v.VMs[1].Present, v.VMs[1].SilentFor = false, forming.Grace
+			v.VMs[1].Responding, v.VMs[1].SilentFor = false, forming.SilenceGrace
 		}),
 		Entry("drained", func(v *forming.View) { v.Groups[0].State = forming.Draining }, "release g1"),
 		Entry("drains, one member leaves and the other is silent: requests may yet finish", func(v *forming.View) {
 			v.Groups[0].State, v.Groups[0].InProgress = forming.Draining, 1
 			v.VMs[0].Leaving = true
-			v.VMs[1].Present, v.VMs[1].SilentFor = false, forming.CommonGrace
+			v.VMs[1].Responding, v.VMs[1].SilentFor = false, forming.CorrelatedSilenceGrace
 		}),
 		Entry("drain timeout", func(v *forming.View) {
 			v.Groups[0].State, v.Groups[0].InProgress, v.Groups[0].InState = forming.Draining, 1, time.Minute
--- a/policy/forming/measure_test.go
+++ b/policy/forming/measure_test.go
@@ -136,7 +136,7 @@
 		with := after(forming.Decide, 1, death)
 		without := after(forming.Decide, 0, death)
 		GinkgoWriter.Printf("downtime after a death: %.0f s with a free VM, %.0f s without\n", with, without)
-		Expect(with).To(BeNumerically("<=", (forming.Grace + simLoad + 10*time.Second).Seconds()))
+		Expect(with).To(BeNumerically("<=", (forming.SilenceGrace + simLoad + 10*time.Second).Seconds()))
 		Expect(without).To(BeNumerically(">", 2*time.Hour.Seconds()))
 	})
 
--- a/policy/forming/repair.go
+++ b/policy/forming/repair.go
@@ -12,9 +12,9 @@
 // group whole: with a free VM its own successor, or with the survivors of other broken groups. Until
 // then it stays listed, and is whole again the moment its member returns with its state.
 
-// ExcessHold is how long a group above the target stands before it is drained: the views of two
+// ExcessGroupGrace is how long a group above the target stands before it is drained: the views of two
 // controllers differ for some seconds after each change, and a drain can't be undone.
-const ExcessHold = 10 * time.Second
+const ExcessGroupGrace = 10 * time.Second
 
 // active counts the groups of a service here that are or will be a replica, after this plan.
 func (p *planner) active(service string) int {
@@ -123,7 +123,7 @@
 // makeRoom ends one group that is above the target of its service, for a service that misses one, unless
 // VMs are on their way already.
 func (p *planner) makeRoom(s Service) {
-	p.plan.Held[s.Name] = "too few free VMs in the fabric domain"
+	p.plan.BlockedReasons[s.Name] = "too few free VMs in the fabric domain"
 	if p.comingFree(s) >= s.GroupSize {
 		return
 	}
@@ -144,7 +144,7 @@
 	for _, s := range p.byNeed() {
 		for p.active(s.Name) > p.plan.Targets[s.Name] && p.extraUnwanted(s) {
 			g := p.leastUseful(s.Name)
-			if g == nil || g.InState < ExcessHold {
+			if g == nil || g.InState < ExcessGroupGrace {
 				break
 			}
 			p.end(g, "more than the wanted replicas")
@@ -153,7 +153,7 @@
 }
 
 func (p *planner) extraUnwanted(s Service) bool {
-	if p.rolling(s) || len(p.plan.Held) > 0 {
+	if p.rolling(s) || len(p.plan.BlockedReasons) > 0 {
 		return false
 	}
 	return !s.wantsExtra() || p.comingFree(s) < p.sparesAsked(s)
@@ -236,7 +236,7 @@
 // formExtra turns free VMs beyond the spares into a group more than is wanted. One at a time, and not while
 // anything else is in need of VMs.
 func (p *planner) formExtra() {
-	if len(p.plan.Held) > 0 {
+	if len(p.plan.BlockedReasons) > 0 {
 		return
 	}
 	for _, s := range p.byShare() {
--- a/policy/forming/roll.go
+++ b/policy/forming/roll.go
@@ -8,10 +8,10 @@
 // Where there is no room anywhere, one at a time is given up first; a service whose only replica that
 // would be waits and says so.
 
-// SurgeShare is the share of a service's replicas that may be formed beyond the wanted ones during a
+// MaxSurgeShare is the share of a service's replicas that may be formed beyond the wanted ones during a
 // roll: enough to finish 50 replicas in about ten rounds of loading, few enough that their loads do not
 // crowd out repairs.
-const SurgeShare = 0.1
+const MaxSurgeShare = 0.1
 
 // rolling says that some domain still has groups of s of another version.
 func (p *planner) rolling(s Service) bool { return p.turn(s) != "" }
@@ -84,7 +84,7 @@
 }
 
 func (p *planner) formBeside(s Service) {
-	surge := max(1, int(SurgeShare*float64(s.Replicas)))
+	surge := max(1, int(MaxSurgeShare*float64(s.Replicas)))
 	for coming := p.coming(s); coming < surge && p.form(s, "takes the place of an older version"); {
 		coming++
 	}
@@ -98,7 +98,7 @@
 		minimum--
 	}
 	if minimum < 1 {
-		p.plan.Held[s.Name] = "no room to load the new version beside the only replica"
+		p.plan.BlockedReasons[s.Name] = "no room to load the new version beside the only replica"
 		return
 	}
 	for ; serving > minimum; serving-- {
--- a/policy/forming/roll_test.go
+++ b/policy/forming/roll_test.go
@@ -59,7 +59,7 @@
 		}
 		d.tracker.Observe(p.now, &view)
 		plan := forming.Decide(view)
-		d.live, d.held = plan.Live, plan.Held
+		d.live, d.held = plan.Live, plan.BlockedReasons
 		for _, step := range plan.Steps {
 			p.apply(d, step)
 		}
@@ -86,10 +86,10 @@
 	if step.Kind == forming.StepForm {
 		p.formed++
 		g := forming.Group{
-			ID: fmt.Sprintf("%s-g%d", d.name, p.formed), Service: step.Service, Version: step.Version, State: forming.Forming, Known: true,
+			ID: fmt.Sprintf("%s-g%d", d.name, p.formed), Service: step.Service, Version: step.Version, State: forming.Forming, HomeReported: true,
 		}
 		for _, name := range step.Members {
-			g.Members = append(g.Members, forming.Member{VM: name, Boot: "b-" + name})
+			g.Members = append(g.Members, forming.Member{VM: name, BootID: "b-" + name})
 		}
 		d.groups = append(d.groups, g)
 		return
@@ -189,7 +189,7 @@
 		p.serve(0, s)
 		p.serve(1, s)
 		for i := range p.domains[0].vms {
-			p.domains[0].vms[i].Present = false
+			p.domains[0].vms[i].Responding = false
 		}
 		p.rounds(100)
 		p.services[0].Version = "m:2"
--- a/policy/forming/rules_test.go
+++ b/policy/forming/rules_test.go
@@ -23,40 +23,40 @@
 	Entry("but for the spares that the settings ask for", func(v *forming.View) { v.Services[0].Spares = 3 }),
 	Entry("exactly what is wanted, where nothing else weighs", func(v *forming.View) { v.Services[0].DowntimeWeight = 0 }),
 	Entry("a VM in a restart loop is taken last", func(v *forming.View) { v.VMs[4].Restarts = 3 }, "form v6 v7"),
-	Entry("a dedicated VM is taken for its own service only", func(v *forming.View) { v.VMs[4].Service = "desk" }, "form v6 v7"),
+	Entry("a dedicated VM is taken for its own service only", func(v *forming.View) { v.VMs[4].DedicatedTo = "desk" }, "form v6 v7"),
 	Entry("an extra group makes room for a service that misses one", func(v *forming.View) {
 		v.Services = append(v.Services, service("draft", 6, 1))
 		v.Services[0].Replicas = 1
 	}, "drain g1"),
 	Entry("too many groups, where nothing else weighs", func(v *forming.View) {
 		v.Services[0].DowntimeWeight, v.Services[0].Replicas = 0, 1
-		v.Groups[0].InState, v.Groups[0].InProgress = forming.ExcessHold, 1
-		v.Groups[1].InState = forming.ExcessHold
+		v.Groups[0].InState, v.Groups[0].InProgress = forming.ExcessGroupGrace, 1
+		v.Groups[1].InState = forming.ExcessGroupGrace
 	}, "drain g2"),
 	Entry("too many groups, but only for a moment: two controllers' views may differ", func(v *forming.View) {
 		v.Services[0].DowntimeWeight, v.Services[0].Replicas = 0, 1
-		v.Groups[0].InState, v.Groups[1].InState = forming.ExcessHold-1, forming.ExcessHold-1
+		v.Groups[0].InState, v.Groups[1].InState = forming.ExcessGroupGrace-1, forming.ExcessGroupGrace-1
 	}),
 	Entry("survivors of two broken groups make one whole", func(v *forming.View) {
 		v.VMs = v.VMs[:4]
 		for _, i := range []int{0, 2} {
-			v.VMs[i].Present, v.VMs[i].SilentFor = false, forming.CommonGrace
+			v.VMs[i].Responding, v.VMs[i].SilentFor = false, forming.CorrelatedSilenceGrace
 		}
 	}, "dissolve g1", "dissolve g2", "form v2 v4"),
 	Entry("a third of the domain silent at once is the network", func(v *forming.View) {
 		for i := range 3 {
-			v.VMs[i].Present, v.VMs[i].SilentFor = false, forming.CommonGrace-1
+			v.VMs[i].Responding, v.VMs[i].SilentFor = false, forming.CorrelatedSilenceGrace-1
 		}
 	}, "form v5 v6"),
 	Entry("a dark domain keeps its groups, and tells the others", func(v *forming.View) {
 		for i := range v.VMs {
-			v.VMs[i].Present, v.VMs[i].SilentFor = false, forming.CommonGrace
+			v.VMs[i].Responding, v.VMs[i].SilentFor = false, forming.CorrelatedSilenceGrace
 		}
 	}, "mark g1", "mark g2"),
 	Entry("a group that is not whole stays so while a member is silent", func(v *forming.View) {
 		v.VMs = v.VMs[:4]
 		v.Groups[1].NotWhole = true
-		v.VMs[2].Present = false
+		v.VMs[2].Responding = false
 	}),
 	Entry("a group that came back whole is told, too", func(v *forming.View) {
 		v.VMs = v.VMs[:4]
@@ -79,7 +79,7 @@
 		v.LoadAllowed = false
 		plan := forming.Decide(v)
 		Expect(shape(plan.Steps)).NotTo(ContainElement(HavePrefix("load")))
-		Expect(plan.Held).To(HaveKey("desk"))
+		Expect(plan.BlockedReasons).To(HaveKey("desk"))
 	})
 
 	It("keep the pace of the weight store, shared with the other domains that wait", func() {
@@ -107,7 +107,7 @@
 	v.VMs[3].StepTime = 25 * time.Millisecond
 	change(&v)
 	tracker := forming.NewTracker()
-	for now := time.Duration(0); now <= forming.SlowHold; now += time.Second {
+	for now := time.Duration(0); now <= forming.SlowGroupMinDuration; now += time.Second {
 		tracker.Observe(now, &v)
 	}
 	Expect(shape(forming.Decide(v).Steps)).To(Equal(append([]string{}, want...)))
@@ -127,21 +127,21 @@
 		t := forming.NewTracker()
 		v := forming.View{VMs: vms(1)}
 		t.Observe(0, &v)
-		v.VMs[0].Present = false
+		v.VMs[0].Responding = false
 		t.Observe(time.Minute, &v)
-		Expect(v.VMs[0].SilentFor).To(Equal(forming.MaxGap))
+		Expect(v.VMs[0].SilentFor).To(Equal(forming.MaxObservedGap))
 		t.Observe(time.Minute+time.Second, &v)
-		Expect(v.VMs[0].SilentFor).To(Equal(forming.MaxGap + time.Second))
+		Expect(v.VMs[0].SilentFor).To(Equal(forming.MaxObservedGap + time.Second))
 	})
 
 	It("remembers restarts for a while", func() {
 		t := forming.NewTracker()
 		v := forming.View{VMs: vms(1)}
 		t.Observe(0, &v)
-		v.VMs[0].Boot = "again"
+		v.VMs[0].BootID = "again"
 		t.Observe(time.Second, &v)
 		Expect(v.VMs[0].Restarts).To(Equal(1))
-		t.Observe(2*time.Second+forming.RestartMemory, &v)
+		t.Observe(2*time.Second+forming.RestartWindow, &v)
 		Expect(v.VMs[0].Restarts).To(BeZero())
 	})
 })
@@ -151,8 +151,8 @@
 	v := forming.View{Domain: "d1", Services: []forming.Service{s}, VMs: vms(5)}
 	serving(&v, "g1", s, 0)
 	serving(&v, "g2", s, 2)
-	v.VMs[0].Present = false
+	v.VMs[0].Responding = false
 	plan := forming.Decide(v)
 	Expect(plan.DownGroups).To(Equal(map[string]int{"chat": 1}))
-	Expect(plan.Stranded).To(Equal(16))
+	Expect(plan.StrandedAccelerators).To(Equal(16))
 })
--- a/policy/forming/sim_test.go
+++ b/policy/forming/sim_test.go
@@ -74,7 +74,7 @@
 
 func (v *simVM) restart() {
 	v.boots++
-	v.Boot = fmt.Sprintf("%s-boot%d", v.Name, v.boots)
+	v.BootID = fmt.Sprintf("%s-boot%d", v.Name, v.boots)
 	v.Group, v.Epoch, v.Ready, v.loaded, v.Leaving = "", 0, false, 0, false
 }
 
@@ -150,7 +150,7 @@
 
 // wake has a domain looked at until the longest patience is over. Beyond it nothing there can change by
 // itself, so that quiet hours cost nothing.
-func (s *sim) wake(d *simDomain) { d.active = s.now + forming.CommonGrace + 15*time.Second }
+func (s *sim) wake(d *simDomain) { d.active = s.now + forming.CorrelatedSilenceGrace + 15*time.Second }
 
 func (s *sim) wakeAll() {
 	for _, d := range s.domains {
@@ -178,13 +178,13 @@
 	view := forming.View{Domain: d.name, Services: s.services, Groups: d.groups, LoadAllowed: d.pacer.Allowed(s.now)}
 	for _, v := range d.vms {
 		vm := v.VM
-		vm.Present = !v.down && !v.paused
+		vm.Responding = !v.down && !v.paused
 		view.VMs = append(view.VMs, vm)
 	}
 	for i := range view.Groups {
 		g := &view.Groups[i]
 		since, draining := d.drained[g.ID]
-		g.Known, g.InProgress = true, 0
+		g.HomeReported, g.InProgress = true, 0
 		if draining && s.now-since < simDrain {
 			g.InProgress = 1
 		}
@@ -248,7 +248,7 @@
 	s.loads++
 	for i := range g.Members {
 		v := d.vm(g.Members[i].VM)
-		g.Members[i].Boot = v.Boot
+		g.Members[i].BootID = v.BootID
 		v.Group, v.Epoch, v.Ready, v.loaded = g.ID, 1, false, 0
 	}
 	for _, service := range s.services {
@@ -297,7 +297,7 @@
 	}
 	return !slices.ContainsFunc(g.Members, func(m forming.Member) bool {
 		v := d.vm(m.VM)
-		return v.down || v.paused || v.Boot != m.Boot || v.Group != g.ID || !v.Ready
+		return v.down || v.paused || v.BootID != m.BootID || v.Group != g.ID || !v.Ready
 	})
 }
 
@@ -363,7 +363,7 @@
 	ready := true
 	for _, m := range g.Members {
 		vm := vms[m.VM]
-		if !vm.Present || (g.State != forming.Forming && vm.Boot != m.Boot) {
+		if !vm.Responding || (g.State != forming.Forming && vm.BootID != m.BootID) {
 			return forming.Step{Kind: forming.StepDissolve, Group: g.ID}
 		}
 		if vm.Leaving && g.State == forming.Serving {
@@ -389,7 +389,7 @@
 		if total >= s.Replicas {
 			break
 		}
-		if !vm.Present || taken[vm.Name] {
+		if !vm.Responding || taken[vm.Name] {
 			continue
 		}
 		members = append(members, vm.Name)
--- a/policy/forming/straggler.go
+++ b/policy/forming/straggler.go
@@ -12,15 +12,15 @@
 
 // Bounds for stragglers.
 const (
-	// SlowFactor times the median time between tokens of its service is where a group counts as slow.
+	// SlowGroupFactor times the median time between tokens of its service is where a group counts as slow.
 	// Groups of a service differ by load by some tens of percent; a factor of two is far outside.
-	SlowFactor = 2
-	// SlowHold is how long it must stay slow: long prompts and cold caches make a group slow for seconds.
-	SlowHold = 60 * time.Second
-	// SlowQuorum is the least number of groups whose median says anything.
-	SlowQuorum = 3
-	// MemberFactor times the median step time within the group is where a member stands out.
-	MemberFactor = 1.5
+	SlowGroupFactor = 2
+	// SlowGroupMinDuration is how long it must stay slow: long prompts and cold caches make a group slow for seconds.
+	SlowGroupMinDuration = 60 * time.Second
+	// SlowGroupMinSamples is the least number of groups whose median says anything.
+	SlowGroupMinSamples = 3
+	// SlowMemberFactor times the median step time within the group is where a member stands out.
+	SlowMemberFactor = 1.5
 )
 
 // slowGroups returns the ids of the view's serving groups that are slow for their service.
@@ -40,10 +40,10 @@
 	slow := make(map[string]bool)
 	for _, g := range v.Groups {
 		known := gaps[g.Service]
-		if g.State != Serving || len(known) < SlowQuorum {
+		if g.State != Serving || len(known) < SlowGroupMinSamples {
 			continue
 		}
-		if g.TokenGap > SlowFactor*median(known) {
+		if g.TokenGap > SlowGroupFactor*median(known) {
 			slow[g.ID] = true
 		}
 	}
@@ -63,7 +63,7 @@
 	}
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if g.SlowFor < SlowHold || p.touched[g.ID] || !p.serves(g) {
+		if g.SlowFor < SlowGroupMinDuration || p.touched[g.ID] || !p.serves(g) {
 			continue
 		}
 		if p.drainSlow(g) {
@@ -93,12 +93,12 @@
 		return false
 	}
 	if p.free(s) == 0 && p.active(s.Name) <= p.plan.Targets[s.Name] {
-		p.plan.Held[s.Name] = "a group is slow, and no VM is free to take its slowest member's place"
+		p.plan.BlockedReasons[s.Name] = "a group is slow, and no VM is free to take its slowest member's place"
 		return false
 	}
 	member := p.slowest(g)
 	if member == "" {
-		p.plan.Held[s.Name] = "a group is slow, and no member of it stands out"
+		p.plan.BlockedReasons[s.Name] = "a group is slow, and no member of it stands out"
 		return false
 	}
 	p.drain(g, member, member+" is slow")
@@ -120,7 +120,7 @@
 			name, longest = m.VM, step
 		}
 	}
-	if len(times) > 1 && float64(longest) < MemberFactor*float64(median(times)) {
+	if len(times) > 1 && float64(longest) < SlowMemberFactor*float64(median(times)) {
 		return ""
 	}
 	return name
--- a/policy/forming/tracker.go
+++ b/policy/forming/tracker.go
@@ -7,13 +7,13 @@
 // over time. A Tracker remembers since when. After a takeover it starts anew, so that a new controller
 // waits the full grace before it judges: it errs on the side of not reloading a replica.
 
-// RestartMemory is how long a restart counts against a VM when members are chosen: a VM in a restart loop
+// RestartWindow is how long a restart counts against a VM when members are chosen: a VM in a restart loop
 // comes back within minutes, and an hour without one shows that it is over.
-const RestartMemory = time.Hour
+const RestartWindow = time.Hour
 
-// MaxGap is the longest time between two views that counts as seen. A controller that was paused for a
+// MaxObservedGap is the longest time between two views that counts as seen. A controller that was paused for a
 // minute has not seen a minute of silence: the first probes after it may well fail because of the pause.
-const MaxGap = 3 * time.Second
+const MaxObservedGap = 3 * time.Second
 
 // Tracker fills in how long what a View shows has been so. It is not safe for concurrent use.
 type Tracker struct {
@@ -48,7 +48,7 @@
 func (t *Tracker) Observe(now time.Duration, v *View) {
 	gap := time.Duration(0)
 	if t.begun {
-		gap = min(now-t.last, MaxGap)
+		gap = min(now-t.last, MaxObservedGap)
 	}
 	t.last, t.begun = now, true
 	for i := range v.VMs {
@@ -70,10 +70,10 @@
 		t.vms[v.Name] = track
 	}
 	track.seen = true
-	track.silent = grown(track.silent, gap, !v.Present)
+	track.silent = grown(track.silent, gap, !v.Responding)
 	track.unlisted = grown(track.unlisted, gap, !v.Listed)
-	if v.Present {
-		track.noteBoot(now, v.Boot)
+	if v.Responding {
+		track.noteBoot(now, v.BootID)
 	}
 	track.dropOld(now)
 	v.SilentFor = track.silent
@@ -97,7 +97,7 @@
 }
 
 func (t *vmTrack) dropOld(now time.Duration) {
-	for len(t.restarts) > 0 && now-t.restarts[0] > RestartMemory {
+	for len(t.restarts) > 0 && now-t.restarts[0] > RestartWindow {
 		t.restarts = t.restarts[1:]
 	}
 }
@@ -116,7 +116,7 @@
 	track.blind = grown(track.blind, gap, blind)
 	g.InState = track.inState
 	g.SlowFor = track.slow
-	g.BlindFor = track.blind
+	g.HomeCutOffFor = track.blind
 }
 
 func (t *Tracker) forget() {
--- a/policy/forming/view.go
+++ b/policy/forming/view.go
@@ -53,20 +53,20 @@
 type VM struct {
 	Name         string
 	Accelerators int
-	// Service is what the VM is dedicated to, or empty.
-	Service string
+	// DedicatedTo is what the VM is dedicated to, or empty.
+	DedicatedTo string
 	// Listed says that the platform lists the VM. A member that is not listed is given too.
 	Listed bool
 	// Leaving: announced by the list or by the VM itself.
 	Leaving bool
 	// Aside: set aside as a straggler.
 	Aside bool
-	// Present says that a recent probe was answered; the next fields are from that answer.
-	Present bool
-	Boot    string
-	Group   string
-	Epoch   uint64
-	Ready   bool
+	// Responding says that a recent probe was answered; the next fields are from that answer.
+	Responding bool
+	BootID     string
+	Group      string
+	Epoch      uint64
+	Ready      bool
 	// Running is how many requests its engine reports at work.
 	Running int
 	// StepTime is the VM's own share of a decoding step; 0: not known.
@@ -79,12 +79,12 @@
 }
 
 // usable says that a group may be formed with the VM.
-func (v VM) usable() bool { return v.Listed && v.Present && !v.Leaving && !v.Aside }
+func (v VM) usable() bool { return v.Listed && v.Responding && !v.Leaving && !v.Aside }
 
 // Member is one VM of a group, with the boot that was ordered into it (empty while forming).
 type Member struct {
-	VM   string
-	Boot string
+	VM     string
+	BootID string
 }
 
 // Group is one group as the placement holds it, and what is known of it.
@@ -106,16 +106,16 @@
 	// HomeNotWhole says that the group's home reported it not whole a moment ago: it gives it no work.
 	HomeNotWhole bool
 	// InProgress counts the requests that the home has at work; Known says that it reported.
-	InProgress int
-	Known      bool
+	InProgress   int
+	HomeReported bool
 	// TokenGap is the time between tokens that the home measures; 0: not known.
 	TokenGap time.Duration
 
 	// What follows is filled in by a Tracker. BlindFor is for how long the home has called a group not whole
 	// whose members are all as they should be.
-	InState  time.Duration
-	SlowFor  time.Duration
-	BlindFor time.Duration
+	InState       time.Duration
+	SlowFor       time.Duration
+	HomeCutOffFor time.Duration
 }
 
 // counts says that the group is, or is on the way to be, a replica.
@@ -192,12 +192,12 @@
 	Targets map[string]int
 	// DownGroups counts the wanted groups of this domain that do not serve, and Stranded the accelerators
 	// that are live but in no serving group.
-	DownGroups map[string]int
-	Stranded   int
+	DownGroups           map[string]int
+	StrandedAccelerators int
 	// Live counts, by dedication, the VMs that the domain reports to the others.
 	Live map[string]int
-	// Held says, by service, why something wanted is not done.
-	Held map[string]string
+	// BlockedReasons says, by service, why something wanted is not done.
+	BlockedReasons map[string]string
 	// Unplaced counts, by service, the wanted groups that no fabric domain of the place has room for. Only the
 	// first domain by name reports them.
 	Unplaced map[string]int
