--- a/policy/forming/account.go
+++ b/policy/forming/account.go
@@ -1,13 +1,13 @@
 package forming
 
-// account works out the two measures for the domain: wanted groups that do not serve, and accelerators
+// computeCosts works out the two measures for the domain: wanted groups that do not serve, and accelerators
 // that are live but in no serving group.
-func (p *planner) account() {
+func (p *planner) computeCosts() {
 	serving := make(map[string]int)
 	busy := make(map[string]bool)
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if !p.serves(g) {
+		if !p.isServing(g) {
 			continue
 		}
 		serving[g.Service]++
--- a/policy/forming/condition.go
+++ b/policy/forming/condition.go
@@ -44,14 +44,14 @@
 
 const (
 	faultNone fault = iota
-	// faultPause: silent, but not for long enough to act.
-	faultPause
+	// faultPaused: silent, but not for long enough to act.
+	faultPaused
 	// faultSilent: silent beyond the grace; it may come back with its state.
 	faultSilent
 	// faultGone: silent and no longer listed.
 	faultGone
-	// faultLost: it answers, and has not the state that it was ordered to have.
-	faultLost
+	// faultStateLost: it answers, and has not the state that it was ordered to have.
+	faultStateLost
 	// faultLeaving: announced to leave.
 	faultLeaving
 )
@@ -72,42 +72,42 @@
 
 // broken says that the group can't serve and should be repaired.
 func (c condition) broken() bool {
-	return c.worst == faultSilent || c.lost()
+	return c.worst == faultSilent || c.memberLost()
 }
 
-// lost says that a member will not come back with the state that the group needs.
-func (c condition) lost() bool { return c.worst == faultGone || c.worst == faultLost }
+// memberLost says that a member will not come back with the state that the group needs.
+func (c condition) memberLost() bool { return c.worst == faultGone || c.worst == faultStateLost }
 
-// hopeless says that the group will not be whole again as it is: what is silent may come back, but by then
+// unrecoverable says that the group will not be whole again as it is: what is silent may come back, but by then
 // another member has left.
-func (c condition) hopeless() bool { return c.lost() || c.worst == faultSilent && c.leaving }
+func (c condition) unrecoverable() bool { return c.memberLost() || c.worst == faultSilent && c.leaving }
 
 func (p *planner) condition(g *Group) condition {
 	worst := condition{}
 	leaving := condition{}
 	for _, m := range g.Members {
-		if v := p.vms[m.VM]; v.leaves() {
+		if v := p.vms[m.VM]; v.departing() {
 			leaving = condition{worst: faultLeaving, vm: m.VM}
 		}
 		f := p.memberFault(g, m)
-		if rank(f) > rank(worst.worst) {
+		if severity(f) > severity(worst.worst) {
 			worst = condition{worst: f, vm: m.VM}
 		}
 	}
-	if g.HomeWhole && (worst.worst == faultPause || worst.worst == faultSilent) {
+	if g.HomeWhole && (worst.worst == faultPaused || worst.worst == faultSilent) {
 		return leaving
 	}
 	worst.leaving = leaving.vm != ""
 	return worst
 }
 
-// leaves says that the VM will be taken away, whether or not it answers.
-func (v VM) leaves() bool { return v.Leaving || v.UnlistedFor >= UnlistedGrace }
+// departing says that the VM will be taken away, whether or not it answers.
+func (v VM) departing() bool { return v.Leaving || v.UnlistedFor >= UnlistedGrace }
 
-// rank orders faults by how much they decide: a member that is lost for good outweighs one that leaves,
+// severity orders faults by how much they decide: a member that is lost for good outweighs one that leaves,
 // since there is nothing left to drain.
-func rank(f fault) int {
-	return [...]int{faultNone: 0, faultPause: 1, faultLeaving: 2, faultSilent: 3, faultGone: 4, faultLost: 5}[f]
+func severity(f fault) int {
+	return [...]int{faultNone: 0, faultPaused: 1, faultLeaving: 2, faultSilent: 3, faultGone: 4, faultStateLost: 5}[f]
 }
 
 func (p *planner) memberFault(g *Group, m Member) fault {
@@ -117,26 +117,26 @@
 		return faultGone
 	case !v.Responding && !v.Listed && v.SilentFor >= SilenceGrace:
 		return faultGone
-	case !v.Responding && v.SilentFor >= p.grace:
+	case !v.Responding && v.SilentFor >= p.silenceGrace:
 		return faultSilent
 	case !v.Responding:
-		return faultPause
+		return faultPaused
 	case g.State != Forming && v.BootID != m.BootID:
-		return faultLost
+		return faultStateLost
 	case g.State == Serving && (v.Group != g.ID || v.Epoch != g.Epoch || !v.Ready):
-		return faultLost
-	case v.leaves():
+		return faultStateLost
+	case v.departing():
 		return faultLeaving
 	}
 	return faultNone
 }
 
 // whole says that every member has joined the group and is ready.
-func (p *planner) whole(g *Group) bool { return wholeIn(p.view.VMs, g) }
+func (p *planner) whole(g *Group) bool { return isWhole(p.view.VMs, g) }
 
-func wholeIn(vms []VM, g *Group) bool {
+func isWhole(vms []VM, g *Group) bool {
 	for _, m := range g.Members {
-		v := find(vms, m.VM)
+		v := findVM(vms, m.VM)
 		if !v.Responding || v.BootID != m.BootID || v.Group != g.ID || v.Epoch != g.Epoch || !v.Ready {
 			return false
 		}
@@ -144,7 +144,7 @@
 	return true
 }
 
-func find(vms []VM, name string) VM {
+func findVM(vms []VM, name string) VM {
 	for _, v := range vms {
 		if v.Name == name {
 			return v
@@ -153,13 +153,13 @@
 	return VM{}
 }
 
-// serves says that the group does a replica's work, as far as is known. What its home calls not whole gets
+// isServing says that the group does a replica's work, as far as is known. What its home calls not whole gets
 // no work, whatever the members say to others.
-func (p *planner) serves(g *Group) bool {
+func (p *planner) isServing(g *Group) bool {
 	return g.State == Serving && !g.HomeNotWhole && (g.HomeWhole || p.whole(g))
 }
 
-func graceFor(v *View) time.Duration {
+func silenceGraceFor(v *View) time.Duration {
 	listed, silent := 0, 0
 	for _, vm := range v.VMs {
 		if !vm.Listed {
--- a/policy/forming/decide.go
+++ b/policy/forming/decide.go
@@ -7,13 +7,13 @@
 
 // planner works out one plan.
 type planner struct {
-	view     *View
-	services map[string]Service
-	vms      map[string]VM
-	grace    time.Duration
-	plan     Plan
-	// touched holds the groups that a step of this plan already changes.
-	touched map[string]bool
+	view         *View
+	services     map[string]Service
+	vms          map[string]VM
+	silenceGrace time.Duration
+	plan         Plan
+	// changed holds the groups that a step of this plan already changes.
+	changed map[string]bool
 	// broken holds the groups that are to be repaired.
 	broken map[string]condition
 	// targets holds the split, by domain and service.
@@ -27,27 +27,27 @@
 // Decide returns the plan for a view whose durations a Tracker has filled in.
 func Decide(view View) Plan {
 	p := newPlanner(&view)
-	p.advance()
-	p.repair()
-	p.trim()
-	p.roll()
-	p.setAsideStraggler()
+	p.advanceGroups()
+	p.formMissing()
+	p.endExcess()
+	p.replaceOutdated()
+	p.drainStraggler()
 	p.formExtra()
-	p.mark()
-	p.load()
-	p.account()
+	p.updateNotWhole()
+	p.startNextLoad()
+	p.computeCosts()
 	return p.plan
 }
 
 func newPlanner(v *View) *planner {
 	p := &planner{
-		view:     v,
-		services: make(map[string]Service, len(v.Services)),
-		vms:      make(map[string]VM, len(v.VMs)),
-		grace:    graceFor(v),
-		touched:  make(map[string]bool),
-		broken:   make(map[string]condition),
-		formed:   make(map[string]int),
+		view:         v,
+		services:     make(map[string]Service, len(v.Services)),
+		vms:          make(map[string]VM, len(v.VMs)),
+		silenceGrace: silenceGraceFor(v),
+		changed:      make(map[string]bool),
+		broken:       make(map[string]condition),
+		formed:       make(map[string]int),
 	}
 	for _, s := range v.Services {
 		p.services[s.Name] = s
@@ -65,12 +65,12 @@
 		}
 	}
 	p.plan.BlockedReasons = make(map[string]string)
-	p.plan.Live = p.live()
-	targets, unplaced := Split(v.Services, p.domains())
+	p.plan.Live = p.usableVMs()
+	targets, unplaced := Split(v.Services, p.allDomains())
 	p.targets = targets
 	p.plan.Targets = targets[v.Domain]
 	p.plan.DownGroups = make(map[string]int)
-	if p.firstDomain() {
+	if p.isFirstDomain() {
 		p.plan.Unplaced = unplaced
 		for name, count := range unplaced {
 			p.plan.DownGroups[name] += count
@@ -79,26 +79,26 @@
 	return p
 }
 
-// domains returns all fabric domains of the place, as their controllers should see them.
-func (p *planner) domains() []Domain {
+// allDomains returns all fabric allDomains of the place, as their controllers should see them.
+func (p *planner) allDomains() []Domain {
 	own := Domain{Name: p.view.Domain, Live: p.plan.Live, Groups: p.view.Groups}
 	return append([]Domain{own}, p.view.Others...)
 }
 
-// live counts the VMs that a replica can be planned on. One that is silent for a moment counts, or each
+// usableVMs counts the VMs that a replica can be planned on. One that is silent for a moment counts, or each
 // pause would move a replica to another domain.
-func (p *planner) live() map[string]int {
+func (p *planner) usableVMs() map[string]int {
 	live := make(map[string]int)
 	for _, vm := range p.view.VMs {
-		if vm.Listed && !vm.Leaving && !vm.Aside && vm.SilentFor < p.grace {
+		if vm.Listed && !vm.Leaving && !vm.Aside && vm.SilentFor < p.silenceGrace {
 			live[vm.DedicatedTo]++
 		}
 	}
 	return live
 }
 
-// firstDomain says that this domain is the one that accounts for what no domain can hold.
-func (p *planner) firstDomain() bool {
+// isFirstDomain says that this domain is the one that accounts for what no domain can hold.
+func (p *planner) isFirstDomain() bool {
 	for _, d := range p.view.Others {
 		if d.Name < p.view.Domain {
 			return false
@@ -107,15 +107,15 @@
 	return true
 }
 
-func (p *planner) step(s Step) {
+func (p *planner) addStep(s Step) {
 	p.plan.Steps = append(p.plan.Steps, s)
 	if s.Group != "" {
-		p.touched[s.Group] = true
+		p.changed[s.Group] = true
 	}
 }
 
-// advance takes each group as far as its own members allow.
-func (p *planner) advance() {
+// advanceGroups takes each group as far as its own members allow.
+func (p *planner) advanceGroups() {
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
 		c := p.condition(g)
@@ -135,10 +135,10 @@
 			p.drain(g, "", c.reason())
 		case !wanted:
 			p.drain(g, "", "service no longer wanted")
-		case g.HomeCutOffFor >= HomeCutOffGrace && !p.drainsAny():
+		case g.HomeCutOffFor >= HomeCutOffGrace && !p.anyDraining():
 			p.drain(g, "", "its home can't reach its members")
 		case g.State == Loading && p.whole(g):
-			p.step(Step{Kind: StepServe, Group: g.ID, Service: g.Service, Reason: "every member is ready"})
+			p.addStep(Step{Kind: StepServe, Group: g.ID, Service: g.Service, Reason: "every member is ready"})
 		case g.State == Loading && g.InState >= LoadTimeout:
 			p.dissolve(g, "not loaded in time")
 		}
@@ -150,7 +150,7 @@
 // before it still has at work. A group with a member lost for good has nothing left to drain: its
 // requests broke off, and if it is the head that is gone, nobody will ever say so.
 func (p *planner) advanceDraining(g *Group) {
-	drained := p.condition(g).lost() || g.HomeReported && g.InProgress == 0 && p.running(g) == 0
+	drained := p.condition(g).memberLost() || g.HomeReported && g.InProgress == 0 && p.runningOnHead(g) == 0
 	if !drained && g.InState < p.drainTimeout(g) {
 		return
 	}
@@ -158,11 +158,11 @@
 		p.dissolve(g, "drained")
 		return
 	}
-	p.step(Step{Kind: StepRelease, Group: g.ID, Service: g.Service, Reason: "drained"})
+	p.addStep(Step{Kind: StepRelease, Group: g.ID, Service: g.Service, Reason: "drained"})
 }
 
-// running is how many requests the group's head says it runs.
-func (p *planner) running(g *Group) int {
+// runningOnHead is how many requests the group's head says it runs.
+func (p *planner) runningOnHead(g *Group) int {
 	head := p.vms[g.Members[0].VM]
 	if !head.Responding || head.Group != g.ID {
 		return 0
@@ -189,12 +189,12 @@
 }
 
 func (p *planner) drain(g *Group, aside, reason string) {
-	p.step(Step{Kind: StepDrain, Group: g.ID, Service: g.Service, VM: aside, Reason: reason})
+	p.addStep(Step{Kind: StepDrain, Group: g.ID, Service: g.Service, VM: aside, Reason: reason})
 }
 
 // dissolve frees the group's members for the rest of this plan.
 func (p *planner) dissolve(g *Group, reason string) {
-	p.step(Step{Kind: StepDissolve, Group: g.ID, Service: g.Service, Reason: reason})
+	p.addStep(Step{Kind: StepDissolve, Group: g.ID, Service: g.Service, Reason: reason})
 	for _, m := range g.Members {
 		if vm, ok := p.vms[m.VM]; ok && vm.usable() {
 			p.pool = append(p.pool, vm)
@@ -204,7 +204,7 @@
 
 // form takes VMs for one group of s from the pool, if it holds enough.
 func (p *planner) form(s Service, reason string) bool {
-	chosen := p.choose(s)
+	chosen := p.chooseMembers(s)
 	if chosen == nil {
 		return false
 	}
@@ -222,16 +222,16 @@
 	}
 	p.pool = kept
 	p.formed[s.Name]++
-	p.step(Step{Kind: StepForm, Service: s.Name, Version: s.Version, Members: members, Reason: reason})
+	p.addStep(Step{Kind: StepForm, Service: s.Name, Version: s.Version, Members: members, Reason: reason})
 	return true
 }
 
-// choose picks the VMs for a group: dedicated ones first, then those that restarted least, since a VM in
+// chooseMembers picks the VMs for a group: dedicated ones first, then those that restarted least, since a VM in
 // a restart loop would take its new group down again within minutes.
-func (p *planner) choose(s Service) []VM {
+func (p *planner) chooseMembers(s Service) []VM {
 	fitting := make([]VM, 0, len(p.pool))
 	for _, vm := range p.pool {
-		if fits(vm, s) {
+		if eligible(vm, s) {
 			fitting = append(fitting, vm)
 		}
 	}
@@ -251,12 +251,12 @@
 	return fitting[:s.GroupSize]
 }
 
-func fits(vm VM, s Service) bool {
+func eligible(vm VM, s Service) bool {
 	return vm.DedicatedTo == s.Name || (vm.DedicatedTo == "" && !s.Dedicated)
 }
 
-// load starts the most urgent load that waits, at the pace that the settings give.
-func (p *planner) load() {
+// startNextLoad starts the most urgent startNextLoad that waits, at the pace that the settings give.
+func (p *planner) startNextLoad() {
 	g := p.nextLoad()
 	if g == nil {
 		return
@@ -265,5 +265,5 @@
 		p.plan.BlockedReasons[g.Service] = "loads are paced"
 		return
 	}
-	p.step(Step{Kind: StepLoad, Group: g.ID, Service: g.Service, Reason: "members are free"})
+	p.addStep(Step{Kind: StepLoad, Group: g.ID, Service: g.Service, Reason: "members are free"})
 }
--- a/policy/forming/decide_test.go
+++ b/policy/forming/decide_test.go
@@ -27,8 +27,8 @@
 	return list
 }
 
-// serving puts the VMs from..from+size-1 of the view into a group that serves.
-func serving(v *forming.View, id string, s forming.Service, from int) {
+// addServingGroup puts the VMs from..from+size-1 of the view into a group that serves.
+func addServingGroup(v *forming.View, id string, s forming.Service, from int) {
 	g := forming.Group{ID: id, Service: s.Name, Version: s.Version, State: forming.Serving, Epoch: 1, HomeReported: true}
 	for i := from; i < from+s.GroupSize; i++ {
 		vm := &v.VMs[i]
@@ -38,8 +38,8 @@
 	v.Groups = append(v.Groups, g)
 }
 
-// shape writes steps as "kind group members" to compare them.
-func shape(steps []forming.Step) []string {
+// formatSteps writes steps as "kind group members" to compare them.
+func formatSteps(steps []forming.Step) []string {
 	lines := make([]string, 0, len(steps))
 	for _, s := range steps {
 		line := string(s.Kind)
@@ -62,7 +62,7 @@
 		s := service("chat", 2, 1)
 		observe := func(t *forming.Tracker, now time.Duration, change func(v *forming.View)) time.Duration {
 			v := forming.View{Services: []forming.Service{s}, VMs: vms(2)}
-			serving(&v, "g1", s, 0)
+			addServingGroup(&v, "g1", s, 0)
 			change(&v)
 			t.Observe(now, &v)
 			return v.Groups[0].HomeCutOffFor
@@ -92,9 +92,9 @@
 		func(change func(v *forming.View), want ...string) {
 			s := service("chat", 2, 1)
 			v := forming.View{Domain: "d1", Services: []forming.Service{s}, VMs: vms(3), LoadAllowed: true}
-			serving(&v, "g1", s, 0)
+			addServingGroup(&v, "g1", s, 0)
 			change(&v)
-			Expect(shape(forming.Decide(v).Steps)).To(Equal(append([]string{}, want...)))
+			Expect(formatSteps(forming.Decide(v).Steps)).To(Equal(append([]string{}, want...)))
 		},
 		Entry("nothing", func(*forming.View) {}),
 		Entry("a pause is waited out", func(v *forming.View) {
@@ -146,9 +146,9 @@
 		func(change func(v *forming.View), want ...string) {
 			s := service("chat", 2, 1)
 			v := forming.View{Domain: "d1", Services: []forming.Service{s}, VMs: vms(2), LoadAllowed: true}
-			serving(&v, "g1", s, 0)
+			addServingGroup(&v, "g1", s, 0)
 			change(&v)
-			Expect(shape(forming.Decide(v).Steps)).To(Equal(append([]string{}, want...)))
+			Expect(formatSteps(forming.Decide(v).Steps)).To(Equal(append([]string{}, want...)))
 		},
 		Entry("none yet", func(v *forming.View) { v.Groups = nil }, "form v1 v2"),
 		Entry("formed", func(v *forming.View) { v.Groups[0].State = forming.Forming }, "load g1"),
--- a/policy/forming/measure_test.go
+++ b/policy/forming/measure_test.go
@@ -40,14 +40,14 @@
 	{"decision, 4 spares", forming.Decide, 4},
 }
 
-// measured is what a run came to, after the first loads: group-hours, accelerator-hours and loads a day.
-type measured struct {
+// costs is what a run came to, after the first loads: group-hours, accelerator-hours and loads a day.
+type costs struct {
 	down, stranded, loads float64
 }
 
-func (d deployment) cost(m measured) float64 { return d.downtime*m.down + d.stranded*m.stranded }
+func (d deployment) cost(m costs) float64 { return d.downtime*m.down + d.stranded*m.stranded }
 
-func (d deployment) play(v variant, hours int, more func(s *sim, from time.Duration)) measured {
+func (d deployment) simulate(v variant, hours int, more func(s *sim, from time.Duration)) costs {
 	service := forming.Service{
 		Name: "language", Version: "m:1", GroupSize: 4, Replicas: 50, Spares: v.spares, DowntimeWeight: d.downtime,
 		StrandedWeight: d.stranded, LoadsPerMinute: 16, DrainTimeout: 5 * time.Minute,
@@ -56,26 +56,26 @@
 	settle := time.Hour
 	s.wakeAll()
 	until := settle + time.Duration(hours)*time.Hour
-	s.faults(rand.New(rand.NewPCG(1, 2)), settle, until)
+	s.addFaults(rand.New(rand.NewPCG(1, 2)), settle, until)
 	more(s, settle)
 	s.run(settle)
-	s.down, s.stranded, s.loads = 0, 0, 0
+	s.downSeconds, s.strandedSeconds, s.loads = 0, 0, 0
 	s.run(until)
 	days := float64(hours) / 24
-	return measured{down: s.down / 3600 / days, stranded: s.stranded / 3600 / days, loads: float64(s.loads) / days}
+	return costs{down: s.downSeconds / 3600 / days, stranded: s.strandedSeconds / 3600 / days, loads: float64(s.loads) / days}
 }
 
-// ordinary adds nothing to the ordinary days.
-func ordinary(*sim, time.Duration) {}
+// ordinaryFaults adds nothing to the ordinaryFaults days.
+func ordinaryFaults(*sim, time.Duration) {}
 
-// commonCauses are the faults that take many VMs at once: a network cut of a domain for five minutes, which
+// correlatedFaults are the faults that take many VMs at once: a network cut of a domain for five minutes, which
 // leaves the VMs' state alone, and a rack of twelve VMs that is without power for half an hour.
-func commonCauses(s *sim, from time.Duration) {
+func correlatedFaults(s *sim, from time.Duration) {
 	for _, v := range s.domains[0].vms {
 		s.pause(v, from+time.Hour, 5*time.Minute)
 	}
 	for _, v := range s.domains[1].vms[:12] {
-		s.lose(v, from+2*time.Hour, 30*time.Minute)
+		s.fail(v, from+2*time.Hour, 30*time.Minute)
 	}
 }
 
@@ -86,12 +86,12 @@
 	worlds := []struct {
 		name string
 		more func(*sim, time.Duration)
-	}{{"ordinary", ordinary}, {"common causes", commonCauses}}
+	}{{"ordinary", ordinaryFaults}, {"common causes", correlatedFaults}}
 	for _, d := range deployments {
 		for _, world := range worlds {
-			base := measured{}
+			base := costs{}
 			for i, v := range variants {
-				m := d.play(v, *measureHours, world.more)
+				m := d.simulate(v, *measureHours, world.more)
 				t.Logf("| %s | %s | %s | %.2f | %.0f | %.0f | %.0f |", d.name, world.name, v.name, m.down, m.stranded, m.loads, d.cost(m))
 				if i == 0 {
 					base = m
@@ -110,8 +110,8 @@
 	RegisterTestingT(t)
 	six := deployment{"6 domains of 35 VMs", 10, 1, []int{35, 35, 35, 35, 35, 35}}
 	one := deployment{"1 domain of 210 VMs", 10, 1, []int{210}}
-	apart := six.play(variants[1], *measureHours, ordinary)
-	together := one.play(variants[1], *measureHours, ordinary)
+	apart := six.simulate(variants[1], *measureHours, ordinaryFaults)
+	together := one.simulate(variants[1], *measureHours, ordinaryFaults)
 	t.Logf("| %s | %.2f | %.0f |", six.name, apart.down, apart.stranded)
 	t.Logf("| %s | %.2f | %.0f |", one.name, together.down, together.stranded)
 	Expect(apart.stranded).To(BeNumerically(">", together.stranded))
@@ -125,18 +125,18 @@
 		}}, 40+free)
 		s.wakeAll()
 		s.run(time.Hour)
-		s.down = 0
+		s.downSeconds = 0
 		fault(s, s.domains[0].vm(s.domains[0].groups[0].Members[0].VM), time.Hour+10*time.Second)
 		s.run(4 * time.Hour)
-		return s.down
+		return s.downSeconds
 	}
-	death := func(s *sim, v *simVM, at time.Duration) { s.lose(v, at, 2*time.Hour) }
+	death := func(s *sim, v *simVM, at time.Duration) { s.fail(v, at, 2*time.Hour) }
 
 	It("has a free VM cut the downtime after a death to a load and the patience before it", func() {
 		with := after(forming.Decide, 1, death)
 		without := after(forming.Decide, 0, death)
 		GinkgoWriter.Printf("downtime after a death: %.0f s with a free VM, %.0f s without\n", with, without)
-		Expect(with).To(BeNumerically("<=", (forming.SilenceGrace + simLoad + 10*time.Second).Seconds()))
+		Expect(with).To(BeNumerically("<=", (forming.SilenceGrace + simLoadTime + 10*time.Second).Seconds()))
 		Expect(without).To(BeNumerically(">", 2*time.Hour.Seconds()))
 	})
 
@@ -144,7 +144,7 @@
 	It("lets a pause cost no more than the pause", func() {
 		pause := func(s *sim, v *simVM, at time.Duration) { s.pause(v, at, 5*time.Second) }
 		Expect(after(forming.Decide, 1, pause)).To(BeNumerically("<=", 6))
-		Expect(after(baseline, 1, pause)).To(BeNumerically(">", simLoad.Seconds()))
+		Expect(after(baseline, 1, pause)).To(BeNumerically(">", simLoadTime.Seconds()))
 	})
 
 	// A switch fails, and all VMs of a domain are silent for five minutes. They keep their state. Loading ten
@@ -158,6 +158,6 @@
 		decided, plain := after(forming.Decide, 0, cut), after(baseline, 0, cut)
 		GinkgoWriter.Printf("downtime after a cut of 5 minutes of 10 groups: %.0f group-seconds, baseline %.0f\n", decided, plain)
 		Expect(decided).To(BeNumerically("<=", 10*(5*time.Minute).Seconds()+10))
-		Expect(plain).To(BeNumerically(">", 10*(5*time.Minute+simLoad).Seconds()))
+		Expect(plain).To(BeNumerically(">", 10*(5*time.Minute+simLoadTime).Seconds()))
 	})
 })
--- a/policy/forming/pace.go
+++ b/policy/forming/pace.go
@@ -48,7 +48,7 @@
 	waiting := make([]*Group, 0)
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if g.State == Forming && !p.touched[g.ID] && p.condition(g).worst == faultNone {
+		if g.State == Forming && !p.changed[g.ID] && p.condition(g).worst == faultNone {
 			waiting = append(waiting, g)
 		}
 	}
@@ -81,7 +81,7 @@
 	if !ok || s.Replicas == 0 {
 		return 0
 	}
-	serving := p.servingEverywhere(service)
+	serving := p.servingInAllDomains(service)
 	need := s.DowntimeWeight * float64(max(0, s.Replicas-serving)) / float64(s.Replicas)
 	if serving == 0 {
 		need *= NoReplicaFactor
--- a/policy/forming/repair.go
+++ b/policy/forming/repair.go
@@ -16,30 +16,30 @@
 // controllers differ for some seconds after each change, and a drain can't be undone.
 const ExcessGroupGrace = 10 * time.Second
 
-// active counts the groups of a service here that are or will be a replica, after this plan.
-func (p *planner) active(service string) int {
+// activeGroups counts the groups of a service here that are or will be a replica, after this plan.
+func (p *planner) activeGroups(service string) int {
 	count := p.formed[service]
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if g.Service == service && p.lasts(g) {
+		if g.Service == service && p.remainsActive(g) {
 			count++
 		}
 	}
 	return count
 }
 
-// lasts says that the group is or will be a replica after this plan.
-func (p *planner) lasts(g *Group) bool {
+// remainsActive says that the group is or will be a replica after this plan.
+func (p *planner) remainsActive(g *Group) bool {
 	if g.State == Draining {
 		return false
 	}
 	if _, ok := p.broken[g.ID]; ok {
 		return false
 	}
-	return !p.ends(g.ID)
+	return !p.endedByPlan(g.ID)
 }
 
-func (p *planner) ends(id string) bool {
+func (p *planner) endedByPlan(id string) bool {
 	for _, s := range p.plan.Steps {
 		if s.Group == id && (s.Kind == StepDrain || s.Kind == StepDissolve) {
 			return true
@@ -48,42 +48,42 @@
 	return false
 }
 
-// repair forms what the target wants, for the service in greatest need first.
-func (p *planner) repair() {
-	for _, s := range p.byNeed() {
-		for p.active(s.Name) < p.plan.Targets[s.Name] {
+// formMissing forms what the target wants, for the service in greatest need first.
+func (p *planner) formMissing() {
+	for _, s := range p.servicesByNeed() {
+		for p.activeGroups(s.Name) < p.plan.Targets[s.Name] {
 			if p.form(s, "a replica is missing") {
 				continue
 			}
-			if !p.takeApart(s) {
+			if !p.dissolveBroken(s) {
 				p.makeRoom(s)
 				break
 			}
 		}
 	}
-	p.clearHopeless()
+	p.dissolveUnrecoverable()
 }
 
-func (p *planner) byNeed() []Service {
-	ordered := orderedServices(p.view.Services)
+func (p *planner) servicesByNeed() []Service {
+	ordered := servicesByWeight(p.view.Services)
 	sort.SliceStable(ordered, func(i, j int) bool {
 		return p.need(ordered[i].Name) > p.need(ordered[j].Name)
 	})
 	return ordered
 }
 
-// takeApart dissolves the broken group with the most survivors that s can use, if the survivors of all
+// dissolveBroken dissolves the broken group with the most survivors that s can use, if the survivors of all
 // broken groups and the pool together make a group of s.
-func (p *planner) takeApart(s Service) bool {
-	have := p.free(s)
+func (p *planner) dissolveBroken(s Service) bool {
+	have := p.countFree(s)
 	var best *Group
 	most := 0
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if _, ok := p.broken[g.ID]; !ok || p.touched[g.ID] {
+		if _, ok := p.broken[g.ID]; !ok || p.changed[g.ID] {
 			continue
 		}
-		survivors := p.survivors(g, s)
+		survivors := p.usableMembers(g, s)
 		have += survivors
 		if survivors > most {
 			best, most = g, survivors
@@ -96,25 +96,25 @@
 	return true
 }
 
-func (p *planner) survivors(g *Group, s Service) int {
+func (p *planner) usableMembers(g *Group, s Service) int {
 	count := 0
 	for _, m := range g.Members {
-		if vm := p.vms[m.VM]; vm.usable() && fits(vm, s) {
+		if vm := p.vms[m.VM]; vm.usable() && eligible(vm, s) {
 			count++
 		}
 	}
 	return count
 }
 
-// clearHopeless dissolves broken groups that can't come back as they were, and that nothing has used.
-func (p *planner) clearHopeless() {
+// dissolveUnrecoverable dissolves broken groups that can't come back as they were, and that nothing has used.
+func (p *planner) dissolveUnrecoverable() {
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
 		c, ok := p.broken[g.ID]
-		if !ok || p.touched[g.ID] {
+		if !ok || p.changed[g.ID] {
 			continue
 		}
-		if c.hopeless() {
+		if c.unrecoverable() {
 			p.dissolve(g, c.reason())
 		}
 	}
@@ -124,54 +124,54 @@
 // VMs are on their way already.
 func (p *planner) makeRoom(s Service) {
 	p.plan.BlockedReasons[s.Name] = "too few free VMs in the fabric domain"
-	if p.comingFree(s) >= s.GroupSize {
+	if p.freeOrDraining(s) >= s.GroupSize {
 		return
 	}
-	for _, other := range p.byNeed() {
-		if other.Name == s.Name || p.active(other.Name) <= p.plan.Targets[other.Name] {
+	for _, other := range p.servicesByNeed() {
+		if other.Name == s.Name || p.activeGroups(other.Name) <= p.plan.Targets[other.Name] {
 			continue
 		}
-		if g := p.leastUseful(other.Name); g != nil && p.survivors(g, s) > 0 {
-			p.end(g, "makes room for "+s.Name)
+		if g := p.leastUseful(other.Name); g != nil && p.usableMembers(g, s) > 0 {
+			p.endGroup(g, "makes room for "+s.Name)
 			return
 		}
 	}
 }
 
-// trim ends groups above the target, where the settings ask for spares that are missing, or weigh nothing.
+// endExcess ends groups above the target, where the settings ask for spares that are missing, or weigh nothing.
 // Elsewhere an extra group is worth more than idle VMs, and makes room once its VMs are wanted.
-func (p *planner) trim() {
-	for _, s := range p.byNeed() {
-		for p.active(s.Name) > p.plan.Targets[s.Name] && p.extraUnwanted(s) {
+func (p *planner) endExcess() {
+	for _, s := range p.servicesByNeed() {
+		for p.activeGroups(s.Name) > p.plan.Targets[s.Name] && p.excessUnwanted(s) {
 			g := p.leastUseful(s.Name)
 			if g == nil || g.InState < ExcessGroupGrace {
 				break
 			}
-			p.end(g, "more than the wanted replicas")
+			p.endGroup(g, "more than the wanted replicas")
 		}
 	}
 }
 
-func (p *planner) extraUnwanted(s Service) bool {
+func (p *planner) excessUnwanted(s Service) bool {
 	if p.rolling(s) || len(p.plan.BlockedReasons) > 0 {
 		return false
 	}
-	return !s.wantsExtra() || p.comingFree(s) < p.sparesAsked(s)
+	return !s.wantsExtraGroups() || p.freeOrDraining(s) < p.requestedSpares(s)
 }
 
-// comingFree counts the VMs that s can use and that are free, or will be once what drains is drained.
-func (p *planner) comingFree(s Service) int {
-	count := p.free(s)
+// freeOrDraining counts the VMs that s can use and that are free, or will be once what drains is drained.
+func (p *planner) freeOrDraining(s Service) int {
+	count := p.countFree(s)
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if g.State == Draining || p.drains(g.ID) {
-			count += p.survivors(g, s)
+		if g.State == Draining || p.drainedByPlan(g.ID) {
+			count += p.usableMembers(g, s)
 		}
 	}
 	return count
 }
 
-func (p *planner) drains(id string) bool {
+func (p *planner) drainedByPlan(id string) bool {
 	for _, s := range p.plan.Steps {
 		if s.Group == id && s.Kind == StepDrain {
 			return true
@@ -185,7 +185,7 @@
 	var worst *Group
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if g.Service != service || !p.lasts(g) || p.touched[g.ID] {
+		if g.Service != service || !p.remainsActive(g) || p.changed[g.ID] {
 			continue
 		}
 		if worst == nil || usefulness(g) < usefulness(worst) {
@@ -205,8 +205,8 @@
 	return g.InProgress
 }
 
-// end drains a group that serves, and dissolves one that never did.
-func (p *planner) end(g *Group, reason string) {
+// endGroup drains a group that serves, and dissolves one that never did.
+func (p *planner) endGroup(g *Group, reason string) {
 	if g.State == Serving {
 		p.drain(g, "", reason)
 		return
@@ -214,12 +214,12 @@
 	p.dissolve(g, reason)
 }
 
-// mark tells the controllers of other fabric domains which groups are not whole.
-func (p *planner) mark() {
+// updateNotWhole tells the controllers of other fabric domains which groups are not whole.
+func (p *planner) updateNotWhole() {
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
 		c, broken := p.broken[g.ID]
-		if p.touched[g.ID] || g.State == Draining || broken == g.NotWhole {
+		if p.changed[g.ID] || g.State == Draining || broken == g.NotWhole {
 			continue
 		}
 		if !broken && p.condition(g).worst != faultNone {
@@ -229,7 +229,7 @@
 		if broken {
 			step.Reason = c.reason()
 		}
-		p.step(step)
+		p.addStep(step)
 	}
 }
 
@@ -239,13 +239,13 @@
 	if len(p.plan.BlockedReasons) > 0 {
 		return
 	}
-	for _, s := range p.byShare() {
+	for _, s := range p.servicesByReplicaShare() {
 		if p.rolling(s) {
 			return
 		}
 	}
-	for _, s := range p.byShare() {
-		if !s.wantsExtra() || p.free(s)-s.GroupSize < p.sparesAsked(s) {
+	for _, s := range p.servicesByReplicaShare() {
+		if !s.wantsExtraGroups() || p.countFree(s)-s.GroupSize < p.requestedSpares(s) {
 			continue
 		}
 		if p.form(s, "free VMs beyond the spares") {
@@ -254,25 +254,25 @@
 	}
 }
 
-// free counts the pool's VMs that fit s.
-func (p *planner) free(s Service) int {
+// countFree counts the pool's VMs that fit s.
+func (p *planner) countFree(s Service) int {
 	count := 0
 	for _, vm := range p.pool {
-		if fits(vm, s) {
+		if eligible(vm, s) {
 			count++
 		}
 	}
 	return count
 }
 
-// byShare orders services by how many groups they have for their wish, fewest first.
-func (p *planner) byShare() []Service {
-	ordered := orderedServices(p.view.Services)
+// servicesByReplicaShare orders services by how many groups they have for their wish, fewest first.
+func (p *planner) servicesByReplicaShare() []Service {
+	ordered := servicesByWeight(p.view.Services)
 	share := func(s Service) float64 {
-		count := p.active(s.Name)
+		count := p.activeGroups(s.Name)
 		for _, d := range p.view.Others {
 			for _, g := range d.Groups {
-				if g.Service == s.Name && g.counts() {
+				if g.Service == s.Name && g.countsAsReplica() {
 					count++
 				}
 			}
--- a/policy/forming/roll.go
+++ b/policy/forming/roll.go
@@ -14,48 +14,48 @@
 const MaxSurgeShare = 0.1
 
 // rolling says that some domain still has groups of s of another version.
-func (p *planner) rolling(s Service) bool { return p.turn(s) != "" }
+func (p *planner) rolling(s Service) bool { return p.domainInTurn(s) != "" }
 
-func (p *planner) outdated(groups []Group, s Service) int {
+func (p *planner) countOutdated(groups []Group, s Service) int {
 	count := 0
 	for _, g := range groups {
-		if g.Service == s.Name && g.outdated(s) && g.counts() {
+		if g.Service == s.Name && g.outdated(s) && g.countsAsReplica() {
 			count++
 		}
 	}
 	return count
 }
 
-// turn names the domain whose turn it is, the first that still has groups to roll, or "".
-func (p *planner) turn(s Service) string {
+// domainInTurn names the domain whose domainInTurn it is, the first that still has groups to roll, or "".
+func (p *planner) domainInTurn(s Service) string {
 	first := ""
-	for _, d := range p.domains() {
-		if p.outdated(d.Groups, s) > 0 && (first == "" || d.Name < first) {
+	for _, d := range p.allDomains() {
+		if p.countOutdated(d.Groups, s) > 0 && (first == "" || d.Name < first) {
 			first = d.Name
 		}
 	}
 	return first
 }
 
-func (p *planner) roll() {
-	for _, s := range p.byNeed() {
+func (p *planner) replaceOutdated() {
+	for _, s := range p.servicesByNeed() {
 		if !p.rolling(s) {
 			continue
 		}
-		if p.takesNew(s) {
-			p.formBeside(s)
+		if p.formsReplacements(s) {
+			p.formSurge(s)
 		}
-		if p.turn(s) == p.view.Domain {
-			p.giveUpOld(s)
+		if p.domainInTurn(s) == p.view.Domain {
+			p.drainOutdated(s)
 		}
 	}
 }
 
-// takesNew says that this domain is the one to form groups of the new version: the one whose turn it is
+// formsReplacements says that this domain is the one to form groups of the new version: the one whose turn it is
 // if it has room, else the first that has. Without the others, a replica that fills its domain would
 // keep its old version while another domain stands empty.
-func (p *planner) takesNew(s Service) bool {
-	turn := p.turn(s)
+func (p *planner) formsReplacements(s Service) bool {
+	turn := p.domainInTurn(s)
 	return turn == p.view.Domain || !p.roomElsewhere(s, func(d Domain) bool {
 		return d.Name == turn || d.Name < p.view.Domain
 	})
@@ -65,36 +65,36 @@
 // err on the side of no room, since the members of groups that are gone are counted as taken.
 func (p *planner) roomElsewhere(s Service, which func(Domain) bool) bool {
 	for _, d := range p.view.Others {
-		if which(d) && p.roomIn(d, s) >= s.GroupSize {
+		if which(d) && p.freeIn(d, s) >= s.GroupSize {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *planner) roomIn(d Domain, s Service) int {
-	left := slots{free: make(map[string]int, len(d.Live))}
+func (p *planner) freeIn(d Domain, s Service) int {
+	left := domainCapacity{free: make(map[string]int, len(d.Live))}
 	for class, count := range d.Live {
 		left.free[class] = count
 	}
 	for _, g := range d.Groups {
-		left.take(Service{Name: g.Service, Dedicated: p.services[g.Service].Dedicated, GroupSize: g.size()}, 1)
+		left.reserve(Service{Name: g.Service, Dedicated: p.services[g.Service].Dedicated, GroupSize: g.size()}, 1)
 	}
-	return left.room(s)
+	return left.freeFor(s)
 }
 
-func (p *planner) formBeside(s Service) {
+func (p *planner) formSurge(s Service) {
 	surge := max(1, int(MaxSurgeShare*float64(s.Replicas)))
-	for coming := p.coming(s); coming < surge && p.form(s, "takes the place of an older version"); {
+	for coming := p.countStarting(s); coming < surge && p.form(s, "takes the place of an older version"); {
 		coming++
 	}
 }
 
-// giveUpOld drains groups of the older version for which others serve.
-func (p *planner) giveUpOld(s Service) {
+// drainOutdated drains groups of the older version for which others serve.
+func (p *planner) drainOutdated(s Service) {
 	minimum := s.Replicas
-	serving := p.servingEverywhere(s.Name) - p.endingServing(s.Name)
-	if serving <= minimum && p.stuck(s) {
+	serving := p.servingInAllDomains(s.Name) - p.countServingEnded(s.Name)
+	if serving <= minimum && p.rolloutStuck(s) {
 		minimum--
 	}
 	if minimum < 1 {
@@ -110,18 +110,18 @@
 	}
 }
 
-// stuck says that no group of s is on the way, and that none can be until one is given up.
-func (p *planner) stuck(s Service) bool {
+// rolloutStuck says that no group of s is on the way, and that none can be until one is given up.
+func (p *planner) rolloutStuck(s Service) bool {
 	anywhere := func(Domain) bool { return true }
-	return p.coming(s) == 0 && p.draining(s) == 0 && !p.roomElsewhere(s, anywhere)
+	return p.countStarting(s) == 0 && p.countDraining(s) == 0 && !p.roomElsewhere(s, anywhere)
 }
 
-// draining counts the groups of s, here and elsewhere, whose VMs are about to be free.
-func (p *planner) draining(s Service) int {
+// countDraining counts the groups of s, here and elsewhere, whose VMs are about to be free.
+func (p *planner) countDraining(s Service) int {
 	count := 0
-	for _, d := range p.domains() {
+	for _, d := range p.allDomains() {
 		for _, g := range d.Groups {
-			if g.Service == s.Name && (g.State == Draining || p.ends(g.ID)) {
+			if g.Service == s.Name && (g.State == Draining || p.endedByPlan(g.ID)) {
 				count++
 			}
 		}
@@ -129,18 +129,18 @@
 	return count
 }
 
-// coming counts the groups of s, here and elsewhere, that are on the way to serve.
-func (p *planner) coming(s Service) int {
+// countStarting counts the groups of s, here and elsewhere, that are on the way to serve.
+func (p *planner) countStarting(s Service) int {
 	count := p.formed[s.Name]
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if g.Service == s.Name && g.State != Serving && p.lasts(g) {
+		if g.Service == s.Name && g.State != Serving && p.remainsActive(g) {
 			count++
 		}
 	}
 	for _, d := range p.view.Others {
 		for _, g := range d.Groups {
-			if g.Service == s.Name && g.State != Serving && g.counts() {
+			if g.Service == s.Name && g.State != Serving && g.countsAsReplica() {
 				count++
 			}
 		}
@@ -148,12 +148,12 @@
 	return count
 }
 
-// endingServing counts the serving groups that this plan already ends.
-func (p *planner) endingServing(service string) int {
+// countServingEnded counts the serving groups that this plan already ends.
+func (p *planner) countServingEnded(service string) int {
 	count := 0
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if g.Service == service && p.serves(g) && p.ends(g.ID) {
+		if g.Service == service && p.isServing(g) && p.endedByPlan(g.ID) {
 			count++
 		}
 	}
@@ -164,7 +164,7 @@
 	var best *Group
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if g.Service != s.Name || !g.outdated(s) || g.State != Serving || p.touched[g.ID] || !p.lasts(g) {
+		if g.Service != s.Name || !g.outdated(s) || g.State != Serving || p.changed[g.ID] || !p.remainsActive(g) {
 			continue
 		}
 		if best == nil || g.InProgress < best.InProgress {
@@ -174,11 +174,11 @@
 	return best
 }
 
-// servingEverywhere counts the groups of a service that serve, in all domains.
-func (p *planner) servingEverywhere(service string) int {
+// servingInAllDomains counts the groups of a service that serve, in all domains.
+func (p *planner) servingInAllDomains(service string) int {
 	count := 0
 	for i := range p.view.Groups {
-		if g := &p.view.Groups[i]; g.Service == service && p.serves(g) {
+		if g := &p.view.Groups[i]; g.Service == service && p.isServing(g) {
 			count++
 		}
 	}
--- a/policy/forming/roll_test.go
+++ b/policy/forming/roll_test.go
@@ -11,9 +11,9 @@
 	"github.com/skylarkpond/skylarkpond/policy/forming"
 )
 
-// place is some fabric domains, each decided for by a controller of its own, in virtual time. Nothing
+// rollout is some fabric domains, each decided for by a controller of its own, in virtual time. Nothing
 // fails in it, and loading takes a round.
-type place struct {
+type rollout struct {
 	now      time.Duration
 	services []forming.Service
 	domains  []*fabricDomain
@@ -29,8 +29,8 @@
 	tracker *forming.Tracker
 }
 
-func newPlace(s forming.Service, sizes ...int) *place {
-	p := &place{services: []forming.Service{s}}
+func newRollout(s forming.Service, sizes ...int) *rollout {
+	p := &rollout{services: []forming.Service{s}}
 	for i, size := range sizes {
 		d := &fabricDomain{name: fmt.Sprintf("d%d", i+1), vms: vms(size), live: map[string]int{"": size}, tracker: forming.NewTracker()}
 		p.domains = append(p.domains, d)
@@ -38,16 +38,16 @@
 	return p
 }
 
-// serve lets a group of s serve in a domain, on its first VMs that are in none.
-func (p *place) serve(domain int, s forming.Service) {
+// addServing lets a group of s addServing in a domain, on its first VMs that are in none.
+func (p *rollout) addServing(domain int, s forming.Service) {
 	d := p.domains[domain]
 	v := forming.View{VMs: d.vms}
 	p.formed++
-	serving(&v, fmt.Sprintf("%s-g%d", d.name, p.formed), s, len(d.groups)*s.GroupSize)
+	addServingGroup(&v, fmt.Sprintf("%s-g%d", d.name, p.formed), s, len(d.groups)*s.GroupSize)
 	d.groups = append(d.groups, v.Groups...)
 }
 
-func (p *place) round() {
+func (p *rollout) runRound() {
 	for _, d := range p.domains {
 		view := forming.View{
 			Domain: d.name, Services: p.services, VMs: slices.Clone(d.vms), Groups: slices.Clone(d.groups), LoadAllowed: true,
@@ -67,9 +67,9 @@
 	p.now += time.Second
 }
 
-func (p *place) rounds(count int) {
+func (p *rollout) runRounds(count int) {
 	for range count {
-		p.round()
+		p.runRound()
 	}
 }
 
@@ -82,7 +82,7 @@
 	return report
 }
 
-func (p *place) apply(d *fabricDomain, step forming.Step) {
+func (p *rollout) apply(d *fabricDomain, step forming.Step) {
 	if step.Kind == forming.StepForm {
 		p.formed++
 		g := forming.Group{
@@ -99,13 +99,13 @@
 	switch step.Kind {
 	case forming.StepLoad:
 		g.State = forming.Loading
-		d.join(g, g.ID)
+		d.setMembership(g, g.ID)
 	case forming.StepServe:
 		g.State = forming.Serving
 	case forming.StepDrain:
 		g.State = forming.Draining
 	case forming.StepRelease:
-		d.join(g, "")
+		d.setMembership(g, "")
 	case forming.StepMark:
 		g.NotWhole = step.NotWhole
 	case forming.StepDissolve:
@@ -113,7 +113,7 @@
 	}
 }
 
-func (d *fabricDomain) join(g *forming.Group, id string) {
+func (d *fabricDomain) setMembership(g *forming.Group, id string) {
 	for _, m := range g.Members {
 		i := slices.IndexFunc(d.vms, func(v forming.VM) bool { return v.Name == m.VM })
 		d.vms[i].Group, d.vms[i].Epoch, d.vms[i].Ready = id, g.Epoch, id != ""
@@ -121,7 +121,7 @@
 }
 
 // serving counts the groups that serve, and those of them that are as wanted.
-func (p *place) serving() (all, wanted int) {
+func (p *rollout) serving() (all, wanted int) {
 	for _, d := range p.domains {
 		for _, g := range d.groups {
 			if g.State != forming.Serving || g.NotWhole {
@@ -143,15 +143,15 @@
 		func(replicas int, sizes, standing []int, least int) {
 			s := service("chat", 4, replicas)
 			s.StrandedWeight = 1
-			p := newPlace(s, sizes...)
+			p := newRollout(s, sizes...)
 			for domain, count := range standing {
 				for range count {
-					p.serve(domain, s)
+					p.addServing(domain, s)
 				}
 			}
 			p.services[0].Version = "m:2"
 			for range 200 {
-				p.round()
+				p.runRound()
 				all, _ := p.serving()
 				Expect(all).To(BeNumerically(">=", least), "at %v", p.now)
 			}
@@ -171,10 +171,10 @@
 
 	It("waits with the only replica where there is no room, and says so", func() {
 		s := service("chat", 4, 1)
-		p := newPlace(s, 5)
-		p.serve(0, s)
+		p := newRollout(s, 5)
+		p.addServing(0, s)
 		p.services[0].Version = "m:2"
-		p.rounds(50)
+		p.runRounds(50)
 		all, wanted := p.serving()
 		Expect(all).To(Equal(1))
 		Expect(wanted).To(BeZero())
@@ -185,15 +185,15 @@
 	// must not wait for it.
 	It("does not wait for a domain that is dark", func() {
 		s := service("chat", 4, 2)
-		p := newPlace(s, 4, 9)
-		p.serve(0, s)
-		p.serve(1, s)
+		p := newRollout(s, 4, 9)
+		p.addServing(0, s)
+		p.addServing(1, s)
 		for i := range p.domains[0].vms {
 			p.domains[0].vms[i].Responding = false
 		}
-		p.rounds(100)
+		p.runRounds(100)
 		p.services[0].Version = "m:2"
-		p.rounds(200)
+		p.runRounds(200)
 		all, wanted := p.serving()
 		Expect(wanted).To(Equal(2))
 		Expect(all).To(Equal(2))
@@ -202,12 +202,12 @@
 	// The size of a group is changed in place of its version: the groups that stand are as outdated.
 	It("reaches every group when their size changes", func() {
 		s := service("chat", 4, 2)
-		p := newPlace(s, 7, 7)
-		p.serve(0, s)
-		p.serve(1, s)
+		p := newRollout(s, 7, 7)
+		p.addServing(0, s)
+		p.addServing(1, s)
 		p.services[0].GroupSize = 3
 		for range 100 {
-			p.round()
+			p.runRound()
 			all, _ := p.serving()
 			Expect(all).To(BeNumerically(">=", 2), "at %v", p.now)
 		}
--- a/policy/forming/rules_test.go
+++ b/policy/forming/rules_test.go
@@ -14,10 +14,10 @@
 var _ = DescribeTable("rules over groups", func(change func(v *forming.View), want ...string) {
 	s := service("chat", 2, 2)
 	v := forming.View{Domain: "d1", Services: []forming.Service{s}, VMs: vms(8), LoadAllowed: true}
-	serving(&v, "g1", s, 0)
-	serving(&v, "g2", s, 2)
+	addServingGroup(&v, "g1", s, 0)
+	addServingGroup(&v, "g2", s, 2)
 	change(&v)
-	Expect(shape(forming.Decide(v).Steps)).To(Equal(append([]string{}, want...)))
+	Expect(formatSteps(forming.Decide(v).Steps)).To(Equal(append([]string{}, want...)))
 },
 	Entry("free VMs make an extra group", func(*forming.View) {}, "form v5 v6"),
 	Entry("but for the spares that the settings ask for", func(v *forming.View) { v.Services[0].Spares = 3 }),
@@ -71,14 +71,14 @@
 		many, none := service("chat", 1, 50), service("desk", 1, 3)
 		many.DowntimeWeight = 50
 		v := forming.View{Domain: "d1", Services: []forming.Service{many, none}, VMs: vms(4), LoadAllowed: true}
-		serving(&v, "g1", many, 0)
-		serving(&v, "g2", many, 1)
-		serving(&v, "g3", none, 2)
+		addServingGroup(&v, "g1", many, 0)
+		addServingGroup(&v, "g2", many, 1)
+		addServingGroup(&v, "g3", none, 2)
 		v.Groups[1].State, v.Groups[2].State = forming.Forming, forming.Forming
-		Expect(shape(forming.Decide(v).Steps)).To(ContainElement("load g3"))
+		Expect(formatSteps(forming.Decide(v).Steps)).To(ContainElement("load g3"))
 		v.LoadAllowed = false
 		plan := forming.Decide(v)
-		Expect(shape(plan.Steps)).NotTo(ContainElement(HavePrefix("load")))
+		Expect(formatSteps(plan.Steps)).NotTo(ContainElement(HavePrefix("load")))
 		Expect(plan.BlockedReasons).To(HaveKey("desk"))
 	})
 
@@ -99,7 +99,7 @@
 	s := service("chat", 2, 3)
 	v := forming.View{Domain: "d1", Services: []forming.Service{s}, VMs: vms(7), LoadAllowed: true}
 	for i, id := range []string{"g1", "g2", "g3"} {
-		serving(&v, id, s, 2*i)
+		addServingGroup(&v, id, s, 2*i)
 		v.Groups[i].TokenGap = 30 * time.Millisecond
 		v.VMs[2*i].StepTime, v.VMs[2*i+1].StepTime = 10*time.Millisecond, 10*time.Millisecond
 	}
@@ -110,7 +110,7 @@
 	for now := time.Duration(0); now <= forming.SlowGroupMinDuration; now += time.Second {
 		tracker.Observe(now, &v)
 	}
-	Expect(shape(forming.Decide(v).Steps)).To(Equal(append([]string{}, want...)))
+	Expect(formatSteps(forming.Decide(v).Steps)).To(Equal(append([]string{}, want...)))
 },
 	Entry("the slowest member is set aside", func(*forming.View) {}, "drain g2 aside v4"),
 	Entry("slow, but not by far", func(v *forming.View) { v.Groups[1].TokenGap = 55 * time.Millisecond }),
@@ -149,8 +149,8 @@
 var _ = It("accounts for what is down and what is stranded", func() {
 	s := service("chat", 2, 2)
 	v := forming.View{Domain: "d1", Services: []forming.Service{s}, VMs: vms(5)}
-	serving(&v, "g1", s, 0)
-	serving(&v, "g2", s, 2)
+	addServingGroup(&v, "g1", s, 0)
+	addServingGroup(&v, "g2", s, 2)
 	v.VMs[0].Responding = false
 	plan := forming.Decide(v)
 	Expect(plan.DownGroups).To(Equal(map[string]int{"chat": 1}))
--- a/policy/forming/sim_test.go
+++ b/policy/forming/sim_test.go
@@ -13,31 +13,31 @@
 // weight store whose rate the loads share. Each controller sees its own domain as it is, and the other
 // placements as they were a tick ago.
 type sim struct {
-	now      time.Duration
-	decide   func(forming.View) forming.Plan
-	services []forming.Service
-	domains  []*simDomain
-	events   map[time.Duration][]func()
-	ids      int
-	// down sums up the seconds of wanted groups that did not serve, stranded the accelerator-seconds of VMs
+	now       time.Duration
+	decide    func(forming.View) forming.Plan
+	services  []forming.Service
+	domains   []*simDomain
+	scheduled map[time.Duration][]func()
+	lastID    int
+	// downSeconds sums up the seconds of wanted groups that did not serve, strandedSeconds the accelerator-seconds of VMs
 	// that were up but in no serving group.
-	down, stranded       float64
-	downNow, strandedNow float64
-	loads                int
+	downSeconds, strandedSeconds float64
+	downNow, strandedNow         float64
+	loads                        int
 }
 
 type simDomain struct {
-	name    string
-	vms     []*simVM
-	groups  []forming.Group
-	drained map[string]time.Duration
-	tracker *forming.Tracker
-	pacer   forming.Pacer
-	report  forming.Domain
-	next    forming.Domain
-	byName  map[string]*simVM
-	// active is until when the domain is looked at each tick.
-	active time.Duration
+	name          string
+	vms           []*simVM
+	groups        []forming.Group
+	drainingSince map[string]time.Duration
+	tracker       *forming.Tracker
+	pacer         forming.Pacer
+	report        forming.Domain
+	nextReport    forming.Domain
+	byName        map[string]*simVM
+	// activeUntil is until when the domain is looked at each tick.
+	activeUntil time.Duration
 }
 
 type simVM struct {
@@ -51,16 +51,16 @@
 // Rates and durations of the world.
 const (
 	simAccelerators = 8
-	simLoad         = 90 * time.Second
-	simDrain        = 20 * time.Second
-	// simStore is how many members can load at once at full speed.
-	simStore = 24
+	simLoadTime     = 90 * time.Second
+	simDrainTime    = 20 * time.Second
+	// simStoreSlots is how many members can load at once at full speed.
+	simStoreSlots = 24
 )
 
 func newSim(decide func(forming.View) forming.Plan, services []forming.Service, sizes ...int) *sim {
-	s := &sim{decide: decide, services: services, events: map[time.Duration][]func(){}}
+	s := &sim{decide: decide, services: services, scheduled: map[time.Duration][]func(){}}
 	for i, size := range sizes {
-		d := &simDomain{name: fmt.Sprintf("fab-%d", i+1), drained: map[string]time.Duration{}, tracker: forming.NewTracker(), byName: map[string]*simVM{}}
+		d := &simDomain{name: fmt.Sprintf("fab-%d", i+1), drainingSince: map[string]time.Duration{}, tracker: forming.NewTracker(), byName: map[string]*simVM{}}
 		for j := range size {
 			v := &simVM{domain: d, VM: forming.VM{Name: fmt.Sprintf("%s-%02d", d.name, j+1), Accelerators: simAccelerators, Listed: true}}
 			v.restart()
@@ -78,49 +78,49 @@
 	v.Group, v.Epoch, v.Ready, v.loaded, v.Leaving = "", 0, false, 0, false
 }
 
-func (s *sim) at(when time.Duration, v *simVM, f func()) {
+func (s *sim) schedule(when time.Duration, v *simVM, f func()) {
 	when = when.Truncate(time.Second)
-	s.events[when] = append(s.events[when], func() {
+	s.scheduled[when] = append(s.scheduled[when], func() {
 		f()
 		s.wake(v.domain)
 	})
 }
 
-// lose takes a VM away for a while; it comes back empty.
-func (s *sim) lose(v *simVM, at, away time.Duration) {
-	s.at(at, v, func() { v.down = true; v.restart() })
-	s.at(at+away, v, func() { v.down = false })
+// fail takes a VM away for a while; it comes back empty.
+func (s *sim) fail(v *simVM, at, away time.Duration) {
+	s.schedule(at, v, func() { v.down = true; v.restart() })
+	s.schedule(at+away, v, func() { v.down = false })
 }
 
 // pause silences a VM, which keeps what it has.
 func (s *sim) pause(v *simVM, at, away time.Duration) {
-	s.at(at, v, func() { v.paused = true })
-	s.at(at+away, v, func() { v.paused = false })
+	s.schedule(at, v, func() { v.paused = true })
+	s.schedule(at+away, v, func() { v.paused = false })
 }
 
-// leave announces that a VM will be taken away, takes it, and brings it back empty.
-func (s *sim) leave(v *simVM, at, notice, away time.Duration) {
-	s.at(at, v, func() { v.Leaving = true })
-	s.lose(v, at+notice, away)
+// remove announces that a VM will be taken away, takes it, and brings it back empty.
+func (s *sim) remove(v *simVM, at, notice, away time.Duration) {
+	s.schedule(at, v, func() { v.Leaving = true })
+	s.fail(v, at+notice, away)
 }
 
-// faults draws the ordinary days of a fleet of 2,520 VMs (14 fail, 360 are restarted or replaced, of which
+// addFaults draws the ordinary days of a fleet of 2,520 VMs (14 fail, 360 are restarted or replaced, of which
 // half are announced) scaled to this one, and pauses.
-func (s *sim) faults(random *rand.Rand, from, until time.Duration) {
+func (s *sim) addFaults(random *rand.Rand, from, until time.Duration) {
 	day := 24 * time.Hour
 	for _, d := range s.domains {
 		for _, v := range d.vms {
-			s.poisson(random, from, until, day*2520/14, func(at time.Duration) { s.lose(v, at, 2*time.Hour) })
-			s.poisson(random, from, until, day*2520/180, func(at time.Duration) { s.lose(v, at, 5*time.Minute) })
-			s.poisson(random, from, until, day*2520/180, func(at time.Duration) { s.leave(v, at, 2*time.Minute, 5*time.Minute) })
-			s.poisson(random, from, until, 2*day, func(at time.Duration) {
+			s.poissonArrivals(random, from, until, day*2520/14, func(at time.Duration) { s.fail(v, at, 2*time.Hour) })
+			s.poissonArrivals(random, from, until, day*2520/180, func(at time.Duration) { s.fail(v, at, 5*time.Minute) })
+			s.poissonArrivals(random, from, until, day*2520/180, func(at time.Duration) { s.remove(v, at, 2*time.Minute, 5*time.Minute) })
+			s.poissonArrivals(random, from, until, 2*day, func(at time.Duration) {
 				s.pause(v, at, time.Duration(2+random.IntN(7))*time.Second)
 			})
 		}
 	}
 }
 
-func (s *sim) poisson(random *rand.Rand, from, until, mean time.Duration, f func(at time.Duration)) {
+func (s *sim) poissonArrivals(random *rand.Rand, from, until, mean time.Duration, f func(at time.Duration)) {
 	for at := from; ; {
 		at += time.Duration(random.ExpFloat64() * float64(mean))
 		if at >= until {
@@ -133,24 +133,26 @@
 // run plays until the given time.
 func (s *sim) run(until time.Duration) {
 	for ; s.now < until; s.now += time.Second {
-		if due, ok := s.events[s.now]; ok {
+		if due, ok := s.scheduled[s.now]; ok {
 			for _, f := range due {
 				f()
 			}
-			delete(s.events, s.now)
+			delete(s.scheduled, s.now)
 		}
-		s.load()
-		if s.rounds() {
-			s.account()
+		s.advanceLoads()
+		if s.decideActive() {
+			s.measureNow()
 		}
-		s.down += s.downNow
-		s.stranded += s.strandedNow
+		s.downSeconds += s.downNow
+		s.strandedSeconds += s.strandedNow
 	}
 }
 
 // wake has a domain looked at until the longest patience is over. Beyond it nothing there can change by
 // itself, so that quiet hours cost nothing.
-func (s *sim) wake(d *simDomain) { d.active = s.now + forming.CorrelatedSilenceGrace + 15*time.Second }
+func (s *sim) wake(d *simDomain) {
+	d.activeUntil = s.now + forming.CorrelatedSilenceGrace + 15*time.Second
+}
 
 func (s *sim) wakeAll() {
 	for _, d := range s.domains {
@@ -158,23 +160,23 @@
 	}
 }
 
-// rounds looks at the active domains, and returns whether there was one. A domain that did something
+// decideActive looks at the active domains, and returns whether there was one. A domain that did something
 // wakes the others for long enough to see it.
-func (s *sim) rounds() bool {
+func (s *sim) decideActive() bool {
 	any := false
 	for _, d := range s.domains {
-		if s.now <= d.active {
-			s.round(d)
+		if s.now <= d.activeUntil {
+			s.decideFor(d)
 			any = true
 		}
 	}
 	for _, d := range s.domains {
-		d.report = d.next
+		d.report = d.nextReport
 	}
 	return any
 }
 
-func (s *sim) round(d *simDomain) {
+func (s *sim) decideFor(d *simDomain) {
 	view := forming.View{Domain: d.name, Services: s.services, Groups: d.groups, LoadAllowed: d.pacer.Allowed(s.now)}
 	for _, v := range d.vms {
 		vm := v.VM
@@ -183,9 +185,9 @@
 	}
 	for i := range view.Groups {
 		g := &view.Groups[i]
-		since, draining := d.drained[g.ID]
+		since, draining := d.drainingSince[g.ID]
 		g.HomeReported, g.InProgress = true, 0
-		if draining && s.now-since < simDrain {
+		if draining && s.now-since < simDrainTime {
 			g.InProgress = 1
 		}
 	}
@@ -202,19 +204,19 @@
 	if len(plan.Steps) > 0 {
 		s.wake(d)
 		for _, other := range s.domains {
-			other.active = max(other.active, s.now+5*time.Second)
+			other.activeUntil = max(other.activeUntil, s.now+5*time.Second)
 		}
 	}
-	d.next = forming.Domain{Name: d.name, Live: plan.Live, Groups: slices.Clone(d.groups)}
+	d.nextReport = forming.Domain{Name: d.name, Live: plan.Live, Groups: slices.Clone(d.groups)}
 }
 
 func (s *sim) apply(d *simDomain, view *forming.View, step forming.Step) {
 	i := slices.IndexFunc(d.groups, func(g forming.Group) bool { return g.ID == step.Group })
 	switch step.Kind {
 	case forming.StepForm:
-		s.ids++
+		s.lastID++
 		g := forming.Group{
-			ID: fmt.Sprintf("g%06d", s.ids), Service: step.Service, Version: step.Version,
+			ID: fmt.Sprintf("g%06d", s.lastID), Service: step.Service, Version: step.Version,
 			State: forming.Forming, Size: len(step.Members),
 		}
 		for _, name := range step.Members {
@@ -227,7 +229,7 @@
 		d.groups[i].State = forming.Serving
 	case forming.StepDrain:
 		d.groups[i].State = forming.Draining
-		d.drained[step.Group] = s.now
+		d.drainingSince[step.Group] = s.now
 	case forming.StepMark:
 		d.groups[i].NotWhole = step.NotWhole
 	case forming.StepRelease, forming.StepDissolve:
@@ -260,8 +262,8 @@
 
 func (d *simDomain) vm(name string) *simVM { return d.byName[name] }
 
-// load shares the weight store's rate among all members that load.
-func (s *sim) load() {
+// advanceLoads shares the weight store's rate among all members that advanceLoads.
+func (s *sim) advanceLoads() {
 	var loading []*simVM
 	for _, d := range s.domains {
 		for _, v := range d.vms {
@@ -270,7 +272,7 @@
 			}
 		}
 	}
-	share := min(1, simStore/float64(max(1, len(loading)))) / simLoad.Seconds()
+	share := min(1, simStoreSlots/float64(max(1, len(loading)))) / simLoadTime.Seconds()
 	for _, v := range loading {
 		v.loaded += share
 		v.Ready = v.loaded >= 1
@@ -301,8 +303,8 @@
 	})
 }
 
-// account works out the measures of this second, from the world and not from what a plan claims.
-func (s *sim) account() {
+// measureNow works out the measures of this second, from the world and not from what a plan claims.
+func (s *sim) measureNow() {
 	s.downNow, s.strandedNow = 0, 0
 	for _, service := range s.services {
 		s.downNow += float64(max(0, service.Replicas-s.serving(service.Name)))
--- a/policy/forming/spares.go
+++ b/policy/forming/spares.go
@@ -12,20 +12,20 @@
 // against the other was tried, and gave more downtime as well as more stranded accelerators
 // (docs/measurements/forming.md). Spares are what does not fill a group, and what the settings ask for.
 
-// sparesAsked is what the settings of all services that use the same VMs ask for in this domain.
-func (p *planner) sparesAsked(s Service) int {
+// requestedSpares is what the settings of all services that use the same VMs ask for in this domain.
+func (p *planner) requestedSpares(s Service) int {
 	asked := 0
 	for _, other := range p.view.Services {
 		if other.Name == s.Name || (!other.Dedicated && !s.Dedicated) {
-			asked += p.spareShare(other)
+			asked += p.domainSpares(other)
 		}
 	}
 	return asked
 }
 
-// spareShare is this domain's part of the spares of s: a spare helps only groups of its own domain, so they
+// domainSpares is this domain's part of the spares of s: a spare helps only groups of its own domain, so they
 // are spread like the groups are. Every controller works out the same parts, which add up to the whole.
-func (p *planner) spareShare(s Service) int {
+func (p *planner) domainSpares(s Service) int {
 	names := make([]string, 0, len(p.targets))
 	total := 0
 	for name, held := range p.targets {
--- a/policy/forming/split.go
+++ b/policy/forming/split.go
@@ -16,30 +16,30 @@
 // furthest below its wish first, and puts a replica where the service has the smallest share of the
 // VMs: a domain that goes dark then takes the smallest part of each service.
 
-// slots holds what a domain can still take, by dedication.
-type slots struct {
-	name string
-	free map[string]int
-	all  map[string]int
-	// held counts groups by service.
-	held map[string]int
+// domainCapacity holds what a domain can still take, by dedication.
+type domainCapacity struct {
+	name  string
+	free  map[string]int
+	total map[string]int
+	// groups counts groups by service.
+	groups map[string]int
 }
 
 // Split returns the groups of each service wanted in each domain, and how many replicas find no room
 // anywhere.
 func Split(services []Service, domains []Domain) (targets map[string]map[string]int, unplaced map[string]int) {
-	ordered := orderedServices(services)
-	held := openSlots(ordered, domains)
-	missing := keepStanding(ordered, held)
-	unplaced = fill(ordered, held, missing)
+	ordered := servicesByWeight(services)
+	held := newCapacities(ordered, domains)
+	missing := keepExisting(ordered, held)
+	unplaced = placeMissing(ordered, held, missing)
 	targets = make(map[string]map[string]int, len(held))
 	for _, d := range held {
-		targets[d.name] = d.held
+		targets[d.name] = d.groups
 	}
 	return targets, unplaced
 }
 
-func orderedServices(services []Service) []Service {
+func servicesByWeight(services []Service) []Service {
 	ordered := append([]Service(nil), services...)
 	sort.Slice(ordered, func(i, j int) bool {
 		a, b := ordered[i], ordered[j]
@@ -51,16 +51,16 @@
 	return ordered
 }
 
-func openSlots(services []Service, domains []Domain) []*slots {
-	held := make([]*slots, 0, len(domains))
+func newCapacities(services []Service, domains []Domain) []*domainCapacity {
+	held := make([]*domainCapacity, 0, len(domains))
 	for _, d := range domains {
-		s := &slots{name: d.Name, free: map[string]int{}, all: d.Live, held: map[string]int{}}
+		s := &domainCapacity{name: d.Name, free: map[string]int{}, total: d.Live, groups: map[string]int{}}
 		for class, count := range d.Live {
 			s.free[class] = count
 		}
 		for _, g := range d.Groups {
-			if g.counts() {
-				s.held[g.Service]++
+			if g.countsAsReplica() {
+				s.groups[g.Service]++
 			}
 		}
 		held = append(held, s)
@@ -71,67 +71,67 @@
 		wanted[s.Name] = true
 	}
 	for _, d := range held {
-		for name := range d.held {
+		for name := range d.groups {
 			if !wanted[name] {
-				delete(d.held, name)
+				delete(d.groups, name)
 			}
 		}
 	}
 	return held
 }
 
-// keepStanding counts what stands up to what is wanted, takes its VMs from the free ones, and returns
+// keepExisting counts what stands up to what is wanted, takes its VMs from the free ones, and returns
 // what is missing. Above the wish, the domain with the most groups of the service gives one up first.
-func keepStanding(services []Service, domains []*slots) map[string]int {
+func keepExisting(services []Service, domains []*domainCapacity) map[string]int {
 	missing := make(map[string]int)
 	for _, s := range services {
 		total := 0
 		for _, d := range domains {
-			total += d.held[s.Name]
+			total += d.groups[s.Name]
 		}
 		for ; total > s.Replicas; total-- {
-			fullest(domains, s.Name).held[s.Name]--
+			domainWithMostGroups(domains, s.Name).groups[s.Name]--
 		}
 		missing[s.Name] = s.Replicas - total
 		for _, d := range domains {
-			d.take(s, d.held[s.Name])
+			d.reserve(s, d.groups[s.Name])
 		}
 	}
 	return missing
 }
 
-func fullest(domains []*slots, service string) *slots {
+func domainWithMostGroups(domains []*domainCapacity, service string) *domainCapacity {
 	best := domains[0]
 	for _, d := range domains[1:] {
-		if d.held[service] > best.held[service] {
+		if d.groups[service] > best.groups[service] {
 			best = d
 		}
 	}
 	return best
 }
 
-// fill places one missing replica after the other.
-func fill(services []Service, domains []*slots, missing map[string]int) map[string]int {
+// placeMissing places one missing replica after the other.
+func placeMissing(services []Service, domains []*domainCapacity, missing map[string]int) map[string]int {
 	unplaced := make(map[string]int)
 	for {
-		s, ok := neediest(services, missing)
+		s, ok := mostUnderReplicated(services, missing)
 		if !ok {
 			return unplaced
 		}
 		missing[s.Name]--
-		d := roomiest(domains, s)
+		d := bestDomain(domains, s)
 		if d == nil {
 			unplaced[s.Name] += missing[s.Name] + 1
 			missing[s.Name] = 0
 			continue
 		}
-		d.held[s.Name]++
-		d.take(s, 1)
+		d.groups[s.Name]++
+		d.reserve(s, 1)
 	}
 }
 
-// neediest returns the service with the largest share of its replicas missing.
-func neediest(services []Service, missing map[string]int) (Service, bool) {
+// mostUnderReplicated returns the service with the largest share of its replicas missing.
+func mostUnderReplicated(services []Service, missing map[string]int) (Service, bool) {
 	var best Service
 	found := false
 	for _, s := range services {
@@ -146,32 +146,32 @@
 	return best, found
 }
 
-// roomiest returns the domain with room for a group of s that holds the fewest of them for its size.
-func roomiest(domains []*slots, s Service) *slots {
-	var best *slots
+// bestDomain returns the domain with room for a group of s that holds the fewest of them for its size.
+func bestDomain(domains []*domainCapacity, s Service) *domainCapacity {
+	var best *domainCapacity
 	for _, d := range domains {
-		if d.room(s) < s.GroupSize {
+		if d.freeFor(s) < s.GroupSize {
 			continue
 		}
-		if best == nil || d.before(best, s) {
+		if best == nil || d.preferredTo(best, s) {
 			best = d
 		}
 	}
 	return best
 }
 
-func (d *slots) before(other *slots, s Service) bool {
-	share, otherShare := d.held[s.Name]*other.size(s), other.held[s.Name]*d.size(s)
+func (d *domainCapacity) preferredTo(other *domainCapacity, s Service) bool {
+	share, otherShare := d.groups[s.Name]*other.totalFor(s), other.groups[s.Name]*d.totalFor(s)
 	if share != otherShare {
 		return share < otherShare
 	}
-	if d.room(s) != other.room(s) {
-		return d.room(s) > other.room(s)
+	if d.freeFor(s) != other.freeFor(s) {
+		return d.freeFor(s) > other.freeFor(s)
 	}
-	return spread(s.Name, d.name) < spread(s.Name, other.name)
+	return tieBreak(s.Name, d.name) < tieBreak(s.Name, other.name)
 }
 
-func (d *slots) room(s Service) int {
+func (d *domainCapacity) freeFor(s Service) int {
 	room := max(0, d.free[s.Name])
 	if !s.Dedicated {
 		room += max(0, d.free[""])
@@ -179,16 +179,16 @@
 	return room
 }
 
-func (d *slots) size(s Service) int {
-	size := d.all[s.Name]
+func (d *domainCapacity) totalFor(s Service) int {
+	size := d.total[s.Name]
 	if !s.Dedicated {
-		size += d.all[""]
+		size += d.total[""]
 	}
 	return size
 }
 
-// take books the VMs of count groups, dedicated ones first.
-func (d *slots) take(s Service, count int) {
+// reserve books the VMs of count groups, dedicated ones first.
+func (d *domainCapacity) reserve(s Service, count int) {
 	vms := count * s.GroupSize
 	own := min(vms, max(0, d.free[s.Name]))
 	d.free[s.Name] -= own
@@ -197,9 +197,9 @@
 	}
 }
 
-// spread breaks ties differently for each service, so that the first domain by name does not get the
+// tieBreak breaks ties differently for each service, so that the first domain by name does not get the
 // first replica of all of them.
-func spread(service, domain string) uint32 {
+func tieBreak(service, domain string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(service + "\x00" + domain))
 	return h.Sum32()
--- a/policy/forming/straggler.go
+++ b/policy/forming/straggler.go
@@ -56,24 +56,24 @@
 	return values[(len(values)-1)/2]
 }
 
-// setAsideStraggler drains at most one slow group of the domain at a time.
-func (p *planner) setAsideStraggler() {
-	if p.drainsAny() {
+// drainStraggler drains at most one slow group of the domain at a time.
+func (p *planner) drainStraggler() {
+	if p.anyDraining() {
 		return
 	}
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if g.SlowFor < SlowGroupMinDuration || p.touched[g.ID] || !p.serves(g) {
+		if g.SlowFor < SlowGroupMinDuration || p.changed[g.ID] || !p.isServing(g) {
 			continue
 		}
-		if p.drainSlow(g) {
+		if p.drainSlowGroup(g) {
 			return
 		}
 	}
 }
 
-// drainsAny says that some group of the domain drains, or is to by this plan.
-func (p *planner) drainsAny() bool {
+// anyDraining says that some group of the domain drains, or is to by this plan.
+func (p *planner) anyDraining() bool {
 	for _, g := range p.view.Groups {
 		if g.State == Draining {
 			return true
@@ -87,16 +87,16 @@
 	return false
 }
 
-func (p *planner) drainSlow(g *Group) bool {
+func (p *planner) drainSlowGroup(g *Group) bool {
 	s, ok := p.services[g.Service]
-	if !ok || p.servingEverywhere(s.Name) < s.Replicas {
+	if !ok || p.servingInAllDomains(s.Name) < s.Replicas {
 		return false
 	}
-	if p.free(s) == 0 && p.active(s.Name) <= p.plan.Targets[s.Name] {
+	if p.countFree(s) == 0 && p.activeGroups(s.Name) <= p.plan.Targets[s.Name] {
 		p.plan.BlockedReasons[s.Name] = "a group is slow, and no VM is free to take its slowest member's place"
 		return false
 	}
-	member := p.slowest(g)
+	member := p.slowestMember(g)
 	if member == "" {
 		p.plan.BlockedReasons[s.Name] = "a group is slow, and no member of it stands out"
 		return false
@@ -105,8 +105,8 @@
 	return true
 }
 
-// slowest returns the member that stands out in step time, or "".
-func (p *planner) slowest(g *Group) string {
+// slowestMember returns the member that stands out in step time, or "".
+func (p *planner) slowestMember(g *Group) string {
 	times := make([]time.Duration, 0, len(g.Members))
 	name := ""
 	longest := time.Duration(0)
--- a/policy/forming/tracker.go
+++ b/policy/forming/tracker.go
@@ -17,10 +17,10 @@
 
 // Tracker fills in how long what a View shows has been so. It is not safe for concurrent use.
 type Tracker struct {
-	vms    map[string]*vmTrack
-	groups map[string]*groupTrack
-	last   time.Duration
-	begun  bool
+	vms     map[string]*vmTrack
+	groups  map[string]*groupTrack
+	last    time.Duration
+	started bool
 }
 
 type vmTrack struct {
@@ -32,11 +32,11 @@
 }
 
 type groupTrack struct {
-	state   State
-	inState time.Duration
-	slow    time.Duration
-	blind   time.Duration
-	seen    bool
+	state      State
+	inState    time.Duration
+	slow       time.Duration
+	homeCutOff time.Duration
+	seen       bool
 }
 
 // NewTracker returns a tracker that has seen nothing.
@@ -47,20 +47,20 @@
 // Observe takes in a view of now and fills in its durations. What is no longer in the view is forgotten.
 func (t *Tracker) Observe(now time.Duration, v *View) {
 	gap := time.Duration(0)
-	if t.begun {
+	if t.started {
 		gap = min(now-t.last, MaxObservedGap)
 	}
-	t.last, t.begun = now, true
+	t.last, t.started = now, true
 	for i := range v.VMs {
 		t.observeVM(now, gap, &v.VMs[i])
 	}
 	slow := slowGroups(v)
 	for i := range v.Groups {
 		g := &v.Groups[i]
-		blind := g.State == Serving && g.HomeNotWhole && wholeIn(v.VMs, g)
+		blind := g.State == Serving && g.HomeNotWhole && isWhole(v.VMs, g)
 		t.observeGroup(gap, g, slow[g.ID], blind)
 	}
-	t.forget()
+	t.dropUnseen()
 }
 
 func (t *Tracker) observeVM(now, gap time.Duration, v *VM) {
@@ -70,33 +70,33 @@
 		t.vms[v.Name] = track
 	}
 	track.seen = true
-	track.silent = grown(track.silent, gap, !v.Responding)
-	track.unlisted = grown(track.unlisted, gap, !v.Listed)
+	track.silent = elapsed(track.silent, gap, !v.Responding)
+	track.unlisted = elapsed(track.unlisted, gap, !v.Listed)
 	if v.Responding {
-		track.noteBoot(now, v.BootID)
+		track.recordBoot(now, v.BootID)
 	}
-	track.dropOld(now)
+	track.pruneRestarts(now)
 	v.SilentFor = track.silent
 	v.UnlistedFor = track.unlisted
 	v.Restarts = len(track.restarts)
 }
 
-// grown returns for how long something has been so, now that it still is, or no longer.
-func grown(lasted, gap time.Duration, still bool) time.Duration {
+// elapsed returns for how long something has been so, now that it still is, or no longer.
+func elapsed(lasted, gap time.Duration, still bool) time.Duration {
 	if !still {
 		return 0
 	}
 	return lasted + gap
 }
 
-func (t *vmTrack) noteBoot(now time.Duration, boot string) {
+func (t *vmTrack) recordBoot(now time.Duration, boot string) {
 	if t.boot != "" && boot != t.boot {
 		t.restarts = append(t.restarts, now)
 	}
 	t.boot = boot
 }
 
-func (t *vmTrack) dropOld(now time.Duration) {
+func (t *vmTrack) pruneRestarts(now time.Duration) {
 	for len(t.restarts) > 0 && now-t.restarts[0] > RestartWindow {
 		t.restarts = t.restarts[1:]
 	}
@@ -110,16 +110,16 @@
 		gap = 0
 	}
 	track.seen = true
-	track.inState = grown(track.inState, gap, track.state == g.State)
+	track.inState = elapsed(track.inState, gap, track.state == g.State)
 	track.state = g.State
-	track.slow = grown(track.slow, gap, slow)
-	track.blind = grown(track.blind, gap, blind)
+	track.slow = elapsed(track.slow, gap, slow)
+	track.homeCutOff = elapsed(track.homeCutOff, gap, blind)
 	g.InState = track.inState
 	g.SlowFor = track.slow
-	g.HomeCutOffFor = track.blind
+	g.HomeCutOffFor = track.homeCutOff
 }
 
-func (t *Tracker) forget() {
+func (t *Tracker) dropUnseen() {
 	for name, track := range t.vms {
 		if !track.seen {
 			delete(t.vms, name)
--- a/policy/forming/view.go
+++ b/policy/forming/view.go
@@ -45,9 +45,9 @@
 	DrainTimeout   time.Duration
 }
 
-// wantsExtra says that groups beyond the wanted ones are of use: a service that weighs neither a missing
+// wantsExtraGroups says that groups beyond the wanted ones are of use: a service that weighs neither a missing
 // replica nor an idle accelerator gets exactly what it asks for.
-func (s Service) wantsExtra() bool { return s.DowntimeWeight > 0 || s.StrandedWeight > 0 }
+func (s Service) wantsExtraGroups() bool { return s.DowntimeWeight > 0 || s.StrandedWeight > 0 }
 
 // VM is one VM of the fabric domain, as listed and as it was seen.
 type VM struct {
@@ -118,8 +118,8 @@
 	HomeCutOffFor time.Duration
 }
 
-// counts says that the group is, or is on the way to be, a replica.
-func (g Group) counts() bool { return g.State != Draining && !g.NotWhole }
+// countsAsReplica says that the group is, or is on the way to be, a replica.
+func (g Group) countsAsReplica() bool { return g.State != Draining && !g.NotWhole }
 
 // size returns the number of members, or 0 if it is not known.
 func (g Group) size() int { return max(g.Size, len(g.Members)) }
