--- a/policy/forming/account.go
+++ b/policy/forming/account.go
@@ -1,7 +1,7 @@
 package forming
 
-// computeCosts works out the two measures for the domain: wanted groups that do not serve, and accelerators
-// that are live but in no serving group.
+// computeCosts fills in the two costs of the domain: wanted groups that do not serve, and accelerators of
+// live VMs that are in no serving group.
 func (p *planner) computeCosts() {
 	serving := make(map[string]int)
 	busy := make(map[string]bool)
--- a/policy/forming/condition.go
+++ b/policy/forming/condition.go
@@ -5,54 +5,59 @@
 	"time"
 )
 
-// This file answers the fault pattern of members that die, pause, restart under the same address or
-// obey an order of an older controller. A silence alone does not tell a pause of seconds from a death;
-// everything else is certain at once, since the member says it itself.
+// Failure detection for group members: VMs that die, pause, restart under the same address, or act on the
+// order of an older controller. Silence alone does not distinguish a pause of seconds from a death, so it
+// is subject to a grace period. All other faults are reported by the member itself and take effect at once.
 
-// Bounds of patience.
+// Grace periods and timeouts.
 const (
-	// SilenceGrace is how long a silent member is waited for before it is replaced. Pauses of a VM (live
-	// migration, a stop-the-world collection) last up to some seconds, while replacing costs a load of a
-	// minute or more: ten seconds more downtime on a death, against a whole load saved on a pause.
+	// SilenceGrace is how long a member may be silent before it is replaced. Pauses of a VM (live
+	// migration, stop-the-world garbage collection) last up to some seconds, while a replacement costs a
+	// load of a minute or more. The grace period adds ten seconds of downtime to a death and saves a whole
+	// load on a pause.
 	SilenceGrace = 10 * time.Second
-	// CorrelatedSilenceGrace is the patience when many VMs of the domain are silent at once. VMs do not die by the
-	// dozen independently: it is the network or the power, the members keep their state if it is the
-	// network, and loading all of them anew under the pace of loads takes far longer than this.
+	// CorrelatedSilenceGrace replaces SilenceGrace while many VMs of the domain are silent at once. Dozens
+	// of VMs do not fail independently at the same time, so the cause is the network or the power. After a
+	// network failure the members still hold their state, and reloading all of them at the allowed load
+	// rate takes far longer than this.
 	CorrelatedSilenceGrace = 60 * time.Second
-	// CorrelatedSilenceShare is the share of silent VMs that counts as many. Of a fleet of 2,520 VMs, 14 a day fail for
-	// hours and 360 restart in minutes, so that about one in a thousand is away at a time: a third of a
-	// domain at once has a common cause.
+	// CorrelatedSilenceShare is the share of the listed VMs whose silence indicates a common cause. In a
+	// fleet of 2,520 VMs, 14 a day fail for hours and 360 restart within minutes, so about one VM in a
+	// thousand is away at any time; a third of a domain at once is not coincidence.
 	CorrelatedSilenceShare = 1.0 / 3
-	// UnlistedGrace is how long a member may be missing from the list, which lags, while it still answers.
+	// UnlistedGrace is how long a member that still answers may be missing from the platform's VM list,
+	// which lags.
 	UnlistedGrace = 30 * time.Second
-	// LoadTimeout is when a load counts as failed. The largest weights load in a few minutes at the
-	// store's rate; orders that were lost are repeated long before.
+	// LoadTimeout is the time after which a load has failed. The largest weights load in a few minutes at
+	// the rate of the weight store, and lost load orders are repeated long before the timeout.
 	LoadTimeout = 15 * time.Minute
-	// HomeCutOffGrace is how long a home may call a group not whole in which nothing is wrong, as when the way from
-	// there to a member is cut, before the group is formed anew: under another id, and so most likely with
-	// another home. Links are switched over within seconds, and forming anew costs a load. One at a time in
-	// a domain: were homes blind for being overloaded, draining all their groups would make it worse.
+	// HomeCutOffGrace is how long the home of a group may report it as not whole although every member is
+	// ready, for example because the network path between the home and a member is cut. After that the
+	// group is drained and formed again under another ID, which most likely maps to another home. Links
+	// fail over within seconds, and forming a group again costs a load. Only one group of a domain is
+	// drained at a time: if homes reported this because they were overloaded, draining all their groups
+	// would make it worse.
 	HomeCutOffGrace = 30 * time.Second
 	// ReleaseTimeout is how long a member may take to confirm that it left a drained group.
 	ReleaseTimeout = 5 * time.Second
-	// RemovedServiceDrainTimeout bounds the drain of a group whose service is no longer in the settings.
+	// RemovedServiceDrainTimeout limits the drain of a group whose service is no longer in the settings.
 	RemovedServiceDrainTimeout = 10 * time.Minute
 )
 
-// fault says what is wrong with a member.
+// fault is the kind of fault of a group member.
 type fault int
 
 const (
 	faultNone fault = iota
-	// faultPaused: silent, but not for long enough to act.
+	// faultPaused: silent for less than the grace period; no action yet.
 	faultPaused
-	// faultSilent: silent beyond the grace; it may come back with its state.
+	// faultSilent: silent for longer than the grace period. The member may still return with its state.
 	faultSilent
-	// faultGone: silent and no longer listed.
+	// faultGone: silent for longer than the grace period and no longer listed by the platform.
 	faultGone
-	// faultStateLost: it answers, and has not the state that it was ordered to have.
+	// faultStateLost: it answers, but without the state that it was ordered to hold.
 	faultStateLost
-	// faultLeaving: announced to leave.
+	// faultLeaving: its removal is announced, or it is no longer listed.
 	faultLeaving
 )
 
@@ -60,26 +65,26 @@
 	return [...]string{"present", "silent for a moment", "silent", "gone", "lost its state", "leaving"}[f]
 }
 
-// condition is the worst fault among a group's members.
+// condition is the worst fault among the members of a group, and the member that has it.
 type condition struct {
 	worst fault
 	vm    string
-	// leaving says that some member leaves, whatever the worst is.
+	// leaving is set if any member is leaving, even if another fault is worse.
 	leaving bool
 }
 
 func (c condition) reason() string { return fmt.Sprintf("%s %s", c.vm, c.worst) }
 
-// broken says that the group can't serve and should be repaired.
+// broken reports whether the group can't serve and needs repair.
 func (c condition) broken() bool {
 	return c.worst == faultSilent || c.memberLost()
 }
 
-// memberLost says that a member will not come back with the state that the group needs.
+// memberLost reports whether a member will not return with the state that the group needs.
 func (c condition) memberLost() bool { return c.worst == faultGone || c.worst == faultStateLost }
 
-// unrecoverable says that the group will not be whole again as it is: what is silent may come back, but by then
-// another member has left.
+// unrecoverable reports whether the group can't become whole again. A silent member may return, but not in
+// time if another member is leaving.
 func (c condition) unrecoverable() bool { return c.memberLost() || c.worst == faultSilent && c.leaving }
 
 func (p *planner) condition(g *Group) condition {
@@ -101,11 +106,11 @@
 	return worst
 }
 
-// departing says that the VM will be taken away, whether or not it answers.
+// departing reports whether the VM will be removed, whether or not it still answers.
 func (v VM) departing() bool { return v.Leaving || v.UnlistedFor >= UnlistedGrace }
 
-// severity orders faults by how much they decide: a member that is lost for good outweighs one that leaves,
-// since there is nothing left to drain.
+// severity orders faults for picking the worst one. A member that is lost outweighs one that is leaving,
+// because a group with a lost member has nothing left to drain.
 func severity(f fault) int {
 	return [...]int{faultNone: 0, faultPaused: 1, faultLeaving: 2, faultSilent: 3, faultGone: 4, faultStateLost: 5}[f]
 }
@@ -131,7 +136,7 @@
 	return faultNone
 }
 
-// whole says that every member has joined the group and is ready.
+// whole reports whether every member has joined the group and is ready.
 func (p *planner) whole(g *Group) bool { return isWhole(p.view.VMs, g) }
 
 func isWhole(vms []VM, g *Group) bool {
@@ -153,8 +158,8 @@
 	return VM{}
 }
 
-// isServing says that the group does a replica's work, as far as is known. What its home calls not whole gets
-// no work, whatever the members say to others.
+// isServing reports whether the group serves requests as a replica, as far as is known. A group that its
+// home reports as not whole gets no requests, even if its members answer the controller.
 func (p *planner) isServing(g *Group) bool {
 	return g.State == Serving && !g.HomeNotWhole && (g.HomeWhole || p.whole(g))
 }
--- a/policy/forming/decide.go
+++ b/policy/forming/decide.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// planner works out one plan.
+// planner computes one plan from a view.
 type planner struct {
 	view         *View
 	services     map[string]Service
 	vms          map[string]VM
 	silenceGrace time.Duration
 	plan         Plan
-	// changed holds the groups that a step of this plan already changes.
+	// changed holds the IDs of the groups that a step of this plan already changes.
 	changed map[string]bool
-	// broken holds the groups that are to be repaired.
+	// broken holds the condition of the groups that need repair, by group ID.
 	broken map[string]condition
-	// targets holds the split, by domain and service.
+	// targets holds the number of groups by domain and service, as Split returns it.
 	targets map[string]map[string]int
-	// pool holds the VMs that are free, or become so by this plan.
+	// pool holds the VMs that are free, or that this plan frees.
 	pool []VM
 	// formed counts the groups formed by this plan, by service.
 	formed map[string]int
 }
 
-// Decide returns the plan for a view whose durations a Tracker has filled in.
+// Decide returns the plan for a view. The durations in the view must have been filled in by a Tracker.
 func Decide(view View) Plan {
 	p := newPlanner(&view)
 	p.advanceGroups()
@@ -79,14 +79,16 @@
 	return p
 }
 
-// allDomains returns all fabric allDomains of the place, as their controllers should see them.
+// allDomains returns this fabric domain and the others of the place, in the form that every controller sees
+// them.
 func (p *planner) allDomains() []Domain {
 	own := Domain{Name: p.view.Domain, Live: p.plan.Live, Groups: p.view.Groups}
 	return append([]Domain{own}, p.view.Others...)
 }
 
-// usableVMs counts the VMs that a replica can be planned on. One that is silent for a moment counts, or each
-// pause would move a replica to another domain.
+// usableVMs counts the VMs that replicas can be planned on, by the service that they are dedicated to. VMs
+// that are silent for less than the grace period count, otherwise each pause would move a replica to
+// another domain.
 func (p *planner) usableVMs() map[string]int {
 	live := make(map[string]int)
 	for _, vm := range p.view.VMs {
@@ -97,7 +99,8 @@
 	return live
 }
 
-// isFirstDomain says that this domain is the one that accounts for what no domain can hold.
+// isFirstDomain reports whether this domain is first by name. Only the first domain reports the groups that
+// no domain has room for, so that they are counted once.
 func (p *planner) isFirstDomain() bool {
 	for _, d := range p.view.Others {
 		if d.Name < p.view.Domain {
@@ -114,7 +117,8 @@
 	}
 }
 
-// advanceGroups takes each group as far as its own members allow.
+// advanceGroups moves each group to its next state, as far as its own members allow. Groups that need
+// repair are recorded in p.broken.
 func (p *planner) advanceGroups() {
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
@@ -145,10 +149,11 @@
 	}
 }
 
-// advanceDraining frees the members of a group once nothing is in progress on it. The home's count is
-// checked against the head's own: a home that has just changed may not know of the requests that the one
-// before it still has at work. A group with a member lost for good has nothing left to drain: its
-// requests broke off, and if it is the head that is gone, nobody will ever say so.
+// advanceDraining releases the members of a draining group once no request is in progress on it, or the
+// drain timeout has passed. The count of the home is checked against that of the group's head (its first
+// member), because a home that has just taken over may not know of requests that the previous home sent. A
+// group that lost a member has nothing left to drain: its requests have failed, and if the head is the lost
+// member, no count will ever arrive.
 func (p *planner) advanceDraining(g *Group) {
 	drained := p.condition(g).memberLost() || g.HomeReported && g.InProgress == 0 && p.runningOnHead(g) == 0
 	if !drained && g.InState < p.drainTimeout(g) {
@@ -161,7 +166,7 @@
 	p.addStep(Step{Kind: StepRelease, Group: g.ID, Service: g.Service, Reason: "drained"})
 }
 
-// runningOnHead is how many requests the group's head says it runs.
+// runningOnHead returns the number of running requests that the head of the group reports.
 func (p *planner) runningOnHead(g *Group) int {
 	head := p.vms[g.Members[0].VM]
 	if !head.Responding || head.Group != g.ID {
@@ -177,7 +182,7 @@
 	return RemovedServiceDrainTimeout
 }
 
-// released says that no member that answers still has the group's state.
+// released reports whether no responding member still holds the state of the group.
 func (p *planner) released(g *Group) bool {
 	for _, m := range g.Members {
 		v := p.vms[m.VM]
@@ -192,7 +197,7 @@
 	p.addStep(Step{Kind: StepDrain, Group: g.ID, Service: g.Service, VM: aside, Reason: reason})
 }
 
-// dissolve frees the group's members for the rest of this plan.
+// dissolve removes the group and makes its usable members available to the rest of this plan.
 func (p *planner) dissolve(g *Group, reason string) {
 	p.addStep(Step{Kind: StepDissolve, Group: g.ID, Service: g.Service, Reason: reason})
 	for _, m := range g.Members {
@@ -202,7 +207,8 @@
 	}
 }
 
-// form takes VMs for one group of s from the pool, if it holds enough.
+// form adds a step that forms one group of s from the pool. It returns false if the pool has too few VMs
+// for it.
 func (p *planner) form(s Service, reason string) bool {
 	chosen := p.chooseMembers(s)
 	if chosen == nil {
@@ -226,8 +232,9 @@
 	return true
 }
 
-// chooseMembers picks the VMs for a group: dedicated ones first, then those that restarted least, since a VM in
-// a restart loop would take its new group down again within minutes.
+// chooseMembers picks the VMs for a group of s: dedicated VMs first, then those with the fewest restarts,
+// since a VM in a restart loop would break its new group within minutes. It returns nil if too few VMs are
+// eligible.
 func (p *planner) chooseMembers(s Service) []VM {
 	fitting := make([]VM, 0, len(p.pool))
 	for _, vm := range p.pool {
@@ -255,7 +262,7 @@
 	return vm.DedicatedTo == s.Name || (vm.DedicatedTo == "" && !s.Dedicated)
 }
 
-// startNextLoad starts the most urgent startNextLoad that waits, at the pace that the settings give.
+// startNextLoad starts the most urgent waiting load if the load rate allows one now.
 func (p *planner) startNextLoad() {
 	g := p.nextLoad()
 	if g == nil {
--- a/policy/forming/decide_test.go
+++ b/policy/forming/decide_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// vms returns present, free VMs named v1, v2 and so on.
+// vms returns responding, free VMs named v1, v2 and so on.
 func vms(count int) []forming.VM {
 	list := make([]forming.VM, 0, count)
 	for i := range count {
@@ -27,7 +27,7 @@
 	return list
 }
 
-// addServingGroup puts the VMs from..from+size-1 of the view into a group that serves.
+// addServingGroup puts the VMs from..from+size-1 of the view into a serving group.
 func addServingGroup(v *forming.View, id string, s forming.Service, from int) {
 	g := forming.Group{ID: id, Service: s.Name, Version: s.Version, State: forming.Serving, Epoch: 1, HomeReported: true}
 	for i := from; i < from+s.GroupSize; i++ {
@@ -38,7 +38,7 @@
 	v.Groups = append(v.Groups, g)
 }
 
-// formatSteps writes steps as "kind group members" to compare them.
+// formatSteps formats steps as "kind group members" for comparison.
 func formatSteps(steps []forming.Step) []string {
 	lines := make([]string, 0, len(steps))
 	for _, s := range steps {
--- a/policy/forming/measure_test.go
+++ b/policy/forming/measure_test.go
@@ -14,11 +14,12 @@
 
 var measureHours = flag.Int("hours", 4, "virtual hours that TestMeasureForming plays")
 
-// deployment is one of the two that the settings are made for, and the VMs that it has.
+// deployment is one of the two kinds of deployment that the settings are made for, with the VMs that it
+// has.
 type deployment struct {
 	name               string
 	downtime, stranded float64
-	// vms counts the VMs of each fabric domain. 50 groups of 4 need 200.
+	// vms is the number of VMs of each fabric domain. 50 groups of 4 need 200.
 	vms []int
 }
 
@@ -27,7 +28,7 @@
 	{"studio, 200 VMs", 1, 10, []int{36, 36, 32, 32, 32, 32}},
 }
 
-// variant is a way to decide.
+// variant is a decision function under comparison.
 type variant struct {
 	name   string
 	decide func(forming.View) forming.Plan
@@ -40,7 +41,8 @@
 	{"decision, 4 spares", forming.Decide, 4},
 }
 
-// costs is what a run came to, after the first loads: group-hours, accelerator-hours and loads a day.
+// costs are the results of a run after the initial loads: group-hours of downtime, stranded
+// accelerator-hours, and loads, each per day.
 type costs struct {
 	down, stranded, loads float64
 }
@@ -65,11 +67,11 @@
 	return costs{down: s.downSeconds / 3600 / days, stranded: s.strandedSeconds / 3600 / days, loads: float64(s.loads) / days}
 }
 
-// ordinaryFaults adds nothing to the ordinaryFaults days.
+// ordinaryFaults adds no faults to the daily fault rates.
 func ordinaryFaults(*sim, time.Duration) {}
 
-// correlatedFaults are the faults that take many VMs at once: a network cut of a domain for five minutes, which
-// leaves the VMs' state alone, and a rack of twelve VMs that is without power for half an hour.
+// correlatedFaults adds faults that hit many VMs at once: a network failure that cuts off a domain for five
+// minutes without loss of state, and a rack of twelve VMs that loses power for half an hour.
 func correlatedFaults(s *sim, from time.Duration) {
 	for _, v := range s.domains[0].vms {
 		s.pause(v, from+time.Hour, 5*time.Minute)
@@ -79,8 +81,8 @@
 	}
 }
 
-// TestMeasureForming prints the figures of docs/measurements/forming.md. What it asserts is that the
-// decision costs less than the baseline, by the weights of each deployment, and leaves less downtime.
+// TestMeasureForming prints the figures of docs/measurements/forming.md. It asserts that Decide costs less
+// than the baseline by the weights of each deployment, and causes less downtime.
 func TestMeasureForming(t *testing.T) {
 	RegisterTestingT(t)
 	worlds := []struct {
@@ -104,8 +106,8 @@
 	}
 }
 
-// TestMeasureFabricDomains prints what it costs that a group does not cross a fabric domain: the same VMs and
-// faults, in six domains and in one.
+// TestMeasureFabricDomains prints the cost of keeping each group within one fabric domain, by comparing the
+// same number of VMs and the same fault rates in six domains and in one.
 func TestMeasureFabricDomains(t *testing.T) {
 	RegisterTestingT(t)
 	six := deployment{"6 domains of 35 VMs", 10, 1, []int{35, 35, 35, 35, 35, 35}}
@@ -118,7 +120,7 @@
 }
 
 var _ = Describe("One fault in virtual time", func() {
-	// after returns the group downtime, in seconds, that follows from a fault at a settled service of ten groups.
+	// after returns the downtime in group-seconds that a fault causes at a settled service of ten groups.
 	after := func(decide func(forming.View) forming.Plan, free int, fault func(s *sim, v *simVM, at time.Duration)) float64 {
 		s := newSim(decide, []forming.Service{{
 			Name: "language", Version: "m:1", GroupSize: 4, Replicas: 10, DowntimeWeight: 10, DrainTimeout: 5 * time.Minute,
@@ -140,15 +142,15 @@
 		Expect(without).To(BeNumerically(">", 2*time.Hour.Seconds()))
 	})
 
-	// A VM is migrated by its host and stands still for five seconds. Its group must not load anew for that.
+	// A VM stands still for five seconds while its host migrates it. Its group must not load again.
 	It("lets a pause cost no more than the pause", func() {
 		pause := func(s *sim, v *simVM, at time.Duration) { s.pause(v, at, 5*time.Second) }
 		Expect(after(forming.Decide, 1, pause)).To(BeNumerically("<=", 6))
 		Expect(after(baseline, 1, pause)).To(BeNumerically(">", simLoadTime.Seconds()))
 	})
 
-	// A switch fails, and all VMs of a domain are silent for five minutes. They keep their state. Loading ten
-	// groups anew would take far longer than the fault itself.
+	// A switch fails, and all VMs of a domain are silent for five minutes but keep their state. Loading ten
+	// groups again would take far longer than the fault itself.
 	It("takes a domain that was cut off back as it was", func() {
 		cut := func(s *sim, _ *simVM, at time.Duration) {
 			for _, v := range s.domains[0].vms {
--- a/policy/forming/pace.go
+++ b/policy/forming/pace.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// This file answers the fault pattern of many loads at once: a rack comes back, or a new version rolls
-// out, and dozens of groups want their weights from one rate-limited store. Started together they share
-// its rate, and all of them are ready only at the end; one after the other, half of them are ready by
-// half of that time. Loads therefore start at the rate that the settings give, and the service without
-// any replica goes first: its callers get nothing at all meanwhile.
+// Pacing of loads. When a rack returns or a new version rolls out, dozens of groups load their weights from
+// one rate-limited store. If they all start together, they share its rate and all become ready only at the
+// end; if they load one after the other, half of them are ready after half of that time. Loads therefore
+// start at the rate given in the settings. The service without any replica goes first, because its callers
+// get no service at all.
 
-// Pacer spaces the starts of loads in one fabric domain. It is not safe for concurrent use.
+// Pacer limits the rate at which loads start in one fabric domain. It is not safe for concurrent use.
 type Pacer struct {
 	next time.Duration
 }
 
-// Allowed says that a load may start now.
+// Allowed reports whether a load may start now.
 func (p *Pacer) Allowed(now time.Duration) bool { return now >= p.next }
 
-// Started books the start of a load of s while the given number of fabric domains, this one included,
-// have groups waiting to load. They share the store, so each takes its part of the rate.
+// Started records the start of a load of s. waiting is the number of fabric domains, this one included,
+// with groups waiting to load; they share the store, so each gets an equal part of the rate.
 func (p *Pacer) Started(now time.Duration, s Service, waiting int) {
 	if s.LoadsPerMinute <= 0 {
 		return
@@ -29,7 +29,8 @@
 	p.next = now + time.Minute*time.Duration(members)/time.Duration(s.LoadsPerMinute)
 }
 
-// WaitingDomains counts the fabric domains with groups that wait to load, the view's own included.
+// WaitingDomains counts the fabric domains with groups that wait to load. The domain of the view always
+// counts as one.
 func (v *View) WaitingDomains() int {
 	count := 1
 	for _, d := range v.Others {
@@ -43,7 +44,7 @@
 	return count
 }
 
-// nextLoad returns the forming group that should load first, or nil.
+// nextLoad returns the forming group that should load first, or nil if none is ready to load.
 func (p *planner) nextLoad() *Group {
 	waiting := make([]*Group, 0)
 	for i := range p.view.Groups {
@@ -70,12 +71,12 @@
 	return a.Service < b.Service
 }
 
-// NoReplicaFactor is how much more a missing replica counts for a service that has none left: all of its
-// callers wait, not a share of them. Above the number of replicas of the largest service of today, so
+// NoReplicaFactor multiplies the need of a service that has no replica left, since all of its callers wait
+// and not only a share of them. It is larger than the number of replicas of the largest service today, so
 // that no other shortage outweighs it.
 const NoReplicaFactor = 100
 
-// need is the weighted share of a service's replicas that do not serve.
+// need returns the share of the replicas of a service that do not serve, weighted by its cost of downtime.
 func (p *planner) need(service string) float64 {
 	s, ok := p.services[service]
 	if !ok || s.Replicas == 0 {
--- a/policy/forming/repair.go
+++ b/policy/forming/repair.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// This file answers the fault pattern of groups that lost a member for good, or for long. The plain
-// answer, to dissolve each broken group and form new ones from whatever is free, throws away the state
-// of replicas that would have come back whole, and in a domain that went dark and returned it makes
-// every replica load anew. Here a broken group is taken apart only when its survivors make another
-// group whole: with a free VM its own successor, or with the survivors of other broken groups. Until
-// then it stays listed, and is whole again the moment its member returns with its state.
+// Repair of groups that lost a member permanently or for a long time. Dissolving every broken group at once
+// and forming new ones from the free VMs would discard the state of replicas whose member returns, and
+// would make every replica of a domain load again after a temporary outage of that domain. A broken group
+// is therefore dissolved only when its remaining members complete another group, either its own successor
+// with the help of free VMs, or a group with members of other broken groups. Until then it stays in the
+// placement, and it is whole again as soon as its member returns with its state.
 
-// ExcessGroupGrace is how long a group above the target stands before it is drained: the views of two
+// ExcessGroupGrace is how long a group above the target exists before it is drained. The views of two
 // controllers differ for some seconds after each change, and a drain can't be undone.
 const ExcessGroupGrace = 10 * time.Second
 
-// activeGroups counts the groups of a service here that are or will be a replica, after this plan.
+// activeGroups counts the groups of a service in this domain that remain active after this plan.
 func (p *planner) activeGroups(service string) int {
 	count := p.formed[service]
 	for i := range p.view.Groups {
@@ -28,7 +28,7 @@
 	return count
 }
 
-// remainsActive says that the group is or will be a replica after this plan.
+// remainsActive reports whether the group is a replica, or on the way to become one, after this plan.
 func (p *planner) remainsActive(g *Group) bool {
 	if g.State == Draining {
 		return false
@@ -48,7 +48,7 @@
 	return false
 }
 
-// formMissing forms what the target wants, for the service in greatest need first.
+// formMissing forms the groups that the targets ask for, for the service in greatest need first.
 func (p *planner) formMissing() {
 	for _, s := range p.servicesByNeed() {
 		for p.activeGroups(s.Name) < p.plan.Targets[s.Name] {
@@ -72,10 +72,10 @@
 	return ordered
 }
 
-// dissolveBroken dissolves the broken group with the most survivors that s can use, if the survivors of all
-// broken groups and the pool together make a group of s.
+// dissolveBroken dissolves the broken group with the most members that s can use, provided that the usable
+// members of all broken groups and the pool together suffice for a group of s.
 func (p *planner) dissolveBroken(s Service) bool {
-	have := p.countFree(s)
+	available := p.countFree(s)
 	var best *Group
 	most := 0
 	for i := range p.view.Groups {
@@ -84,12 +84,12 @@
 			continue
 		}
 		survivors := p.usableMembers(g, s)
-		have += survivors
+		available += survivors
 		if survivors > most {
 			best, most = g, survivors
 		}
 	}
-	if best == nil || have < s.GroupSize {
+	if best == nil || available < s.GroupSize {
 		return false
 	}
 	p.dissolve(best, p.broken[best.ID].reason())
@@ -106,7 +106,8 @@
 	return count
 }
 
-// dissolveUnrecoverable dissolves broken groups that can't come back as they were, and that nothing has used.
+// dissolveUnrecoverable dissolves the broken groups that can't become whole again and that the plan has not
+// changed yet.
 func (p *planner) dissolveUnrecoverable() {
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
@@ -120,8 +121,8 @@
 	}
 }
 
-// makeRoom ends one group that is above the target of its service, for a service that misses one, unless
-// VMs are on their way already.
+// makeRoom ends one group above the target of its service, to free VMs for a service that is missing a
+// group. It does nothing if enough VMs are about to become free.
 func (p *planner) makeRoom(s Service) {
 	p.plan.BlockedReasons[s.Name] = "too few free VMs in the fabric domain"
 	if p.freeOrDraining(s) >= s.GroupSize {
@@ -138,8 +139,9 @@
 	}
 }
 
-// endExcess ends groups above the target, where the settings ask for spares that are missing, or weigh nothing.
-// Elsewhere an extra group is worth more than idle VMs, and makes room once its VMs are wanted.
+// endExcess ends groups above the target if fewer VMs are free than the settings ask for as spares, or if
+// the service has no use for extra groups. Otherwise an extra group is worth more than idle VMs, and
+// makeRoom ends it once its VMs are needed.
 func (p *planner) endExcess() {
 	for _, s := range p.servicesByNeed() {
 		for p.activeGroups(s.Name) > p.plan.Targets[s.Name] && p.excessUnwanted(s) {
@@ -159,7 +161,8 @@
 	return !s.wantsExtraGroups() || p.freeOrDraining(s) < p.requestedSpares(s)
 }
 
-// freeOrDraining counts the VMs that s can use and that are free, or will be once what drains is drained.
+// freeOrDraining counts the VMs eligible for s that are free, or become free once the draining groups are
+// drained.
 func (p *planner) freeOrDraining(s Service) int {
 	count := p.countFree(s)
 	for i := range p.view.Groups {
@@ -180,7 +183,8 @@
 	return false
 }
 
-// leastUseful returns the group of a service that is furthest from serving, or has the least in progress.
+// leastUseful returns the group of a service that is furthest from serving or, if all serve, has the fewest
+// requests in progress. It returns nil if none can be ended.
 func (p *planner) leastUseful(service string) *Group {
 	var worst *Group
 	for i := range p.view.Groups {
@@ -214,7 +218,8 @@
 	p.dissolve(g, reason)
 }
 
-// updateNotWhole tells the controllers of other fabric domains which groups are not whole.
+// updateNotWhole updates the NotWhole flag in the placement, from which the controllers of other fabric
+// domains learn which groups are not whole.
 func (p *planner) updateNotWhole() {
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
@@ -233,8 +238,8 @@
 	}
 }
 
-// formExtra turns free VMs beyond the spares into a group more than is wanted. One at a time, and not while
-// anything else is in need of VMs.
+// formExtra forms an extra group from free VMs beyond the spares. It forms one at a time, and none while a
+// service lacks VMs or a rollout is in progress.
 func (p *planner) formExtra() {
 	if len(p.plan.BlockedReasons) > 0 {
 		return
@@ -254,7 +259,7 @@
 	}
 }
 
-// countFree counts the pool's VMs that fit s.
+// countFree counts the VMs of the pool that are eligible for s.
 func (p *planner) countFree(s Service) int {
 	count := 0
 	for _, vm := range p.pool {
@@ -265,7 +270,8 @@
 	return count
 }
 
-// servicesByReplicaShare orders services by how many groups they have for their wish, fewest first.
+// servicesByReplicaShare orders services by the ratio of their groups in all domains to their wanted
+// replicas, lowest first.
 func (p *planner) servicesByReplicaShare() []Service {
 	ordered := servicesByWeight(p.view.Services)
 	share := func(s Service) float64 {
--- a/policy/forming/roll.go
+++ b/policy/forming/roll.go
@@ -1,19 +1,19 @@
 package forming
 
-// This file answers the load pattern of a changed version or setting that every replica must take up.
-// Restarting all at once is an outage, and each domain restarting one of its own at once is one for a
-// small service. So groups are replaced one by one over all domains: the domains take turns in the order
-// of their names, which every controller can tell from the placements alone, and the number that serves
-// never goes below the wanted one where a new group finds room, beside the old ones or in another domain.
-// Where there is no room anywhere, one at a time is given up first; a service whose only replica that
-// would be waits and says so.
-
-// MaxSurgeShare is the share of a service's replicas that may be formed beyond the wanted ones during a
-// roll: enough to finish 50 replicas in about ten rounds of loading, few enough that their loads do not
-// crowd out repairs.
+// Rolling replacement of groups after a change of version or group size. Restarting all replicas at once is
+// an outage, and so is restarting one in each domain at once for a small service. Groups are therefore
+// replaced one by one across all domains. The domains take turns in the order of their names, which every
+// controller can determine from the placements alone. The number of serving groups stays at or above the
+// wanted one as long as a new group finds room, beside the old ones or in another domain. Without room
+// anywhere, one group at a time is drained first; a service whose only replica that would be waits, and the
+// plan reports it as blocked.
+
+// MaxSurgeShare is the share of the replicas of a service that may be formed beyond the wanted number
+// during a rollout. It replaces 50 replicas in about ten rounds of loading without crowding out the loads
+// of repairs.
 const MaxSurgeShare = 0.1
 
-// rolling says that some domain still has groups of s of another version.
+// rolling reports whether any domain still has groups of s that are outdated.
 func (p *planner) rolling(s Service) bool { return p.domainInTurn(s) != "" }
 
 func (p *planner) countOutdated(groups []Group, s Service) int {
@@ -26,7 +26,8 @@
 	return count
 }
 
-// domainInTurn names the domain whose domainInTurn it is, the first that still has groups to roll, or "".
+// domainInTurn returns the name of the domain whose turn it is to replace its outdated groups of s: the
+// first by name that has any, or "" if none has.
 func (p *planner) domainInTurn(s Service) string {
 	first := ""
 	for _, d := range p.allDomains() {
@@ -51,9 +52,9 @@
 	}
 }
 
-// formsReplacements says that this domain is the one to form groups of the new version: the one whose turn it is
-// if it has room, else the first that has. Without the others, a replica that fills its domain would
-// keep its old version while another domain stands empty.
+// formsReplacements reports whether this domain forms the groups that replace outdated ones. That is the
+// domain in turn if it has room, else the first by name that has room. If only the domain in turn did so, a
+// replica that fills its domain would keep its old version while another domain is empty.
 func (p *planner) formsReplacements(s Service) bool {
 	turn := p.domainInTurn(s)
 	return turn == p.view.Domain || !p.roomElsewhere(s, func(d Domain) bool {
@@ -61,11 +62,11 @@
 	})
 }
 
-// roomElsewhere says that one of the other domains that which selects has room for a group of s. It may
-// err on the side of no room, since the members of groups that are gone are counted as taken.
-func (p *planner) roomElsewhere(s Service, which func(Domain) bool) bool {
+// roomElsewhere reports whether any other domain that selects accepts has room for a group of s. It may miss
+// room, because the VMs of all groups in the placement count as taken, even if they are gone.
+func (p *planner) roomElsewhere(s Service, selects func(Domain) bool) bool {
 	for _, d := range p.view.Others {
-		if which(d) && p.freeIn(d, s) >= s.GroupSize {
+		if selects(d) && p.freeIn(d, s) >= s.GroupSize {
 			return true
 		}
 	}
@@ -73,14 +74,14 @@
 }
 
 func (p *planner) freeIn(d Domain, s Service) int {
-	left := domainCapacity{free: make(map[string]int, len(d.Live))}
+	capacity := domainCapacity{free: make(map[string]int, len(d.Live))}
 	for class, count := range d.Live {
-		left.free[class] = count
+		capacity.free[class] = count
 	}
 	for _, g := range d.Groups {
-		left.reserve(Service{Name: g.Service, Dedicated: p.services[g.Service].Dedicated, GroupSize: g.size()}, 1)
+		capacity.reserve(Service{Name: g.Service, Dedicated: p.services[g.Service].Dedicated, GroupSize: g.size()}, 1)
 	}
-	return left.freeFor(s)
+	return capacity.freeFor(s)
 }
 
 func (p *planner) formSurge(s Service) {
@@ -90,7 +91,7 @@
 	}
 }
 
-// drainOutdated drains groups of the older version for which others serve.
+// drainOutdated drains outdated groups of s as long as enough groups keep serving.
 func (p *planner) drainOutdated(s Service) {
 	minimum := s.Replicas
 	serving := p.servingInAllDomains(s.Name) - p.countServingEnded(s.Name)
@@ -110,13 +111,15 @@
 	}
 }
 
-// rolloutStuck says that no group of s is on the way, and that none can be until one is given up.
+// rolloutStuck reports whether no group of s is about to serve, none is draining, and no domain has room
+// for one, so that an old group must be drained first.
 func (p *planner) rolloutStuck(s Service) bool {
 	anywhere := func(Domain) bool { return true }
 	return p.countStarting(s) == 0 && p.countDraining(s) == 0 && !p.roomElsewhere(s, anywhere)
 }
 
-// countDraining counts the groups of s, here and elsewhere, whose VMs are about to be free.
+// countDraining counts the groups of s in all domains that are draining or that this plan ends, so that
+// their VMs become free.
 func (p *planner) countDraining(s Service) int {
 	count := 0
 	for _, d := range p.allDomains() {
@@ -129,7 +132,7 @@
 	return count
 }
 
-// countStarting counts the groups of s, here and elsewhere, that are on the way to serve.
+// countStarting counts the groups of s in all domains that are forming or loading.
 func (p *planner) countStarting(s Service) int {
 	count := p.formed[s.Name]
 	for i := range p.view.Groups {
@@ -148,7 +151,7 @@
 	return count
 }
 
-// countServingEnded counts the serving groups that this plan already ends.
+// countServingEnded counts the serving groups of a service that this plan already ends.
 func (p *planner) countServingEnded(service string) int {
 	count := 0
 	for i := range p.view.Groups {
@@ -174,7 +177,7 @@
 	return best
 }
 
-// servingInAllDomains counts the groups of a service that serve, in all domains.
+// servingInAllDomains counts the serving groups of a service in all domains.
 func (p *planner) servingInAllDomains(service string) int {
 	count := 0
 	for i := range p.view.Groups {
--- a/policy/forming/roll_test.go
+++ b/policy/forming/roll_test.go
@@ -11,8 +11,8 @@
 	"github.com/skylarkpond/skylarkpond/policy/forming"
 )
 
-// rollout is some fabric domains, each decided for by a controller of its own, in virtual time. Nothing
-// fails in it, and loading takes a round.
+// rollout simulates several fabric domains in virtual time, each with a controller of its own. No VM fails,
+// and a load takes one round.
 type rollout struct {
 	now      time.Duration
 	services []forming.Service
@@ -21,55 +21,55 @@
 }
 
 type fabricDomain struct {
-	name    string
-	vms     []forming.VM
-	groups  []forming.Group
-	live    map[string]int
-	held    map[string]string
-	tracker *forming.Tracker
+	name           string
+	vms            []forming.VM
+	groups         []forming.Group
+	live           map[string]int
+	blockedReasons map[string]string
+	tracker        *forming.Tracker
 }
 
 func newRollout(s forming.Service, sizes ...int) *rollout {
-	p := &rollout{services: []forming.Service{s}}
+	r := &rollout{services: []forming.Service{s}}
 	for i, size := range sizes {
 		d := &fabricDomain{name: fmt.Sprintf("d%d", i+1), vms: vms(size), live: map[string]int{"": size}, tracker: forming.NewTracker()}
-		p.domains = append(p.domains, d)
+		r.domains = append(r.domains, d)
 	}
-	return p
+	return r
 }
 
-// addServing lets a group of s addServing in a domain, on its first VMs that are in none.
-func (p *rollout) addServing(domain int, s forming.Service) {
-	d := p.domains[domain]
+// addServing adds a serving group of s to a domain, on its first VMs that are in no group.
+func (r *rollout) addServing(domain int, s forming.Service) {
+	d := r.domains[domain]
 	v := forming.View{VMs: d.vms}
-	p.formed++
-	addServingGroup(&v, fmt.Sprintf("%s-g%d", d.name, p.formed), s, len(d.groups)*s.GroupSize)
+	r.formed++
+	addServingGroup(&v, fmt.Sprintf("%s-g%d", d.name, r.formed), s, len(d.groups)*s.GroupSize)
 	d.groups = append(d.groups, v.Groups...)
 }
 
-func (p *rollout) runRound() {
-	for _, d := range p.domains {
+func (r *rollout) runRound() {
+	for _, d := range r.domains {
 		view := forming.View{
-			Domain: d.name, Services: p.services, VMs: slices.Clone(d.vms), Groups: slices.Clone(d.groups), LoadAllowed: true,
+			Domain: d.name, Services: r.services, VMs: slices.Clone(d.vms), Groups: slices.Clone(d.groups), LoadAllowed: true,
 		}
-		for _, other := range p.domains {
+		for _, other := range r.domains {
 			if other != d {
 				view.Others = append(view.Others, other.report())
 			}
 		}
-		d.tracker.Observe(p.now, &view)
+		d.tracker.Observe(r.now, &view)
 		plan := forming.Decide(view)
-		d.live, d.held = plan.Live, plan.BlockedReasons
+		d.live, d.blockedReasons = plan.Live, plan.BlockedReasons
 		for _, step := range plan.Steps {
-			p.apply(d, step)
+			r.apply(d, step)
 		}
 	}
-	p.now += time.Second
+	r.now += time.Second
 }
 
-func (p *rollout) runRounds(count int) {
+func (r *rollout) runRounds(count int) {
 	for range count {
-		p.runRound()
+		r.runRound()
 	}
 }
 
@@ -82,11 +82,11 @@
 	return report
 }
 
-func (p *rollout) apply(d *fabricDomain, step forming.Step) {
+func (r *rollout) apply(d *fabricDomain, step forming.Step) {
 	if step.Kind == forming.StepForm {
-		p.formed++
+		r.formed++
 		g := forming.Group{
-			ID: fmt.Sprintf("%s-g%d", d.name, p.formed), Service: step.Service, Version: step.Version, State: forming.Forming, HomeReported: true,
+			ID: fmt.Sprintf("%s-g%d", d.name, r.formed), Service: step.Service, Version: step.Version, State: forming.Forming, HomeReported: true,
 		}
 		for _, name := range step.Members {
 			g.Members = append(g.Members, forming.Member{VM: name, BootID: "b-" + name})
@@ -120,15 +120,15 @@
 	}
 }
 
-// serving counts the groups that serve, and those of them that are as wanted.
-func (p *rollout) serving() (all, wanted int) {
-	for _, d := range p.domains {
+// serving counts the serving groups, and those of them with the wanted version and size.
+func (r *rollout) serving() (all, wanted int) {
+	for _, d := range r.domains {
 		for _, g := range d.groups {
 			if g.State != forming.Serving || g.NotWhole {
 				continue
 			}
 			all++
-			if g.Version == p.services[0].Version && len(g.Members) == p.services[0].GroupSize {
+			if g.Version == r.services[0].Version && len(g.Members) == r.services[0].GroupSize {
 				wanted++
 			}
 		}
@@ -137,25 +137,25 @@
 }
 
 var _ = Describe("A change of version", func() {
-	// An operator wants another version of a model. Each replica must load it anew, and while one does it
-	// serves nobody: callers find fewer replicas than were wanted, or none, or the old version for ever.
+	// Each replica must load a new version, and serves nobody while it does. Guards against too few or no
+	// replicas serving in the meantime, and against an old version that is never replaced.
 	DescribeTable("reaches every group one by one, and leaves enough serving",
 		func(replicas int, sizes, standing []int, least int) {
 			s := service("chat", 4, replicas)
 			s.StrandedWeight = 1
-			p := newRollout(s, sizes...)
+			r := newRollout(s, sizes...)
 			for domain, count := range standing {
 				for range count {
-					p.addServing(domain, s)
+					r.addServing(domain, s)
 				}
 			}
-			p.services[0].Version = "m:2"
+			r.services[0].Version = "m:2"
 			for range 200 {
-				p.runRound()
-				all, _ := p.serving()
-				Expect(all).To(BeNumerically(">=", least), "at %v", p.now)
+				r.runRound()
+				all, _ := r.serving()
+				Expect(all).To(BeNumerically(">=", least), "at %v", r.now)
 			}
-			all, wanted := p.serving()
+			all, wanted := r.serving()
 			Expect(wanted).To(Equal(all))
 			Expect(wanted).To(BeNumerically(">=", replicas))
 		},
@@ -171,47 +171,47 @@
 
 	It("waits with the only replica where there is no room, and says so", func() {
 		s := service("chat", 4, 1)
-		p := newRollout(s, 5)
-		p.addServing(0, s)
-		p.services[0].Version = "m:2"
-		p.runRounds(50)
-		all, wanted := p.serving()
+		r := newRollout(s, 5)
+		r.addServing(0, s)
+		r.services[0].Version = "m:2"
+		r.runRounds(50)
+		all, wanted := r.serving()
 		Expect(all).To(Equal(1))
 		Expect(wanted).To(BeZero())
-		Expect(p.domains[0].held).To(HaveKeyWithValue("chat", ContainSubstring("only replica")))
+		Expect(r.domains[0].blockedReasons).To(HaveKeyWithValue("chat", ContainSubstring("only replica")))
 	})
 
-	// The domain that would be first has gone dark with its old group: nobody can roll that, and the others
+	// The domain in turn is dark together with its old group, which nobody can replace. The other domains
 	// must not wait for it.
 	It("does not wait for a domain that is dark", func() {
 		s := service("chat", 4, 2)
-		p := newRollout(s, 4, 9)
-		p.addServing(0, s)
-		p.addServing(1, s)
-		for i := range p.domains[0].vms {
-			p.domains[0].vms[i].Responding = false
+		r := newRollout(s, 4, 9)
+		r.addServing(0, s)
+		r.addServing(1, s)
+		for i := range r.domains[0].vms {
+			r.domains[0].vms[i].Responding = false
 		}
-		p.runRounds(100)
-		p.services[0].Version = "m:2"
-		p.runRounds(200)
-		all, wanted := p.serving()
+		r.runRounds(100)
+		r.services[0].Version = "m:2"
+		r.runRounds(200)
+		all, wanted := r.serving()
 		Expect(wanted).To(Equal(2))
 		Expect(all).To(Equal(2))
 	})
 
-	// The size of a group is changed in place of its version: the groups that stand are as outdated.
+	// The group size changes instead of the version, so that the existing groups are outdated as well.
 	It("reaches every group when their size changes", func() {
 		s := service("chat", 4, 2)
-		p := newRollout(s, 7, 7)
-		p.addServing(0, s)
-		p.addServing(1, s)
-		p.services[0].GroupSize = 3
+		r := newRollout(s, 7, 7)
+		r.addServing(0, s)
+		r.addServing(1, s)
+		r.services[0].GroupSize = 3
 		for range 100 {
-			p.runRound()
-			all, _ := p.serving()
-			Expect(all).To(BeNumerically(">=", 2), "at %v", p.now)
+			r.runRound()
+			all, _ := r.serving()
+			Expect(all).To(BeNumerically(">=", 2), "at %v", r.now)
 		}
-		_, wanted := p.serving()
+		_, wanted := r.serving()
 		Expect(wanted).To(BeNumerically(">=", 2))
 	})
 })
--- a/policy/forming/rules_test.go
+++ b/policy/forming/rules_test.go
@@ -9,8 +9,8 @@
 	"github.com/skylarkpond/skylarkpond/policy/forming"
 )
 
-// A view of eight VMs v1 to v8, where g1 (v1, v2) and g2 (v3, v4) serve the one service that wants two
-// replicas; the rest is free.
+// The view has eight VMs v1 to v8. g1 (v1, v2) and g2 (v3, v4) serve the only service, which wants two
+// replicas; the other VMs are free.
 var _ = DescribeTable("rules over groups", func(change func(v *forming.View), want ...string) {
 	s := service("chat", 2, 2)
 	v := forming.View{Domain: "d1", Services: []forming.Service{s}, VMs: vms(8), LoadAllowed: true}
@@ -65,8 +65,8 @@
 )
 
 var _ = Describe("Loads", func() {
-	// A rack returns, and two services want their replicas back. The one that has none left goes first:
-	// its callers get nothing at all, those of the other wait a little longer.
+	// A rack returns, and two services lack replicas. The one without any replica loads first: its callers
+	// get no service at all, while those of the other only wait a little longer.
 	It("start with the service that has no replica left", func() {
 		many, none := service("chat", 1, 50), service("desk", 1, 3)
 		many.DowntimeWeight = 50
@@ -93,8 +93,8 @@
 	})
 })
 
-// A throttled accelerator slows its whole group: each step waits for it. Callers of that replica miss
-// their deadlines, while every probe is answered in time.
+// A throttled accelerator slows its whole group, since each step waits for it. Callers of that replica miss
+// their deadlines although every probe succeeds.
 var _ = DescribeTable("stragglers", func(change func(v *forming.View), want ...string) {
 	s := service("chat", 2, 3)
 	v := forming.View{Domain: "d1", Services: []forming.Service{s}, VMs: vms(7), LoadAllowed: true}
@@ -121,8 +121,8 @@
 )
 
 var _ = Describe("Tracker", func() {
-	// The controller's own VM is paused for a minute. The first probes after it fail, since the network has
-	// to catch up. It must not take that for a minute of silence and replace every VM.
+	// The VM of the controller is paused for a minute, and the first probes after the pause fail. The
+	// controller must not take this for a minute of silence and replace every VM.
 	It("counts only what it saw", func() {
 		t := forming.NewTracker()
 		v := forming.View{VMs: vms(1)}
--- a/policy/forming/sim_test.go
+++ b/policy/forming/sim_test.go
@@ -9,9 +9,9 @@
 	"github.com/skylarkpond/skylarkpond/policy/forming"
 )
 
-// sim plays fabric domains in virtual time, a second a tick: VMs that fail, controllers that decide, and a
-// weight store whose rate the loads share. Each controller sees its own domain as it is, and the other
-// placements as they were a tick ago.
+// sim simulates fabric domains in virtual time with ticks of one second: VMs that fail, controllers that
+// decide, and a weight store whose rate is shared by the loads. Each controller sees the current state of
+// its own domain, and the placements of the others as of the previous tick.
 type sim struct {
 	now       time.Duration
 	decide    func(forming.View) forming.Plan
@@ -19,8 +19,8 @@
 	domains   []*simDomain
 	scheduled map[time.Duration][]func()
 	lastID    int
-	// downSeconds sums up the seconds of wanted groups that did not serve, strandedSeconds the accelerator-seconds of VMs
-	// that were up but in no serving group.
+	// downSeconds is the sum of the seconds that each wanted group did not serve, strandedSeconds the
+	// accelerator-seconds of VMs that were up but in no serving group.
 	downSeconds, strandedSeconds float64
 	downNow, strandedNow         float64
 	loads                        int
@@ -36,8 +36,8 @@
 	report        forming.Domain
 	nextReport    forming.Domain
 	byName        map[string]*simVM
-	// activeUntil is until when the domain is looked at each tick.
-	activeUntil time.Duration
+	// active is the time until which the domain is evaluated each tick.
+	active time.Duration
 }
 
 type simVM struct {
@@ -45,15 +45,15 @@
 	domain       *simDomain
 	down, paused bool
 	boots        int
-	loaded       float64 // share of the weights that it has
+	loaded       float64 // fraction of the weights loaded
 }
 
-// Rates and durations of the world.
+// Rates and durations of the simulation.
 const (
 	simAccelerators = 8
 	simLoadTime     = 90 * time.Second
 	simDrainTime    = 20 * time.Second
-	// simStoreSlots is how many members can load at once at full speed.
+	// simStoreSlots is the number of members that can load at full speed at the same time.
 	simStoreSlots = 24
 )
 
@@ -86,26 +86,27 @@
 	})
 }
 
-// fail takes a VM away for a while; it comes back empty.
+// fail takes a VM down for a while; it returns without state.
 func (s *sim) fail(v *simVM, at, away time.Duration) {
 	s.schedule(at, v, func() { v.down = true; v.restart() })
 	s.schedule(at+away, v, func() { v.down = false })
 }
 
-// pause silences a VM, which keeps what it has.
+// pause stops a VM from answering for a while; it keeps its state.
 func (s *sim) pause(v *simVM, at, away time.Duration) {
 	s.schedule(at, v, func() { v.paused = true })
 	s.schedule(at+away, v, func() { v.paused = false })
 }
 
-// remove announces that a VM will be taken away, takes it, and brings it back empty.
+// remove announces the removal of a VM, takes it down after the notice period, and brings it back without
+// state.
 func (s *sim) remove(v *simVM, at, notice, away time.Duration) {
 	s.schedule(at, v, func() { v.Leaving = true })
 	s.fail(v, at+notice, away)
 }
 
-// addFaults draws the ordinary days of a fleet of 2,520 VMs (14 fail, 360 are restarted or replaced, of which
-// half are announced) scaled to this one, and pauses.
+// addFaults schedules the daily fault rates of a fleet of 2,520 VMs, scaled to this one: 14 VMs fail, and
+// 360 are restarted or replaced, half of them announced. It adds a pause every two days per VM.
 func (s *sim) addFaults(random *rand.Rand, from, until time.Duration) {
 	day := 24 * time.Hour
 	for _, d := range s.domains {
@@ -130,7 +131,7 @@
 	}
 }
 
-// run plays until the given time.
+// run simulates until the given time.
 func (s *sim) run(until time.Duration) {
 	for ; s.now < until; s.now += time.Second {
 		if due, ok := s.scheduled[s.now]; ok {
@@ -148,11 +149,9 @@
 	}
 }
 
-// wake has a domain looked at until the longest patience is over. Beyond it nothing there can change by
-// itself, so that quiet hours cost nothing.
-func (s *sim) wake(d *simDomain) {
-	d.activeUntil = s.now + forming.CorrelatedSilenceGrace + 15*time.Second
-}
+// wake evaluates a domain each tick until the longest grace period has passed. After that nothing there
+// changes by itself, so that hours without events take no time.
+func (s *sim) wake(d *simDomain) { d.active = s.now + forming.CorrelatedSilenceGrace + 15*time.Second }
 
 func (s *sim) wakeAll() {
 	for _, d := range s.domains {
@@ -160,12 +159,12 @@
 	}
 }
 
-// decideActive looks at the active domains, and returns whether there was one. A domain that did something
-// wakes the others for long enough to see it.
+// decideActive runs the controllers of the active domains, and reports whether there was one. A domain
+// whose plan has steps keeps the others active for long enough to observe them.
 func (s *sim) decideActive() bool {
 	any := false
 	for _, d := range s.domains {
-		if s.now <= d.activeUntil {
+		if s.now <= d.active {
 			s.decideFor(d)
 			any = true
 		}
@@ -204,7 +203,7 @@
 	if len(plan.Steps) > 0 {
 		s.wake(d)
 		for _, other := range s.domains {
-			other.activeUntil = max(other.activeUntil, s.now+5*time.Second)
+			other.active = max(other.active, s.now+5*time.Second)
 		}
 	}
 	d.nextReport = forming.Domain{Name: d.name, Live: plan.Live, Groups: slices.Clone(d.groups)}
@@ -262,7 +261,7 @@
 
 func (d *simDomain) vm(name string) *simVM { return d.byName[name] }
 
-// advanceLoads shares the weight store's rate among all members that advanceLoads.
+// advanceLoads divides the rate of the weight store among all members that load.
 func (s *sim) advanceLoads() {
 	var loading []*simVM
 	for _, d := range s.domains {
@@ -280,7 +279,7 @@
 	}
 }
 
-// serving counts the groups of a service that are whole and may be given work.
+// serving counts the groups of a service that are whole and may receive requests.
 func (s *sim) serving(service string) int {
 	count := 0
 	for _, d := range s.domains {
@@ -303,7 +302,7 @@
 	})
 }
 
-// measureNow works out the measures of this second, from the world and not from what a plan claims.
+// measureNow computes the costs of this second from the simulated state, not from what a plan reports.
 func (s *sim) measureNow() {
 	s.downNow, s.strandedNow = 0, 0
 	for _, service := range s.services {
@@ -325,9 +324,9 @@
 	}
 }
 
-// baseline replaces at once with any VM: a silent member, like a restarted one, ends its group, and a new
-// one is formed and loaded from whatever answers. It keeps no spares, paces no loads, and shares no view
-// with other domains beyond the number of groups.
+// baseline replaces faulty VMs at once: any silent or restarted member ends its group, and a new one is
+// formed and loaded from the VMs that answer. It keeps no spares, does not pace loads, and knows only the
+// number of groups of other domains.
 func baseline(v forming.View) forming.Plan {
 	plan := forming.Plan{Live: map[string]int{}}
 	vms := make(map[string]forming.VM)
--- a/policy/forming/spares.go
+++ b/policy/forming/spares.go
@@ -2,35 +2,38 @@
 
 import "slices"
 
-// This file answers the fault pattern of single VMs that go for a while, in a place that has more VMs than
-// the wanted groups need. A free VM lets a broken group load anew at once; without one, its survivors
-// wait for the member to return. But a free VM stands idle until then.
+// Spares: VMs kept free so that a broken group can be formed again at once after a single VM fails. Without
+// a free VM, the remaining members wait for the failed one to return; but a spare is idle until it is
+// needed.
 //
-// Whole groups' worth of free VMs are worth more as an extra group. It covers the death of any member in
-// any domain, and without the time of a load; and once one of its own members dies, its survivors are as
-// many spares. Both measures gain, so the weights don't decide this: keeping spares by weighing the one
-// against the other was tried, and gave more downtime as well as more stranded accelerators
-// (docs/measurements/forming.md). Spares are what does not fill a group, and what the settings ask for.
+// If the free VMs suffice for a whole group, an extra group is worth more than spares. It covers the death
+// of any member in any domain without the time of a load, and when one of its own members dies, the others
+// serve as spares. Both costs go down, so the weights don't matter here. Keeping spares according to the
+// weights was tried and gave more downtime as well as more stranded accelerators
+// (docs/measurements/forming.md). The spares are therefore the VMs that do not fill a group, and those that
+// the settings ask for.
 
-// requestedSpares is what the settings of all services that use the same VMs ask for in this domain.
+// requestedSpares returns how many spares the settings ask for in this domain, summed over all services
+// that can use the same VMs as s.
 func (p *planner) requestedSpares(s Service) int {
-	asked := 0
+	requested := 0
 	for _, other := range p.view.Services {
 		if other.Name == s.Name || (!other.Dedicated && !s.Dedicated) {
-			asked += p.domainSpares(other)
+			requested += p.domainSpares(other)
 		}
 	}
-	return asked
+	return requested
 }
 
-// domainSpares is this domain's part of the spares of s: a spare helps only groups of its own domain, so they
-// are spread like the groups are. Every controller works out the same parts, which add up to the whole.
+// domainSpares returns the part of the spares of s that this domain keeps. A spare helps only groups of its
+// own domain, so spares are divided in proportion to the groups. Every controller computes the same parts,
+// and they add up to s.Spares.
 func (p *planner) domainSpares(s Service) int {
 	names := make([]string, 0, len(p.targets))
 	total := 0
-	for name, held := range p.targets {
+	for name, groups := range p.targets {
 		names = append(names, name)
-		total += held[s.Name]
+		total += groups[s.Name]
 	}
 	if total == 0 {
 		return 0
--- a/policy/forming/split.go
+++ b/policy/forming/split.go
@@ -5,35 +5,37 @@
 	"sort"
 )
 
-// This file answers the fault pattern that fabric domains lose and gain VMs while each is run by another
-// controller, and that no controller tells another what to do. If each formed what is missing of a
-// service, all would form it at once; if each held a fixed share, a domain that lost VMs would leave its
-// share unserved while others have room. So every controller works out the same split from the same
-// view, and takes only its own part. Views that differ for a moment overshoot by the groups formed in
-// that moment; the same rule then names which of them are extra.
+// Distribution of the replicas over the fabric domains. Each domain gains and loses VMs and is run by a
+// controller of its own, and the controllers do not command each other. If each of them formed every
+// missing replica, they would all form it at once; with fixed shares, the share of a domain that lost VMs
+// would stay unserved while other domains have room. So every controller computes the same split from the
+// same view and acts only on the part of its own domain. While views differ, groups may be formed in
+// excess; the same rule then determines which of them are extra.
 //
-// The split keeps what stands, since moving a replica costs a load. It fills the service that is
-// furthest below its wish first, and puts a replica where the service has the smallest share of the
-// VMs: a domain that goes dark then takes the smallest part of each service.
+// The split keeps existing groups, since moving a replica costs a load. It adds a replica to the service
+// with the largest share of its replicas missing, in the domain where that service has the fewest groups in
+// proportion to the VMs that it can use, so that the loss of a domain costs each service as little as
+// possible.
 
-// domainCapacity holds what a domain can still take, by dedication.
+// domainCapacity tracks the VMs of a domain while replicas are assigned to it. free and total are by the
+// service that VMs are dedicated to ("" for any).
 type domainCapacity struct {
 	name  string
 	free  map[string]int
 	total map[string]int
-	// groups counts groups by service.
+	// groups counts the groups kept or assigned, by service.
 	groups map[string]int
 }
 
-// Split returns the groups of each service wanted in each domain, and how many replicas find no room
-// anywhere.
+// Split returns the number of groups wanted by domain and service, and by service the number of replicas
+// for which no domain has room.
 func Split(services []Service, domains []Domain) (targets map[string]map[string]int, unplaced map[string]int) {
 	ordered := servicesByWeight(services)
-	held := newCapacities(ordered, domains)
-	missing := keepExisting(ordered, held)
-	unplaced = placeMissing(ordered, held, missing)
-	targets = make(map[string]map[string]int, len(held))
-	for _, d := range held {
+	capacities := newCapacities(ordered, domains)
+	missing := keepExisting(ordered, capacities)
+	unplaced = placeMissing(ordered, capacities, missing)
+	targets = make(map[string]map[string]int, len(capacities))
+	for _, d := range capacities {
 		targets[d.name] = d.groups
 	}
 	return targets, unplaced
@@ -52,7 +54,7 @@
 }
 
 func newCapacities(services []Service, domains []Domain) []*domainCapacity {
-	held := make([]*domainCapacity, 0, len(domains))
+	capacities := make([]*domainCapacity, 0, len(domains))
 	for _, d := range domains {
 		s := &domainCapacity{name: d.Name, free: map[string]int{}, total: d.Live, groups: map[string]int{}}
 		for class, count := range d.Live {
@@ -63,25 +65,26 @@
 				s.groups[g.Service]++
 			}
 		}
-		held = append(held, s)
+		capacities = append(capacities, s)
 	}
-	sort.Slice(held, func(i, j int) bool { return held[i].name < held[j].name })
+	sort.Slice(capacities, func(i, j int) bool { return capacities[i].name < capacities[j].name })
 	wanted := make(map[string]bool, len(services))
 	for _, s := range services {
 		wanted[s.Name] = true
 	}
-	for _, d := range held {
+	for _, d := range capacities {
 		for name := range d.groups {
 			if !wanted[name] {
 				delete(d.groups, name)
 			}
 		}
 	}
-	return held
+	return capacities
 }
 
-// keepExisting counts what stands up to what is wanted, takes its VMs from the free ones, and returns
-// what is missing. Above the wish, the domain with the most groups of the service gives one up first.
+// keepExisting keeps the existing groups up to the wanted number, reserves their VMs, and returns the
+// number of missing replicas by service. While a service has too many groups, the domain with the most of
+// them gives one up.
 func keepExisting(services []Service, domains []*domainCapacity) map[string]int {
 	missing := make(map[string]int)
 	for _, s := range services {
@@ -110,7 +113,8 @@
 	return best
 }
 
-// placeMissing places one missing replica after the other.
+// placeMissing assigns the missing replicas one by one and returns, by service, the number that did not
+// fit.
 func placeMissing(services []Service, domains []*domainCapacity, missing map[string]int) map[string]int {
 	unplaced := make(map[string]int)
 	for {
@@ -146,7 +150,8 @@
 	return best, found
 }
 
-// bestDomain returns the domain with room for a group of s that holds the fewest of them for its size.
+// bestDomain returns the domain for the next group of s: of those with room, the one with the fewest groups
+// of s in proportion to its VMs. It returns nil if none has room.
 func bestDomain(domains []*domainCapacity, s Service) *domainCapacity {
 	var best *domainCapacity
 	for _, d := range domains {
@@ -187,7 +192,7 @@
 	return size
 }
 
-// reserve books the VMs of count groups, dedicated ones first.
+// reserve takes the VMs of count groups from the free ones, dedicated VMs first.
 func (d *domainCapacity) reserve(s Service, count int) {
 	vms := count * s.GroupSize
 	own := min(vms, max(0, d.free[s.Name]))
@@ -197,8 +202,8 @@
 	}
 }
 
-// tieBreak breaks ties differently for each service, so that the first domain by name does not get the
-// first replica of all of them.
+// tieBreak orders domains differently for each service, so that the first domain by name does not get the
+// first replica of every service.
 func tieBreak(service, domain string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(service + "\x00" + domain))
--- a/policy/forming/split_test.go
+++ b/policy/forming/split_test.go
@@ -36,8 +36,8 @@
 	Entry("says what has no room: groups don't cross domains", 2, []forming.Domain{domain("a", 3), domain("b", 1)}, 1, 0, 1),
 )
 
-// Two controllers that see the same must come to the same split, or both form the missing replica, or
-// neither does.
+// Controllers with the same view must compute the same split. Otherwise two of them form the same missing
+// replica, or none does.
 func TestSplitAgrees(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		services := []forming.Service{
--- a/policy/forming/straggler.go
+++ b/policy/forming/straggler.go
@@ -5,25 +5,30 @@
 	"time"
 )
 
-// This file answers the fault pattern of a VM that works, but slowly: a throttled accelerator, a bad
-// link. Every step of its group waits for it, so that one slow VM makes a whole replica slow, and probes
-// see nothing wrong. Callers that land there miss their deadlines. The group is drained and formed anew
-// without its slowest member, but only where that costs no replica: a slow one is better than none.
+// Stragglers: VMs that work but are slow, for example because of a throttled accelerator or a bad link.
+// Every step of a group waits for its slowest member, so that one slow VM slows the whole replica; its
+// callers miss their deadlines while all probes succeed. A slow group is drained and formed again without
+// its slowest member, but only where that costs no replica: a slow replica is better than none.
 
-// Bounds for stragglers.
+// Thresholds for the detection of stragglers.
 const (
-	// SlowGroupFactor times the median time between tokens of its service is where a group counts as slow.
-	// Groups of a service differ by load by some tens of percent; a factor of two is far outside.
+	// SlowGroupFactor is the multiple of the median time between tokens of its service above which a group
+	// is slow. The groups of a service differ by some tens of percent under load; a factor of two is far
+	// outside that range.
 	SlowGroupFactor = 2
-	// SlowGroupMinDuration is how long it must stay slow: long prompts and cold caches make a group slow for seconds.
+	// SlowGroupMinDuration is how long a group must stay slow before it is drained. Long prompts and cold
+	// caches slow a group down for seconds.
 	SlowGroupMinDuration = 60 * time.Second
-	// SlowGroupMinSamples is the least number of groups whose median says anything.
+	// SlowGroupMinSamples is the least number of groups with a known time between tokens for which the
+	// median is meaningful.
 	SlowGroupMinSamples = 3
-	// SlowMemberFactor times the median step time within the group is where a member stands out.
+	// SlowMemberFactor is the multiple of the median step time in its group from which a member is a
+	// straggler.
 	SlowMemberFactor = 1.5
 )
 
-// slowGroups returns the ids of the view's serving groups that are slow for their service.
+// slowGroups returns the IDs of the serving groups of the view that are slow compared with the other groups
+// of their service.
 func slowGroups(v *View) map[string]bool {
 	gaps := make(map[string][]time.Duration)
 	collect := func(groups []Group) {
@@ -56,7 +61,8 @@
 	return values[(len(values)-1)/2]
 }
 
-// drainStraggler drains at most one slow group of the domain at a time.
+// drainStraggler drains a slow group and sets its slowest member aside, at most one group of the domain at
+// a time.
 func (p *planner) drainStraggler() {
 	if p.anyDraining() {
 		return
@@ -72,7 +78,7 @@
 	}
 }
 
-// anyDraining says that some group of the domain drains, or is to by this plan.
+// anyDraining reports whether any group of the domain is draining, or is to be drained by this plan.
 func (p *planner) anyDraining() bool {
 	for _, g := range p.view.Groups {
 		if g.State == Draining {
@@ -105,7 +111,8 @@
 	return true
 }
 
-// slowestMember returns the member that stands out in step time, or "".
+// slowestMember returns the member with the longest step time if it is a straggler. It returns "" if none
+// is, or if a step time is unknown.
 func (p *planner) slowestMember(g *Group) string {
 	times := make([]time.Duration, 0, len(g.Members))
 	name := ""
--- a/policy/forming/tracker.go
+++ b/policy/forming/tracker.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// This file answers the fault pattern of short pauses and of VMs that fail again and again. A View shows
-// one moment; whether a silence is a pause or a death, and whether a slow group stays slow, shows only
-// over time. A Tracker remembers since when. After a takeover it starts anew, so that a new controller
-// waits the full grace before it judges: it errs on the side of not reloading a replica.
+// History over views. A View shows one moment, but whether a silence is a pause or a death, whether a slow
+// group stays slow, and whether a VM keeps restarting, shows only over time. A Tracker records it. After a
+// takeover the new controller's Tracker is empty, so that it waits for the full grace periods before it
+// acts: it errs on the side of not reloading a replica.
 
-// RestartWindow is how long a restart counts against a VM when members are chosen: a VM in a restart loop
-// comes back within minutes, and an hour without one shows that it is over.
+// RestartWindow is how long a restart counts against a VM when members are chosen. A VM in a restart loop
+// restarts again within minutes; an hour without a restart shows that the loop is over.
 const RestartWindow = time.Hour
 
-// MaxObservedGap is the longest time between two views that counts as seen. A controller that was paused for a
-// minute has not seen a minute of silence: the first probes after it may well fail because of the pause.
+// MaxObservedGap limits how much time between two views is added to the durations. A controller that was
+// paused for a minute has not observed a minute of silence, and the first probes after the pause may fail
+// because of the pause itself.
 const MaxObservedGap = 3 * time.Second
 
-// Tracker fills in how long what a View shows has been so. It is not safe for concurrent use.
+// Tracker fills in for how long the conditions in a View have lasted. It is not safe for concurrent use.
 type Tracker struct {
 	vms     map[string]*vmTrack
 	groups  map[string]*groupTrack
@@ -39,12 +40,13 @@
 	seen       bool
 }
 
-// NewTracker returns a tracker that has seen nothing.
+// NewTracker returns a tracker without history.
 func NewTracker() *Tracker {
 	return &Tracker{vms: map[string]*vmTrack{}, groups: map[string]*groupTrack{}}
 }
 
-// Observe takes in a view of now and fills in its durations. What is no longer in the view is forgotten.
+// Observe records a view taken at now and fills in its durations. VMs and groups that are no longer in the
+// view are forgotten.
 func (t *Tracker) Observe(now time.Duration, v *View) {
 	gap := time.Duration(0)
 	if t.started {
@@ -81,7 +83,7 @@
 	v.Restarts = len(track.restarts)
 }
 
-// elapsed returns for how long something has been so, now that it still is, or no longer.
+// elapsed returns how long a condition has lasted: gap longer than before if it still holds, otherwise 0.
 func elapsed(lasted, gap time.Duration, still bool) time.Duration {
 	if !still {
 		return 0
--- a/policy/forming/view.go
+++ b/policy/forming/view.go
@@ -1,23 +1,27 @@
-// Package forming decides, for one fabric domain, which groups of VMs to form, load, serve with, drain
-// and dissolve.
+// Package forming decides, for one fabric domain, which groups of VMs to form, load, serve with, drain and
+// dissolve.
 //
-// The fault pattern: single VMs die, pause for seconds, restart under the same address or are announced
-// to leave, many times a day over a fleet; a rack or a whole fabric domain goes dark a few times a year.
-// Each group needs all of its VMs, so each of these takes a replica away. Two costs are weighed: a wanted
-// group that does not serve (downtime), and accelerators that are live but in no serving group
-// (stranded). Acting on every silence trades a pause of seconds for a load of minutes; never acting
-// strands the survivors.
+// A group is a set of VMs of one fabric domain that together run one replica of a service. Its home is the
+// process that queues its requests and limits how many are in progress. A controller runs each fabric
+// domain of a place and publishes its groups in a placement, which the controllers of the other domains
+// read.
 //
-// Decide is a pure function of a View. A controller applies the Steps of its Plan in one conditional
-// write. All steps are safe to repeat or to lose: the next View shows what came of them.
+// Single VMs die, pause for seconds, restart under the same address or are announced to leave, many times a
+// day over a fleet; a rack or a whole fabric domain goes dark a few times a year. A group needs all of its
+// VMs, so each of these events takes a replica away. Two costs are weighed: wanted groups that do not serve
+// (downtime), and accelerators of live VMs that are in no serving group (stranded). Acting on every silence
+// turns a pause of seconds into a load of minutes; never acting strands the remaining members.
+//
+// Decide is a pure function of a View. A controller applies the Steps of its Plan in one conditional write.
+// All steps are safe to repeat or to lose, since the next View shows their effect.
 package forming
 
 import "time"
 
-// State is a state in the life of a group.
+// State is a state in the lifecycle of a group.
 type State string
 
-// The states, in order of a group's life.
+// The states, in the order of the lifecycle.
 const (
 	Forming  State = "forming"
 	Loading  State = "loading"
@@ -25,154 +29,161 @@
 	Draining State = "draining"
 )
 
-// Service is what the settings want of one service.
+// Service holds the settings of one service.
 type Service struct {
 	Name string
-	// Version names model and version: a group of another version is to be replaced.
+	// Version names the model and its version. Groups of another version are replaced.
 	Version   string
 	GroupSize int
 	Replicas  int
-	// Spares is the least number of VMs kept free over all fabric domains, rather than formed into extra groups.
+	// Spares is the least number of VMs to keep free over all fabric domains, rather than to form extra
+	// groups from.
 	Spares int
-	// Dedicated services run only on VMs that are dedicated to them.
+	// Dedicated restricts the service to VMs that are dedicated to it.
 	Dedicated bool
-	// DowntimeWeight is the cost of a second of a missing replica, StrandedWeight that of an
+	// DowntimeWeight is the cost of a second of a missing replica, StrandedWeight the cost of an
 	// accelerator-second outside any serving group.
 	DowntimeWeight float64
 	StrandedWeight float64
-	// LoadsPerMinute bounds how many members start to load; 0: no bound.
+	// LoadsPerMinute limits how many members start to load per minute; 0: no limit.
 	LoadsPerMinute int
 	DrainTimeout   time.Duration
 }
 
-// wantsExtraGroups says that groups beyond the wanted ones are of use: a service that weighs neither a missing
-// replica nor an idle accelerator gets exactly what it asks for.
+// wantsExtraGroups reports whether groups beyond the wanted number are useful. A service for which both
+// weights are zero gets exactly the replicas that it asks for.
 func (s Service) wantsExtraGroups() bool { return s.DowntimeWeight > 0 || s.StrandedWeight > 0 }
 
-// VM is one VM of the fabric domain, as listed and as it was seen.
+// VM is one VM of the fabric domain, as listed by the platform and as observed by probes.
 type VM struct {
 	Name         string
 	Accelerators int
-	// DedicatedTo is what the VM is dedicated to, or empty.
+	// DedicatedTo names the only service that may use the VM; empty: any service that is not Dedicated.
 	DedicatedTo string
-	// Listed says that the platform lists the VM. A member that is not listed is given too.
+	// Listed is set if the platform lists the VM. A view also contains members of groups that are not
+	// listed.
 	Listed bool
-	// Leaving: announced by the list or by the VM itself.
+	// Leaving is set if the platform or the VM itself announced its removal.
 	Leaving bool
-	// Aside: set aside as a straggler.
+	// Aside is set if the VM is set aside as a straggler, so that no group is formed with it.
 	Aside bool
-	// Responding says that a recent probe was answered; the next fields are from that answer.
+	// Responding is set if a recent probe was answered. The fields up to StepTime are from that answer.
 	Responding bool
 	BootID     string
 	Group      string
 	Epoch      uint64
 	Ready      bool
-	// Running is how many requests its engine reports at work.
+	// Running is the number of running requests that its engine reports.
 	Running int
-	// StepTime is the VM's own share of a decoding step; 0: not known.
+	// StepTime is the time of a decoding step that the VM itself takes; 0: unknown.
 	StepTime time.Duration
 
-	// SilentFor, UnlistedFor and Restarts are filled in by a Tracker.
+	// SilentFor, UnlistedFor and Restarts (within RestartWindow) are filled in by a Tracker.
 	SilentFor   time.Duration
 	UnlistedFor time.Duration
 	Restarts    int
 }
 
-// usable says that a group may be formed with the VM.
+// usable reports whether a group may be formed with the VM.
 func (v VM) usable() bool { return v.Listed && v.Responding && !v.Leaving && !v.Aside }
 
-// Member is one VM of a group, with the boot that was ordered into it (empty while forming).
+// Member is one VM of a group. BootID identifies the boot of the VM that was ordered to load; it is empty
+// while the group is forming.
 type Member struct {
 	VM     string
 	BootID string
 }
 
-// Group is one group as the placement holds it, and what is known of it.
+// Group is one group as recorded in the placement, and its observed state.
 type Group struct {
 	ID      string
 	Service string
 	Version string
 	State   State
 	Members []Member
-	// Size is how many members it has, for groups of other domains, which are without Members; 0: not known.
+	// Size is the number of members. It is set for groups of other domains, for which Members is empty; 0:
+	// unknown.
 	Size  int
 	Epoch uint64
-	// NotWhole is what the placement says of a group whose member is missing for long. It is how the
-	// controllers of other fabric domains learn of it.
+	// NotWhole is set in the placement while a member is missing for longer than the grace period. The
+	// controllers of other fabric domains learn of it from there.
 	NotWhole bool
-	// HomeWhole says that the group's home reported it whole a moment ago. It outweighs the controller's
-	// own silent probes: the controller may be the one that is cut off.
+	// HomeWhole is set if the home of the group recently reported it whole. This overrides failed probes of
+	// the controller, which may itself be the one that is cut off.
 	HomeWhole bool
-	// HomeNotWhole says that the group's home reported it not whole a moment ago: it gives it no work.
+	// HomeNotWhole is set if the home of the group recently reported it not whole. The home then sends it
+	// no requests.
 	HomeNotWhole bool
-	// InProgress counts the requests that the home has at work; Known says that it reported.
+	// InProgress is the number of requests in progress at the home. HomeReported is set if the home
+	// reported it.
 	InProgress   int
 	HomeReported bool
-	// TokenGap is the time between tokens that the home measures; 0: not known.
+	// TokenGap is the time between tokens as measured by the home; 0: unknown.
 	TokenGap time.Duration
 
-	// What follows is filled in by a Tracker. BlindFor is for how long the home has called a group not whole
-	// whose members are all as they should be.
+	// The following fields are filled in by a Tracker. HomeCutOffFor is how long the home has reported the
+	// group not whole although every member is ready.
 	InState       time.Duration
 	SlowFor       time.Duration
 	HomeCutOffFor time.Duration
 }
 
-// countsAsReplica says that the group is, or is on the way to be, a replica.
+// countsAsReplica reports whether the group is a replica or on the way to become one.
 func (g Group) countsAsReplica() bool { return g.State != Draining && !g.NotWhole }
 
-// size returns the number of members, or 0 if it is not known.
+// size returns the number of members, or 0 if it is unknown.
 func (g Group) size() int { return max(g.Size, len(g.Members)) }
 
-// outdated says that the group is another than s wants now, and is to be replaced.
+// outdated reports whether version or size of the group differ from those of s, so that it has to be
+// replaced.
 func (g Group) outdated(s Service) bool {
 	return g.Version != s.Version || g.size() != 0 && g.size() != s.GroupSize
 }
 
-// Domain is what another fabric domain reports through its placement.
+// Domain describes a fabric domain as reported through its placement.
 type Domain struct {
 	Name string
-	// Live counts the usable VMs by the service that they are dedicated to (empty: any).
+	// Live is the number of usable VMs by the service that they are dedicated to ("" for any service).
 	Live map[string]int
-	// Groups are without Members.
+	// Groups lists the groups of the domain. In reports of other domains they have no Members.
 	Groups []Group
 }
 
-// View is all that a decision sees.
+// View is the input of Decide.
 type View struct {
-	// Domain names the fabric domain that is decided for.
+	// Domain is the name of the fabric domain to decide for.
 	Domain   string
 	Services []Service
 	VMs      []VM
 	Groups   []Group
-	// Others are the other fabric domains of the place.
+	// Others lists the other fabric domains of the place.
 	Others []Domain
-	// LoadAllowed says that the pace of loads allows one more now (see Pacer).
+	// LoadAllowed is set if one more load may start now (see Pacer).
 	LoadAllowed bool
 }
 
-// StepKind is a kind of step.
+// StepKind is the kind of a Step.
 type StepKind string
 
-// The steps.
+// The kinds of steps.
 const (
-	// StepForm: write a new group of Members in state forming.
+	// StepForm: write a new group of Members in state Forming.
 	StepForm StepKind = "form"
 	// StepLoad: write Group as loading, then order its members to load.
 	StepLoad StepKind = "load"
 	// StepServe: write Group as serving.
 	StepServe StepKind = "serve"
-	// StepDrain: write Group as draining. VM, if set, is set aside.
+	// StepDrain: write Group as draining. VM, if not empty, is set aside.
 	StepDrain StepKind = "drain"
-	// StepRelease: order the members of Group, which is drained, to leave it. Nothing is written.
+	// StepRelease: order the members of the drained Group to leave it. Nothing is written to the placement.
 	StepRelease StepKind = "release"
-	// StepDissolve: write the placement without Group; its VMs are free. VM, if set, is set aside.
+	// StepDissolve: remove Group from the placement, which frees its VMs. VM, if not empty, is set aside.
 	StepDissolve StepKind = "dissolve"
-	// StepMark: write Group with NotWhole as given by Step.NotWhole.
+	// StepMark: write Group with the value of Step.NotWhole.
 	StepMark StepKind = "mark"
 )
 
-// Step is one step to take.
+// Step is one change to a group. Which fields are set depends on Kind.
 type Step struct {
 	Kind     StepKind
 	Group    string
@@ -184,21 +195,22 @@
 	Reason   string
 }
 
-// Plan is what to do now.
+// Plan is the result of Decide.
 type Plan struct {
 	// Steps are to be applied together, in order.
 	Steps []Step
-	// Targets is how many groups of each service this fabric domain should hold.
+	// Targets is the number of groups of each service that this fabric domain should have.
 	Targets map[string]int
-	// DownGroups counts the wanted groups of this domain that do not serve, and Stranded the accelerators
-	// that are live but in no serving group.
+	// DownGroups counts, by service, the wanted groups of this domain that do not serve.
+	// StrandedAccelerators counts the accelerators of live VMs that are in no serving group.
 	DownGroups           map[string]int
 	StrandedAccelerators int
-	// Live counts, by dedication, the VMs that the domain reports to the others.
+	// Live is the number of usable VMs that this domain reports to the others, by the service that they are
+	// dedicated to ("" for any service).
 	Live map[string]int
-	// BlockedReasons says, by service, why something wanted is not done.
+	// BlockedReasons says, by service, why a wanted change can't be made now.
 	BlockedReasons map[string]string
-	// Unplaced counts, by service, the wanted groups that no fabric domain of the place has room for. Only the
-	// first domain by name reports them.
+	// Unplaced counts, by service, the wanted groups for which no fabric domain of the place has room. Only
+	// the first domain by name reports them.
 	Unplaced map[string]int
 }
