--- a/entry/controller/controller.go
+++ b/entry/controller/controller.go
@@ -49,7 +49,7 @@
 	// RivalPause is how long an entry waits before it takes a domain back. Two entries with different views of
 	// who is live, as when the network between them is cut, would otherwise take it from each other each
 	// round, which is a write a second for each domain; and since whoever takes over watches anew, neither
-	// would ever replace a silent member. It is twice forming.Grace, so that each turn is long enough for that.
+	// would ever replace a silent member. It is twice forming.SilenceGrace, so that each turn is long enough for that.
 	RivalPause = 2 * forming.SilenceGrace
 )
 
