--- a/policy/internal/fleet/figures_test.go
+++ b/policy/internal/fleet/figures_test.go
@@ -69,9 +69,9 @@
 			Prompt: playback.MeanPrompt, Output: playback.MeanOutput,
 			EstimateError: 0.4, Patience: 10 * time.Second, PatiencePerToken: 2 * playback.SteadyGap, Seed: 1,
 		},
-		Callers: l.callers, AddressTTL: 30 * time.Second,
-		Hop: 1500 * time.Microsecond, LoadLag: time.Second,
-		Length: 2 * warm, From: warm, Until: 2 * warm,
+		CallersPerTeam: l.callers, AddressTTL: 30 * time.Second,
+		HopLatency: 1500 * time.Microsecond, LoadReportAge: time.Second,
+		ArrivalPeriod: 2 * warm, MeasureFrom: warm, MeasureUntil: 2 * warm,
 	}
 	if l.heavy {
 		c.Traffic.Teams[0].Load, c.Traffic.Teams[1].Load = 16, 16
@@ -82,15 +82,15 @@
 // way is one way to hold the limits.
 type way struct {
 	name  string
-	build fleet.Builder
+	build fleet.DispatcherFactory
 }
 
 var (
 	homesAdaptive = way{"homes, adaptive", fleet.Homes(adaptive)}
 	homesFixed    = way{"homes, fixed 313", fleet.Homes(fixed)}
-	localFixed    = way{"local, 313 divided among fronts", fleet.Locals(fixed, 0)}
-	localOwn      = way{"local, adaptive", fleet.Locals(localAdaptive, 0)}
-	localSubset   = way{"local, adaptive, 40 groups a front", fleet.Locals(localAdaptive, 40)}
+	localFixed    = way{"local, 313 divided among fronts", fleet.LocalLimits(fixed, 0)}
+	localOwn      = way{"local, adaptive", fleet.LocalLimits(localAdaptive, 0)}
+	localSubset   = way{"local, adaptive, 40 groups a front", fleet.LocalLimits(localAdaptive, 40)}
 )
 
 func answered(r fleet.Result) float64 { return float64(r.Answered) / float64(r.Offered) }
@@ -100,11 +100,11 @@
 // idle.
 var _ = Describe("homes beside local limits", func() {
 	DescribeTable("answers what few callers send, where local limits refuse", func(fronts, groups int, warm time.Duration, rival way, most float64) {
-		home := fewTeams.on(fronts, groups, warm).Play(homesAdaptive.build)
+		home := fewTeams.on(fronts, groups, warm).Simulate(homesAdaptive.build)
 		Expect(answered(home)).To(BeNumerically(">", 0.99))
 		Expect(home.First.P95).To(BeNumerically("<", 640*time.Millisecond))
-		Expect(home.MostAtWork).To(BeNumerically("<", bestLimit))
-		Expect(answered(fewTeams.on(fronts, groups, warm).Play(rival.build))).To(BeNumerically("<", most))
+		Expect(home.MaxRunning).To(BeNumerically("<", bestLimit))
+		Expect(answered(fewTeams.on(fronts, groups, warm).Simulate(rival.build))).To(BeNumerically("<", most))
 	},
 		Entry("13 fronts, 53 groups", 13, 53, 40*time.Second, localFixed, 0.97),
 		Entry("21 fronts, 53 groups", 21, 53, 40*time.Second, localFixed, 0.97),
@@ -112,8 +112,8 @@
 	)
 
 	It("answers no more than local adaptive limits do at today's size, and no less", func() {
-		home := fewTeams.on(21, 53, 40*time.Second).Play(homesAdaptive.build)
-		local := fewTeams.on(21, 53, 40*time.Second).Play(localOwn.build)
+		home := fewTeams.on(21, 53, 40*time.Second).Simulate(homesAdaptive.build)
+		local := fewTeams.on(21, 53, 40*time.Second).Simulate(localOwn.build)
 		Expect(answered(home)).To(BeNumerically("~", answered(local), 0.01))
 	})
 })
@@ -131,12 +131,12 @@
 			}
 			for _, l := range loads {
 				for _, w := range ways {
-					r := l.on(size[0], size[1], 40*time.Second).Play(w.build)
+					r := l.on(size[0], size[1], 40*time.Second).Simulate(w.build)
 					offered := float64(r.Offered)
 					table.Row(fmt.Sprintf("%d / %d", size[0], size[1]), l.name, w.name,
 						playback.Percent(float64(r.Answered), offered), playback.Percent(float64(r.Refused), offered),
-						playback.Percent(float64(r.Late), offered), playback.Ratio(r.Useful), playback.Ratio(r.WorstShare()),
-						r.Wait.Both(), r.First.Both(), fmt.Sprint(r.Gap.Milliseconds()), fmt.Sprint(r.MostAtWork))
+						playback.Percent(float64(r.Late), offered), playback.Ratio(r.UsefulShare), playback.Ratio(r.WorstShare()),
+						r.Wait.Both(), r.First.Both(), fmt.Sprint(r.TokenGapP95.Milliseconds()), fmt.Sprint(r.MaxRunning))
 				}
 			}
 		}
--- a/policy/internal/fleet/fleet.go
+++ b/policy/internal/fleet/fleet.go
@@ -12,17 +12,17 @@
 	Fronts, Groups int
 	Engine         playback.EngineConfig
 	Traffic        playback.Traffic
-	// Callers is how many callers a team has. A caller keeps to one front for AddressTTL.
-	Callers    int
-	AddressTTL time.Duration
-	// Hop is one way between two processes, LoadLag how old the load is that fronts know of groups.
-	Hop, LoadLag time.Duration
-	// Length is how long requests arrive; From and Until bound those that are measured.
-	Length, From, Until time.Duration
+	// CallersPerTeam is how many callers a team has. A caller keeps to one front for AddressTTL.
+	CallersPerTeam int
+	AddressTTL     time.Duration
+	// HopLatency is one way between two processes, LoadReportAge how old the load is that fronts know of groups.
+	HopLatency, LoadReportAge time.Duration
+	// ArrivalPeriod is how long requests arrive; MeasureFrom and MeasureUntil bound those that are measured.
+	ArrivalPeriod, MeasureFrom, MeasureUntil time.Duration
 }
 
-// Limits makes the limit of a group, or of a front for a group, that takes the given part of a group.
-type Limits func(part float64) playback.Limiter
+// LimiterFactory makes the limit of a group, or of a front for a group, that takes the given part of a group.
+type LimiterFactory func(part float64) playback.Limiter
 
 // dispatcher is one of the ways to send requests to groups.
 type dispatcher interface {
@@ -34,8 +34,8 @@
 	wayBack() time.Duration
 }
 
-// Builder makes one of the ways to send requests.
-type Builder func(*Fleet) dispatcher
+// DispatcherFactory makes one of the ways to send requests.
+type DispatcherFactory func(*Fleet) dispatcher
 
 // Fleet is a fleet at work.
 type Fleet struct {
@@ -53,18 +53,18 @@
 // Result is what callers got.
 type Result struct {
 	playback.Figures
-	// Useful is the work of the answered requests as a share of the capacity of all groups.
-	Useful float64
-	// Gap is the gap between tokens at 95 in 100, MostAtWork the most requests that any engine held.
-	Gap        time.Duration
-	MostAtWork int
+	// UsefulShare is the work of the answered requests as a share of the capacity of all groups.
+	UsefulShare float64
+	// TokenGapP95 is the gap between tokens at 95 in 100, MostAtWork the most requests that any engine held.
+	TokenGapP95 time.Duration
+	MaxRunning  int
 }
 
 // runOut is how long a run goes on after the last arrival, for the outcomes.
 const runOut = time.Minute
 
-// Play plays the load against homes, or local limits.
-func (c Config) Play(build Builder) Result {
+// Simulate plays the load against homes, or local limits.
+func (c Config) Simulate(build DispatcherFactory) Result {
 	f := &Fleet{
 		cfg: c, loop: &playback.Loop{}, random: rand.New(rand.NewPCG(c.Traffic.Seed, 7)), known: make([]int, c.Groups),
 	}
@@ -72,18 +72,18 @@
 		f.engines = append(f.engines, playback.NewEngine(f.loop, c.Engine))
 	}
 	d := build(f)
-	f.loop.Every(c.LoadLag, func() {
+	f.loop.Every(c.LoadReportAge, func() {
 		for g := range f.known {
 			f.known[g] = d.load(g)
 		}
 	})
-	requests := c.Traffic.Requests(c.Length)
+	requests := c.Traffic.Requests(c.ArrivalPeriod)
 	for _, r := range requests {
 		r.Front = f.frontOf(r)
 		r.FirstArrived = r.Arrived
 		f.loop.At(r.Arrived, func() { d.arrive(r) })
 	}
-	f.loop.Run(c.Length + runOut)
+	f.loop.Run(c.ArrivalPeriod + runOut)
 	return f.result(requests, d.wayBack())
 }
 
@@ -91,7 +91,7 @@
 func (f *Fleet) observe(engine *playback.Engine) {
 	inner := engine.OnStep
 	engine.OnStep = func(gap time.Duration, decoding int) {
-		if f.loop.Now() >= f.cfg.From && f.loop.Now() < f.cfg.Until {
+		if f.loop.Now() >= f.cfg.MeasureFrom && f.loop.Now() < f.cfg.MeasureUntil {
 			f.gaps.Add(gap, decoding)
 			f.mostAtWork = max(f.mostAtWork, engine.Running())
 		}
@@ -103,7 +103,7 @@
 
 // frontOf returns the front that the caller of a request keeps to at the time.
 func (f *Fleet) frontOf(r *playback.Request) int {
-	caller := f.random.IntN(f.cfg.Callers)
+	caller := f.random.IntN(f.cfg.CallersPerTeam)
 	name := uint64(caller)
 	for _, char := range r.Team.Name {
 		name = name*131 + uint64(char)
@@ -124,15 +124,15 @@
 }
 
 func (f *Fleet) result(requests []*playback.Request, wayBack time.Duration) Result {
-	figures := playback.Summarize(requests, f.cfg.From, f.cfg.Until)
+	figures := playback.Summarize(requests, f.cfg.MeasureFrom, f.cfg.MeasureUntil)
 	figures.First.P50 += wayBack
 	figures.First.P95 += wayBack
 	perSecond, _ := f.cfg.Engine.Capacity(playback.SteadyGap, f.cfg.Traffic.Prompt, f.cfg.Traffic.MeanOutput())
 	capacity := perSecond * f.cfg.Traffic.MeanWork() * float64(f.cfg.Groups)
 	return Result{
-		Figures:    figures,
-		Useful:     figures.Work / (f.cfg.Until - f.cfg.From).Seconds() / capacity,
-		Gap:        f.gaps.Quantile(0.95),
-		MostAtWork: f.mostAtWork,
+		Figures:     figures,
+		UsefulShare: figures.Work / (f.cfg.MeasureUntil - f.cfg.MeasureFrom).Seconds() / capacity,
+		TokenGapP95: f.gaps.Quantile(0.95),
+		MaxRunning:  f.mostAtWork,
 	}
 }
--- a/policy/internal/fleet/homes.go
+++ b/policy/internal/fleet/homes.go
@@ -17,19 +17,19 @@
 }
 
 // Homes returns the dispatcher with a home for each group.
-func Homes(limits Limits) Builder {
+func Homes(limits LimiterFactory) DispatcherFactory {
 	return func(f *Fleet) dispatcher {
 		h := &homes{fleet: f, sent: make([][]uint16, f.cfg.Fronts)}
 		for i := range h.sent {
 			h.sent[i] = make([]uint16, f.cfg.Groups)
 		}
 		for _, engine := range f.engines {
-			home := playback.NewHome(f.loop, engine, playback.NewFair(fairqueue.Config{}), limits(1), 0, 1, f.cfg.Until)
+			home := playback.NewHome(f.loop, engine, playback.NewFair(fairqueue.Config{}), limits(1), 0, 1, f.cfg.MeasureUntil)
 			home.Refused = h.refused
 			f.observe(engine)
 			h.homes = append(h.homes, home)
 		}
-		f.loop.Every(f.cfg.LoadLag, h.forget)
+		f.loop.Every(f.cfg.LoadReportAge, h.forget)
 		return h
 	}
 }
@@ -42,7 +42,7 @@
 
 func (h *homes) load(group int) int { return h.homes[group].Load() }
 
-func (h *homes) wayBack() time.Duration { return h.fleet.cfg.Hop }
+func (h *homes) wayBack() time.Duration { return h.fleet.cfg.HopLatency }
 
 func (h *homes) arrive(r *playback.Request) {
 	r.Tries = 1
@@ -53,7 +53,7 @@
 	sent := h.sent[r.Front]
 	group := h.fleet.pick(len(h.homes), func(g int) int { return h.fleet.known[g] + int(sent[g]) })
 	sent[group]++
-	h.fleet.loop.After(h.fleet.cfg.Hop, func() { h.homes[group].Offer(r) })
+	h.fleet.loop.After(h.fleet.cfg.HopLatency, func() { h.homes[group].Offer(r) })
 }
 
 // tries is how many homes a request is offered to.
@@ -61,7 +61,7 @@
 
 // refused sends a request once more, or tells its caller, after the way back to the front.
 func (h *homes) refused(r *playback.Request) {
-	h.fleet.loop.After(h.fleet.cfg.Hop, func() {
+	h.fleet.loop.After(h.fleet.cfg.HopLatency, func() {
 		if r.Tries < tries {
 			r.Tries++
 			h.send(r)
--- a/policy/internal/fleet/locals.go
+++ b/policy/internal/fleet/locals.go
@@ -36,9 +36,9 @@
 	sent int
 }
 
-// Locals returns the dispatcher with local limits. Each front uses subset groups, 0 for all; its limit for a
+// LocalLimits returns the dispatcher with local limits. Each front uses subset groups, 0 for all; its limit for a
 // group is that of the given part of it.
-func Locals(limits Limits, subset int) Builder {
+func LocalLimits(limits LimiterFactory, subset int) DispatcherFactory {
 	return func(f *Fleet) dispatcher {
 		if subset == 0 {
 			subset = f.cfg.Groups
@@ -53,14 +53,14 @@
 			f.observe(engine)
 		}
 		f.loop.Every(expireEvery, l.expire)
-		f.loop.Every(f.cfg.LoadLag, l.forget)
+		f.loop.Every(f.cfg.LoadReportAge, l.forget)
 		return l
 	}
 }
 
 const expireEvery = 50 * time.Millisecond
 
-func (l *locals) newFront(i, subset int, part float64, limits Limits) *localFront {
+func (l *locals) newFront(i, subset int, part float64, limits LimiterFactory) *localFront {
 	front := &localFront{locals: l, queue: playback.NewFair(fairqueue.Config{})}
 	for k := range subset {
 		// Consecutive fronts take consecutive groups, so that each group has as many fronts as any other.
