--- a/policy/internal/fleet/doc.go
+++ b/policy/internal/fleet/doc.go
@@ -1,5 +1,6 @@
-// Package fleet compares, in virtual time, two ways to hold the limits of many groups of backend servers
-// behind many fronts: a home for each group, which holds its limit and its queue, and fronts that send to
-// every group themselves, each with a limit of its own for each group. It is test support: nothing that
-// serves imports it.
+// Package fleet simulates, in virtual time, many fronts that send requests to many groups of backend
+// servers, and compares two ways to limit how many requests are in progress on a group. With homes, each
+// group has one process, its home, which holds the concurrency limit and the queue of the group. With local
+// limits, the fronts send to the groups directly, and each front has a limit of its own for each group. The
+// package is test support: no production code imports it.
 package fleet
--- a/policy/internal/fleet/fleet.go
+++ b/policy/internal/fleet/fleet.go
@@ -7,93 +7,99 @@
 	"github.com/skylarkpond/skylarkpond/policy/internal/playback"
 )
 
-// Config describes a fleet and its callers.
+// Config describes a fleet, its load and the measured period.
 type Config struct {
 	Fronts, Groups int
 	Engine         playback.EngineConfig
 	Traffic        playback.Traffic
-	// CallersPerTeam is how many callers a team has. A caller keeps to one front for AddressTTL.
+	// CallersPerTeam is the number of callers of each team. A caller sends to the same front for
+	// AddressTTL.
 	CallersPerTeam int
 	AddressTTL     time.Duration
-	// HopLatency is one way between two processes, LoadReportAge how old the load is that fronts know of groups.
+	// HopLatency is the one-way latency between two processes. LoadReportAge is the interval at which the
+	// fronts learn the load of the groups.
 	HopLatency, LoadReportAge time.Duration
-	// ArrivalPeriod is how long requests arrive; MeasureFrom and MeasureUntil bound those that are measured.
+	// ArrivalPeriod is how long requests arrive. Those that arrive between MeasureFrom and MeasureUntil are
+	// measured.
 	ArrivalPeriod, MeasureFrom, MeasureUntil time.Duration
 }
 
-// LimiterFactory makes the limit of a group, or of a front for a group, that takes the given part of a group.
-type LimiterFactory func(part float64) playback.Limiter
+// LimiterFactory makes the limiter of a group, or that of a front for the given share of a group.
+type LimiterFactory func(share float64) playback.Limiter
 
-// dispatcher is one of the ways to send requests to groups.
+// dispatcher implements one of the ways to send requests to groups.
 type dispatcher interface {
-	// arrive takes a request in at its front.
-	arrive(r *playback.Request)
-	// load returns what is at work and queued for a group.
-	load(group int) int
-	// wayBack is how long an answer takes from the engine's head to the front.
-	wayBack() time.Duration
+	// accept handles a request that arrives at its front.
+	accept(r *playback.Request)
+	// loadOf returns the number of requests that are running on and queued for a group.
+	loadOf(group int) int
+	// responseLatency returns the time that an answer takes from the head of the engine to the front.
+	responseLatency() time.Duration
 }
 
-// DispatcherFactory makes one of the ways to send requests.
+// DispatcherFactory makes the dispatcher of a fleet.
 type DispatcherFactory func(*Fleet) dispatcher
 
-// Fleet is a fleet at work.
+// Fleet is the state of a running simulation.
 type Fleet struct {
 	cfg     Config
 	loop    *playback.Loop
 	random  *rand.Rand
 	engines []*playback.Engine
-	// known is the load of each group that fronts know.
-	known []int
-	gaps  playback.Histogram
-	// mostAtWork is the largest number of requests that any engine held.
-	mostAtWork int
+	// reportedLoad is the load of each group as last reported to the fronts.
+	reportedLoad []int
+	tokenGaps    playback.Histogram
+	// maxRunning is the largest number of requests running on any engine at a time.
+	maxRunning int
 }
 
-// Result is what callers got.
+// Result holds the results of a simulation.
 type Result struct {
 	playback.Figures
 	// UsefulShare is the work of the answered requests as a share of the capacity of all groups.
 	UsefulShare float64
-	// TokenGapP95 is the gap between tokens at 95 in 100, MostAtWork the most requests that any engine held.
+	// TokenGapP95 is the 95th percentile of the time between tokens. MaxRunning is the largest number of
+	// requests running on any engine at a time.
 	TokenGapP95 time.Duration
 	MaxRunning  int
 }
 
-// runOut is how long a run goes on after the last arrival, for the outcomes.
-const runOut = time.Minute
+// drainPeriod is how long the simulation continues after the last arrival, so that requests in progress can
+// finish.
+const drainPeriod = time.Minute
 
-// Simulate plays the load against homes, or local limits.
+// Simulate runs the load against the dispatcher that build makes.
 func (c Config) Simulate(build DispatcherFactory) Result {
 	f := &Fleet{
-		cfg: c, loop: &playback.Loop{}, random: rand.New(rand.NewPCG(c.Traffic.Seed, 7)), known: make([]int, c.Groups),
+		cfg: c, loop: &playback.Loop{}, random: rand.New(rand.NewPCG(c.Traffic.Seed, 7)), reportedLoad: make([]int, c.Groups),
 	}
 	for range c.Groups {
 		f.engines = append(f.engines, playback.NewEngine(f.loop, c.Engine))
 	}
 	d := build(f)
 	f.loop.Every(c.LoadReportAge, func() {
-		for g := range f.known {
-			f.known[g] = d.load(g)
+		for g := range f.reportedLoad {
+			f.reportedLoad[g] = d.loadOf(g)
 		}
 	})
 	requests := c.Traffic.Requests(c.ArrivalPeriod)
 	for _, r := range requests {
 		r.Front = f.frontOf(r)
 		r.FirstArrived = r.Arrived
-		f.loop.At(r.Arrived, func() { d.arrive(r) })
+		f.loop.At(r.Arrived, func() { d.accept(r) })
 	}
-	f.loop.Run(c.ArrivalPeriod + runOut)
-	return f.result(requests, d.wayBack())
+	f.loop.Run(c.ArrivalPeriod + drainPeriod)
+	return f.result(requests, d.responseLatency())
 }
 
-// observe measures an engine, beside whoever else hears of its steps.
+// observe records the steps of an engine in the measured period, in addition to a callback already
+// installed.
 func (f *Fleet) observe(engine *playback.Engine) {
 	inner := engine.OnStep
 	engine.OnStep = func(gap time.Duration, decoding int) {
 		if f.loop.Now() >= f.cfg.MeasureFrom && f.loop.Now() < f.cfg.MeasureUntil {
-			f.gaps.Add(gap, decoding)
-			f.mostAtWork = max(f.mostAtWork, engine.Running())
+			f.tokenGaps.Add(gap, decoding)
+			f.maxRunning = max(f.maxRunning, engine.Running())
 		}
 		if inner != nil {
 			inner(gap, decoding)
@@ -101,21 +107,22 @@
 	}
 }
 
-// frontOf returns the front that the caller of a request keeps to at the time.
+// frontOf returns the front that the caller of a request uses at the time of the request.
 func (f *Fleet) frontOf(r *playback.Request) int {
 	caller := f.random.IntN(f.cfg.CallersPerTeam)
 	name := uint64(caller)
 	for _, char := range r.Team.Name {
 		name = name*131 + uint64(char)
 	}
-	// Callers asked at different times, so that they also move to another front at different times.
-	offset := time.Duration(name*0x9e3779b97f4a7c15>>40) * f.cfg.AddressTTL >> 24
-	period := uint64((r.Arrived + offset) / f.cfg.AddressTTL)
+	// Callers resolve addresses at different times, so that they also change to another front at different
+	// times.
+	phase := time.Duration(name*0x9e3779b97f4a7c15>>40) * f.cfg.AddressTTL >> 24
+	period := uint64((r.Arrived + phase) / f.cfg.AddressTTL)
 	return rand.New(rand.NewPCG(name, period)).IntN(f.cfg.Fronts)
 }
 
-// pick returns the less loaded of two random groups among the given number.
-func (f *Fleet) pick(groups int, load func(i int) int) int {
+// pickLessLoaded returns the less loaded of two randomly chosen groups, out of the given number of groups.
+func (f *Fleet) pickLessLoaded(groups int, load func(i int) int) int {
 	a, b := f.random.IntN(groups), f.random.IntN(groups)
 	if load(b) < load(a) {
 		return b
@@ -123,16 +130,16 @@
 	return a
 }
 
-func (f *Fleet) result(requests []*playback.Request, wayBack time.Duration) Result {
+func (f *Fleet) result(requests []*playback.Request, responseLatency time.Duration) Result {
 	figures := playback.Summarize(requests, f.cfg.MeasureFrom, f.cfg.MeasureUntil)
-	figures.First.P50 += wayBack
-	figures.First.P95 += wayBack
+	figures.First.P50 += responseLatency
+	figures.First.P95 += responseLatency
 	perSecond, _ := f.cfg.Engine.Capacity(playback.SteadyGap, f.cfg.Traffic.Prompt, f.cfg.Traffic.MeanOutput())
 	capacity := perSecond * f.cfg.Traffic.MeanWork() * float64(f.cfg.Groups)
 	return Result{
 		Figures:     figures,
 		UsefulShare: figures.Work / (f.cfg.MeasureUntil - f.cfg.MeasureFrom).Seconds() / capacity,
-		TokenGapP95: f.gaps.Quantile(0.95),
-		MaxRunning:  f.mostAtWork,
+		TokenGapP95: f.tokenGaps.Quantile(0.95),
+		MaxRunning:  f.maxRunning,
 	}
 }
--- a/policy/internal/fleet/homes.go
+++ b/policy/internal/fleet/homes.go
@@ -7,62 +7,64 @@
 	"github.com/skylarkpond/skylarkpond/policy/internal/playback"
 )
 
-// homes is a home for each group: it holds the limit and the fair queue. A front sends a request to the home of
-// the less loaded of two groups; if that refuses, to one other.
+// homes dispatches requests through a home for each group, which holds the limit and the fair queue of the
+// group. A front sends a request to the home of the less loaded of two random groups. If that home refuses
+// it, the front picks one more time.
 type homes struct {
 	fleet *Fleet
 	homes []*playback.Home
-	// sent is what each front sent to a group since it last heard of its load.
-	sent [][]uint16
+	// sentSinceReport counts the requests that each front sent to each group since the last load report.
+	sentSinceReport [][]uint16
 }
 
-// Homes returns the dispatcher with a home for each group.
-func Homes(limits LimiterFactory) DispatcherFactory {
+// Homes returns the factory of a dispatcher with a home for each group.
+func Homes(newLimiter LimiterFactory) DispatcherFactory {
 	return func(f *Fleet) dispatcher {
-		h := &homes{fleet: f, sent: make([][]uint16, f.cfg.Fronts)}
-		for i := range h.sent {
-			h.sent[i] = make([]uint16, f.cfg.Groups)
+		h := &homes{fleet: f, sentSinceReport: make([][]uint16, f.cfg.Fronts)}
+		for i := range h.sentSinceReport {
+			h.sentSinceReport[i] = make([]uint16, f.cfg.Groups)
 		}
 		for _, engine := range f.engines {
-			home := playback.NewHome(f.loop, engine, playback.NewFair(fairqueue.Config{}), limits(1), 0, 1, f.cfg.MeasureUntil)
-			home.Refused = h.refused
+			home := playback.NewHome(f.loop, engine, playback.NewFair(fairqueue.Config{}), newLimiter(1), 0, 1, f.cfg.MeasureUntil)
+			home.Refused = h.handleRefusal
 			f.observe(engine)
 			h.homes = append(h.homes, home)
 		}
-		f.loop.Every(f.cfg.LoadReportAge, h.forget)
+		f.loop.Every(f.cfg.LoadReportAge, h.resetSent)
 		return h
 	}
 }
 
-func (h *homes) forget() {
-	for _, sent := range h.sent {
+func (h *homes) resetSent() {
+	for _, sent := range h.sentSinceReport {
 		clear(sent)
 	}
 }
 
-func (h *homes) load(group int) int { return h.homes[group].Load() }
+func (h *homes) loadOf(group int) int { return h.homes[group].Load() }
 
-func (h *homes) wayBack() time.Duration { return h.fleet.cfg.HopLatency }
+func (h *homes) responseLatency() time.Duration { return h.fleet.cfg.HopLatency }
 
-func (h *homes) arrive(r *playback.Request) {
+func (h *homes) accept(r *playback.Request) {
 	r.Tries = 1
 	h.send(r)
 }
 
 func (h *homes) send(r *playback.Request) {
-	sent := h.sent[r.Front]
-	group := h.fleet.pick(len(h.homes), func(g int) int { return h.fleet.known[g] + int(sent[g]) })
+	sent := h.sentSinceReport[r.Front]
+	group := h.fleet.pickLessLoaded(len(h.homes), func(g int) int { return h.fleet.reportedLoad[g] + int(sent[g]) })
 	sent[group]++
 	h.fleet.loop.After(h.fleet.cfg.HopLatency, func() { h.homes[group].Offer(r) })
 }
 
-// tries is how many homes a request is offered to.
-const tries = 2
+// maxAttempts is how often a request is offered to a home.
+const maxAttempts = 2
 
-// refused sends a request once more, or tells its caller, after the way back to the front.
-func (h *homes) refused(r *playback.Request) {
+// handleRefusal sends a refused request again, or refuses it to its caller after maxAttempts. Both happen
+// once the refusal has reached the front.
+func (h *homes) handleRefusal(r *playback.Request) {
 	h.fleet.loop.After(h.fleet.cfg.HopLatency, func() {
-		if r.Tries < tries {
+		if r.Tries < maxAttempts {
 			r.Tries++
 			h.send(r)
 			return
--- a/policy/internal/fleet/locals.go
+++ b/policy/internal/fleet/locals.go
@@ -8,84 +8,85 @@
 	"github.com/skylarkpond/skylarkpond/policy/limit"
 )
 
-// locals is fronts that send to groups themselves. Each front has a limit for each of its groups and one fair
-// queue before all of them.
-type locals struct {
+// localLimits dispatches requests directly from the fronts to the groups. Each front has a limit for each
+// of its groups, and one fair queue for all of them.
+type localLimits struct {
 	fleet  *Fleet
 	fronts []*localFront
-	// at lists, for each group, the links of the fronts that have something at work on it.
-	at [][]*link
+	// activeLinks lists, for each group, the links of the fronts with requests running on it.
+	activeLinks [][]*groupLink
 }
 
-// localFront is a front with its own limits.
+// localFront is a front with limits of its own.
 type localFront struct {
-	locals *locals
+	parent *localLimits
 	queue  *playback.Fair
-	links  []*link
+	links  []*groupLink
 	limit  int
 }
 
-// link is what a front knows of a group.
-type link struct {
+// groupLink is the state that a front holds for one group.
+type groupLink struct {
 	front             *localFront
 	group             int
-	limits            playback.Limiter
+	limiter           playback.Limiter
 	limit             int
 	running, starting int
-	// sent counts what was sent since the load was last heard of.
-	sent int
+	// sentSinceReport counts the requests sent since the last load report.
+	sentSinceReport int
 }
 
-// LocalLimits returns the dispatcher with local limits. Each front uses subset groups, 0 for all; its limit for a
-// group is that of the given part of it.
-func LocalLimits(limits LimiterFactory, subset int) DispatcherFactory {
+// LocalLimits returns the factory of a dispatcher with local limits. Each front uses subset groups, or all
+// groups if subset is 0. The limiter of a front for a group is made for the share of the group that the
+// front would get if all fronts that use it had equal shares.
+func LocalLimits(newLimiter LimiterFactory, subset int) DispatcherFactory {
 	return func(f *Fleet) dispatcher {
 		if subset == 0 {
 			subset = f.cfg.Groups
 		}
-		part := float64(f.cfg.Groups) / float64(f.cfg.Fronts*subset)
-		l := &locals{fleet: f, at: make([][]*link, f.cfg.Groups)}
+		share := float64(f.cfg.Groups) / float64(f.cfg.Fronts*subset)
+		l := &localLimits{fleet: f, activeLinks: make([][]*groupLink, f.cfg.Groups)}
 		for i := range f.cfg.Fronts {
-			l.fronts = append(l.fronts, l.newFront(i, subset, part, limits))
+			l.fronts = append(l.fronts, l.newFront(i, subset, share, newLimiter))
 		}
 		for group, engine := range f.engines {
 			engine.OnStep = func(gap time.Duration, _ int) { l.observeGap(group, gap) }
 			f.observe(engine)
 		}
-		f.loop.Every(expireEvery, l.expire)
-		f.loop.Every(f.cfg.LoadReportAge, l.forget)
+		f.loop.Every(expireInterval, l.expire)
+		f.loop.Every(f.cfg.LoadReportAge, l.resetSent)
 		return l
 	}
 }
 
-const expireEvery = 50 * time.Millisecond
+const expireInterval = 50 * time.Millisecond
 
-func (l *locals) newFront(i, subset int, part float64, limits LimiterFactory) *localFront {
-	front := &localFront{locals: l, queue: playback.NewFair(fairqueue.Config{})}
+func (l *localLimits) newFront(i, subset int, share float64, newLimiter LimiterFactory) *localFront {
+	front := &localFront{parent: l, queue: playback.NewFair(fairqueue.Config{})}
 	for k := range subset {
-		// Consecutive fronts take consecutive groups, so that each group has as many fronts as any other.
-		group := (i*subset + k) % len(l.at)
-		front.links = append(front.links, &link{front: front, group: group, limits: limits(part)})
+		// Consecutive fronts use consecutive groups, so that the fronts are spread evenly over the groups.
+		group := (i*subset + k) % len(l.activeLinks)
+		front.links = append(front.links, &groupLink{front: front, group: group, limiter: newLimiter(share)})
 	}
 	for _, link := range front.links {
-		front.apply(link)
+		front.applyLimit(link)
 	}
 	return front
 }
 
-func (l *locals) load(group int) int { return l.fleet.engines[group].Running() }
+func (l *localLimits) loadOf(group int) int { return l.fleet.engines[group].Running() }
 
-func (l *locals) wayBack() time.Duration { return 0 }
+func (l *localLimits) responseLatency() time.Duration { return 0 }
 
-func (l *locals) forget() {
+func (l *localLimits) resetSent() {
 	for _, front := range l.fronts {
 		for _, link := range front.links {
-			link.sent = 0
+			link.sentSinceReport = 0
 		}
 	}
 }
 
-func (l *locals) expire() {
+func (l *localLimits) expire() {
 	for _, front := range l.fronts {
 		for _, r := range front.queue.Expire(l.fleet.loop.Now()) {
 			front.refuse(r)
@@ -94,7 +95,7 @@
 	}
 }
 
-func (l *locals) arrive(r *playback.Request) {
+func (l *localLimits) accept(r *playback.Request) {
 	front := l.fronts[r.Front]
 	r.Tries = 1
 	switch decision, _ := front.queue.Offer(l.fleet.loop.Now(), r); decision {
@@ -109,38 +110,39 @@
 
 func (f *localFront) refuse(r *playback.Request) {
 	r.Outcome = playback.Refused
-	r.Ended = f.locals.fleet.loop.Now()
+	r.Ended = f.parent.fleet.loop.Now()
 }
 
 func (f *localFront) drain() {
-	for r := f.queue.Next(f.locals.fleet.loop.Now()); r != nil; r = f.queue.Next(f.locals.fleet.loop.Now()) {
+	for r := f.queue.Next(f.parent.fleet.loop.Now()); r != nil; r = f.queue.Next(f.parent.fleet.loop.Now()) {
 		f.send(r)
 	}
 }
 
-// apply takes over a link's limit into that of the front's queue.
-func (f *localFront) apply(l *link) {
-	f.limit += l.limits.Current() - l.limit
-	l.limit = l.limits.Current()
+// applyLimit updates the limit of the front's queue with the current limit of a link.
+func (f *localFront) applyLimit(l *groupLink) {
+	f.limit += l.limiter.Current() - l.limit
+	l.limit = l.limiter.Current()
 	f.queue.SetLimit(f.limit)
 }
 
-// choose returns the less loaded of two links that have a free slot. The queue sends only when one has, or
-// when limits have just been lowered below what is at work: then any link is as good as another.
-func (f *localFront) choose() *link {
-	fleet := f.locals.fleet
+// chooseLink returns the less loaded of two links with a free slot. The queue releases requests only while
+// a link has a free slot, or when limits have just fallen below the number of running requests; in that
+// case any link is as good as another.
+func (f *localFront) chooseLink() *groupLink {
+	fleet := f.parent.fleet
 	start := fleet.random.IntN(len(f.links))
-	var found *link
+	var found *groupLink
 	for k := range f.links {
-		l := f.links[(start+k*chooseStep)%len(f.links)]
-		if l.running >= l.limit || (l.limits.Starting() > 0 && l.starting >= l.limits.Starting()) {
+		l := f.links[(start+k*probeStride)%len(f.links)]
+		if l.running >= l.limit || (l.limiter.Starting() > 0 && l.starting >= l.limiter.Starting()) {
 			continue
 		}
 		if found == nil {
 			found = l
 			continue
 		}
-		if fleet.known[l.group]+l.sent < fleet.known[found.group]+found.sent {
+		if fleet.reportedLoad[l.group]+l.sentSinceReport < fleet.reportedLoad[found.group]+found.sentSinceReport {
 			found = l
 		}
 		return found
@@ -151,65 +153,66 @@
 	return found
 }
 
-// chooseStep is a prime that no number of groups here is a multiple of: it makes the second link unlike a
-// neighbour of the first.
-const chooseStep = 37
+// probeStride is a prime of which no number of groups here is a multiple. It makes the second candidate
+// differ from the direct neighbor of the first.
+const probeStride = 37
 
 func (f *localFront) send(r *playback.Request) {
-	l := f.choose()
+	l := f.chooseLink()
 	if l.running == 0 {
-		f.locals.at[l.group] = append(f.locals.at[l.group], l)
+		f.parent.activeLinks[l.group] = append(f.parent.activeLinks[l.group], l)
 	}
 	l.running++
 	l.starting++
-	l.sent++
-	loop, engine := f.locals.fleet.loop, f.locals.fleet.engines[l.group]
+	l.sentSinceReport++
+	loop, engine := f.parent.fleet.loop, f.parent.fleet.engines[l.group]
 	r.Started = loop.Now()
-	engine.Submit(r, func(r *playback.Request) { l.firstToken(r) }, func(r *playback.Request) { l.end(r, playback.Answered) })
+	engine.Submit(r, func(r *playback.Request) { l.onFirstToken(r) }, func(r *playback.Request) { l.finish(r, playback.Answered) })
 	loop.At(r.Deadline(), func() {
 		if r.Outcome == playback.Pending {
 			engine.Cancel(r)
-			l.end(r, playback.Late)
+			l.finish(r, playback.Late)
 		}
 	})
 }
 
-func (l *link) firstToken(r *playback.Request) {
-	now := l.front.locals.fleet.loop.Now()
-	l.limits.Observe(now, limit.Sample{Running: l.running, FirstToken: now - r.Started, Starting: l.starting})
+func (l *groupLink) onFirstToken(r *playback.Request) {
+	now := l.front.parent.fleet.loop.Now()
+	l.limiter.Observe(now, limit.Sample{Running: l.running, FirstToken: now - r.Started, Starting: l.starting})
 	l.starting--
 	l.front.queue.Started(r)
-	l.front.apply(l)
+	l.front.applyLimit(l)
 	l.front.drain()
 }
 
-func (l *link) end(r *playback.Request, outcome playback.Outcome) {
-	locals := l.front.locals
-	now := locals.fleet.loop.Now()
+func (l *groupLink) finish(r *playback.Request, outcome playback.Outcome) {
+	parent := l.front.parent
+	now := parent.fleet.loop.Now()
 	r.Outcome, r.Ended = outcome, now
 	if r.FirstToken == 0 {
 		l.starting--
 	}
 	l.running--
 	if l.running == 0 {
-		locals.at[l.group] = without(locals.at[l.group], l)
+		parent.activeLinks[l.group] = removeLink(parent.activeLinks[l.group], l)
 	}
 	l.front.queue.Done(now, r, r.Work())
 	l.front.drain()
 }
 
-// observeGap tells each front with something at work on a group of a gap between tokens.
-func (l *locals) observeGap(group int, gap time.Duration) {
+// observeGap reports a gap between tokens of a group to the limiter of each front with requests running on
+// it.
+func (l *localLimits) observeGap(group int, gap time.Duration) {
 	now := l.fleet.loop.Now()
-	for _, link := range l.at[group] {
-		link.limits.Observe(now, limit.Sample{Running: link.running, Gap: gap, Gaps: link.running})
-		if link.limits.Current() != link.limit {
-			link.front.apply(link)
+	for _, link := range l.activeLinks[group] {
+		link.limiter.Observe(now, limit.Sample{Running: link.running, Gap: gap, Gaps: link.running})
+		if link.limiter.Current() != link.limit {
+			link.front.applyLimit(link)
 		}
 	}
 }
 
-func without(links []*link, l *link) []*link {
+func removeLink(links []*groupLink, l *groupLink) []*groupLink {
 	for i, other := range links {
 		if other == l {
 			links[i] = links[len(links)-1]
