--- a/policy/internal/fleet/figures_test.go
+++ b/policy/internal/fleet/figures_test.go
@@ -71,7 +71,7 @@
 			EstimateError: 0.4, Patience: 10 * time.Second, PatiencePerToken: 2 * playback.SteadyGap, Seed: 1,
 		},
 		CallersPerTeam: l.callersPerTeam, AddressTTL: 30 * time.Second,
-		HopLatency: 1500 * time.Microsecond, LoadReportAge: time.Second,
+		HopLatency: 1500 * time.Microsecond, LoadReportInterval: time.Second,
 		ArrivalPeriod: 2 * warm, MeasureFrom: warm, MeasureUntil: 2 * warm,
 	}
 	if l.skewed {
--- a/policy/internal/fleet/fleet.go
+++ b/policy/internal/fleet/fleet.go
@@ -16,9 +16,9 @@
 	// AddressTTL.
 	CallersPerTeam int
 	AddressTTL     time.Duration
-	// HopLatency is the one-way latency between two processes. LoadReportAge is the interval at which the
+	// HopLatency is the one-way latency between two processes. LoadReportInterval is the interval at which the
 	// fronts learn the load of the groups.
-	HopLatency, LoadReportAge time.Duration
+	HopLatency, LoadReportInterval time.Duration
 	// ArrivalPeriod is how long requests arrive. Those that arrive between MeasureFrom and MeasureUntil are
 	// measured.
 	ArrivalPeriod, MeasureFrom, MeasureUntil time.Duration
@@ -77,7 +77,7 @@
 		f.engines = append(f.engines, playback.NewEngine(f.loop, c.Engine))
 	}
 	d := build(f)
-	f.loop.Every(c.LoadReportAge, func() {
+	f.loop.Every(c.LoadReportInterval, func() {
 		for g := range f.reportedLoad {
 			f.reportedLoad[g] = d.loadOf(g)
 		}
--- a/policy/internal/fleet/homes.go
+++ b/policy/internal/fleet/homes.go
@@ -30,7 +30,7 @@
 			f.observe(engine)
 			h.homes = append(h.homes, home)
 		}
-		f.loop.Every(f.cfg.LoadReportAge, h.resetSent)
+		f.loop.Every(f.cfg.LoadReportInterval, h.resetSent)
 		return h
 	}
 }
--- a/policy/internal/fleet/locals.go
+++ b/policy/internal/fleet/locals.go
@@ -54,7 +54,7 @@
 			f.observe(engine)
 		}
 		f.loop.Every(expireInterval, l.expire)
-		f.loop.Every(f.cfg.LoadReportAge, l.resetSent)
+		f.loop.Every(f.cfg.LoadReportInterval, l.resetSent)
 		return l
 	}
 }
