--- a/policy/forming/condition.go
+++ b/policy/forming/condition.go
@@ -53,11 +53,13 @@
 	faultPaused
 	// faultSilent: silent for longer than the grace period. The member may still return with its state.
 	faultSilent
-	// faultGone: silent for longer than the grace period and no longer listed by the platform.
+	// faultGone: silent for SilenceGrace or longer and no longer listed by the platform, or not in the view
+	// at all.
 	faultGone
-	// faultStateLost: it answers, but without the state that it was ordered to hold.
+	// faultStateLost: it answers, but has restarted or no longer holds the state that it was ordered to
+	// hold.
 	faultStateLost
-	// faultLeaving: its removal is announced, or it is no longer listed.
+	// faultLeaving: its removal is announced, or the platform has not listed it for UnlistedGrace.
 	faultLeaving
 )
 
--- a/policy/forming/decide.go
+++ b/policy/forming/decide.go
@@ -65,7 +65,7 @@
 		}
 	}
 	p.plan.BlockedReasons = make(map[string]string)
-	p.plan.Live = p.usableVMs()
+	p.plan.Live = p.countLive()
 	targets, unplaced := Split(v.Services, p.allDomains())
 	p.targets = targets
 	p.plan.Targets = targets[v.Domain]
@@ -86,10 +86,10 @@
 	return append([]Domain{own}, p.view.Others...)
 }
 
-// usableVMs counts the VMs that replicas can be planned on, by the service that they are dedicated to. VMs
-// that are silent for less than the grace period count, otherwise each pause would move a replica to
-// another domain.
-func (p *planner) usableVMs() map[string]int {
+// countLive counts the VMs that replicas can be planned on, by the service that they are dedicated to.
+// Unlike VM.usable it includes VMs that are silent for less than the grace period, otherwise each pause
+// would move a replica to another domain.
+func (p *planner) countLive() map[string]int {
 	live := make(map[string]int)
 	for _, vm := range p.view.VMs {
 		if vm.Listed && !vm.Leaving && !vm.Aside && vm.SilentFor < p.silenceGrace {
@@ -149,11 +149,11 @@
 	}
 }
 
-// advanceDraining releases the members of a draining group once no request is in progress on it, or the
-// drain timeout has passed. The count of the home is checked against that of the group's head (its first
-// member), because a home that has just taken over may not know of requests that the previous home sent. A
-// group that lost a member has nothing left to drain: its requests have failed, and if the head is the lost
-// member, no count will ever arrive.
+// advanceDraining releases the members of a draining group once no request is in progress on it or the
+// drain timeout has passed, and then dissolves it. The count of the home is checked against that of the
+// group's head (its first member), because a home that has just taken over may not know of requests that
+// the previous home sent. A group that lost a member has nothing left to drain: its requests have failed,
+// and if the head is the lost member, no count will ever arrive.
 func (p *planner) advanceDraining(g *Group) {
 	drained := p.condition(g).memberLost() || g.HomeReported && g.InProgress == 0 && p.runningOnHead(g) == 0
 	if !drained && g.InState < p.drainTimeout(g) {
@@ -236,17 +236,17 @@
 // since a VM in a restart loop would break its new group within minutes. It returns nil if too few VMs are
 // eligible.
 func (p *planner) chooseMembers(s Service) []VM {
-	fitting := make([]VM, 0, len(p.pool))
+	candidates := make([]VM, 0, len(p.pool))
 	for _, vm := range p.pool {
 		if eligible(vm, s) {
-			fitting = append(fitting, vm)
+			candidates = append(candidates, vm)
 		}
 	}
-	if len(fitting) < s.GroupSize || s.GroupSize == 0 {
+	if len(candidates) < s.GroupSize || s.GroupSize == 0 {
 		return nil
 	}
-	sort.Slice(fitting, func(i, j int) bool {
-		a, b := fitting[i], fitting[j]
+	sort.Slice(candidates, func(i, j int) bool {
+		a, b := candidates[i], candidates[j]
 		if (a.DedicatedTo == "") != (b.DedicatedTo == "") {
 			return a.DedicatedTo != ""
 		}
@@ -255,7 +255,7 @@
 		}
 		return a.Name < b.Name
 	})
-	return fitting[:s.GroupSize]
+	return candidates[:s.GroupSize]
 }
 
 func eligible(vm VM, s Service) bool {
--- a/policy/forming/roll.go
+++ b/policy/forming/roll.go
@@ -5,8 +5,8 @@
 // replaced one by one across all domains. The domains take turns in the order of their names, which every
 // controller can determine from the placements alone. The number of serving groups stays at or above the
 // wanted one as long as a new group finds room, beside the old ones or in another domain. Without room
-// anywhere, one group at a time is drained first; a service whose only replica that would be waits, and the
-// plan reports it as blocked.
+// anywhere, one old group at a time is drained first. A service with a single replica is not drained for
+// this: it keeps the old version, and the plan reports it as blocked.
 
 // MaxSurgeShare is the share of the replicas of a service that may be formed beyond the wanted number
 // during a rollout. It replaces 50 replicas in about ten rounds of loading without crowding out the loads
@@ -56,9 +56,9 @@
 // domain in turn if it has room, else the first by name that has room. If only the domain in turn did so, a
 // replica that fills its domain would keep its old version while another domain is empty.
 func (p *planner) formsReplacements(s Service) bool {
-	turn := p.domainInTurn(s)
-	return turn == p.view.Domain || !p.roomElsewhere(s, func(d Domain) bool {
-		return d.Name == turn || d.Name < p.view.Domain
+	domainInTurn := p.domainInTurn(s)
+	return domainInTurn == p.view.Domain || !p.roomElsewhere(s, func(d Domain) bool {
+		return d.Name == domainInTurn || d.Name < p.view.Domain
 	})
 }
 
@@ -86,8 +86,8 @@
 
 func (p *planner) formSurge(s Service) {
 	surge := max(1, int(MaxSurgeShare*float64(s.Replicas)))
-	for coming := p.countStarting(s); coming < surge && p.form(s, "takes the place of an older version"); {
-		coming++
+	for starting := p.countStarting(s); starting < surge && p.form(s, "takes the place of an older version"); {
+		starting++
 	}
 }
 
--- a/policy/forming/split.go
+++ b/policy/forming/split.go
@@ -177,19 +177,19 @@
 }
 
 func (d *domainCapacity) freeFor(s Service) int {
-	room := max(0, d.free[s.Name])
+	free := max(0, d.free[s.Name])
 	if !s.Dedicated {
-		room += max(0, d.free[""])
+		free += max(0, d.free[""])
 	}
-	return room
+	return free
 }
 
 func (d *domainCapacity) totalFor(s Service) int {
-	size := d.total[s.Name]
+	total := d.total[s.Name]
 	if !s.Dedicated {
-		size += d.total[""]
+		total += d.total[""]
 	}
-	return size
+	return total
 }
 
 // reserve takes the VMs of count groups from the free ones, dedicated VMs first.
--- a/policy/forming/tracker.go
+++ b/policy/forming/tracker.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// History over views. A View shows one moment, but whether a silence is a pause or a death, whether a slow
-// group stays slow, and whether a VM keeps restarting, shows only over time. A Tracker records it. After a
-// takeover the new controller's Tracker is empty, so that it waits for the full grace periods before it
-// acts: it errs on the side of not reloading a replica.
+// A View shows a single moment, but only the sequence of views shows whether a silence is a pause or a
+// death, whether a slow group stays slow, and whether a VM restarts again and again. A Tracker keeps that
+// history. After a takeover the new controller starts with an empty Tracker and waits for the full grace
+// periods before it acts: it errs on the side of not reloading a replica.
 
 // RestartWindow is how long a restart counts against a VM when members are chosen. A VM in a restart loop
 // restarts again within minutes; an hour without a restart shows that the loop is over.
@@ -59,8 +59,8 @@
 	slow := slowGroups(v)
 	for i := range v.Groups {
 		g := &v.Groups[i]
-		blind := g.State == Serving && g.HomeNotWhole && isWhole(v.VMs, g)
-		t.observeGroup(gap, g, slow[g.ID], blind)
+		homeCutOff := g.State == Serving && g.HomeNotWhole && isWhole(v.VMs, g)
+		t.observeGroup(gap, g, slow[g.ID], homeCutOff)
 	}
 	t.dropUnseen()
 }
@@ -104,7 +104,7 @@
 	}
 }
 
-func (t *Tracker) observeGroup(gap time.Duration, g *Group, slow, blind bool) {
+func (t *Tracker) observeGroup(gap time.Duration, g *Group, slow, homeCutOff bool) {
 	track := t.groups[g.ID]
 	if track == nil {
 		track = &groupTrack{state: g.State}
@@ -115,7 +115,7 @@
 	track.inState = elapsed(track.inState, gap, track.state == g.State)
 	track.state = g.State
 	track.slow = elapsed(track.slow, gap, slow)
-	track.homeCutOff = elapsed(track.homeCutOff, gap, blind)
+	track.homeCutOff = elapsed(track.homeCutOff, gap, homeCutOff)
 	g.InState = track.inState
 	g.SlowFor = track.slow
 	g.HomeCutOffFor = track.homeCutOff
--- a/policy/forming/view.go
+++ b/policy/forming/view.go
@@ -101,8 +101,7 @@
 	Version string
 	State   State
 	Members []Member
-	// Size is the number of members. It is set for groups of other domains, for which Members is empty; 0:
-	// unknown.
+	// Size is the number of members, set for groups of other domains, which have no Members; 0: unknown.
 	Size  int
 	Epoch uint64
 	// NotWhole is set in the placement while a member is missing for longer than the grace period. The
@@ -143,7 +142,8 @@
 // Domain describes a fabric domain as reported through its placement.
 type Domain struct {
 	Name string
-	// Live is the number of usable VMs by the service that they are dedicated to ("" for any service).
+	// Live is the number of VMs that replicas can be planned on, by the service that they are dedicated to
+	// ("" for any service).
 	Live map[string]int
 	// Groups lists the groups of the domain. In reports of other domains they have no Members.
 	Groups []Group
@@ -205,8 +205,8 @@
 	// StrandedAccelerators counts the accelerators of live VMs that are in no serving group.
 	DownGroups           map[string]int
 	StrandedAccelerators int
-	// Live is the number of usable VMs that this domain reports to the others, by the service that they are
-	// dedicated to ("" for any service).
+	// Live is the number of VMs that replicas can be planned on, by the service that they are dedicated to
+	// ("" for any service), as reported to the other domains.
 	Live map[string]int
 	// BlockedReasons says, by service, why a wanted change can't be made now.
 	BlockedReasons map[string]string
