--- a/policy/forming/account.go
+++ b/policy/forming/account.go
@@ -1,13 +1,13 @@
 package forming
 
-// account works out the two measures for the domain: wanted groups that do not serve, and accelerators
-// that are live but in no serving group.
-func (p *planner) account() {
+// computeCosts fills in the two costs of the domain: wanted groups that do not serve, and accelerators of
+// live VMs that are in no serving group.
+func (p *planner) computeCosts() {
 	serving := make(map[string]int)
 	busy := make(map[string]bool)
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if !p.serves(g) {
+		if !p.isServing(g) {
 			continue
 		}
 		serving[g.Service]++
@@ -21,8 +21,8 @@
 		}
 	}
 	for _, vm := range p.view.VMs {
-		if vm.Listed && vm.Present && !vm.Leaving && !busy[vm.Name] {
-			p.plan.Stranded += vm.Accelerators
+		if vm.Listed && vm.Responding && !vm.Leaving && !busy[vm.Name] {
+			p.plan.StrandedAccelerators += vm.Accelerators
 		}
 	}
 }
--- a/policy/forming/sim_test.go
+++ b/policy/forming/sim_test.go
@@ -9,34 +9,34 @@
 	"github.com/skylarkpond/skylarkpond/policy/forming"
 )
 
-// sim plays fabric domains in virtual time, a second a tick: VMs that fail, controllers that decide, and a
-// weight store whose rate the loads share. Each controller sees its own domain as it is, and the other
-// placements as they were a tick ago.
+// sim simulates fabric domains in virtual time with ticks of one second: VMs that fail, controllers that
+// decide, and a weight store whose rate is shared by the loads. Each controller sees the current state of
+// its own domain, and the placements of the others as of the previous tick.
 type sim struct {
-	now      time.Duration
-	decide   func(forming.View) forming.Plan
-	services []forming.Service
-	domains  []*simDomain
-	events   map[time.Duration][]func()
-	ids      int
-	// down sums up the seconds of wanted groups that did not serve, stranded the accelerator-seconds of VMs
-	// that were up but in no serving group.
-	down, stranded       float64
-	downNow, strandedNow float64
-	loads                int
+	now       time.Duration
+	decide    func(forming.View) forming.Plan
+	services  []forming.Service
+	domains   []*simDomain
+	scheduled map[time.Duration][]func()
+	lastID    int
+	// downSeconds is the sum of the seconds that each wanted group did not serve, strandedSeconds the
+	// accelerator-seconds of VMs that were up but in no serving group.
+	downSeconds, strandedSeconds float64
+	downNow, strandedNow         float64
+	loads                        int
 }
 
 type simDomain struct {
-	name    string
-	vms     []*simVM
-	groups  []forming.Group
-	drained map[string]time.Duration
-	tracker *forming.Tracker
-	pacer   forming.Pacer
-	report  forming.Domain
-	next    forming.Domain
-	byName  map[string]*simVM
-	// active is until when the domain is looked at each tick.
+	name          string
+	vms           []*simVM
+	groups        []forming.Group
+	drainingSince map[string]time.Duration
+	tracker       *forming.Tracker
+	pacer         forming.Pacer
+	report        forming.Domain
+	nextReport    forming.Domain
+	byName        map[string]*simVM
+	// active is the time until which the domain is evaluated each tick.
 	active time.Duration
 }
 
@@ -45,22 +45,22 @@
 	domain       *simDomain
 	down, paused bool
 	boots        int
-	loaded       float64 // share of the weights that it has
+	loaded       float64 // fraction of the weights loaded
 }
 
-// Rates and durations of the world.
+// Rates and durations of the simulation.
 const (
 	simAccelerators = 8
-	simLoad         = 90 * time.Second
-	simDrain        = 20 * time.Second
-	// simStore is how many members can load at once at full speed.
-	simStore = 24
+	simLoadTime     = 90 * time.Second
+	simDrainTime    = 20 * time.Second
+	// simStoreSlots is the number of members that can load at full speed at the same time.
+	simStoreSlots = 24
 )
 
 func newSim(decide func(forming.View) forming.Plan, services []forming.Service, sizes ...int) *sim {
-	s := &sim{decide: decide, services: services, events: map[time.Duration][]func(){}}
+	s := &sim{decide: decide, services: services, scheduled: map[time.Duration][]func(){}}
 	for i, size := range sizes {
-		d := &simDomain{name: fmt.Sprintf("fab-%d", i+1), drained: map[string]time.Duration{}, tracker: forming.NewTracker(), byName: map[string]*simVM{}}
+		d := &simDomain{name: fmt.Sprintf("fab-%d", i+1), drainingSince: map[string]time.Duration{}, tracker: forming.NewTracker(), byName: map[string]*simVM{}}
 		for j := range size {
 			v := &simVM{domain: d, VM: forming.VM{Name: fmt.Sprintf("%s-%02d", d.name, j+1), Accelerators: simAccelerators, Listed: true}}
 			v.restart()
@@ -74,53 +74,54 @@
 
 func (v *simVM) restart() {
 	v.boots++
-	v.Boot = fmt.Sprintf("%s-boot%d", v.Name, v.boots)
+	v.BootID = fmt.Sprintf("%s-boot%d", v.Name, v.boots)
 	v.Group, v.Epoch, v.Ready, v.loaded, v.Leaving = "", 0, false, 0, false
 }
 
-func (s *sim) at(when time.Duration, v *simVM, f func()) {
+func (s *sim) schedule(when time.Duration, v *simVM, f func()) {
 	when = when.Truncate(time.Second)
-	s.events[when] = append(s.events[when], func() {
+	s.scheduled[when] = append(s.scheduled[when], func() {
 		f()
 		s.wake(v.domain)
 	})
 }
 
-// lose takes a VM away for a while; it comes back empty.
-func (s *sim) lose(v *simVM, at, away time.Duration) {
-	s.at(at, v, func() { v.down = true; v.restart() })
-	s.at(at+away, v, func() { v.down = false })
+// fail takes a VM down for a while; it returns without state.
+func (s *sim) fail(v *simVM, at, away time.Duration) {
+	s.schedule(at, v, func() { v.down = true; v.restart() })
+	s.schedule(at+away, v, func() { v.down = false })
 }
 
-// pause silences a VM, which keeps what it has.
+// pause stops a VM from answering for a while; it keeps its state.
 func (s *sim) pause(v *simVM, at, away time.Duration) {
-	s.at(at, v, func() { v.paused = true })
-	s.at(at+away, v, func() { v.paused = false })
+	s.schedule(at, v, func() { v.paused = true })
+	s.schedule(at+away, v, func() { v.paused = false })
 }
 
-// leave announces that a VM will be taken away, takes it, and brings it back empty.
-func (s *sim) leave(v *simVM, at, notice, away time.Duration) {
-	s.at(at, v, func() { v.Leaving = true })
-	s.lose(v, at+notice, away)
+// remove announces the removal of a VM, takes it down after the notice period, and brings it back without
+// state.
+func (s *sim) remove(v *simVM, at, notice, away time.Duration) {
+	s.schedule(at, v, func() { v.Leaving = true })
+	s.fail(v, at+notice, away)
 }
 
-// faults draws the ordinary days of a fleet of 2,520 VMs (14 fail, 360 are restarted or replaced, of which
-// half are announced) scaled to this one, and pauses.
-func (s *sim) faults(random *rand.Rand, from, until time.Duration) {
+// addFaults schedules the daily fault rates of a fleet of 2,520 VMs, scaled to this one: 14 VMs fail, and
+// 360 are restarted or replaced, half of them announced. It adds a pause every two days per VM.
+func (s *sim) addFaults(random *rand.Rand, from, until time.Duration) {
 	day := 24 * time.Hour
 	for _, d := range s.domains {
 		for _, v := range d.vms {
-			s.poisson(random, from, until, day*2520/14, func(at time.Duration) { s.lose(v, at, 2*time.Hour) })
-			s.poisson(random, from, until, day*2520/180, func(at time.Duration) { s.lose(v, at, 5*time.Minute) })
-			s.poisson(random, from, until, day*2520/180, func(at time.Duration) { s.leave(v, at, 2*time.Minute, 5*time.Minute) })
-			s.poisson(random, from, until, 2*day, func(at time.Duration) {
+			s.poissonArrivals(random, from, until, day*2520/14, func(at time.Duration) { s.fail(v, at, 2*time.Hour) })
+			s.poissonArrivals(random, from, until, day*2520/180, func(at time.Duration) { s.fail(v, at, 5*time.Minute) })
+			s.poissonArrivals(random, from, until, day*2520/180, func(at time.Duration) { s.remove(v, at, 2*time.Minute, 5*time.Minute) })
+			s.poissonArrivals(random, from, until, 2*day, func(at time.Duration) {
 				s.pause(v, at, time.Duration(2+random.IntN(7))*time.Second)
 			})
 		}
 	}
 }
 
-func (s *sim) poisson(random *rand.Rand, from, until, mean time.Duration, f func(at time.Duration)) {
+func (s *sim) poissonArrivals(random *rand.Rand, from, until, mean time.Duration, f func(at time.Duration)) {
 	for at := from; ; {
 		at += time.Duration(random.ExpFloat64() * float64(mean))
 		if at >= until {
@@ -130,27 +131,27 @@
 	}
 }
 
-// run plays until the given time.
+// run simulates until the given time.
 func (s *sim) run(until time.Duration) {
 	for ; s.now < until; s.now += time.Second {
-		if due, ok := s.events[s.now]; ok {
+		if due, ok := s.scheduled[s.now]; ok {
 			for _, f := range due {
 				f()
 			}
-			delete(s.events, s.now)
+			delete(s.scheduled, s.now)
 		}
-		s.load()
-		if s.rounds() {
-			s.account()
+		s.advanceLoads()
+		if s.decideActive() {
+			s.measureNow()
 		}
-		s.down += s.downNow
-		s.stranded += s.strandedNow
+		s.downSeconds += s.downNow
+		s.strandedSeconds += s.strandedNow
 	}
 }
 
-// wake has a domain looked at until the longest patience is over. Beyond it nothing there can change by
-// itself, so that quiet hours cost nothing.
-func (s *sim) wake(d *simDomain) { d.active = s.now + forming.CommonGrace + 15*time.Second }
+// wake evaluates a domain each tick until the longest grace period has passed. After that nothing there
+// changes by itself, so that hours without events take no time.
+func (s *sim) wake(d *simDomain) { d.active = s.now + forming.CorrelatedSilenceGrace + 15*time.Second }
 
 func (s *sim) wakeAll() {
 	for _, d := range s.domains {
@@ -158,34 +159,34 @@
 	}
 }
 
-// rounds looks at the active domains, and returns whether there was one. A domain that did something
-// wakes the others for long enough to see it.
-func (s *sim) rounds() bool {
+// decideActive runs the controllers of the active domains, and reports whether there was one. A domain
+// whose plan has steps keeps the others active for long enough to observe them.
+func (s *sim) decideActive() bool {
 	any := false
 	for _, d := range s.domains {
 		if s.now <= d.active {
-			s.round(d)
+			s.decideFor(d)
 			any = true
 		}
 	}
 	for _, d := range s.domains {
-		d.report = d.next
+		d.report = d.nextReport
 	}
 	return any
 }
 
-func (s *sim) round(d *simDomain) {
+func (s *sim) decideFor(d *simDomain) {
 	view := forming.View{Domain: d.name, Services: s.services, Groups: d.groups, LoadAllowed: d.pacer.Allowed(s.now)}
 	for _, v := range d.vms {
 		vm := v.VM
-		vm.Present = !v.down && !v.paused
+		vm.Responding = !v.down && !v.paused
 		view.VMs = append(view.VMs, vm)
 	}
 	for i := range view.Groups {
 		g := &view.Groups[i]
-		since, draining := d.drained[g.ID]
-		g.Known, g.InProgress = true, 0
-		if draining && s.now-since < simDrain {
+		since, draining := d.drainingSince[g.ID]
+		g.HomeReported, g.InProgress = true, 0
+		if draining && s.now-since < simDrainTime {
 			g.InProgress = 1
 		}
 	}
@@ -205,16 +206,16 @@
 			other.active = max(other.active, s.now+5*time.Second)
 		}
 	}
-	d.next = forming.Domain{Name: d.name, Live: plan.Live, Groups: slices.Clone(d.groups)}
+	d.nextReport = forming.Domain{Name: d.name, Live: plan.Live, Groups: slices.Clone(d.groups)}
 }
 
 func (s *sim) apply(d *simDomain, view *forming.View, step forming.Step) {
 	i := slices.IndexFunc(d.groups, func(g forming.Group) bool { return g.ID == step.Group })
 	switch step.Kind {
 	case forming.StepForm:
-		s.ids++
+		s.lastID++
 		g := forming.Group{
-			ID: fmt.Sprintf("g%06d", s.ids), Service: step.Service, Version: step.Version,
+			ID: fmt.Sprintf("g%06d", s.lastID), Service: step.Service, Version: step.Version,
 			State: forming.Forming, Size: len(step.Members),
 		}
 		for _, name := range step.Members {
@@ -227,7 +228,7 @@
 		d.groups[i].State = forming.Serving
 	case forming.StepDrain:
 		d.groups[i].State = forming.Draining
-		d.drained[step.Group] = s.now
+		d.drainingSince[step.Group] = s.now
 	case forming.StepMark:
 		d.groups[i].NotWhole = step.NotWhole
 	case forming.StepRelease, forming.StepDissolve:
@@ -248,7 +249,7 @@
 	s.loads++
 	for i := range g.Members {
 		v := d.vm(g.Members[i].VM)
-		g.Members[i].Boot = v.Boot
+		g.Members[i].BootID = v.BootID
 		v.Group, v.Epoch, v.Ready, v.loaded = g.ID, 1, false, 0
 	}
 	for _, service := range s.services {
@@ -260,8 +261,8 @@
 
 func (d *simDomain) vm(name string) *simVM { return d.byName[name] }
 
-// load shares the weight store's rate among all members that load.
-func (s *sim) load() {
+// advanceLoads divides the rate of the weight store among all members that load.
+func (s *sim) advanceLoads() {
 	var loading []*simVM
 	for _, d := range s.domains {
 		for _, v := range d.vms {
@@ -270,7 +271,7 @@
 			}
 		}
 	}
-	share := min(1, simStore/float64(max(1, len(loading)))) / simLoad.Seconds()
+	share := min(1, simStoreSlots/float64(max(1, len(loading)))) / simLoadTime.Seconds()
 	for _, v := range loading {
 		v.loaded += share
 		v.Ready = v.loaded >= 1
@@ -278,7 +279,7 @@
 	}
 }
 
-// serving counts the groups of a service that are whole and may be given work.
+// serving counts the groups of a service that are whole and may receive requests.
 func (s *sim) serving(service string) int {
 	count := 0
 	for _, d := range s.domains {
@@ -297,12 +298,12 @@
 	}
 	return !slices.ContainsFunc(g.Members, func(m forming.Member) bool {
 		v := d.vm(m.VM)
-		return v.down || v.paused || v.Boot != m.Boot || v.Group != g.ID || !v.Ready
+		return v.down || v.paused || v.BootID != m.BootID || v.Group != g.ID || !v.Ready
 	})
 }
 
-// account works out the measures of this second, from the world and not from what a plan claims.
-func (s *sim) account() {
+// measureNow computes the costs of this second from the simulated state, not from what a plan reports.
+func (s *sim) measureNow() {
 	s.downNow, s.strandedNow = 0, 0
 	for _, service := range s.services {
 		s.downNow += float64(max(0, service.Replicas-s.serving(service.Name)))
@@ -323,9 +324,9 @@
 	}
 }
 
-// baseline replaces at once with any VM: a silent member, like a restarted one, ends its group, and a new
-// one is formed and loaded from whatever answers. It keeps no spares, paces no loads, and shares no view
-// with other domains beyond the number of groups.
+// baseline replaces faulty VMs at once: any silent or restarted member ends its group, and a new one is
+// formed and loaded from the VMs that answer. It keeps no spares, does not pace loads, and knows only the
+// number of groups of other domains.
 func baseline(v forming.View) forming.Plan {
 	plan := forming.Plan{Live: map[string]int{}}
 	vms := make(map[string]forming.VM)
@@ -363,7 +364,7 @@
 	ready := true
 	for _, m := range g.Members {
 		vm := vms[m.VM]
-		if !vm.Present || (g.State != forming.Forming && vm.Boot != m.Boot) {
+		if !vm.Responding || (g.State != forming.Forming && vm.BootID != m.BootID) {
 			return forming.Step{Kind: forming.StepDissolve, Group: g.ID}
 		}
 		if vm.Leaving && g.State == forming.Serving {
@@ -389,7 +390,7 @@
 		if total >= s.Replicas {
 			break
 		}
-		if !vm.Present || taken[vm.Name] {
+		if !vm.Responding || taken[vm.Name] {
 			continue
 		}
 		members = append(members, vm.Name)
--- a/policy/forming/tracker.go
+++ b/policy/forming/tracker.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// This file answers the fault pattern of short pauses and of VMs that fail again and again. A View shows
-// one moment; whether a silence is a pause or a death, and whether a slow group stays slow, shows only
-// over time. A Tracker remembers since when. After a takeover it starts anew, so that a new controller
-// waits the full grace before it judges: it errs on the side of not reloading a replica.
+// A View shows a single moment, but only the sequence of views shows whether a silence is a pause or a
+// death, whether a slow group stays slow, and whether a VM restarts again and again. A Tracker keeps that
+// history. After a takeover the new controller starts with an empty Tracker and waits for the full grace
+// periods before it acts: it errs on the side of not reloading a replica.
 
-// RestartMemory is how long a restart counts against a VM when members are chosen: a VM in a restart loop
-// comes back within minutes, and an hour without one shows that it is over.
-const RestartMemory = time.Hour
+// RestartWindow is how long a restart counts against a VM when members are chosen. A VM in a restart loop
+// restarts again within minutes; an hour without a restart shows that the loop is over.
+const RestartWindow = time.Hour
 
-// MaxGap is the longest time between two views that counts as seen. A controller that was paused for a
-// minute has not seen a minute of silence: the first probes after it may well fail because of the pause.
-const MaxGap = 3 * time.Second
+// MaxObservedGap limits how much time between two views is added to the durations. A controller that was
+// paused for a minute has not observed a minute of silence, and the first probes after the pause may fail
+// because of the pause itself.
+const MaxObservedGap = 3 * time.Second
 
-// Tracker fills in how long what a View shows has been so. It is not safe for concurrent use.
+// Tracker fills in for how long the conditions in a View have lasted. It is not safe for concurrent use.
 type Tracker struct {
-	vms    map[string]*vmTrack
-	groups map[string]*groupTrack
-	last   time.Duration
-	begun  bool
+	vms     map[string]*vmTrack
+	groups  map[string]*groupTrack
+	last    time.Duration
+	started bool
 }
 
 type vmTrack struct {
@@ -32,35 +33,36 @@
 }
 
 type groupTrack struct {
-	state   State
-	inState time.Duration
-	slow    time.Duration
-	blind   time.Duration
-	seen    bool
+	state      State
+	inState    time.Duration
+	slow       time.Duration
+	homeCutOff time.Duration
+	seen       bool
 }
 
-// NewTracker returns a tracker that has seen nothing.
+// NewTracker returns a tracker without history.
 func NewTracker() *Tracker {
 	return &Tracker{vms: map[string]*vmTrack{}, groups: map[string]*groupTrack{}}
 }
 
-// Observe takes in a view of now and fills in its durations. What is no longer in the view is forgotten.
+// Observe records a view taken at now and fills in its durations. VMs and groups that are no longer in the
+// view are forgotten.
 func (t *Tracker) Observe(now time.Duration, v *View) {
 	gap := time.Duration(0)
-	if t.begun {
-		gap = min(now-t.last, MaxGap)
+	if t.started {
+		gap = min(now-t.last, MaxObservedGap)
 	}
-	t.last, t.begun = now, true
+	t.last, t.started = now, true
 	for i := range v.VMs {
 		t.observeVM(now, gap, &v.VMs[i])
 	}
 	slow := slowGroups(v)
 	for i := range v.Groups {
 		g := &v.Groups[i]
-		blind := g.State == Serving && g.HomeNotWhole && wholeIn(v.VMs, g)
-		t.observeGroup(gap, g, slow[g.ID], blind)
+		homeCutOff := g.State == Serving && g.HomeNotWhole && isWhole(v.VMs, g)
+		t.observeGroup(gap, g, slow[g.ID], homeCutOff)
 	}
-	t.forget()
+	t.dropUnseen()
 }
 
 func (t *Tracker) observeVM(now, gap time.Duration, v *VM) {
@@ -70,39 +72,39 @@
 		t.vms[v.Name] = track
 	}
 	track.seen = true
-	track.silent = grown(track.silent, gap, !v.Present)
-	track.unlisted = grown(track.unlisted, gap, !v.Listed)
-	if v.Present {
-		track.noteBoot(now, v.Boot)
+	track.silent = elapsed(track.silent, gap, !v.Responding)
+	track.unlisted = elapsed(track.unlisted, gap, !v.Listed)
+	if v.Responding {
+		track.recordBoot(now, v.BootID)
 	}
-	track.dropOld(now)
+	track.pruneRestarts(now)
 	v.SilentFor = track.silent
 	v.UnlistedFor = track.unlisted
 	v.Restarts = len(track.restarts)
 }
 
-// grown returns for how long something has been so, now that it still is, or no longer.
-func grown(lasted, gap time.Duration, still bool) time.Duration {
+// elapsed returns how long a condition has lasted: gap longer than before if it still holds, otherwise 0.
+func elapsed(lasted, gap time.Duration, still bool) time.Duration {
 	if !still {
 		return 0
 	}
 	return lasted + gap
 }
 
-func (t *vmTrack) noteBoot(now time.Duration, boot string) {
+func (t *vmTrack) recordBoot(now time.Duration, boot string) {
 	if t.boot != "" && boot != t.boot {
 		t.restarts = append(t.restarts, now)
 	}
 	t.boot = boot
 }
 
-func (t *vmTrack) dropOld(now time.Duration) {
-	for len(t.restarts) > 0 && now-t.restarts[0] > RestartMemory {
+func (t *vmTrack) pruneRestarts(now time.Duration) {
+	for len(t.restarts) > 0 && now-t.restarts[0] > RestartWindow {
 		t.restarts = t.restarts[1:]
 	}
 }
 
-func (t *Tracker) observeGroup(gap time.Duration, g *Group, slow, blind bool) {
+func (t *Tracker) observeGroup(gap time.Duration, g *Group, slow, homeCutOff bool) {
 	track := t.groups[g.ID]
 	if track == nil {
 		track = &groupTrack{state: g.State}
@@ -110,16 +112,16 @@
 		gap = 0
 	}
 	track.seen = true
-	track.inState = grown(track.inState, gap, track.state == g.State)
+	track.inState = elapsed(track.inState, gap, track.state == g.State)
 	track.state = g.State
-	track.slow = grown(track.slow, gap, slow)
-	track.blind = grown(track.blind, gap, blind)
+	track.slow = elapsed(track.slow, gap, slow)
+	track.homeCutOff = elapsed(track.homeCutOff, gap, homeCutOff)
 	g.InState = track.inState
 	g.SlowFor = track.slow
-	g.BlindFor = track.blind
+	g.HomeCutOffFor = track.homeCutOff
 }
 
-func (t *Tracker) forget() {
+func (t *Tracker) dropUnseen() {
 	for name, track := range t.vms {
 		if !track.seen {
 			delete(t.vms, name)
