--- a/policy/internal/fleet/fleet.go
+++ b/policy/internal/fleet/fleet.go
@@ -60,8 +60,8 @@
 	UsefulShare float64
 	// TokenGapP95 is the 95th percentile of the time between tokens. MaxRunning is the largest number of
 	// requests running on any engine at a time.
-	TokenGapP95        time.Duration
-	MaxRunning int
+	TokenGapP95 time.Duration
+	MaxRunning  int
 }
 
 // drainPeriod is how long the simulation continues after the last arrival, so that requests in progress can
@@ -137,9 +137,9 @@
 	perSecond, _ := f.cfg.Engine.Capacity(playback.SteadyGap, f.cfg.Traffic.Prompt, f.cfg.Traffic.MeanOutput())
 	capacity := perSecond * f.cfg.Traffic.MeanWork() * float64(f.cfg.Groups)
 	return Result{
-		Summary:    figures,
-		UsefulShare:     figures.Work / (f.cfg.MeasureUntil - f.cfg.MeasureFrom).Seconds() / capacity,
-		TokenGapP95:        f.tokenGaps.Quantile(0.95),
-		MaxRunning: f.maxRunning,
+		Summary:     figures,
+		UsefulShare: figures.Work / (f.cfg.MeasureUntil - f.cfg.MeasureFrom).Seconds() / capacity,
+		TokenGapP95: f.tokenGaps.Quantile(0.95),
+		MaxRunning:  f.maxRunning,
 	}
 }
