--- a/policy/internal/fleet/figures_test.go
+++ b/policy/internal/fleet/figures_test.go
@@ -56,8 +56,8 @@
 	}
 )
 
-// config returns the configuration of a fleet under the load. The first warm is warm-up, and a period of
-// the same length after it is measured.
+// config returns the configuration of a fleet under the load. The run warms up for the duration warm and is
+// then measured for the same duration.
 func (l load) config(fronts, groups int, warm time.Duration) fleet.Config {
 	engine := playback.DefaultEngine()
 	perSecond, _ := engine.Capacity(playback.SteadyGap, playback.MeanPrompt, playback.MeanOutput)
