--- a/contract/attempt.go
+++ b/contract/attempt.go
@@ -18,9 +18,9 @@
 	AttemptDone AttemptState = "done"
 )
 
-// Attempt is the value of a platform object of kind "attempt", named team/key. The object's conditional
+// AttemptRecord is the value of a platform object of kind "attempt", named team/key. The object's conditional
 // creation decides between "a home sends" and "it never runs": only one of the two can be confirmed.
-type Attempt struct {
+type AttemptRecord struct {
 	State AttemptState `json:"state" cbor:"1,keyasint"`
 	// Number is the caller's attempt number; a seal covers all attempts up to it.
 	Number int `json:"number" cbor:"2,keyasint"`
--- a/contract/attempt/purge.go
+++ b/contract/attempt/purge.go
@@ -74,7 +74,7 @@
 }
 
 func (p *Purger) expired(object platform.Object) bool {
-	var record contract.Attempt
+	var record contract.AttemptRecord
 	if err := json.Unmarshal(object.Value, &record); err != nil {
 		return false
 	}
--- a/contract/attempt/records.go
+++ b/contract/attempt/records.go
@@ -73,7 +73,7 @@
 type Result struct {
 	Verdict Verdict
 	// Attempt is the record that stands (Confirmed, Found, Reused) or that may come to stand (Unsure).
-	Attempt contract.Attempt
+	Attempt contract.AttemptRecord
 	// Version is that of the record that stands; 0 otherwise.
 	Version platform.Version
 }
@@ -171,8 +171,8 @@
 	return standing
 }
 
-func (r *Records) record(w Wish, state contract.AttemptState) contract.Attempt {
-	return contract.Attempt{
+func (r *Records) record(w Wish, state contract.AttemptState) contract.AttemptRecord {
+	return contract.AttemptRecord{
 		State: state, Number: w.Number, Fingerprint: w.Fingerprint, RequestID: w.RequestID,
 		Nonce: r.nonce(), ExpiresAt: r.clock().Add(w.Retention).Unix(),
 	}
@@ -193,7 +193,7 @@
 // leastOver is the lowest number that may replace a renounced claim. Attempts below that of the claim may have
 // been told not-run by a seal that the claim replaced: another claim must not bring one of them back, and a
 // seal must cover them still.
-func leastOver(claim, record contract.Attempt) int {
+func leastOver(claim, record contract.AttemptRecord) int {
 	if record.State == contract.AttemptSealed {
 		return claim.Number - 1
 	}
@@ -201,7 +201,7 @@
 }
 
 // mayReplace says whether record may be written over standing.
-func (w *Wish) mayReplace(standing, record contract.Attempt) bool {
+func (w *Wish) mayReplace(standing, record contract.AttemptRecord) bool {
 	switch standing.State {
 	case contract.AttemptSealed:
 		return standing.Number < record.Number || w.refresh && standing.Number == record.Number
--- a/contract/attempt/records_test.go
+++ b/contract/attempt/records_test.go
@@ -31,14 +31,14 @@
 			Retention: time.Hour, Renounced: renounced,
 		}
 	}
-	stand := func(a contract.Attempt) {
+	stand := func(a contract.AttemptRecord) {
 		value, err := json.Marshal(a)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = store.apply("dairy/lot-7", store.objects["dairy/lot-7"].Version, value)
 		Expect(err).NotTo(HaveOccurred())
 	}
-	standing := func() contract.Attempt {
-		var a contract.Attempt
+	standing := func() contract.AttemptRecord {
+		var a contract.AttemptRecord
 		if object, ok := store.objects["dairy/lot-7"]; ok {
 			Expect(json.Unmarshal(object.Value, &a)).To(Succeed())
 		}
@@ -53,7 +53,7 @@
 	// A booking's claim meets what stands already: nothing, an earlier try given up, another home's claim, an
 	// answer. If a claim went through over more than a lower seal, the lot would be booked twice.
 	DescribeTable("claims and seals over what stands",
-		func(before contract.Attempt, number int, claim, seal Verdict) {
+		func(before contract.AttemptRecord, number int, claim, seal Verdict) {
 			for _, c := range []struct {
 				want Verdict
 				call func() Result
@@ -70,23 +70,23 @@
 				Expect(standing()).To(Equal(result.Attempt))
 			}
 		},
-		Entry("nothing", contract.Attempt{}, 1, Confirmed, Confirmed),
-		Entry("a lower seal", contract.Attempt{State: contract.AttemptSealed, Number: 1, Fingerprint: "f"}, 2, Confirmed, Confirmed),
-		Entry("the same seal", contract.Attempt{State: contract.AttemptSealed, Number: 2, Fingerprint: "f"}, 2, Found, Found),
-		Entry("a higher seal", contract.Attempt{State: contract.AttemptSealed, Number: 3, Fingerprint: "f"}, 2, Found, Found),
-		Entry("a lower claim", contract.Attempt{State: contract.AttemptClaimed, Number: 1, Fingerprint: "f", Nonce: "x"}, 2, Found, Found),
-		Entry("a renounced claim", contract.Attempt{State: contract.AttemptClaimed, Number: 1, Fingerprint: "f", Nonce: "gone"}, 1, Confirmed, Confirmed),
-		Entry("an answer", contract.Attempt{State: contract.AttemptDone, Number: 1, Fingerprint: "f", Nonce: "gone"}, 2, Found, Found),
-		Entry("another request's seal", contract.Attempt{State: contract.AttemptSealed, Number: 1, Fingerprint: "g"}, 2, Reused, Reused),
-		Entry("another request's claim", contract.Attempt{State: contract.AttemptClaimed, Number: 1, Fingerprint: "g"}, 1, Reused, Reused),
-		Entry("a renounced claim of the next attempt", contract.Attempt{State: contract.AttemptClaimed, Number: 2, Fingerprint: "f", Nonce: "gone"}, 1, Found, Confirmed),
-		Entry("a renounced claim of a higher attempt", contract.Attempt{State: contract.AttemptClaimed, Number: 3, Fingerprint: "f", Nonce: "gone"}, 1, Found, Found),
+		Entry("nothing", contract.AttemptRecord{}, 1, Confirmed, Confirmed),
+		Entry("a lower seal", contract.AttemptRecord{State: contract.AttemptSealed, Number: 1, Fingerprint: "f"}, 2, Confirmed, Confirmed),
+		Entry("the same seal", contract.AttemptRecord{State: contract.AttemptSealed, Number: 2, Fingerprint: "f"}, 2, Found, Found),
+		Entry("a higher seal", contract.AttemptRecord{State: contract.AttemptSealed, Number: 3, Fingerprint: "f"}, 2, Found, Found),
+		Entry("a lower claim", contract.AttemptRecord{State: contract.AttemptClaimed, Number: 1, Fingerprint: "f", Nonce: "x"}, 2, Found, Found),
+		Entry("a renounced claim", contract.AttemptRecord{State: contract.AttemptClaimed, Number: 1, Fingerprint: "f", Nonce: "gone"}, 1, Confirmed, Confirmed),
+		Entry("an answer", contract.AttemptRecord{State: contract.AttemptDone, Number: 1, Fingerprint: "f", Nonce: "gone"}, 2, Found, Found),
+		Entry("another request's seal", contract.AttemptRecord{State: contract.AttemptSealed, Number: 1, Fingerprint: "g"}, 2, Reused, Reused),
+		Entry("another request's claim", contract.AttemptRecord{State: contract.AttemptClaimed, Number: 1, Fingerprint: "g"}, 1, Reused, Reused),
+		Entry("a renounced claim of the next attempt", contract.AttemptRecord{State: contract.AttemptClaimed, Number: 2, Fingerprint: "f", Nonce: "gone"}, 1, Found, Confirmed),
+		Entry("a renounced claim of a higher attempt", contract.AttemptRecord{State: contract.AttemptClaimed, Number: 3, Fingerprint: "f", Nonce: "gone"}, 1, Found, Found),
 	)
 
 	// A release must end the claim, also one that lands late, and must not bring back an attempt that was told not-run.
 	DescribeTable("releases a claim that was given up",
 		func(faults ...fault) {
-			stand(contract.Attempt{State: contract.AttemptSealed, Number: 1, Fingerprint: "f"})
+			stand(contract.AttemptRecord{State: contract.AttemptSealed, Number: 1, Fingerprint: "f"})
 			seal := store.objects["dairy/lot-7"]
 			store.faults = faults
 			claim := records().Claim(ctx, wish(2), "e1", "i1")
--- a/contract/attempt/write.go
+++ b/contract/attempt/write.go
@@ -18,7 +18,7 @@
 	firstPause = 15 * time.Millisecond
 )
 
-func (r *Records) write(ctx context.Context, w Wish, record contract.Attempt) Result {
+func (r *Records) write(ctx context.Context, w Wish, record contract.AttemptRecord) Result {
 	return r.writeFrom(ctx, w, record, 0)
 }
 
@@ -29,7 +29,7 @@
 // unknown; taken as "written", a not-run would be said of a request that runs when the write was in fact
 // lost. Only the record with the writer's nonce tells. A record that is absent tells nothing: the write
 // may land late. So it is sent again under the same nonce, until one is seen to stand.
-func (r *Records) writeFrom(ctx context.Context, w Wish, record contract.Attempt, version platform.Version) Result {
+func (r *Records) writeFrom(ctx context.Context, w Wish, record contract.AttemptRecord, version platform.Version) Result {
 	value, err := json.Marshal(record)
 	if err != nil {
 		return Result{Verdict: Untouched}
--- a/contract/dispatch.go
+++ b/contract/dispatch.go
@@ -21,18 +21,18 @@
 	// because clocks of VMs differ.
 	Timeout  time.Duration `cbor:"7,keyasint"`
 	Priority int           `cbor:"8,keyasint"`
-	// Work is the estimated work in tokens.
-	Work int `cbor:"9,keyasint"`
-	// Prompt is the part of Work that the prompt is; the rest is a bound on the answer.
-	Prompt int `cbor:"21,keyasint,omitempty"`
-	// Prefix is the hash of the prompt's prefix, for affinity.
-	Prefix uint64 `cbor:"10,keyasint"`
-	// Unrepeatable requests are claimed before they are sent, under Key and Attempt.
-	Unrepeatable bool   `cbor:"11,keyasint"`
-	Key          string `cbor:"12,keyasint"`
-	// KeyChosen says that the caller chose Key, so that another copy may exist.
-	KeyChosen bool `cbor:"13,keyasint"`
-	Attempt   int  `cbor:"14,keyasint"`
+	// EstimatedTokens is the estimated work in tokens.
+	EstimatedTokens int `cbor:"9,keyasint"`
+	// PromptTokens is the part of Work that the prompt is; the rest is a bound on the answer.
+	PromptTokens int `cbor:"21,keyasint,omitempty"`
+	// PrefixHash is the hash of the prompt's prefix, for affinity.
+	PrefixHash uint64 `cbor:"10,keyasint"`
+	// AtMostOnce requests are claimed before they are sent, under Key and Attempt.
+	AtMostOnce     bool   `cbor:"11,keyasint"`
+	IdempotencyKey string `cbor:"12,keyasint"`
+	// KeyFromCaller says that the caller chose Key, so that another copy may exist.
+	KeyFromCaller bool `cbor:"13,keyasint"`
+	AttemptNumber int  `cbor:"14,keyasint"`
 	// Fingerprint identifies the request's content: for quarantine, and to tell a reused key.
 	Fingerprint string `cbor:"15,keyasint"`
 	// ResumeFrom is the first event wanted; above 0 only on engines that can resume.
@@ -40,13 +40,13 @@
 	// Plain is set for a call of a plain service, nil for a completion.
 	Plain *PlainCall `cbor:"17,keyasint"`
 	Body  []byte     `cbor:"18,keyasint"`
-	// Crash names the crash of a backend server that an earlier try of this request ended in.
-	Crash string `cbor:"22,keyasint,omitempty"`
-	// Time is the sender's hybrid logical time, for the time line.
-	Time int64 `cbor:"19,keyasint"`
-	// Renounced lists the nonces of claims on Key whose holders told this front, by FrameRefused, that they
+	// CrashID names the crash of a backend server that an earlier try of this request ended in.
+	CrashID string `cbor:"22,keyasint,omitempty"`
+	// HLCTime is the sender's hybrid logical time, for the time line.
+	HLCTime int64 `cbor:"19,keyasint"`
+	// AbandonedClaims lists the nonces of claims on Key whose holders told this front, by FrameRefused, that they
 	// will never send. Such a claim may be replaced by another claim or by a seal.
-	Renounced []string `cbor:"20,keyasint,omitempty"`
+	AbandonedClaims []string `cbor:"20,keyasint,omitempty"`
 }
 
 // PlainCall is the part of a Dispatch that only a plain service needs.
@@ -82,8 +82,8 @@
 	FrameEnd
 	// FrameBroken: it was sent, and the answer ended early. Problem says why.
 	FrameBroken
-	// FrameFound: the key has a record already; Attempt holds it. Nothing was sent by this dispatch.
-	FrameFound
+	// FrameRecordExists: the key has a record already; Attempt holds it. Nothing was sent by this dispatch.
+	FrameRecordExists
 )
 
 // Frame is one message from home to front. The answer to a Dispatch is a CBOR sequence of them.
@@ -103,18 +103,18 @@
 	Status int         `cbor:"9,keyasint,omitempty"`
 	Header http.Header `cbor:"10,keyasint,omitempty"`
 	Data   []byte      `cbor:"11,keyasint,omitempty"`
-	// Bytes is set in FrameEnd of a plain call: the length of the whole answer.
-	Bytes   int64    `cbor:"12,keyasint,omitempty"`
-	Problem *Problem `cbor:"13,keyasint,omitempty"`
-	Attempt *Attempt `cbor:"14,keyasint,omitempty"`
-	// AttemptVersion is the platform version of the claim (FrameClaimed) or of Attempt (FrameFound).
-	AttemptVersion uint64 `cbor:"15,keyasint,omitempty"`
-	Time           int64  `cbor:"16,keyasint,omitempty"`
+	// AnswerBytes is set in FrameEnd of a plain call: the length of the whole answer.
+	AnswerBytes int64          `cbor:"12,keyasint,omitempty"`
+	Problem     *Problem       `cbor:"13,keyasint,omitempty"`
+	Record      *AttemptRecord `cbor:"14,keyasint,omitempty"`
+	// RecordVersion is the platform version of the claim (FrameClaimed) or of Attempt (FrameFound).
+	RecordVersion uint64 `cbor:"15,keyasint,omitempty"`
+	HLCTime       int64  `cbor:"16,keyasint,omitempty"`
 	// Load is the group's load at the home, sent with the first and the last frame of a dispatch. It costs
 	// no message of its own, so it scales with the traffic and not with fronts times groups.
 	Load *GroupLoad `cbor:"17,keyasint,omitempty"`
-	// Crash is set in FrameBroken if a backend server crashed: the request is a suspect from now on.
-	Crash string `cbor:"18,keyasint,omitempty"`
+	// CrashID is set in FrameBroken if a backend server crashed: the request is a suspect from now on.
+	CrashID string `cbor:"18,keyasint,omitempty"`
 }
 
 // GroupLoad is the load of one group as its home sees it.
--- a/contract/dispatch_test.go
+++ b/contract/dispatch_test.go
@@ -10,7 +10,7 @@
 // Two fields of a message are given the same number. Neither then reaches the other process, and nothing
 // says so: a suspect would run as if it were none, or a renounced claim would block its key.
 func TestNoFieldIsLostOnTheWay(t *testing.T) {
-	for _, message := range []any{&Dispatch{}, &Frame{}, &Attempt{}, &Problem{}, &GroupLoad{}, &StoredAnswer{}} {
+	for _, message := range []any{&Dispatch{}, &Frame{}, &AttemptRecord{}, &Problem{}, &GroupLoad{}, &StoredAnswer{}} {
 		fill(reflect.ValueOf(message).Elem())
 		encoded, err := cbor.Marshal(message)
 		if err != nil {
--- a/contract/outcome/action.go
+++ b/contract/outcome/action.go
@@ -71,7 +71,7 @@
 	// Renounced goes with a Dispatch or a Seal: claims that may be replaced.
 	Renounced []string
 	// Attempt is the record whose holder is to be asked.
-	Attempt contract.Attempt
+	Attempt contract.AttemptRecord
 	// Outcome is what is told. Answered comes with Stored, or with neither Stored nor Problem when the
 	// answer was delivered whole, or with a Problem when it was too large to be kept.
 	Outcome contract.Outcome
--- a/contract/outcome/actors_test.go
+++ b/contract/outcome/actors_test.go
@@ -103,7 +103,7 @@
 	}
 	y(step{do: func() {
 		if *tried == groups || w.chance(15, "no group") {
-			next = m.NoDispatch(contract.Later(contract.CodeNoGroup, "none", RetrySoon))
+			next = m.NoDispatch(contract.NewRetryLater(contract.CodeNoGroup, "none", RetrySoon))
 			return
 		}
 		*tried++
@@ -149,7 +149,7 @@
 
 // ask is the holder's own answer; a dead or frozen one gives none. A home that has given its claim up goes on
 // answering for it.
-func (w *world) ask(holder contract.Attempt) HolderAnswer {
+func (w *world) ask(holder contract.AttemptRecord) HolderAnswer {
 	i := slices.IndexFunc(w.actors, func(a *actor) bool { return a.name == holder.Home })
 	switch {
 	case i < 0 || w.actors[i].dead || w.actors[i].frozen:
@@ -178,9 +178,9 @@
 			}
 		}
 		refuse := func(code contract.Code) {
-			f := contract.Frame{Kind: contract.FrameRefused, Problem: contract.Later(code, "", RetrySoon)}
+			f := contract.Frame{Kind: contract.FrameRefused, Problem: contract.NewRetryLater(code, "", RetrySoon)}
 			if claim.Verdict != 0 {
-				f.Attempt = &claim.Attempt
+				f.Record = &claim.Attempt
 				w.givenUp[claim.Attempt.Nonce] = true
 			}
 			send(f)
@@ -203,14 +203,14 @@
 				claim = result
 				send(contract.Frame{Kind: contract.FrameClaimed})
 			case attempt.Found, attempt.Reused:
-				send(contract.Frame{Kind: contract.FrameFound, Attempt: &result.Attempt})
+				send(contract.Frame{Kind: contract.FrameRecordExists, Record: &result.Attempt})
 				return
 			case attempt.Unsure:
 				claim = result
-				refuse(contract.CodePlatformOut)
+				refuse(contract.CodePlatformUnavailable)
 				return
 			default:
-				refuse(contract.CodePlatformOut)
+				refuse(contract.CodePlatformUnavailable)
 				return
 			}
 		}
--- a/contract/outcome/answer.go
+++ b/contract/outcome/answer.go
@@ -98,7 +98,7 @@
 
 func (a *Answer) whole(f contract.Frame) bool {
 	if a.plain {
-		return a.head && a.bytes == f.Bytes
+		return a.head && a.bytes == f.AnswerBytes
 	}
 	return a.final
 }
--- a/contract/outcome/history_test.go
+++ b/contract/outcome/history_test.go
@@ -55,12 +55,12 @@
 				return false, s
 			}
 			s.ran, s.request, s.attempt = true, op.request, op.attempt
-		case op.told == contract.NotRun:
+		case op.told == contract.OutcomeNotRun:
 			if s.ran && s.request == op.request && s.attempt <= op.attempt {
 				return false, s
 			}
 			*sealed = max(*sealed, op.attempt)
-		case op.told == contract.Answered:
+		case op.told == contract.OutcomeAnswered:
 			return s.ran && s.request == op.request, s
 		}
 		return true, s
@@ -78,7 +78,7 @@
 	}
 	for i, t := range w.tellers {
 		q := t.request
-		if !q.Unrepeatable || t.outcome != contract.NotRun && t.outcome != contract.Answered {
+		if !q.Unrepeatable || t.outcome != contract.OutcomeNotRun && t.outcome != contract.OutcomeAnswered {
 			continue
 		}
 		op := operation{key: t.key, request: q.Fingerprint, attempt: q.Attempt, told: t.outcome}
--- a/contract/outcome/machine.go
+++ b/contract/outcome/machine.go
@@ -58,7 +58,7 @@
 	renounced []string
 	// claim is the one whose holder is asked; asked: it was, and is not at work. unsettled is why the outcome is
 	// unknown if the claim stays.
-	claim     contract.Attempt
+	claim     contract.AttemptRecord
 	asked     bool
 	unsettled *contract.Problem
 	// problem is why the request is given up; noOther: there is no further dispatch.
@@ -108,10 +108,10 @@
 		m.sent = true
 		return Action{Do: Deliver}
 	case contract.FrameEnd:
-		return m.tell(Action{Outcome: contract.Answered})
+		return m.tell(Action{Outcome: contract.OutcomeAnswered})
 	case contract.FrameRefused:
 		return m.refused(f)
-	case contract.FrameFound:
+	case contract.FrameRecordExists:
 		return m.foundByHome(f)
 	case contract.FrameBroken:
 		m.sent = true
@@ -204,7 +204,7 @@
 		return Action{Do: Wait}
 	}
 	if answer == HolderWorking && !m.delivered {
-		return m.tell(Action{Outcome: contract.InProgress, Problem: problemInProgress()})
+		return m.tell(Action{Outcome: contract.OutcomeInProgress, Problem: problemInProgress()})
 	}
 	if answer == HolderGaveUp && m.mayReplace(m.claim) {
 		return m.replaceClaim()
@@ -227,7 +227,7 @@
 
 // mayReplace says whether this request may go on in place of a claim that was given up: it is this request's own,
 // or that of another copy while nothing that this front sent may have run.
-func (m *Machine) mayReplace(claim contract.Attempt) bool {
+func (m *Machine) mayReplace(claim contract.AttemptRecord) bool {
 	return claim.Number <= m.request.Attempt && !m.delivered && (!m.ran || claim.RequestID == m.request.ID)
 }
 
@@ -262,8 +262,8 @@
 	if m.answer.Started() {
 		return m.broken(problemGap())
 	}
-	if f.Attempt != nil {
-		m.renounced = append(m.renounced, f.Attempt.Nonce)
+	if f.Record != nil {
+		m.renounced = append(m.renounced, f.Record.Nonce)
 	}
 	m.problem = orInternal(f.Problem)
 	if elsewhere(m.problem.Code) {
@@ -273,11 +273,11 @@
 }
 
 func (m *Machine) foundByHome(f contract.Frame) Action {
-	if f.Attempt == nil {
+	if f.Record == nil {
 		return m.broken(problemGap())
 	}
-	r := attempt.Result{Verdict: attempt.Found, Attempt: *f.Attempt}
-	if f.Attempt.Fingerprint != m.request.Fingerprint {
+	r := attempt.Result{Verdict: attempt.Found, Attempt: *f.Record}
+	if f.Record.Fingerprint != m.request.Fingerprint {
 		r.Verdict = attempt.Reused
 	}
 	return m.standing(r)
@@ -295,7 +295,7 @@
 // broken: the dispatch under way ended early.
 func (m *Machine) broken(p *contract.Problem) Action {
 	if m.answer.Complete() {
-		return m.tell(Action{Outcome: contract.Answered})
+		return m.tell(Action{Outcome: contract.OutcomeAnswered})
 	}
 	m.leaveHome()
 	m.problem = p
--- a/contract/outcome/machine_test.go
+++ b/contract/outcome/machine_test.go
@@ -17,28 +17,32 @@
 }
 
 var (
-	fp          = "f"
-	overloaded  = contract.Later(contract.CodeOverloaded, "", 3*time.Second)
-	keyed       = Request{ID: "r", Unrepeatable: true, KeyChosen: true, Attempt: 2, Fingerprint: fp}
-	made        = Request{ID: "r", Unrepeatable: true, Attempt: 1, Fingerprint: fp}
-	free        = Request{ID: "r", Attempt: 1, Fingerprint: fp}
-	resumable   = Request{ID: "r", Attempt: 1, Fingerprint: fp, Resumable: true}
-	sealedAt    = func(n int) contract.Attempt { return contract.Attempt{State: contract.AttemptSealed, Number: n} }
-	claimed     = contract.Attempt{State: contract.AttemptClaimed, Number: 1, Fingerprint: fp, RequestID: "other"}
-	ownClaim    = contract.Attempt{State: contract.AttemptClaimed, Number: 2, Fingerprint: fp, RequestID: "r", Nonce: "n"}
-	ownRelease  = contract.Attempt{State: contract.AttemptSealed, Number: 1, Fingerprint: fp, RequestID: "r"}
-	higherClaim = contract.Attempt{State: contract.AttemptClaimed, Number: 5, Fingerprint: fp, RequestID: "other"}
+	fp         = "f"
+	overloaded = contract.NewRetryLater(contract.CodeOverloaded, "", 3*time.Second)
+	keyed      = Request{ID: "r", Unrepeatable: true, KeyChosen: true, Attempt: 2, Fingerprint: fp}
+	made       = Request{ID: "r", Unrepeatable: true, Attempt: 1, Fingerprint: fp}
+	free       = Request{ID: "r", Attempt: 1, Fingerprint: fp}
+	resumable  = Request{ID: "r", Attempt: 1, Fingerprint: fp, Resumable: true}
+	sealedAt   = func(n int) contract.AttemptRecord {
+		return contract.AttemptRecord{State: contract.AttemptSealed, Number: n}
+	}
+	claimed     = contract.AttemptRecord{State: contract.AttemptClaimed, Number: 1, Fingerprint: fp, RequestID: "other"}
+	ownClaim    = contract.AttemptRecord{State: contract.AttemptClaimed, Number: 2, Fingerprint: fp, RequestID: "r", Nonce: "n"}
+	ownRelease  = contract.AttemptRecord{State: contract.AttemptSealed, Number: 1, Fingerprint: fp, RequestID: "r"}
+	higherClaim = contract.AttemptRecord{State: contract.AttemptClaimed, Number: 5, Fingerprint: fp, RequestID: "other"}
 	answer      = contract.StoredAnswer{Status: 201}
-	done        = contract.Attempt{State: contract.AttemptDone, Answer: &answer}
-	doneTooBig  = contract.Attempt{State: contract.AttemptDone, Answer: &contract.StoredAnswer{TooLarge: true}}
-	found       = func(a contract.Attempt) attempt.Result { return attempt.Result{Verdict: attempt.Found, Attempt: a} }
-	confirmed   = attempt.Result{Verdict: attempt.Confirmed}
-	verdict     = func(v attempt.Verdict) attempt.Result { return attempt.Result{Verdict: v} }
-	start       = func(want Do) input { return input{want, (*Machine).Start} }
-	lost        = func(want Do) input { return input{want, func(m *Machine) Action { return m.Lost(false) }} }
-	notSent     = func(want Do) input { return input{want, func(m *Machine) Action { return m.Lost(true) }} }
-	deadline    = func(want Do) input { return input{want, (*Machine).Deadline} }
-	seal        = func(want Do, r attempt.Result) input {
+	done        = contract.AttemptRecord{State: contract.AttemptDone, Answer: &answer}
+	doneTooBig  = contract.AttemptRecord{State: contract.AttemptDone, Answer: &contract.StoredAnswer{TooLarge: true}}
+	found       = func(a contract.AttemptRecord) attempt.Result {
+		return attempt.Result{Verdict: attempt.Found, Attempt: a}
+	}
+	confirmed = attempt.Result{Verdict: attempt.Confirmed}
+	verdict   = func(v attempt.Verdict) attempt.Result { return attempt.Result{Verdict: v} }
+	start     = func(want Do) input { return input{want, (*Machine).Start} }
+	lost      = func(want Do) input { return input{want, func(m *Machine) Action { return m.Lost(false) }} }
+	notSent   = func(want Do) input { return input{want, func(m *Machine) Action { return m.Lost(true) }} }
+	deadline  = func(want Do) input { return input{want, (*Machine).Deadline} }
+	seal      = func(want Do, r attempt.Result) input {
 		return input{want, func(m *Machine) Action { return m.Sealed(r) }}
 	}
 	find = func(want Do, r attempt.Result) input {
@@ -73,14 +77,14 @@
 	return frame(Deliver, contract.Frame{Kind: contract.FrameEvent, Final: final})
 }
 
-func refused(want Do, code contract.Code, claim *contract.Attempt) input {
-	return frame(want, contract.Frame{Kind: contract.FrameRefused, Problem: contract.Later(code, "", time.Second), Attempt: claim})
+func refused(want Do, code contract.Code, claim *contract.AttemptRecord) input {
+	return frame(want, contract.Frame{Kind: contract.FrameRefused, Problem: contract.NewRetryLater(code, "", time.Second), Record: claim})
 }
 
 func broken(want Do) input { return frame(want, contract.Frame{Kind: contract.FrameBroken}) }
 
-func homeFound(want Do, a contract.Attempt) input {
-	return frame(want, contract.Frame{Kind: contract.FrameFound, Attempt: &a})
+func homeFound(want Do, a contract.AttemptRecord) input {
+	return frame(want, contract.Frame{Kind: contract.FrameRecordExists, Record: &a})
 }
 
 func end(want Do) input { return frame(want, contract.Frame{Kind: contract.FrameEnd}) }
@@ -117,56 +121,56 @@
 		}
 		Expect(action.Problem.Code).To(Equal(code))
 		Expect(action.Problem.Outcome).To(Equal(told))
-		if told == contract.Unknown || told == contract.InProgress || code == contract.CodeOverloaded {
+		if told == contract.OutcomeUnknown || told == contract.OutcomeInProgress || code == contract.CodeOverloaded {
 			Expect(action.Problem.RetryAfter).To(BeNumerically(">=", time.Second))
 		}
 	},
-	Entry("answered", free, after(begun, event(false), event(true), end(Tell)), contract.Answered, contract.Code(""), 0),
-	Entry("cut behind the final event", free, after(begun, event(true), lost(Tell)), contract.Answered, contract.Code(""), 0),
-	Entry("refused everywhere", free, []input{start(Dispatch), refused(Dispatch, contract.CodeOverloaded, nil), noGroup(Tell)}, contract.NotRun, contract.CodeOverloaded, 0),
-	Entry("refused for good", free, []input{start(Dispatch), refused(Tell, contract.CodeQuarantined, nil)}, contract.NotRun, contract.CodeQuarantined, 0),
-	Entry("no home reached", free, []input{start(Dispatch), notSent(Dispatch), noGroup(Tell)}, contract.NotRun, contract.CodeHomeLost, 0),
-	Entry("repeatable, home lost, tried again, answered", free, []input{start(Dispatch), lost(Dispatch), sent, event(true), end(Tell)}, contract.Answered, contract.Code(""), 0),
-	Entry("repeatable, home lost, no other", free, []input{start(Dispatch), lost(Dispatch), noGroup(Tell)}, contract.Unknown, contract.CodeHomeLost, 0),
-	Entry("repeatable, broken behind a delivered part", free, after(begun, event(false), delivered, broken(Tell)), contract.Unknown, contract.CodeInternal, 0),
-	Entry("resumed behind a delivered part", resumable, after(begun, event(false), delivered, broken(Dispatch), sent, event(true), end(Tell)), contract.Answered, contract.Code(""), 0),
-	Entry("end without the final event", free, after(begun, event(false), delivered, end(Tell)), contract.Unknown, contract.CodeTruncated, 0),
-	Entry("deadline in the queue", free, []input{start(Dispatch), queued, deadline(Tell)}, contract.Unknown, contract.CodeDeadline, 0),
-
-	Entry("made key, refused unsent: no platform call", made, []input{start(Dispatch), refused(Tell, contract.CodePlatformOut, nil)}, contract.NotRun, contract.CodePlatformOut, 0),
-	Entry("made key, home lost, sealed", made, []input{start(Dispatch), lost(Dispatch), noGroup(Seal), seal(Tell, confirmed)}, contract.NotRun, contract.CodeHomeLost, 1),
-	Entry("made key, home lost, platform out", made, []input{start(Dispatch), lost(Dispatch), noGroup(Seal), seal(Tell, verdict(attempt.Untouched))}, contract.Unknown, contract.CodePlatformOut, 0),
-	Entry("made key, home lost behind its claim, done meanwhile", made, []input{start(Dispatch), queued, claim, lost(Find), find(Tell, found(done))}, contract.Answered, contract.Code(""), 0),
-	Entry("made key, home lost behind its claim, at work", made, []input{start(Dispatch), queued, claim, lost(Find), find(AskHolder, found(claimed)), holder(true)}, contract.InProgress, contract.CodeInProgress, 0),
-	Entry("made key, home lost behind its claim, dead", made, []input{start(Dispatch), queued, claim, lost(Find), find(AskHolder, found(claimed)), holder(false).wants(Find), find(Tell, found(claimed))}, contract.Unknown, contract.CodeHomeLost, 0),
-
-	Entry("chosen key, refused, sealed", keyed, []input{start(Find), lookup, refused(Dispatch, contract.CodeOverloaded, nil), noGroup(Seal), seal(Tell, confirmed)}, contract.NotRun, contract.CodeOverloaded, 2),
-	Entry("chosen key, refused, platform out", keyed, []input{start(Find), lookup, refused(Dispatch, contract.CodeOverloaded, nil), noGroup(Seal), seal(Tell, verdict(attempt.Untouched))}, contract.Unknown, contract.CodePlatformOut, 0),
-	Entry("chosen key, refused, seal unsure", keyed, []input{start(Find), lookup, refused(Dispatch, contract.CodeOverloaded, nil), noGroup(Seal), seal(Tell, verdict(attempt.Unsure))}, contract.Unknown, contract.CodePlatformOut, 0),
-	Entry("chosen key, refused before any dispatch", keyed, []input{beforeStart(Seal), seal(Tell, confirmed)}, contract.NotRun, contract.CodeOverloaded, 2),
-	Entry("chosen key, refused, but a copy ran", keyed, []input{beforeStart(Seal), seal(Tell, found(done))}, contract.Answered, contract.Code(""), 0),
-	Entry("chosen key, answered before", keyed, []input{start(Find), find(Tell, found(done))}, contract.Answered, contract.Code(""), 0),
-	Entry("chosen key, answered before, too large to keep", keyed, []input{start(Find), find(Tell, found(doneTooBig))}, contract.Answered, contract.CodeAnswerTooLarge, 0),
-	Entry("chosen key, at work elsewhere", keyed, []input{start(Find), find(AskHolder, found(claimed)), holder(true)}, contract.InProgress, contract.CodeInProgress, 0),
-	Entry("chosen key, claimed by the dead", keyed, []input{start(Find), find(AskHolder, found(claimed)), holder(false).wants(Find), find(Tell, found(claimed))}, contract.Unknown, contract.CodeUnknownOutcome, 0),
-	Entry("chosen key, done while its holder was asked", keyed, []input{start(Find), find(AskHolder, found(claimed)), holder(false).wants(Find), find(Tell, found(done))}, contract.Answered, contract.Code(""), 0),
-	Entry("chosen key, this attempt sealed", keyed, []input{start(Find), find(Tell, found(sealedAt(2)))}, contract.NotRun, contract.CodeSealed, 2),
-	Entry("chosen key, a higher attempt sealed", keyed, []input{start(Find), find(Tell, found(sealedAt(7)))}, contract.NotRun, contract.CodeSealed, 7),
-	Entry("chosen key, a lower attempt sealed", keyed, after(keyedAt, event(true), end(Tell)), contract.Answered, contract.Code(""), 0),
-	Entry("chosen key of another request", keyed, []input{start(Find), find(Tell, verdict(attempt.Reused))}, contract.NotRun, contract.CodeKeyReused, 0),
-	Entry("chosen key of another request, found by the home", keyed, []input{start(Find), lookup, homeFound(Tell, contract.Attempt{Fingerprint: "g"})}, contract.NotRun, contract.CodeKeyReused, 0),
-	Entry("chosen key, looked up in an outage, claimed by a copy meanwhile", keyed, []input{start(Find), find(Dispatch, verdict(attempt.Untouched)), homeFound(AskHolder, claimed), holder(false).wants(Find), find(Tell, found(claimed))}, contract.Unknown, contract.CodeUnknownOutcome, 0),
-	Entry("chosen key, backend server broke", keyed, after(keyedAt, broken(Find), find(AskHolder, found(claimed)), holder(false).wants(Find), find(Tell, found(claimed))), contract.Unknown, contract.CodeInternal, 0),
-	Entry("chosen key, claim of an earlier copy given up, goes on in its place", keyed, []input{start(Find), find(AskHolder, found(claimed)), gaveUp(Dispatch), queued, claim, sent, event(true), end(Tell)}, contract.Answered, contract.Code(""), 0),
-	Entry("chosen key, claim of an earlier copy released while its holder was asked, goes on", keyed, []input{start(Find), find(AskHolder, found(claimed)), holder(false).wants(Find), find(Dispatch, found(sealedAt(1))), queued, claim, sent, event(true), end(Tell)}, contract.Answered, contract.Code(""), 0),
-	Entry("chosen key, own claim given up unheard, no other group", keyed, []input{start(Find), lookup, queued, claim, lost(Find), find(AskHolder, found(ownClaim)), gaveUp(Dispatch), noGroup(Seal), seal(Tell, confirmed)}, contract.NotRun, contract.CodeHomeLost, 2),
-	Entry("chosen key, own claim given up unheard, no time left", keyed, []input{start(Find), lookup, queued, claim, deadline(Find), find(AskHolder, found(ownClaim)), gaveUp(Seal), seal(Tell, confirmed)}, contract.NotRun, contract.CodeDeadline, 2),
-	Entry("chosen key, own claim given up unheard and released", keyed, []input{start(Find), lookup, queued, claim, lost(Find), find(Dispatch, found(ownRelease)), noGroup(Seal), seal(Tell, confirmed)}, contract.NotRun, contract.CodeHomeLost, 2),
-	Entry("chosen key, lost at work, a claim of another copy given up", keyed, after(keyedAt, lost(Find), find(AskHolder, found(claimed)), gaveUp(Find), find(Tell, found(claimed))), contract.Unknown, contract.CodeHomeLost, 0),
-	Entry("chosen key, claim unheard, given up: no dispatch after the last group", keyed, []input{start(Find), lookup, lost(Dispatch), noGroup(Seal), seal(AskHolder, found(ownClaim)), gaveUp(Seal), seal(Tell, confirmed)}, contract.NotRun, contract.CodeHomeLost, 2),
-	Entry("chosen key, refused before any dispatch, a claim of another copy given up", keyed, []input{beforeStart(Seal), seal(AskHolder, found(claimed)), gaveUp(Seal), seal(Tell, confirmed)}, contract.NotRun, contract.CodeOverloaded, 2),
-	Entry("chosen key, claim of a higher attempt given up", made, []input{{Dispatch, (*Machine).Start}, homeFound(AskHolder, higherClaim), gaveUp(Find), find(Tell, found(higherClaim))}, contract.Unknown, contract.CodeUnknownOutcome, 0),
-	Entry("chosen key, deadline at work", keyed, after(keyedAt, deadline(Find), find(AskHolder, found(claimed)), holder(true)), contract.InProgress, contract.CodeInProgress, 0),
+	Entry("answered", free, after(begun, event(false), event(true), end(Tell)), contract.OutcomeAnswered, contract.Code(""), 0),
+	Entry("cut behind the final event", free, after(begun, event(true), lost(Tell)), contract.OutcomeAnswered, contract.Code(""), 0),
+	Entry("refused everywhere", free, []input{start(Dispatch), refused(Dispatch, contract.CodeOverloaded, nil), noGroup(Tell)}, contract.OutcomeNotRun, contract.CodeOverloaded, 0),
+	Entry("refused for good", free, []input{start(Dispatch), refused(Tell, contract.CodeQuarantined, nil)}, contract.OutcomeNotRun, contract.CodeQuarantined, 0),
+	Entry("no home reached", free, []input{start(Dispatch), notSent(Dispatch), noGroup(Tell)}, contract.OutcomeNotRun, contract.CodeHomeLost, 0),
+	Entry("repeatable, home lost, tried again, answered", free, []input{start(Dispatch), lost(Dispatch), sent, event(true), end(Tell)}, contract.OutcomeAnswered, contract.Code(""), 0),
+	Entry("repeatable, home lost, no other", free, []input{start(Dispatch), lost(Dispatch), noGroup(Tell)}, contract.OutcomeUnknown, contract.CodeHomeLost, 0),
+	Entry("repeatable, broken behind a delivered part", free, after(begun, event(false), delivered, broken(Tell)), contract.OutcomeUnknown, contract.CodeInternal, 0),
+	Entry("resumed behind a delivered part", resumable, after(begun, event(false), delivered, broken(Dispatch), sent, event(true), end(Tell)), contract.OutcomeAnswered, contract.Code(""), 0),
+	Entry("end without the final event", free, after(begun, event(false), delivered, end(Tell)), contract.OutcomeUnknown, contract.CodeAnswerTruncated, 0),
+	Entry("deadline in the queue", free, []input{start(Dispatch), queued, deadline(Tell)}, contract.OutcomeUnknown, contract.CodeDeadline, 0),
+
+	Entry("made key, refused unsent: no platform call", made, []input{start(Dispatch), refused(Tell, contract.CodePlatformUnavailable, nil)}, contract.OutcomeNotRun, contract.CodePlatformUnavailable, 0),
+	Entry("made key, home lost, sealed", made, []input{start(Dispatch), lost(Dispatch), noGroup(Seal), seal(Tell, confirmed)}, contract.OutcomeNotRun, contract.CodeHomeLost, 1),
+	Entry("made key, home lost, platform out", made, []input{start(Dispatch), lost(Dispatch), noGroup(Seal), seal(Tell, verdict(attempt.Untouched))}, contract.OutcomeUnknown, contract.CodePlatformUnavailable, 0),
+	Entry("made key, home lost behind its claim, done meanwhile", made, []input{start(Dispatch), queued, claim, lost(Find), find(Tell, found(done))}, contract.OutcomeAnswered, contract.Code(""), 0),
+	Entry("made key, home lost behind its claim, at work", made, []input{start(Dispatch), queued, claim, lost(Find), find(AskHolder, found(claimed)), holder(true)}, contract.OutcomeInProgress, contract.CodeInProgress, 0),
+	Entry("made key, home lost behind its claim, dead", made, []input{start(Dispatch), queued, claim, lost(Find), find(AskHolder, found(claimed)), holder(false).wants(Find), find(Tell, found(claimed))}, contract.OutcomeUnknown, contract.CodeHomeLost, 0),
+
+	Entry("chosen key, refused, sealed", keyed, []input{start(Find), lookup, refused(Dispatch, contract.CodeOverloaded, nil), noGroup(Seal), seal(Tell, confirmed)}, contract.OutcomeNotRun, contract.CodeOverloaded, 2),
+	Entry("chosen key, refused, platform out", keyed, []input{start(Find), lookup, refused(Dispatch, contract.CodeOverloaded, nil), noGroup(Seal), seal(Tell, verdict(attempt.Untouched))}, contract.OutcomeUnknown, contract.CodePlatformUnavailable, 0),
+	Entry("chosen key, refused, seal unsure", keyed, []input{start(Find), lookup, refused(Dispatch, contract.CodeOverloaded, nil), noGroup(Seal), seal(Tell, verdict(attempt.Unsure))}, contract.OutcomeUnknown, contract.CodePlatformUnavailable, 0),
+	Entry("chosen key, refused before any dispatch", keyed, []input{beforeStart(Seal), seal(Tell, confirmed)}, contract.OutcomeNotRun, contract.CodeOverloaded, 2),
+	Entry("chosen key, refused, but a copy ran", keyed, []input{beforeStart(Seal), seal(Tell, found(done))}, contract.OutcomeAnswered, contract.Code(""), 0),
+	Entry("chosen key, answered before", keyed, []input{start(Find), find(Tell, found(done))}, contract.OutcomeAnswered, contract.Code(""), 0),
+	Entry("chosen key, answered before, too large to keep", keyed, []input{start(Find), find(Tell, found(doneTooBig))}, contract.OutcomeAnswered, contract.CodeAnswerNotStored, 0),
+	Entry("chosen key, at work elsewhere", keyed, []input{start(Find), find(AskHolder, found(claimed)), holder(true)}, contract.OutcomeInProgress, contract.CodeInProgress, 0),
+	Entry("chosen key, claimed by the dead", keyed, []input{start(Find), find(AskHolder, found(claimed)), holder(false).wants(Find), find(Tell, found(claimed))}, contract.OutcomeUnknown, contract.CodeUnknownOutcome, 0),
+	Entry("chosen key, done while its holder was asked", keyed, []input{start(Find), find(AskHolder, found(claimed)), holder(false).wants(Find), find(Tell, found(done))}, contract.OutcomeAnswered, contract.Code(""), 0),
+	Entry("chosen key, this attempt sealed", keyed, []input{start(Find), find(Tell, found(sealedAt(2)))}, contract.OutcomeNotRun, contract.CodeAttemptGivenUp, 2),
+	Entry("chosen key, a higher attempt sealed", keyed, []input{start(Find), find(Tell, found(sealedAt(7)))}, contract.OutcomeNotRun, contract.CodeAttemptGivenUp, 7),
+	Entry("chosen key, a lower attempt sealed", keyed, after(keyedAt, event(true), end(Tell)), contract.OutcomeAnswered, contract.Code(""), 0),
+	Entry("chosen key of another request", keyed, []input{start(Find), find(Tell, verdict(attempt.Reused))}, contract.OutcomeNotRun, contract.CodeKeyReused, 0),
+	Entry("chosen key of another request, found by the home", keyed, []input{start(Find), lookup, homeFound(Tell, contract.AttemptRecord{Fingerprint: "g"})}, contract.OutcomeNotRun, contract.CodeKeyReused, 0),
+	Entry("chosen key, looked up in an outage, claimed by a copy meanwhile", keyed, []input{start(Find), find(Dispatch, verdict(attempt.Untouched)), homeFound(AskHolder, claimed), holder(false).wants(Find), find(Tell, found(claimed))}, contract.OutcomeUnknown, contract.CodeUnknownOutcome, 0),
+	Entry("chosen key, backend server broke", keyed, after(keyedAt, broken(Find), find(AskHolder, found(claimed)), holder(false).wants(Find), find(Tell, found(claimed))), contract.OutcomeUnknown, contract.CodeInternal, 0),
+	Entry("chosen key, claim of an earlier copy given up, goes on in its place", keyed, []input{start(Find), find(AskHolder, found(claimed)), gaveUp(Dispatch), queued, claim, sent, event(true), end(Tell)}, contract.OutcomeAnswered, contract.Code(""), 0),
+	Entry("chosen key, claim of an earlier copy released while its holder was asked, goes on", keyed, []input{start(Find), find(AskHolder, found(claimed)), holder(false).wants(Find), find(Dispatch, found(sealedAt(1))), queued, claim, sent, event(true), end(Tell)}, contract.OutcomeAnswered, contract.Code(""), 0),
+	Entry("chosen key, own claim given up unheard, no other group", keyed, []input{start(Find), lookup, queued, claim, lost(Find), find(AskHolder, found(ownClaim)), gaveUp(Dispatch), noGroup(Seal), seal(Tell, confirmed)}, contract.OutcomeNotRun, contract.CodeHomeLost, 2),
+	Entry("chosen key, own claim given up unheard, no time left", keyed, []input{start(Find), lookup, queued, claim, deadline(Find), find(AskHolder, found(ownClaim)), gaveUp(Seal), seal(Tell, confirmed)}, contract.OutcomeNotRun, contract.CodeDeadline, 2),
+	Entry("chosen key, own claim given up unheard and released", keyed, []input{start(Find), lookup, queued, claim, lost(Find), find(Dispatch, found(ownRelease)), noGroup(Seal), seal(Tell, confirmed)}, contract.OutcomeNotRun, contract.CodeHomeLost, 2),
+	Entry("chosen key, lost at work, a claim of another copy given up", keyed, after(keyedAt, lost(Find), find(AskHolder, found(claimed)), gaveUp(Find), find(Tell, found(claimed))), contract.OutcomeUnknown, contract.CodeHomeLost, 0),
+	Entry("chosen key, claim unheard, given up: no dispatch after the last group", keyed, []input{start(Find), lookup, lost(Dispatch), noGroup(Seal), seal(AskHolder, found(ownClaim)), gaveUp(Seal), seal(Tell, confirmed)}, contract.OutcomeNotRun, contract.CodeHomeLost, 2),
+	Entry("chosen key, refused before any dispatch, a claim of another copy given up", keyed, []input{beforeStart(Seal), seal(AskHolder, found(claimed)), gaveUp(Seal), seal(Tell, confirmed)}, contract.OutcomeNotRun, contract.CodeOverloaded, 2),
+	Entry("chosen key, claim of a higher attempt given up", made, []input{{Dispatch, (*Machine).Start}, homeFound(AskHolder, higherClaim), gaveUp(Find), find(Tell, found(higherClaim))}, contract.OutcomeUnknown, contract.CodeUnknownOutcome, 0),
+	Entry("chosen key, deadline at work", keyed, after(keyedAt, deadline(Find), find(AskHolder, found(claimed)), holder(true)), contract.OutcomeInProgress, contract.CodeInProgress, 0),
 )
 
 func (in input) wants(want Do) input {
@@ -184,7 +188,7 @@
 		mine.Nonce = "n1"
 		action := refused(Dispatch, contract.CodeNoGroup, &mine).give(m)
 		Expect(action.Renounced).To(ConsistOf("n1"))
-		Expect(noGroup(Tell).give(m).Outcome).To(Equal(contract.NotRun))
+		Expect(noGroup(Tell).give(m).Outcome).To(Equal(contract.OutcomeNotRun))
 	})
 
 	It("asks to resume behind what it has, or to begin anew", func() {
@@ -219,8 +223,8 @@
 	Entry("an event lost", false, []contract.Frame{ev(0, 0, false), ev(1, 2, false)}, Next, Gap),
 	Entry("an event behind the final one", false, []contract.Frame{ev(0, 0, true), ev(1, 1, false)}, Next, Gap),
 	Entry("end too early", false, []contract.Frame{ev(0, 0, false), fr(contract.FrameEnd, 1)}, Next, Gap),
-	Entry("plain, whole", true, []contract.Frame{fr(contract.FrameHead, 0), ch(1, "ab"), {Kind: contract.FrameEnd, Seq: 2, Bytes: 2}}, Next, Next, Next),
-	Entry("plain, too short", true, []contract.Frame{fr(contract.FrameHead, 0), ch(1, "ab"), {Kind: contract.FrameEnd, Seq: 2, Bytes: 3}}, Next, Next, Gap),
+	Entry("plain, whole", true, []contract.Frame{fr(contract.FrameHead, 0), ch(1, "ab"), {Kind: contract.FrameEnd, Seq: 2, AnswerBytes: 2}}, Next, Next, Next),
+	Entry("plain, too short", true, []contract.Frame{fr(contract.FrameHead, 0), ch(1, "ab"), {Kind: contract.FrameEnd, Seq: 2, AnswerBytes: 3}}, Next, Next, Gap),
 	Entry("plain, two heads", true, []contract.Frame{fr(contract.FrameHead, 0), fr(contract.FrameHead, 1)}, Next, Gap),
 	Entry("plain, no head", true, []contract.Frame{ch(0, "ab")}, Gap),
 )
--- a/contract/outcome/problem.go
+++ b/contract/outcome/problem.go
@@ -23,7 +23,7 @@
 		return p
 	}
 	return &contract.Problem{
-		Code: contract.CodeInternal, Status: http.StatusInternalServerError, Outcome: contract.Unknown,
+		Code: contract.CodeInternal, Status: http.StatusInternalServerError, Outcome: contract.OutcomeUnknown,
 		Message: "no reason was given",
 	}
 }
@@ -37,18 +37,18 @@
 
 func problemGap() *contract.Problem {
 	return &contract.Problem{
-		Code: contract.CodeTruncated, Status: http.StatusBadGateway, Message: "a part of the answer was lost on its way",
+		Code: contract.CodeAnswerTruncated, Status: http.StatusBadGateway, Message: "a part of the answer was lost on its way",
 	}
 }
 
 func problemTruncated() *contract.Problem {
 	return &contract.Problem{
-		Code: contract.CodeTruncated, Status: http.StatusBadGateway, Message: "the answer broke off after its beginning was delivered",
+		Code: contract.CodeAnswerTruncated, Status: http.StatusBadGateway, Message: "the answer broke off after its beginning was delivered",
 	}
 }
 
 func problemHomeLost() *contract.Problem {
-	return contract.Later(contract.CodeHomeLost, "the entry that handles the group can't be heard", RetrySoon)
+	return contract.NewRetryLater(contract.CodeHomeLost, "the entry that handles the group can't be heard", RetrySoon)
 }
 
 // TooLate is why there is no further try when the caller's time is over between two.
@@ -57,22 +57,22 @@
 func problemDeadline() *contract.Problem {
 	return &contract.Problem{
 		Code: contract.CodeDeadline, Status: http.StatusGatewayTimeout, Message: "the request's time is over",
-		Next: "send it again with a longer Request-Timeout", RetryAfter: RetrySoon,
+		Hint: "send it again with a longer Request-Timeout", RetryAfter: RetrySoon,
 	}
 }
 
 func problemPlatform() *contract.Problem {
 	return &contract.Problem{
-		Code: contract.CodePlatformOut, Status: http.StatusServiceUnavailable, RetryAfter: RetryOutage,
+		Code: contract.CodePlatformUnavailable, Status: http.StatusServiceUnavailable, RetryAfter: RetryOutage,
 		Message: "the platform could not confirm that the request can't run",
 	}
 }
 
 func problemInProgress() *contract.Problem {
 	return &contract.Problem{
-		Code: contract.CodeInProgress, Status: http.StatusConflict, Outcome: contract.InProgress, RetryAfter: RetrySoon,
+		Code: contract.CodeInProgress, Status: http.StatusConflict, Outcome: contract.OutcomeInProgress, RetryAfter: RetrySoon,
 		Message: "an earlier copy with this key is still at work",
-		Next:    "ask again with the same Idempotency-Key after Retry-After",
+		Hint:    "ask again with the same Idempotency-Key after Retry-After",
 	}
 }
 
@@ -84,18 +84,18 @@
 }
 
 func problemReused() *contract.Problem {
-	return contract.Refuse(http.StatusUnprocessableEntity, contract.CodeKeyReused,
+	return contract.NewRejection(http.StatusUnprocessableEntity, contract.CodeKeyReused,
 		"this Idempotency-Key was used for another request", "use a new key")
 }
 
 func problemSealed() *contract.Problem {
-	return contract.Refuse(http.StatusConflict, contract.CodeSealed,
+	return contract.NewRejection(http.StatusConflict, contract.CodeAttemptGivenUp,
 		"this attempt was given up earlier, and did not run", "try again with a higher Skylarkpond-Attempt")
 }
 
 func problemTooLarge() *contract.Problem {
 	return &contract.Problem{
-		Code: contract.CodeAnswerTooLarge, Status: http.StatusOK, Outcome: contract.Answered,
+		Code: contract.CodeAnswerNotStored, Status: http.StatusOK, Outcome: contract.OutcomeAnswered,
 		Message: "the request ran, and its answer was too large to be kept",
 	}
 }
--- a/contract/outcome/property_test.go
+++ b/contract/outcome/property_test.go
@@ -71,11 +71,11 @@
 			return run.key == t.key && run.fingerprint == q.Fingerprint && run.attempt <= q.Attempt
 		})
 		switch t.outcome {
-		case contract.NotRun:
+		case contract.OutcomeNotRun:
 			if ran {
 				w.t.Fatalf("request %s (key %s, attempt %d) was told not-run (%s) and ran: %v", q.ID, t.key, q.Attempt, t.code, w.runs)
 			}
-		case contract.Answered:
+		case contract.OutcomeAnswered:
 			whole := func(run runLog) bool { return run.key == t.key && slices.Equal(run.answer, t.events) }
 			if !slices.ContainsFunc(w.runs, whole) {
 				w.t.Fatalf("request %s was told answered with %v, which no run gave: %v", q.ID, t.events, w.runs)
@@ -110,7 +110,7 @@
 			}
 		})
 		GinkgoWriter.Printf("%d requests, %d runs, told %v\n", fronts, runs, outcomes)
-		for _, o := range []contract.Outcome{contract.Answered, contract.NotRun, contract.InProgress, contract.Unknown} {
+		for _, o := range []contract.Outcome{contract.OutcomeAnswered, contract.OutcomeNotRun, contract.OutcomeInProgress, contract.OutcomeUnknown} {
 			Expect(outcomes[o]).To(BeNumerically(">", 0), "no schedule led to %s", o)
 		}
 	})
--- a/contract/outcome/tell.go
+++ b/contract/outcome/tell.go
@@ -57,7 +57,7 @@
 }
 
 // sealed: a seal stands, and nothing of this request ran.
-func (m *Machine) sealed(seal contract.Attempt) Action {
+func (m *Machine) sealed(seal contract.AttemptRecord) Action {
 	if seal.Number >= m.request.Attempt {
 		return m.notRun(m.sealedProblem(), seal.Number)
 	}
@@ -70,9 +70,9 @@
 		// The caller holds the beginning of a stream; the stored answer can't be put behind it.
 		return m.unknown(problemTruncated())
 	case answer == nil || answer.TooLarge:
-		return m.tell(Action{Outcome: contract.Answered, Problem: problemTooLarge()})
+		return m.tell(Action{Outcome: contract.OutcomeAnswered, Problem: problemTooLarge()})
 	}
-	return m.tell(Action{Outcome: contract.Answered, Stored: answer})
+	return m.tell(Action{Outcome: contract.OutcomeAnswered, Stored: answer})
 }
 
 // sealedProblem keeps the own reason if there is one: the seal found may well be this front's own.
@@ -85,21 +85,21 @@
 
 func (m *Machine) notRun(p *contract.Problem, attempts int) Action {
 	told := *orInternal(p)
-	told.Outcome = contract.NotRun
-	return m.tell(Action{Outcome: contract.NotRun, Problem: &told, Attempts: attempts})
+	told.Outcome = contract.OutcomeNotRun
+	return m.tell(Action{Outcome: contract.OutcomeNotRun, Problem: &told, Attempts: attempts})
 }
 
 func (m *Machine) unknown(p *contract.Problem) Action {
 	told := *orInternal(p)
-	told.Outcome = contract.Unknown
+	told.Outcome = contract.OutcomeUnknown
 	if told.Status < http.StatusInternalServerError {
 		told.Status = http.StatusBadGateway
 	}
 	told.RetryAfter = max(told.RetryAfter, RetrySoon)
-	if m.request.Unrepeatable || told.Next == "" {
-		told.Next = nextUnknown(m.request)
+	if m.request.Unrepeatable || told.Hint == "" {
+		told.Hint = nextUnknown(m.request)
 	}
-	return m.tell(Action{Outcome: contract.Unknown, Problem: &told})
+	return m.tell(Action{Outcome: contract.OutcomeUnknown, Problem: &told})
 }
 
 func (m *Machine) tell(a Action) Action {
--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -136,11 +136,11 @@
 
 func refusal(verdict fairqueue.Verdict) *contract.Problem {
 	if verdict.Code == fairqueue.CodeDeadline {
-		p := contract.Later(contract.CodeDeadline, "the request can't be answered before its deadline", verdict.RetryAfter)
-		p.Next = "give it a later Request-Timeout, or come back after Retry-After"
+		p := contract.NewRetryLater(contract.CodeDeadline, "the request can't be answered before its deadline", verdict.RetryAfter)
+		p.Hint = "give it a later Request-Timeout, or come back after Retry-After"
 		return p
 	}
-	p := contract.Later(contract.CodeOverloaded, "the group has more work than it can carry", verdict.RetryAfter)
+	p := contract.NewRetryLater(contract.CodeOverloaded, "the group has more work than it can carry", verdict.RetryAfter)
 	p.Status = http.StatusTooManyRequests
 	return p
 }
--- a/entry/admission/admission_test.go
+++ b/entry/admission/admission_test.go
@@ -61,7 +61,7 @@
 		turn, problem := a.Enter(context.Background(), ask("a", time.Millisecond))
 		Expect(turn).To(BeNil())
 		Expect(problem.Code).To(Equal(contract.CodeDeadline))
-		Expect(problem.Outcome).To(Equal(contract.NotRun))
+		Expect(problem.Outcome).To(Equal(contract.OutcomeNotRun))
 	})
 
 	// A caller leaves while its request waits. Its place in the queue must not be given a turn that nobody
--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -139,7 +139,7 @@
 }
 
 func badParameter(name, want string) *contract.Problem {
-	return contract.Refuse(http.StatusBadRequest, contract.CodeBadRequest, "bad parameter "+name, "send "+want)
+	return contract.NewRejection(http.StatusBadRequest, contract.CodeBadRequest, "bad parameter "+name, "send "+want)
 }
 
 // answer chooses. When nobody else is known to live this entry names itself, also while it does not yet
@@ -149,7 +149,7 @@
 	if len(peers) == 0 {
 		self := d.deps.Members.Self()
 		if self.Leaving {
-			return Answer{}, contract.Later(contract.CodeLeaving, "this entry is leaving and knows no other", time.Second)
+			return Answer{}, contract.NewRetryLater(contract.CodeLeaving, "this entry is leaving and knows no other", time.Second)
 		}
 		peers = []member.Peer{self}
 	}
--- a/entry/directory/directory_test.go
+++ b/entry/directory/directory_test.go
@@ -103,7 +103,7 @@
 			var problem contract.Problem
 			Expect(json.Unmarshal(got.Body.Bytes(), &problem)).To(Succeed())
 			Expect(problem.Code).To(Equal(contract.CodeBadRequest))
-			Expect(problem.Next).NotTo(BeEmpty())
+			Expect(problem.Hint).NotTo(BeEmpty())
 		}
 	})
 
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -36,7 +36,7 @@
 // Dispatch implements front.Dispatcher.
 func (d *dispatcher) Dispatch(ctx context.Context, request contract.Dispatch) (front.Frames, error) {
 	owner := d.table.HomeOf(request.Group)
-	request.Time = d.recorder.Now()
+	request.HLCTime = d.recorder.Now()
 	d.recorder.Record(timeline.Event{
 		Kind: timeline.RequestDispatched, Request: request.RequestID, Group: string(request.Group), Peer: owner,
 	})
@@ -78,8 +78,8 @@
 	if frame.Load != nil {
 		o.table.ReportLoad(o.request.Group, *frame.Load)
 	}
-	if frame.Time != 0 {
-		o.recorder.Observe(frame.Time)
+	if frame.HLCTime != 0 {
+		o.recorder.Observe(frame.HLCTime)
 	}
 	return frame, nil
 }
--- a/entry/front/completion.go
+++ b/entry/front/completion.go
@@ -130,7 +130,7 @@
 	if _, err := s.deliver(f); err != nil {
 		return
 	}
-	s.tell(outcome.Action{Outcome: contract.Answered})
+	s.tell(outcome.Action{Outcome: contract.OutcomeAnswered})
 }
 
 func (s *streamWriter) data(c chunk) error {
@@ -222,8 +222,8 @@
 
 // unreadable: the request ran, and its answer is there but can't be shown.
 func unreadable() outcome.Action {
-	return outcome.Action{Outcome: contract.Answered, Problem: &contract.Problem{
-		Code: contract.CodeAnswerTooLarge, Status: http.StatusOK, Outcome: contract.Answered,
+	return outcome.Action{Outcome: contract.OutcomeAnswered, Problem: &contract.Problem{
+		Code: contract.CodeAnswerNotStored, Status: http.StatusOK, Outcome: contract.OutcomeAnswered,
 		Message: "the request ran, and its stored answer can't be read",
 	}}
 }
--- a/entry/front/drive.go
+++ b/entry/front/drive.go
@@ -111,13 +111,13 @@
 }
 
 func (d *drive) take(f contract.Frame) (action outcome.Action, over bool) {
-	d.front.deps.Recorder.Observe(f.Time)
-	if f.Crash != "" {
-		d.crash = f.Crash
+	d.front.deps.Recorder.Observe(f.HLCTime)
+	if f.CrashID != "" {
+		d.crash = f.CrashID
 	}
 	action = d.machine.Frame(f)
 	if action.Do != outcome.Deliver {
-		d.well = f.Kind == contract.FrameEnd || f.Kind == contract.FrameRefused || f.Kind == contract.FrameFound
+		d.well = f.Kind == contract.FrameEnd || f.Kind == contract.FrameRefused || f.Kind == contract.FrameRecordExists
 		return action, false
 	}
 	began, err := d.out.deliver(f)
@@ -138,7 +138,7 @@
 	}
 	service := d.q.service
 	if !d.mayTry(ctx, time.Until(d.until)) {
-		return d.machine.NoDispatch(contract.Later(contract.CodeOverloaded, "too many retries are under way", outcome.RetrySoon))
+		return d.machine.NoDispatch(contract.NewRetryLater(contract.CodeOverloaded, "too many retries are under way", outcome.RetrySoon))
 	}
 	left := time.Until(d.until)
 	if left <= 0 {
@@ -153,8 +153,8 @@
 	order := d.q.dispatch(d.front, homeTimeout(left))
 	order.Group = choice.Group
 	order.ResumeFrom = action.ResumeFrom
-	order.Renounced = action.Renounced
-	order.Crash = d.crash
+	order.AbandonedClaims = action.Renounced
+	order.CrashID = d.crash
 	d.open(ctx, order)
 	return outcome.Action{Do: outcome.Wait}
 }
@@ -252,7 +252,7 @@
 
 func (d *drive) id() attempt.ID { return attempt.ID{Team: d.q.team.Name, Key: d.q.key} }
 
-func (d *drive) askHolder(ctx context.Context, claim contract.Attempt) outcome.HolderAnswer {
+func (d *drive) askHolder(ctx context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	answer := d.front.deps.Holders.Ask(ctx, claim)
--- a/entry/front/fakes_test.go
+++ b/entry/front/fakes_test.go
@@ -270,7 +270,7 @@
 			return front.Choice{Group: id}, nil
 		}
 	}
-	return front.Choice{}, contract.Later(contract.CodeNoGroup, "none", time.Second)
+	return front.Choice{}, contract.NewRetryLater(contract.CodeNoGroup, "none", time.Second)
 }
 
 // answer is what a caller got.
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -44,7 +44,7 @@
 // Holders asks the holder of a claim.
 type Holders interface {
 	// Ask asks that life of that entry what became of the claim.
-	Ask(ctx context.Context, claim contract.Attempt) outcome.HolderAnswer
+	Ask(ctx context.Context, claim contract.AttemptRecord) outcome.HolderAnswer
 }
 
 // Ask is what the choice of a group goes by.
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -24,10 +24,10 @@
 }
 
 const (
-	answered   = contract.Answered
-	notRun     = contract.NotRun
-	inProgress = contract.InProgress
-	unknown    = contract.Unknown
+	answered   = contract.OutcomeAnswered
+	notRun     = contract.OutcomeNotRun
+	inProgress = contract.OutcomeInProgress
+	unknown    = contract.OutcomeUnknown
 )
 
 // A booking meets a fault at each of its steps: the home freezes and wakes late, or the front can no longer
@@ -84,7 +84,7 @@
 		Expect(first.attempt).To(Equal("3"))
 		f.wake()
 		late := book(f.fronts[1], "lot-7", 2)
-		Expect(late.code).To(Equal(contract.CodeSealed))
+		Expect(late.code).To(Equal(contract.CodeAttemptGivenUp))
 		Expect(book(f.fronts[1], "lot-7", 4).outcome).To(Equal(answered))
 		Expect(book(f.fronts[0], "lot-7", 3).outcome).To(Equal(answered))
 		Expect(f.backend.count("lot-7")).To(Equal(1))
@@ -218,7 +218,7 @@
 		Expect(first.status).To(Equal(http.StatusCreated))
 		again := book(f.fronts[0], "lot-7", 1)
 		Expect(again.outcome).To(Equal(answered))
-		Expect(again.code).To(Equal(contract.CodeAnswerTooLarge))
+		Expect(again.code).To(Equal(contract.CodeAnswerNotStored))
 	})
 
 	It("costs two platform calls, three under a chosen key", func() {
--- a/entry/front/handlers.go
+++ b/entry/front/handlers.go
@@ -63,11 +63,11 @@
 	}
 	var completion engine.Completion
 	if err := json.Unmarshal(q.body, &completion); err != nil {
-		return contract.Refuse(http.StatusBadRequest, contract.CodeBadRequest, "the body is not a completion: "+err.Error(), "mend the body")
+		return contract.NewRejection(http.StatusBadRequest, contract.CodeBadRequest, "the body is not a completion: "+err.Error(), "mend the body")
 	}
 	service, ok := q.snapshot.ServiceByModel(completion.Model)
 	if !ok {
-		return contract.Refuse(http.StatusNotFound, contract.CodeUnknownModel, "no service has this model", "check the model's name")
+		return contract.NewRejection(http.StatusNotFound, contract.CodeUnknownModel, "no service has this model", "check the model's name")
 	}
 	q.service = service
 	q.model = completion.Model
@@ -92,7 +92,7 @@
 		return p
 	}
 	if !ok {
-		return contract.Refuse(http.StatusNotFound, contract.CodeUnknownService, "no such plain service", "check the service's name")
+		return contract.NewRejection(http.StatusNotFound, contract.CodeUnknownService, "no such plain service", "check the service's name")
 	}
 	q.service = service
 	callPath := strings.TrimPrefix(r.URL.Path, "/v1/services/"+name)
@@ -135,13 +135,13 @@
 		return tooLarge()
 	}
 	if err != nil {
-		return contract.Refuse(http.StatusBadRequest, contract.CodeBadRequest, "the body could not be read", "send it again")
+		return contract.NewRejection(http.StatusBadRequest, contract.CodeBadRequest, "the body could not be read", "send it again")
 	}
 	return nil
 }
 
 func tooLarge() *contract.Problem {
-	return contract.Refuse(http.StatusRequestEntityTooLarge, contract.CodeBodyTooLarge, "the body is too large", "send less")
+	return contract.NewRejection(http.StatusRequestEntityTooLarge, contract.CodeBodyTooLarge, "the body is too large", "send less")
 }
 
 // bytesPerToken is the usual rule of thumb for text; defaultTokens stands for an answer of unnamed length.
@@ -192,8 +192,8 @@
 func (q *request) dispatch(f *Front, left time.Duration) contract.Dispatch {
 	return contract.Dispatch{
 		RequestID: q.id, Team: q.team.Name, Service: q.service.Name, Front: f.deps.Self,
-		SettingsVersion: q.snapshot.Version, Timeout: left, Priority: q.team.Priority, Work: q.work, Prompt: q.prompt, Prefix: q.prefix,
-		Unrepeatable: q.unrepeatable, Key: q.key, KeyChosen: q.chosen, Attempt: q.attempt, Fingerprint: q.fingerprint,
-		Plain: q.plain, Body: q.body, Time: f.deps.Recorder.Now(),
+		SettingsVersion: q.snapshot.Version, Timeout: left, Priority: q.team.Priority, EstimatedTokens: q.work, PromptTokens: q.prompt, PrefixHash: q.prefix,
+		AtMostOnce: q.unrepeatable, IdempotencyKey: q.key, KeyFromCaller: q.chosen, AttemptNumber: q.attempt, Fingerprint: q.fingerprint,
+		Plain: q.plain, Body: q.body, HLCTime: f.deps.Recorder.Now(),
 	}
 }
--- a/entry/front/lines.go
+++ b/entry/front/lines.go
@@ -15,7 +15,7 @@
 const lineUnanswered = "request ended without an answer"
 
 func (d *drive) noteUnanswered(action outcome.Action) {
-	if !d.q.unrepeatable || action.Problem == nil || action.Outcome == contract.Answered {
+	if !d.q.unrepeatable || action.Problem == nil || action.Outcome == contract.OutcomeAnswered {
 		return
 	}
 	line := d.front.deps.Log.WithFields(logrus.Fields{
@@ -23,7 +23,7 @@
 		"outcome": action.Outcome, "code": action.Problem.Code, "detail": action.Problem.Message,
 		"groups": d.tried, "took_ms": time.Since(d.began).Milliseconds(),
 	})
-	if action.Outcome == contract.Unknown {
+	if action.Outcome == contract.OutcomeUnknown {
 		line.Warn(lineUnanswered)
 		return
 	}
@@ -46,7 +46,7 @@
 }
 
 // noteHolder reports what the holder of a claim answered: "front.holder.<answer>" counts the answers.
-func (d *drive) noteHolder(claim contract.Attempt, answer outcome.HolderAnswer) {
+func (d *drive) noteHolder(claim contract.AttemptRecord, answer outcome.HolderAnswer) {
 	d.front.counts.add("front.holder." + answer.String())
 	d.recordEvent(timeline.Event{Kind: timeline.HolderAsked, Peer: claim.Home, Detail: answer.String()})
 }
--- a/entry/front/links_test.go
+++ b/entry/front/links_test.go
@@ -30,7 +30,7 @@
 )
 
 // Ask asks the home, unless it is frozen or can't be reached.
-func (f *fleet) Ask(_ context.Context, claim contract.Attempt) outcome.HolderAnswer {
+func (f *fleet) Ask(_ context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
 	id := vm.GroupID(strings.TrimPrefix(claim.Home, "home-"))
 	f.mu.Lock()
 	silent := f.fault[id].what == freeze || f.silent
--- a/entry/front/request.go
+++ b/entry/front/request.go
@@ -47,13 +47,13 @@
 func authenticate(snapshot *settings.Snapshot, header http.Header) (settings.Team, *contract.Problem) {
 	scheme, key, ok := strings.Cut(header.Get("Authorization"), " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") {
-		return settings.Team{}, contract.Refuse(http.StatusUnauthorized, contract.CodeUnauthorized,
+		return settings.Team{}, contract.NewRejection(http.StatusUnauthorized, contract.CodeUnauthorized,
 			"no bearer key", "send Authorization: Bearer with the team's key")
 	}
 	sum := sha256.Sum256([]byte(strings.TrimSpace(key)))
 	team, ok := snapshot.TeamByKeyHash(hex.EncodeToString(sum[:]))
 	if !ok {
-		return settings.Team{}, contract.Refuse(http.StatusUnauthorized, contract.CodeUnauthorized,
+		return settings.Team{}, contract.NewRejection(http.StatusUnauthorized, contract.CodeUnauthorized,
 			"the bearer key is no team's", "check the key")
 	}
 	return team, nil
@@ -63,7 +63,7 @@
 	if len(team.Services) == 0 || slices.Contains(team.Services, service) {
 		return nil
 	}
-	return contract.Refuse(http.StatusForbidden, contract.CodeForbidden,
+	return contract.NewRejection(http.StatusForbidden, contract.CodeForbidden,
 		"the team may not call this service", "ask an operator")
 }
 
@@ -105,7 +105,7 @@
 }
 
 func badHeader(name, want string) *contract.Problem {
-	return contract.Refuse(http.StatusBadRequest, contract.CodeBadHeader, "bad header "+name, name+" is "+want)
+	return contract.NewRejection(http.StatusBadRequest, contract.CodeBadHeader, "bad header "+name, name+" is "+want)
 }
 
 // repeatable says whether a call may run more than once. Where the settings list a path in both lists
@@ -140,6 +140,6 @@
 	if r.URL.RawPath == "" && (callPath == "/" || path.Clean(callPath) == trimmed) && !strings.ContainsAny(callPath, "\\;%") {
 		return nil
 	}
-	return contract.Refuse(http.StatusBadRequest, contract.CodeUnknownPath,
+	return contract.NewRejection(http.StatusBadRequest, contract.CodeUnknownPath,
 		"the path is not in its plain form", "send it without empty or dotted segments and without escaped slashes")
 }
--- a/entry/front/writer.go
+++ b/entry/front/writer.go
@@ -22,8 +22,8 @@
 
 func problemAnswerTooLarge() *contract.Problem {
 	return &contract.Problem{
-		Code: contract.CodeTruncated, Status: http.StatusBadGateway, Message: "the answer is too large to be given as a whole",
-		Next: "ask for a stream",
+		Code: contract.CodeAnswerTruncated, Status: http.StatusBadGateway, Message: "the answer is too large to be given as a whole",
+		Hint: "ask for a stream",
 	}
 }
 
@@ -74,7 +74,7 @@
 	header := c.w.Header()
 	header.Set(contract.HeaderRequestID, c.q.id)
 	header.Set(contract.HeaderOutcome, string(a.Outcome))
-	if c.q.unrepeatable && a.Outcome != contract.NotRun {
+	if c.q.unrepeatable && a.Outcome != contract.OutcomeNotRun {
 		header.Set(contract.HeaderIdempotencyKey, c.q.key)
 	}
 	if a.Attempts > 0 && c.q.chosen {
--- a/entry/guard/guard.go
+++ b/entry/guard/guard.go
@@ -110,14 +110,14 @@
 		return nil, quarantined()
 	}
 	pass.leave()
-	return nil, contract.Later(contract.CodeSuspectWaits,
+	return nil, contract.NewRetryLater(contract.CodeSuspectWaits,
 		"this request was in progress when a backend server crashed; it runs again alone, and another is running", waitsRetryAfter)
 }
 
 func quarantined() *contract.Problem {
-	p := contract.Later(contract.CodeQuarantined, "this request crashed backend servers and is run no more", quarantinedRetryAfter)
+	p := contract.NewRetryLater(contract.CodeQuarantined, "this request crashed backend servers and is run no more", quarantinedRetryAfter)
 	p.Status = 422
-	p.Next = "change the request, or ask an operator to lift it (pondctl quarantine)"
+	p.Hint = "change the request, or ask an operator to lift it (pondctl quarantine)"
 	return p
 }
 
--- a/entry/holder.go
+++ b/entry/holder.go
@@ -26,7 +26,7 @@
 
 // Ask implements front.Holders. No answer counts as silent: the caller is then told unknown, which is true whatever
 // the holder does.
-func (d *dispatcher) Ask(ctx context.Context, claim contract.Attempt) outcome.HolderAnswer {
+func (d *dispatcher) Ask(ctx context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
 	question := holderQuestion{Incarnation: claim.Incarnation, RequestID: claim.RequestID, Nonce: claim.Nonce}
 	if claim.Home == d.self {
 		return d.answer(question)
@@ -61,7 +61,7 @@
 
 // holder returns the entry that holds a claim, in whatever state: one that is leaving finishes its work, and one that
 // is held dead may live. A later life of the entry knows nothing of the claim.
-func (d *dispatcher) holder(claim contract.Attempt) (member.Peer, bool) {
+func (d *dispatcher) holder(claim contract.AttemptRecord) (member.Peer, bool) {
 	for _, p := range d.members.Peers() {
 		if p.Name == claim.Home {
 			return p, p.Incarnation == claim.Incarnation
--- a/entry/home/home.go
+++ b/entry/home/home.go
@@ -118,7 +118,7 @@
 // Dispatch handles one dispatch and sends its frames. It returns when the work is over. When ctx is over
 // or send fails the front is gone: what it asked for is cancelled, unless it was claimed.
 func (h *Home) Dispatch(ctx context.Context, d contract.Dispatch, send func(contract.Frame) error) error {
-	h.deps.Recorder.Observe(d.Time)
+	h.deps.Recorder.Observe(d.HLCTime)
 	run := newRun(ctx, h, d, send)
 	ctx, cancel := context.WithTimeout(ctx, d.Timeout)
 	defer cancel()
--- a/entry/home/keep.go
+++ b/entry/home/keep.go
@@ -29,7 +29,7 @@
 // can't be kept in time, the caller still gets it at once, and the home goes on trying; a repeated key is
 // told in-progress meanwhile, and unknown if that fails.
 func (r *run) finish(ctx context.Context, last ...contract.Frame) {
-	kept := !r.d.Unrepeatable || r.keep(ctx)
+	kept := !r.d.AtMostOnce || r.keep(ctx)
 	for _, f := range last {
 		r.frame(f)
 	}
--- a/entry/home/run.go
+++ b/entry/home/run.go
@@ -94,7 +94,7 @@
 // claimed takes the right to send a request that may not be repeated. The context that it returns is the
 // one to work under until end is called.
 func (r *run) claimed(ctx context.Context) (work context.Context, end func(), ok bool) {
-	if !r.d.Unrepeatable {
+	if !r.d.AtMostOnce {
 		return ctx, func() {}, true
 	}
 	r.home.work.add(r.d.RequestID)
@@ -112,7 +112,7 @@
 		r.refuse(p)
 		return
 	}
-	if !r.frame(contract.Frame{Kind: contract.FrameSent}) && !r.d.Unrepeatable {
+	if !r.frame(contract.Frame{Kind: contract.FrameSent}) && !r.d.AtMostOnce {
 		return
 	}
 	r.record(timeline.RequestSent, "")
@@ -126,7 +126,7 @@
 func (r *run) subject(ctx context.Context) guard.Subject {
 	return guard.Subject{
 		RequestID: r.d.RequestID, Service: r.d.Service, Group: r.group, Fingerprint: r.d.Fingerprint,
-		Timeout: r.left(ctx), Crash: r.d.Crash,
+		Timeout: r.left(ctx), Crash: r.d.CrashID,
 	}
 }
 
@@ -158,18 +158,18 @@
 	group, home, ok := r.home.deps.Groups.Lookup(r.d.Group)
 	switch {
 	case !ok || group.Service != r.d.Service:
-		return contract.Later(contract.CodeNoGroup, "the group is not placed", noGroupRetryAfter)
+		return contract.NewRetryLater(contract.CodeNoGroup, "the group is not placed", noGroupRetryAfter)
 	case !home:
-		return contract.Later(contract.CodeNotHome, "this entry is not the home of the group", noGroupRetryAfter)
+		return contract.NewRetryLater(contract.CodeNotHome, "this entry is not the home of the group", noGroupRetryAfter)
 	case group.State != vm.Serving:
-		return contract.Later(contract.CodeNoGroup, "the group is "+string(group.State), noGroupRetryAfter)
+		return contract.NewRetryLater(contract.CodeNoGroup, "the group is "+string(group.State), noGroupRetryAfter)
 	}
 	if ok, reason := r.home.deps.Presence.Whole(group.ID); !ok {
-		return contract.Later(contract.CodeNoGroup, "the group is not whole: "+reason, noGroupRetryAfter)
+		return contract.NewRetryLater(contract.CodeNoGroup, "the group is not whole: "+reason, noGroupRetryAfter)
 	}
 	service, ok := r.home.deps.Settings().Services[r.d.Service]
 	if !ok {
-		return contract.Refuse(404, contract.CodeUnknownService, "the service is not declared", "check the service's name")
+		return contract.NewRejection(404, contract.CodeUnknownService, "the service is not declared", "check the service's name")
 	}
 	r.group = group
 	r.service = service
@@ -186,7 +186,7 @@
 	}
 	return Item{
 		Service: r.service, Team: team, Group: r.d.Group, Timeout: r.left(ctx),
-		Priority: r.d.Priority, Work: r.d.Work, Prompt: r.d.Prompt,
+		Priority: r.d.Priority, Work: r.d.EstimatedTokens, Prompt: r.d.PromptTokens,
 	}
 }
 
@@ -204,7 +204,7 @@
 
 func (r *run) wish() attempt.Wish {
 	return attempt.Wish{
-		ID: attempt.ID{Team: r.d.Team, Key: r.d.Key}, Number: r.d.Attempt, Fingerprint: r.d.Fingerprint,
+		ID: attempt.ID{Team: r.d.Team, Key: r.d.IdempotencyKey}, Number: r.d.AttemptNumber, Fingerprint: r.d.Fingerprint,
 		RequestID: r.d.RequestID, Retention: attempt.Retention(r.service),
 	}
 }
@@ -212,7 +212,7 @@
 // claimRight takes the right to send. Without it the front is told what stands instead.
 func (r *run) claimRight(ctx context.Context) bool {
 	w := r.wish()
-	w.Renounced = r.d.Renounced
+	w.Renounced = r.d.AbandonedClaims
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	result := r.home.deps.Attempts.Claim(ctx, w, r.home.deps.Self, r.home.deps.Incarnation)
@@ -220,10 +220,10 @@
 	switch result.Verdict {
 	case attempt.Confirmed:
 		r.claim = result
-		r.frame(contract.Frame{Kind: contract.FrameClaimed, AttemptVersion: uint64(result.Version)})
+		r.frame(contract.Frame{Kind: contract.FrameClaimed, RecordVersion: uint64(result.Version)})
 		return true
 	case attempt.Found, attempt.Reused:
-		r.frame(contract.Frame{Kind: contract.FrameFound, Attempt: &result.Attempt, AttemptVersion: uint64(result.Version)})
+		r.frame(contract.Frame{Kind: contract.FrameRecordExists, Record: &result.Attempt, RecordVersion: uint64(result.Version)})
 	case attempt.Unsure:
 		r.claim = result
 		r.refuse(platformOut())
@@ -234,14 +234,14 @@
 }
 
 func platformOut() *contract.Problem {
-	return contract.Later(contract.CodePlatformOut, "the platform could not confirm the right to run the request", platformRetryAfter)
+	return contract.NewRetryLater(contract.CodePlatformUnavailable, "the platform could not confirm the right to run the request", platformRetryAfter)
 }
 
 // platformRetryAfter keeps callers from adding to an outage.
 const platformRetryAfter = 5 * time.Second
 
 func gone() *contract.Problem {
-	return contract.Later(contract.CodeDeadline, "the request's time was over, or its caller gone, before it was sent", time.Second)
+	return contract.NewRetryLater(contract.CodeDeadline, "the request's time was over, or its caller gone, before it was sent", time.Second)
 }
 
 // refuse gives the request up unsent, and renounces a claim that was or may have been made. The front may
@@ -252,7 +252,7 @@
 	f := contract.Frame{Kind: contract.FrameRefused, Problem: p}
 	if r.claim.Verdict != 0 {
 		claim := r.claim.Attempt
-		f.Attempt = &claim
+		f.Record = &claim
 		r.givenUp = true
 		r.home.work.giveUp(claim.Nonce)
 	}
@@ -263,7 +263,7 @@
 // retry must not outrun the news.
 func (r *run) broken(ctx context.Context, p *contract.Problem) {
 	crash := r.pass.Broke(ctx)
-	r.frame(contract.Frame{Kind: contract.FrameBroken, Problem: p, Crash: crash})
+	r.frame(contract.Frame{Kind: contract.FrameBroken, Problem: p, CrashID: crash})
 }
 
 // frame sends one frame; false: the front is gone. The last one of a dispatch carries the load, as the first one does;
@@ -275,7 +275,7 @@
 	}
 	f.RequestID = r.d.RequestID
 	f.Seq = r.seq
-	f.Time = r.home.deps.Recorder.Now()
+	f.HLCTime = r.home.deps.Recorder.Now()
 	switch f.Kind {
 	case contract.FrameRefused, contract.FrameEnd, contract.FrameBroken:
 		load := r.home.deps.Admission.Load(r.d.Group)
--- a/entry/home/send.go
+++ b/entry/home/send.go
@@ -60,7 +60,7 @@
 			r.finish(ctx, eventFrame(event), contract.Frame{Kind: contract.FrameEnd})
 			return
 		}
-		if !r.frame(eventFrame(event)) && !r.d.Unrepeatable {
+		if !r.frame(eventFrame(event)) && !r.d.AtMostOnce {
 			return // the front is gone: closing the stream cancels the request
 		}
 	}
@@ -83,7 +83,7 @@
 	defer func() { _ = response.Body.Close() }()
 	r.turn.FirstToken()
 	r.kept.head(response.StatusCode, response.Header)
-	if !r.frame(contract.Frame{Kind: contract.FrameHead, Status: response.StatusCode, Header: response.Header}) && !r.d.Unrepeatable {
+	if !r.frame(contract.Frame{Kind: contract.FrameHead, Status: response.StatusCode, Header: response.Header}) && !r.d.AtMostOnce {
 		return
 	}
 	if !delimited(response) {
@@ -98,7 +98,7 @@
 			total += int64(n)
 			data := bytes.Clone(buffer[:n])
 			r.kept.chunk(data)
-			if !r.frame(contract.Frame{Kind: contract.FrameChunk, Data: data}) && !r.d.Unrepeatable {
+			if !r.frame(contract.Frame{Kind: contract.FrameChunk, Data: data}) && !r.d.AtMostOnce {
 				return
 			}
 		}
@@ -110,7 +110,7 @@
 			return
 		}
 	}
-	r.finish(ctx, contract.Frame{Kind: contract.FrameEnd, Bytes: total})
+	r.finish(ctx, contract.Frame{Kind: contract.FrameEnd, AnswerBytes: total})
 }
 
 // delimited says that the end of the body can be told from a cut. A body that ends with its connection
@@ -123,11 +123,11 @@
 	var refusal *engine.Refusal
 	switch {
 	case errors.Is(err, engine.ErrNotSent):
-		r.refuse(contract.Later(contract.CodeBackendRefused, "the backend server could not be reached", time.Second))
+		r.refuse(contract.NewRetryLater(contract.CodeBackendRefused, "the backend server could not be reached", time.Second))
 	case errors.As(err, &refusal) && callersFault(refusal.Status):
-		r.refuse(contract.Refuse(refusal.Status, contract.CodeBadRequest, "the backend server refused the request: "+refusal.Reason, "mend the request"))
+		r.refuse(contract.NewRejection(refusal.Status, contract.CodeBadRequest, "the backend server refused the request: "+refusal.Reason, "mend the request"))
 	case errors.Is(err, engine.ErrRefused):
-		r.refuse(contract.Later(contract.CodeBackendRefused, "the backend server refused the request", time.Second))
+		r.refuse(contract.NewRetryLater(contract.CodeBackendRefused, "the backend server refused the request", time.Second))
 	default:
 		r.broken(ctx, broke("the backend server broke off"))
 	}
@@ -145,6 +145,6 @@
 
 func broke(message string) *contract.Problem {
 	return &contract.Problem{
-		Code: contract.CodeBackendBroke, Status: http.StatusBadGateway, Outcome: contract.Unknown, Message: message,
+		Code: contract.CodeBackendBroke, Status: http.StatusBadGateway, Outcome: contract.OutcomeUnknown, Message: message,
 	}
 }
--- a/entry/operator/auth.go
+++ b/entry/operator/auth.go
@@ -83,6 +83,6 @@
 }
 
 func unauthorized() *contract.Problem {
-	return contract.Refuse(http.StatusUnauthorized, contract.CodeUnauthorized, "this token is not an operator's",
+	return contract.NewRejection(http.StatusUnauthorized, contract.CodeUnauthorized, "this token is not an operator's",
 		"send Authorization: Bearer with an operator's token; while there are no settings yet, the bootstrap token")
 }
--- a/entry/operator/operator_test.go
+++ b/entry/operator/operator_test.go
@@ -223,16 +223,16 @@
 			Expect(problem.Code).To(Equal(code))
 		},
 		Entry("down all the time: nothing was changed", func(r *rig) { r.store.getErr = platform.ErrUnavailable },
-			contract.NotRun, contract.CodePlatformOut),
+			contract.OutcomeNotRun, contract.CodePlatformUnavailable),
 		Entry("down right after the write: it may have been taken", func(r *rig) {
 			r.store.faults = []string{"lost-answer"}
 			r.store.onGet = func() { r.store.getErr = platform.ErrUnavailable }
-		}, contract.Unknown, contract.CodeUnknownOutcome),
+		}, contract.OutcomeUnknown, contract.CodeUnknownOutcome),
 		Entry("answers from an older state than was seen", func(r *rig) {
 			old := r.store.object
 			old.Version = 3
 			r.store.stale = &old
-		}, contract.NotRun, contract.CodePlatformOut),
+		}, contract.OutcomeNotRun, contract.CodePlatformUnavailable),
 	)
 
 	It("refuses faults, naming node, key and what would be right", func() {
--- a/entry/operator/problem.go
+++ b/entry/operator/problem.go
@@ -29,22 +29,22 @@
 		return problem
 	case errors.Is(err, ErrUncertain), errors.Is(err, platform.ErrUnconfirmed):
 		return &contract.Problem{
-			Code: contract.CodeUnknownOutcome, Status: http.StatusServiceUnavailable, Outcome: contract.Unknown,
-			Message: err.Error(), Next: "send the same change again: it is taken at most once", RetryAfter: retryAfter,
+			Code: contract.CodeUnknownOutcome, Status: http.StatusServiceUnavailable, Outcome: contract.OutcomeUnknown,
+			Message: err.Error(), Hint: "send the same change again: it is taken at most once", RetryAfter: retryAfter,
 		}
 	case errors.Is(err, ErrNotAllowed):
 		return unauthorized()
 	case errors.Is(err, ErrNotQuarantined):
-		return contract.Refuse(http.StatusNotFound, contract.CodeUnknownPath, err.Error(), "list the quarantine for what is in it")
+		return contract.NewRejection(http.StatusNotFound, contract.CodeUnknownPath, err.Error(), "list the quarantine for what is in it")
 	case errors.Is(err, platform.ErrConflict):
-		return contract.Later(contract.CodeConflict, "others kept changing the settings at the same time", retryAfter)
+		return contract.NewRetryLater(contract.CodeConflict, "others kept changing the settings at the same time", retryAfter)
 	case errors.Is(err, platform.ErrUnavailable), errors.Is(err, platform.ErrThrottled), errors.Is(err, ErrStale),
 		errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
-		return contract.Later(contract.CodePlatformOut, err.Error(), retryAfter)
+		return contract.NewRetryLater(contract.CodePlatformUnavailable, err.Error(), retryAfter)
 	}
 	return &contract.Problem{
-		Code: contract.CodeInternal, Status: http.StatusInternalServerError, Outcome: contract.NotRun,
-		Message: err.Error(), Next: "report it with this entry's log",
+		Code: contract.CodeInternal, Status: http.StatusInternalServerError, Outcome: contract.OutcomeNotRun,
+		Message: err.Error(), Hint: "report it with this entry's log",
 	}
 }
 
--- a/entry/operator/server.go
+++ b/entry/operator/server.go
@@ -57,7 +57,7 @@
 func (s *Server) postChange(req *restful.Request, resp *restful.Response) {
 	body, err := io.ReadAll(http.MaxBytesReader(resp.ResponseWriter, req.Request.Body, admin.MaxChangeBytes))
 	if err != nil {
-		refuse(resp, contract.Refuse(http.StatusRequestEntityTooLarge, contract.CodeBodyTooLarge,
+		refuse(resp, contract.NewRejection(http.StatusRequestEntityTooLarge, contract.CodeBodyTooLarge,
 			"the change can't be read whole: "+err.Error(), "send at most a megabyte"))
 		return
 	}
@@ -142,7 +142,7 @@
 	path := settings.Path(req.QueryParameter("path"))
 	values, ok := current.Tree.Explain(path)
 	if !ok {
-		refuse(resp, contract.Refuse(http.StatusNotFound, contract.CodeUnknownPath,
+		refuse(resp, contract.NewRejection(http.StatusNotFound, contract.CodeUnknownPath,
 			"the settings have no node "+strconv.Quote(string(path)), "ask for one of the nodes that GET "+admin.SettingsPath+" lists"))
 		return
 	}
@@ -196,7 +196,7 @@
 }
 
 func badParameter(name, want string) *contract.Problem {
-	return contract.Refuse(http.StatusBadRequest, contract.CodeBadRequest, "bad parameter "+name, "send "+want)
+	return contract.NewRejection(http.StatusBadRequest, contract.CodeBadRequest, "bad parameter "+name, "send "+want)
 }
 
 func (s *Server) getQuarantine(req *restful.Request, resp *restful.Response) {
--- a/entry/routing/routing.go
+++ b/entry/routing/routing.go
@@ -142,7 +142,7 @@
 	choice := table.Choose(now, request, r.random)
 	metrics.GetOrRegisterCounter("front.choice."+choice.Reason.String(), r.registry).Inc(1)
 	if choice.Reason == balance.NoGroup {
-		return front.Choice{}, contract.Later(contract.CodeNoGroup, "no group of the service can take the request", noGroupRetryAfter)
+		return front.Choice{}, contract.NewRetryLater(contract.CodeNoGroup, "no group of the service can take the request", noGroupRetryAfter)
 	}
 	table.Begin(choice.ID)
 	done := func(bool) { r.end(ask.Service.Name, choice.ID) }
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -214,7 +214,7 @@
 
 // unknownPath answers what no route takes, in the same form as every other refusal.
 func unknownPath(fault restful.ServiceError, _ *restful.Request, response *restful.Response) {
-	problem := contract.Refuse(fault.Code, contract.CodeUnknownPath, fault.Message,
+	problem := contract.NewRejection(fault.Code, contract.CodeUnknownPath, fault.Message,
 		"see docs/INTERFACE.md for the paths and methods there are")
 	if fault.Code == http.StatusMethodNotAllowed {
 		problem.Code = contract.CodeMethodNotAllowed
--- a/pondctl/client.go
+++ b/pondctl/client.go
@@ -110,13 +110,13 @@
 	}
 	text := fmt.Sprintf("%s: %s", address, problem.Message)
 	switch problem.Outcome {
-	case contract.Unknown:
+	case contract.OutcomeUnknown:
 		text += " (it may have been done)"
-	case contract.NotRun:
+	case contract.OutcomeNotRun:
 		text += " (nothing was changed)"
 	}
-	if problem.Next != "" {
-		text += "; " + problem.Next
+	if problem.Hint != "" {
+		text += "; " + problem.Hint
 	}
 	return eris.New(text)
 }
--- a/test/ledger_test.go
+++ b/test/ledger_test.go
@@ -57,18 +57,18 @@
 		Expect(e.claimOf(t.key, run.RequestID)).To(BeNumerically(">", 0), "ran without a claim: "+about)
 	}
 	switch t.outcome {
-	case contract.Answered:
+	case contract.OutcomeAnswered:
 		Expect(starts).To(HaveLen(1), "answered, but did not run: "+about)
 		Expect(e.ran(t.key, standinengine.Finished)).To(BeTrue(), about)
 		l.judgeBody(t, starts[0].RequestID, about)
-	case contract.NotRun:
+	case contract.OutcomeNotRun:
 		for _, run := range starts {
 			Expect(e.claimOf(t.key, run.RequestID)).To(BeNumerically(">", t.attempt), "told not-run, but ran: "+about)
 		}
-	case contract.InProgress:
+	case contract.OutcomeInProgress:
 		Expect(e.records[t.key]).NotTo(BeEmpty(), "in progress without a claim: "+about)
 		Expect(t.retry).NotTo(BeEmpty(), about)
-	case contract.Unknown:
+	case contract.OutcomeUnknown:
 		Expect(t.retry).NotTo(BeEmpty(), about)
 	default:
 		Expect(t.err).To(HaveOccurred(), "an answer without an outcome: "+about)
@@ -78,7 +78,7 @@
 // judgeBody checks that an answer is that of the one run.
 func (l *ledger) judgeBody(t told, ran, about string) {
 	GinkgoHelper()
-	if t.code == contract.CodeAnswerTooLarge {
+	if t.code == contract.CodeAnswerNotStored {
 		return
 	}
 	var body standinengine.PlainAnswer
--- a/test/load_test.go
+++ b/test/load_test.go
@@ -157,7 +157,7 @@
 	case got.isWhole(prompt, loadTokensEach):
 		p.answered.Add(1)
 		t.answered++
-	case got.err == nil && got.outcome == contract.NotRun && got.retry != "" && !got.whole:
+	case got.err == nil && got.outcome == contract.OutcomeNotRun && got.retry != "" && !got.whole:
 		t.refused++
 		p.refusedIDs = append(p.refusedIDs, got.requestID)
 		if between < placesOfChat {
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -24,9 +24,9 @@
 			Expect(streamed.isWhole("a quote for cream", 20)).To(BeTrue(), streamed.body)
 			whole := caller{e}.complete("a quote for butter", 20)
 			Expect(whole.isWhole("a quote for butter", 20)).To(BeTrue(), whole.body)
-			Expect(whole.outcome).To(Equal(contract.Answered))
+			Expect(whole.outcome).To(Equal(contract.OutcomeAnswered))
 			booked := caller{e}.book("lot-"+e.name, 1)
-			Expect(booked.outcome).To(Equal(contract.Answered), booked.body)
+			Expect(booked.outcome).To(Equal(contract.OutcomeAnswered), booked.body)
 		}
 		Expect(homes).To(HaveLen(2))
 		c.judgeBookings()
@@ -117,7 +117,7 @@
 		l.problem("%s: told as whole, but is not its answer: %s", prompt, got.body)
 	case got.err != nil:
 		l.failed(c, prompt, got.err)
-	case got.outcome == contract.Answered:
+	case got.outcome == contract.OutcomeAnswered:
 		l.problem("%s: told answered without the whole answer: %s", prompt, got.body)
 	}
 }
@@ -128,7 +128,7 @@
 		l.failed(c, lot, got.err)
 		return
 	}
-	if got.outcome != contract.Answered && got.retry == "" {
+	if got.outcome != contract.OutcomeAnswered && got.retry == "" {
 		l.problem("%s: refused without Retry-After: %s", lot, got.body)
 	}
 	l.mu.Lock()
@@ -175,10 +175,10 @@
 		for _, got := range answers {
 			told[got.outcome]++
 			runs := started[bodyHash(booking(lot))]
-			if got.outcome == contract.NotRun {
+			if got.outcome == contract.OutcomeNotRun {
 				Expect(runs).To(BeZero(), "%s was told not-run: %s", lot, got.body)
 			}
-			if got.outcome == contract.Answered {
+			if got.outcome == contract.OutcomeAnswered {
 				Expect(runs).To(Equal(1), lot)
 			}
 		}
--- a/test/planned_test.go
+++ b/test/planned_test.go
@@ -140,7 +140,7 @@
 	switch {
 	case got.isWhole(prompt, tokens):
 		s.whole++
-	case got.outcome == contract.NotRun && got.status != http.StatusOK:
+	case got.outcome == contract.OutcomeNotRun && got.status != http.StatusOK:
 		s.refused[got.body]++
 	default:
 		s.cut = append(s.cut, fmt.Sprintf("%s: %v %s", prompt, got.err, got.body[max(0, len(got.body)-300):]))
--- a/test/quarantine_test.go
+++ b/test/quarantine_test.go
@@ -31,7 +31,7 @@
 			}
 			return told.code
 		}, generous, "100ms").Should(Equal(contract.CodeQuarantined))
-		Expect(told.outcome).To(Equal(contract.NotRun))
+		Expect(told.outcome).To(Equal(contract.OutcomeNotRun))
 		Expect(told.retry).NotTo(BeEmpty())
 		crashes := c.boots("a " + marker)
 		GinkgoWriter.Printf("the request was begun %d times before it was quarantined\n", crashes)
--- a/test/requests_test.go
+++ b/test/requests_test.go
@@ -137,11 +137,11 @@
 	GinkgoHelper()
 	about := fmt.Sprintf("%s at %q: %v", f.name, b.step, b.words())
 	for _, got := range append([]answer{*b.got}, b.later...) {
-		if got.outcome == contract.Unknown {
+		if got.outcome == contract.OutcomeUnknown {
 			Expect(append(f.unsure, f.lost...)).To(ContainElement(b.step), about)
 		}
 	}
-	if b.later[len(b.later)-1].outcome == contract.Unknown {
+	if b.later[len(b.later)-1].outcome == contract.OutcomeUnknown {
 		Expect(f.lost).To(ContainElement(b.step), about)
 	}
 }
@@ -180,7 +180,7 @@
 	Eventually(func(g Gomega) {
 		s.again()
 		for _, b := range s.placed {
-			g.Expect(b.later[len(b.later)-1].outcome).NotTo(Or(Equal(contract.InProgress), BeEmpty()), b.key)
+			g.Expect(b.later[len(b.later)-1].outcome).NotTo(Or(Equal(contract.OutcomeInProgress), BeEmpty()), b.key)
 		}
 	}, generous, "100ms").Should(Succeed())
 }
@@ -242,7 +242,7 @@
 	switch {
 	case got.err != nil:
 		return "nothing"
-	case got.outcome == contract.Answered || got.code == "":
+	case got.outcome == contract.OutcomeAnswered || got.code == "":
 		return string(got.outcome)
 	}
 	return fmt.Sprintf("%s (%s)", got.outcome, got.code)
--- a/test/steps_test.go
+++ b/test/steps_test.go
@@ -127,7 +127,7 @@
 			s.count++
 			key := fmt.Sprintf("settle-%d", s.count)
 			got := s.ledger.ask(e, key, 1)
-			g.Expect(got.outcome).To(Equal(contract.Answered), "through %s: %s", e.name, got.body)
+			g.Expect(got.outcome).To(Equal(contract.OutcomeAnswered), "through %s: %s", e.name, got.body)
 			g.Expect(s.trail().starts(key)[0].VM).To(BeEquivalentTo(s.server))
 		}
 	}, generous, "100ms").Should(Succeed())
--- a/test/trail_test.go
+++ b/test/trail_test.go
@@ -22,7 +22,7 @@
 type trail struct {
 	// events by request, records by key, runs by the hash of the body.
 	events  map[string][]timeline.Event
-	records map[string][]contract.Attempt
+	records map[string][]contract.AttemptRecord
 	runs    map[string][]standinengine.Run
 	held    []standinplatform.Held
 	// accepted are the requests that entries have accepted, in the order in which that was read.
@@ -40,7 +40,7 @@
 func newTrailIndex() *trailIndex {
 	return &trailIndex{
 		trail: trail{
-			events: make(map[string][]timeline.Event), records: make(map[string][]contract.Attempt),
+			events: make(map[string][]timeline.Event), records: make(map[string][]contract.AttemptRecord),
 			runs: make(map[string][]standinengine.Run),
 		},
 		files: make(map[string]int),
@@ -88,7 +88,7 @@
 		if change.Kind != platform.KindAttempt || change.Deleted {
 			continue
 		}
-		var record contract.Attempt
+		var record contract.AttemptRecord
 		Expect(json.Unmarshal(change.Value, &record)).To(Succeed())
 		key := strings.TrimPrefix(change.Name, teamOfCallers+"/")
 		t.records[key] = append(t.records[key], record)
