--- a/policy/grouping/mix.go
+++ b/policy/grouping/mix.go
@@ -85,7 +85,7 @@
 	return improved
 }
 
-// minGain prevents the planner from alternating between two packings of the same value.
+// minGain prevents the planner from alternating between two packings of the same value. It also stands in for a goal of zero in a division.
 const minGain = 1e-9
 
 // value is higher the lower the total shortfall cost is after a domain changes from the current packing to the next one. The cost is cubic,
--- a/policy/grouping/model_test.go
+++ b/policy/grouping/model_test.go
@@ -88,17 +88,17 @@
 // lossyScenario generates a run that loses some VMs of groups every three seconds and one domain for a while, and gets two VMs without weights
 // every three seconds from about 12 s on.
 func (s site) lossyScenario(r *rand.Rand) scenario {
-	var d scenario
+	var generated scenario
 	zone := r.IntN(3)
 	for at := 2.0 + r.Float64(); at < 28; at += 2.2 + 1.6*r.Float64() {
-		d.losses = append(d.losses, loss{at: at, zone: zone, count: s.lost})
+		generated.losses = append(generated.losses, loss{at: at, zone: zone, count: s.lost})
 		zone = (zone + 1) % 3
 	}
-	d.losses = append(d.losses, loss{at: 11, zone: r.IntN(3), domain: true, back: 18})
+	generated.losses = append(generated.losses, loss{at: 11, zone: r.IntN(3), domain: true, back: 18})
 	for at := 11.0 + r.Float64(); at < 31; at += 2.6 + 1.6*r.Float64() {
-		d.arrivals = append(d.arrivals, arrival{at: at, zone: r.IntN(3), count: 2})
+		generated.arrivals = append(generated.arrivals, arrival{at: at, zone: r.IntN(3), count: 2})
 	}
-	return d
+	return generated
 }
 
 type simVM struct {
@@ -342,11 +342,11 @@
 	idle    float64            // fraction of the VM-seconds outside serving groups
 }
 
-func (s *sim) run(d scenario) results {
+func (s *sim) run(played scenario) results {
 	f := results{byModel: map[string]float64{}}
 	s.start()
 	steps := 0
-	losses, arrivals := d.losses, d.arrivals
+	losses, arrivals := played.losses, played.arrivals
 	slices.SortFunc(losses, func(a, b loss) int { return int(1000 * (a.at - b.at)) })
 	alive, serving := 0.0, 0.0
 	for s.now < runEnds {
@@ -389,7 +389,7 @@
 	return f
 }
 
-// mean averages the figures of runs with different seeds.
+// mean averages the results of runs with different seeds.
 func mean(at site, plan planner, seeds int) results {
 	total := results{byModel: map[string]float64{}}
 	for seed := range seeds {
--- a/policy/internal/playback/figures.go
+++ b/policy/internal/playback/figures.go
@@ -30,55 +30,55 @@
 
 // Summarize returns the summary of the requests whose first try arrived at or after from and before until.
 func Summarize(requests []*Request, from, until time.Duration) Summary {
-	f := Summary{
+	summary := Summary{
 		WorkByTeam:          make(map[*Team]float64),
 		OfferedWorkByTeam:   make(map[*Team]float64),
 		WaitByTeam:          make(map[*Team]Quantiles),
 		AnsweredRatioByTeam: make(map[*Team]float64),
 	}
 	var wait, first, refusal []time.Duration
-	waitOf := make(map[*Team][]time.Duration)
-	countOf := make(map[*Team]float64)
+	waitByTeam := make(map[*Team][]time.Duration)
+	countByTeam := make(map[*Team]float64)
 	tries := 0
 	for _, r := range requests {
 		if r.FirstArrived < from || r.FirstArrived >= until {
 			continue
 		}
-		f.Offered++
+		summary.Offered++
 		tries += r.Tries
-		countOf[r.Team]++
-		f.OfferedWorkByTeam[r.Team] += float64(r.Work())
+		countByTeam[r.Team]++
+		summary.OfferedWorkByTeam[r.Team] += float64(r.Work())
 		switch r.Outcome {
 		case Refused:
-			f.Refused++
+			summary.Refused++
 			if r.Ended == r.Arrived {
-				f.RefusedImmediately++
+				summary.RefusedImmediately++
 			}
 			refusal = append(refusal, r.Ended-r.Arrived)
 			continue
 		case Answered:
-			f.Answered++
-			f.AnsweredRatioByTeam[r.Team]++
-			f.Work += float64(r.Work())
-			f.WorkByTeam[r.Team] += float64(r.Work())
+			summary.Answered++
+			summary.AnsweredRatioByTeam[r.Team]++
+			summary.Work += float64(r.Work())
+			summary.WorkByTeam[r.Team] += float64(r.Work())
 		case Late:
-			f.Late++
+			summary.Late++
 		case Pending:
 			continue
 		}
 		wait = append(wait, r.Started-r.Arrived)
-		waitOf[r.Team] = append(waitOf[r.Team], r.Started-r.Arrived)
+		waitByTeam[r.Team] = append(waitByTeam[r.Team], r.Started-r.Arrived)
 		if r.FirstToken > 0 {
 			first = append(first, r.FirstToken-r.Arrived)
 		}
 	}
-	for team, count := range countOf {
-		f.AnsweredRatioByTeam[team] /= count
-		f.WaitByTeam[team] = quantiles(waitOf[team])
+	for team, count := range countByTeam {
+		summary.AnsweredRatioByTeam[team] /= count
+		summary.WaitByTeam[team] = quantiles(waitByTeam[team])
 	}
-	f.Wait, f.FirstToken, f.Refusal = quantiles(wait), quantiles(first), quantiles(refusal)
-	f.MeanTries = float64(tries) / math.Max(1, float64(f.Offered))
-	return f
+	summary.Wait, summary.FirstToken, summary.Refusal = quantiles(wait), quantiles(first), quantiles(refusal)
+	summary.MeanTries = float64(tries) / math.Max(1, float64(summary.Offered))
+	return summary
 }
 
 func quantiles(values []time.Duration) Quantiles {
@@ -125,11 +125,11 @@
 
 // WorstShare returns the smallest ratio of a team's completed work to its fair share of all completed work. It is 1 if the division was
 // fair.
-func (f Summary) WorstShare() float64 {
-	fair := FairShares(f.OfferedWorkByTeam, f.Work)
+func (s Summary) WorstShare() float64 {
+	fair := FairShares(s.OfferedWorkByTeam, s.Work)
 	worst := math.Inf(1)
 	for team, fairWork := range fair {
-		worst = min(worst, f.WorkByTeam[team]/fairWork)
+		worst = min(worst, s.WorkByTeam[team]/fairWork)
 	}
 	return worst
 }
--- a/policy/internal/playback/table.go
+++ b/policy/internal/playback/table.go
@@ -49,23 +49,23 @@
 }
 
 // Cells returns the summary as cells of a table row.
-func (r *Run) Cells(f Summary) []string {
-	offered := float64(f.Offered)
+func (r *Run) Cells(summary Summary) []string {
+	offered := float64(summary.Offered)
 	return []string{
-		Percent(float64(f.Answered), offered),
-		Percent(float64(f.Refused), offered),
-		Percent(float64(f.RefusedImmediately), float64(f.Refused)),
-		Percent(float64(f.Late), offered),
-		Ratio(r.Goodput(f)),
-		Ratio(f.WorstShare()),
-		f.Wait.Format(),
-		f.FirstToken.Format(),
-		Seconds(f.Refusal.P95),
+		Percent(float64(summary.Answered), offered),
+		Percent(float64(summary.Refused), offered),
+		Percent(float64(summary.RefusedImmediately), float64(summary.Refused)),
+		Percent(float64(summary.Late), offered),
+		Ratio(r.Goodput(summary)),
+		Ratio(summary.WorstShare()),
+		summary.Wait.Format(),
+		summary.FirstToken.Format(),
+		Seconds(summary.Refusal.P95),
 	}
 }
 
 // Goodput returns the work of the answered requests per second of the measured interval, as a fraction of the capacity.
-func (r *Run) Goodput(f Summary) float64 {
+func (r *Run) Goodput(summary Summary) float64 {
 	s := r.Scenario
-	return f.Work / (s.Until - s.From).Seconds() / s.CapacityWork()
+	return summary.Work / (s.Until - s.From).Seconds() / s.CapacityWork()
 }
