--- a/contract/attempt/bench_test.go
+++ b/contract/attempt/bench_test.go
@@ -24,9 +24,9 @@
 }
 
 func record(r *attempt.Records, key string, retention time.Duration) {
-	w := attempt.Wish{ID: attempt.ID{Team: "team", Key: key}, Number: 1, Fingerprint: fmt.Sprintf("%064d", 0), RequestID: fmt.Sprintf("%036d", 0), Retention: retention}
+	w := attempt.WriteRequest{ID: attempt.ID{Team: "team", Key: key}, Number: 1, Fingerprint: fmt.Sprintf("%064d", 0), RequestID: fmt.Sprintf("%036d", 0), Retention: retention}
 	claim := r.Claim(context.Background(), w, "entry-1", fmt.Sprintf("%036d", 0))
-	r.Done(context.Background(), w.ID, claim, confirmation, retention)
+	r.Complete(context.Background(), w.ID, claim, confirmation, retention)
 }
 
 // BenchmarkRecord is what one unrepeatable request adds at its home: a claim and its answer.
--- a/contract/attempt/records.go
+++ b/contract/attempt/records.go
@@ -35,8 +35,8 @@
 	Key  string
 }
 
-// Name is the name of the platform object.
-func (id ID) Name() string { return id.Team + "/" + id.Key }
+// ObjectName is the name of the platform object.
+func (id ID) ObjectName() string { return id.Team + "/" + id.Key }
 
 // Verdict says what came of a call.
 type Verdict uint8
@@ -47,14 +47,14 @@
 	Confirmed Verdict = iota + 1
 	// Found: another record stands and may not be replaced. The write did not and can't take effect.
 	Found
-	// Reused: the standing record is of a request with another fingerprint.
-	Reused
-	// Untouched: the platform took no write, and none is on its way.
-	Untouched
-	// Unsure: the write may have taken effect, or may yet.
-	Unsure
-	// Absent: there is no record (only from Find).
-	Absent
+	// KeyReused: the standing record is of a request with another fingerprint.
+	KeyReused
+	// NotWritten: the platform took no write, and none is on its way.
+	NotWritten
+	// Indeterminate: the write may have taken effect, or may yet.
+	Indeterminate
+	// NoRecord: there is no record (only from Find).
+	NoRecord
 )
 
 // String names the verdict in logs.
@@ -67,19 +67,19 @@
 }
 
 // Settled says that a write was decided: it took effect, or another record stands in its way.
-func (v Verdict) Settled() bool { return v == Confirmed || v == Found || v == Reused }
+func (v Verdict) Settled() bool { return v == Confirmed || v == Found || v == KeyReused }
 
 // Result is what came of a call.
 type Result struct {
 	Verdict Verdict
-	// Attempt is the record that stands (Confirmed, Found, Reused) or that may come to stand (Unsure).
-	Attempt contract.AttemptRecord
+	// Record is the record that stands (Confirmed, Found, Reused) or that may come to stand (Unsure).
+	Record contract.AttemptRecord
 	// Version is that of the record that stands; 0 otherwise.
 	Version platform.Version
 }
 
-// Wish is the part of a claim or a seal that the request gives.
-type Wish struct {
+// WriteRequest is the part of a claim or a seal that the request gives.
+type WriteRequest struct {
 	ID ID
 	// Number is the caller's attempt number.
 	Number      int
@@ -87,8 +87,8 @@
 	RequestID   string
 	// Retention is how long the record is kept.
 	Retention time.Duration
-	// Renounced lists the nonces of claims that may be replaced.
-	Renounced []string
+	// AbandonedClaims lists the nonces of claims that may be replaced.
+	AbandonedClaims []string
 	// refresh replaces a seal of the same number, so that a claim that is on its way to that seal's version can't land.
 	refresh bool
 }
@@ -110,18 +110,18 @@
 	store platform.Store
 	clock func() time.Time
 	nonce func() string
-	// Pause waits between the tries of a write, or until ctx is over. Tests in virtual time replace it
+	// Sleep waits between the tries of a write, or until ctx is over. Tests in virtual time replace it
 	// before the first call.
-	Pause func(ctx context.Context, d time.Duration)
+	Sleep func(ctx context.Context, d time.Duration)
 }
 
 // New returns records kept in store. The clock is the wall clock; it only stamps the expiry.
 func New(store platform.Store, clock func() time.Time) *Records {
-	return &Records{store: store, clock: clock, nonce: uuid.NewString, Pause: func(ctx context.Context, d time.Duration) { wait.Pause(ctx, d) }}
+	return &Records{store: store, clock: clock, nonce: uuid.NewString, Sleep: func(ctx context.Context, d time.Duration) { wait.Pause(ctx, d) }}
 }
 
 // Claim takes the right to send, once, for this home and incarnation. Only Confirmed gives it.
-func (r *Records) Claim(ctx context.Context, w Wish, home, incarnation string) Result {
+func (r *Records) Claim(ctx context.Context, w WriteRequest, home, incarnation string) Result {
 	record := r.record(w, contract.AttemptClaimed)
 	record.Home = home
 	record.Incarnation = incarnation
@@ -130,28 +130,28 @@
 
 // Seal makes sure that attempts up to w.Number never run. Only Confirmed, or a seal of at least that
 // number Found, says that they didn't and can't.
-func (r *Records) Seal(ctx context.Context, w Wish) Result {
+func (r *Records) Seal(ctx context.Context, w WriteRequest) Result {
 	return r.write(ctx, w, r.record(w, contract.AttemptSealed))
 }
 
 // Release ends a claim of this holder under which nothing was or will be sent. Once it is settled the claim does not
 // stand.
-func (r *Records) Release(ctx context.Context, w Wish, claim Result) Result {
+func (r *Records) Release(ctx context.Context, w WriteRequest, claim Result) Result {
 	record := r.record(w, contract.AttemptSealed)
-	record.Number = claim.Attempt.Number - 1
-	w.Renounced = []string{claim.Attempt.Nonce}
+	record.Number = claim.Record.Number - 1
+	w.AbandonedClaims = []string{claim.Record.Nonce}
 	w.refresh = true
 	return r.writeFrom(ctx, w, record, claim.Version)
 }
 
-// Done replaces a confirmed claim by the answer.
-func (r *Records) Done(ctx context.Context, id ID, claim Result, answer contract.StoredAnswer, retention time.Duration) Result {
-	record := claim.Attempt
+// Complete replaces a confirmed claim by the answer.
+func (r *Records) Complete(ctx context.Context, id ID, claim Result, answer contract.StoredAnswer, retention time.Duration) Result {
+	record := claim.Record
 	record.State = contract.AttemptDone
 	record.Answer = &answer
 	record.Nonce = r.nonce()
 	record.ExpiresAt = r.clock().Add(retention).Unix()
-	w := Wish{ID: id, Number: record.Number, Fingerprint: record.Fingerprint, Renounced: []string{claim.Attempt.Nonce}}
+	w := WriteRequest{ID: id, Number: record.Number, Fingerprint: record.Fingerprint, AbandonedClaims: []string{claim.Record.Nonce}}
 	return r.writeFrom(ctx, w, record, claim.Version)
 }
 
@@ -160,18 +160,18 @@
 	standing, err := r.read(ctx, id)
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
-		return Result{Verdict: Absent}
+		return Result{Verdict: NoRecord}
 	case err != nil:
-		return Result{Verdict: Untouched}
-	case standing.Attempt.Fingerprint != fingerprint:
-		standing.Verdict = Reused
+		return Result{Verdict: NotWritten}
+	case standing.Record.Fingerprint != fingerprint:
+		standing.Verdict = KeyReused
 	default:
 		standing.Verdict = Found
 	}
 	return standing
 }
 
-func (r *Records) record(w Wish, state contract.AttemptState) contract.AttemptRecord {
+func (r *Records) record(w WriteRequest, state contract.AttemptState) contract.AttemptRecord {
 	return contract.AttemptRecord{
 		State: state, Number: w.Number, Fingerprint: w.Fingerprint, RequestID: w.RequestID,
 		Nonce: r.nonce(), ExpiresAt: r.clock().Add(w.Retention).Unix(),
@@ -179,12 +179,12 @@
 }
 
 func (r *Records) read(ctx context.Context, id ID) (Result, error) {
-	object, err := r.store.Get(ctx, platform.KindAttempt, id.Name())
+	object, err := r.store.Get(ctx, platform.KindAttempt, id.ObjectName())
 	if err != nil {
 		return Result{}, err
 	}
 	standing := Result{Version: object.Version}
-	if err := json.Unmarshal(object.Value, &standing.Attempt); err != nil {
+	if err := json.Unmarshal(object.Value, &standing.Record); err != nil {
 		return Result{}, err
 	}
 	return standing, nil
@@ -201,12 +201,12 @@
 }
 
 // mayReplace says whether record may be written over standing.
-func (w *Wish) mayReplace(standing, record contract.AttemptRecord) bool {
+func (w *WriteRequest) mayReplace(standing, record contract.AttemptRecord) bool {
 	switch standing.State {
 	case contract.AttemptSealed:
 		return standing.Number < record.Number || w.refresh && standing.Number == record.Number
 	case contract.AttemptClaimed:
-		return slices.Contains(w.Renounced, standing.Nonce) && record.Number >= leastOver(standing, record)
+		return slices.Contains(w.AbandonedClaims, standing.Nonce) && record.Number >= leastOver(standing, record)
 	default:
 		return false
 	}
--- a/contract/attempt/records_test.go
+++ b/contract/attempt/records_test.go
@@ -22,13 +22,13 @@
 
 	records := func() *Records {
 		r := New(store, func() time.Time { return now })
-		r.Pause = func(context.Context, time.Duration) {}
+		r.Sleep = func(context.Context, time.Duration) {}
 		return r
 	}
-	wish := func(number int, renounced ...string) Wish {
-		return Wish{
+	wish := func(number int, renounced ...string) WriteRequest {
+		return WriteRequest{
 			ID: ID{"dairy", "lot-7"}, Number: number, Fingerprint: "f", RequestID: "r",
-			Retention: time.Hour, Renounced: renounced,
+			Retention: time.Hour, AbandonedClaims: renounced,
 		}
 	}
 	stand := func(a contract.AttemptRecord) {
@@ -67,7 +67,7 @@
 				}
 				result := c.call()
 				Expect(result.Verdict).To(Equal(c.want))
-				Expect(standing()).To(Equal(result.Attempt))
+				Expect(standing()).To(Equal(result.Record))
 			}
 		},
 		Entry("nothing", contract.AttemptRecord{}, 1, Confirmed, Confirmed),
@@ -77,8 +77,8 @@
 		Entry("a lower claim", contract.AttemptRecord{State: contract.AttemptClaimed, Number: 1, Fingerprint: "f", Nonce: "x"}, 2, Found, Found),
 		Entry("a renounced claim", contract.AttemptRecord{State: contract.AttemptClaimed, Number: 1, Fingerprint: "f", Nonce: "gone"}, 1, Confirmed, Confirmed),
 		Entry("an answer", contract.AttemptRecord{State: contract.AttemptDone, Number: 1, Fingerprint: "f", Nonce: "gone"}, 2, Found, Found),
-		Entry("another request's seal", contract.AttemptRecord{State: contract.AttemptSealed, Number: 1, Fingerprint: "g"}, 2, Reused, Reused),
-		Entry("another request's claim", contract.AttemptRecord{State: contract.AttemptClaimed, Number: 1, Fingerprint: "g"}, 1, Reused, Reused),
+		Entry("another request's seal", contract.AttemptRecord{State: contract.AttemptSealed, Number: 1, Fingerprint: "g"}, 2, KeyReused, KeyReused),
+		Entry("another request's claim", contract.AttemptRecord{State: contract.AttemptClaimed, Number: 1, Fingerprint: "g"}, 1, KeyReused, KeyReused),
 		Entry("a renounced claim of the next attempt", contract.AttemptRecord{State: contract.AttemptClaimed, Number: 2, Fingerprint: "f", Nonce: "gone"}, 1, Found, Confirmed),
 		Entry("a renounced claim of a higher attempt", contract.AttemptRecord{State: contract.AttemptClaimed, Number: 3, Fingerprint: "f", Nonce: "gone"}, 1, Found, Found),
 	)
@@ -90,10 +90,10 @@
 			seal := store.objects["dairy/lot-7"]
 			store.faults = faults
 			claim := records().Claim(ctx, wish(2), "e1", "i1")
-			Expect(claim.Verdict).To(BeElementOf(Confirmed, Unsure))
+			Expect(claim.Verdict).To(BeElementOf(Confirmed, Indeterminate))
 			store.faults = nil
 			Expect(records().Release(ctx, wish(2), claim).Verdict).To(Equal(Confirmed))
-			value, err := json.Marshal(claim.Attempt)
+			value, err := json.Marshal(claim.Record)
 			Expect(err).NotTo(HaveOccurred())
 			_, err = store.apply(seal.Name, seal.Version, value)
 			Expect(err).To(MatchError(platform.ErrConflict), "a late copy of the claim")
@@ -108,10 +108,10 @@
 
 	It("leaves what replaced a released claim", func() {
 		first := records().Claim(ctx, wish(1), "e1", "i1")
-		second := records().Claim(ctx, wish(1, first.Attempt.Nonce), "e2", "i2")
+		second := records().Claim(ctx, wish(1, first.Record.Nonce), "e2", "i2")
 		Expect(second.Verdict).To(Equal(Confirmed))
 		Expect(records().Release(ctx, wish(1), first).Verdict).To(Equal(Found))
-		Expect(standing()).To(Equal(second.Attempt))
+		Expect(standing()).To(Equal(second.Record))
 	})
 
 	// The platform takes the write and its answer is lost, or loses the write, or is out for a while. Read the
@@ -129,7 +129,7 @@
 				Expect(result.Verdict).To(Equal(want))
 				Expect(standing().Nonce != "").To(Equal(written))
 				if want == Confirmed {
-					Expect(standing()).To(Equal(result.Attempt))
+					Expect(standing()).To(Equal(result.Record))
 					Expect(store.objects["dairy/lot-7"].Version).To(Equal(result.Version))
 				}
 			}
@@ -139,9 +139,9 @@
 		Entry("lost on its way, sent again", Confirmed, true, void),
 		Entry("late, behind the read, sent again", Confirmed, true, late),
 		Entry("throttled, then taken", Confirmed, true, limit),
-		Entry("out all the time", Untouched, false, out, out, out, out),
-		Entry("taken, answer lost, then out", Unsure, true, lost, out, out, out, out),
-		Entry("lost, then out", Unsure, false, void, out, out, out, out),
+		Entry("out all the time", NotWritten, false, out, out, out, out),
+		Entry("taken, answer lost, then out", Indeterminate, true, lost, out, out, out, out),
+		Entry("lost, then out", Indeterminate, false, void, out, out, out, out),
 	)
 
 	// A late seal and a claim of the same number are under way together, each with its answer lost. Whatever
@@ -151,7 +151,7 @@
 			store.faults = []fault{sealFault, out, out, out, out, out, out, out, out}
 			r := records()
 			seal := r.Seal(ctx, wish(1))
-			Expect(seal.Verdict).To(Equal(Unsure))
+			Expect(seal.Verdict).To(Equal(Indeterminate))
 			store.faults = nil
 			if !claimFirst {
 				store.land()
@@ -171,20 +171,20 @@
 		claim := r.Claim(ctx, wish(1), "e1", "i1")
 		store.faults = []fault{lost}
 		answer := contract.StoredAnswer{Status: 201, Body: []byte("lot 7")}
-		Expect(r.Done(ctx, wish(1).ID, claim, answer, time.Hour).Verdict).To(Equal(Confirmed))
+		Expect(r.Complete(ctx, wish(1).ID, claim, answer, time.Hour).Verdict).To(Equal(Confirmed))
 		found := r.Find(ctx, wish(1).ID, "f")
 		Expect(found.Verdict).To(Equal(Found))
-		Expect(found.Attempt.Answer).To(Equal(&answer))
-		Expect(r.Find(ctx, wish(1).ID, "g").Verdict).To(Equal(Reused))
-		Expect(r.Find(ctx, ID{"dairy", "other"}, "f").Verdict).To(Equal(Absent))
+		Expect(found.Record.Answer).To(Equal(&answer))
+		Expect(r.Find(ctx, wish(1).ID, "g").Verdict).To(Equal(KeyReused))
+		Expect(r.Find(ctx, ID{"dairy", "other"}, "f").Verdict).To(Equal(NoRecord))
 		store.faults = []fault{out}
-		Expect(r.Find(ctx, wish(1).ID, "f").Verdict).To(Equal(Untouched))
+		Expect(r.Find(ctx, wish(1).ID, "f").Verdict).To(Equal(NotWritten))
 	})
 
 	It("spends two calls on a claim and its answer", func() {
 		r := records()
 		claim := r.Claim(ctx, wish(1), "e1", "i1")
-		r.Done(ctx, wish(1).ID, claim, contract.StoredAnswer{Status: 200}, time.Hour)
+		r.Complete(ctx, wish(1).ID, claim, contract.StoredAnswer{Status: 200}, time.Hour)
 		Expect(store.puts + store.gets).To(Equal(2))
 	})
 
--- a/contract/attempt/write.go
+++ b/contract/attempt/write.go
@@ -18,7 +18,7 @@
 	firstPause = 15 * time.Millisecond
 )
 
-func (r *Records) write(ctx context.Context, w Wish, record contract.AttemptRecord) Result {
+func (r *Records) write(ctx context.Context, w WriteRequest, record contract.AttemptRecord) Result {
 	return r.writeFrom(ctx, w, record, 0)
 }
 
@@ -29,19 +29,19 @@
 // unknown; taken as "written", a not-run would be said of a request that runs when the write was in fact
 // lost. Only the record with the writer's nonce tells. A record that is absent tells nothing: the write
 // may land late. So it is sent again under the same nonce, until one is seen to stand.
-func (r *Records) writeFrom(ctx context.Context, w Wish, record contract.AttemptRecord, version platform.Version) Result {
+func (r *Records) writeFrom(ctx context.Context, w WriteRequest, record contract.AttemptRecord, version platform.Version) Result {
 	value, err := json.Marshal(record)
 	if err != nil {
-		return Result{Verdict: Untouched}
+		return Result{Verdict: NotWritten}
 	}
 	onItsWay := false
 	for try := range writeTries {
 		if try > 0 {
-			r.Pause(ctx, firstPause<<(try-1))
+			r.Sleep(ctx, firstPause<<(try-1))
 		}
-		written, err := r.store.Put(ctx, platform.KindAttempt, w.ID.Name(), version, value)
+		written, err := r.store.Put(ctx, platform.KindAttempt, w.ID.ObjectName(), version, value)
 		if err == nil {
-			return Result{Verdict: Confirmed, Attempt: record, Version: written}
+			return Result{Verdict: Confirmed, Record: record, Version: written}
 		}
 		if untaken(err) {
 			continue
@@ -54,12 +54,12 @@
 		case errors.Is(err, platform.ErrNotFound):
 			version = 0
 		case err != nil:
-		case standing.Attempt.Nonce == record.Nonce:
-			return Result{Verdict: Confirmed, Attempt: record, Version: standing.Version}
-		case standing.Attempt.Fingerprint != record.Fingerprint:
-			standing.Verdict = Reused
+		case standing.Record.Nonce == record.Nonce:
+			return Result{Verdict: Confirmed, Record: record, Version: standing.Version}
+		case standing.Record.Fingerprint != record.Fingerprint:
+			standing.Verdict = KeyReused
 			return standing
-		case !w.mayReplace(standing.Attempt, record):
+		case !w.mayReplace(standing.Record, record):
 			standing.Verdict = Found
 			return standing
 		default:
@@ -70,9 +70,9 @@
 		}
 	}
 	if onItsWay {
-		return Result{Verdict: Unsure, Attempt: record}
+		return Result{Verdict: Indeterminate, Record: record}
 	}
-	return Result{Verdict: Untouched}
+	return Result{Verdict: NotWritten}
 }
 
 // untaken says that the platform surely did not take the call.
--- a/contract/outcome/actors_test.go
+++ b/contract/outcome/actors_test.go
@@ -30,13 +30,13 @@
 
 func records(w *world, y yielder) *attempt.Records {
 	r := attempt.New(store{w: w, y: y}, func() time.Time { return time.Unix(0, 0) })
-	r.Pause = func(context.Context, time.Duration) {}
+	r.Sleep = func(context.Context, time.Duration) {}
 	return r
 }
 
-func wish(r Request, key string, renounced []string) attempt.Wish {
-	return attempt.Wish{
-		ID: attempt.ID{Team: "t", Key: key}, Number: r.Attempt, Fingerprint: r.Fingerprint, RequestID: r.ID, Renounced: renounced,
+func wish(r Request, key string, renounced []string) attempt.WriteRequest {
+	return attempt.WriteRequest{
+		ID: attempt.ID{Team: "t", Key: key}, Number: r.Attempt, Fingerprint: r.Fingerprint, RequestID: r.ID, AbandonedClaims: renounced,
 	}
 }
 
@@ -180,8 +180,8 @@
 		refuse := func(code contract.Code) {
 			f := contract.Frame{Kind: contract.FrameRefused, Problem: contract.NewRetryLater(code, "", RetrySoon)}
 			if claim.Verdict != 0 {
-				f.Record = &claim.Attempt
-				w.givenUp[claim.Attempt.Nonce] = true
+				f.Record = &claim.Record
+				w.givenUp[claim.Record.Nonce] = true
 			}
 			send(f)
 			if claim.Verdict != 0 {
@@ -202,10 +202,10 @@
 			case attempt.Confirmed:
 				claim = result
 				send(contract.Frame{Kind: contract.FrameClaimed})
-			case attempt.Found, attempt.Reused:
-				send(contract.Frame{Kind: contract.FrameRecordExists, Record: &result.Attempt})
+			case attempt.Found, attempt.KeyReused:
+				send(contract.Frame{Kind: contract.FrameRecordExists, Record: &result.Record})
 				return
-			case attempt.Unsure:
+			case attempt.Indeterminate:
 				claim = result
 				refuse(contract.CodePlatformUnavailable)
 				return
@@ -251,7 +251,7 @@
 		}
 		last := i == uint64(len(all))-1
 		if last && q.Unrepeatable {
-			r.Done(context.Background(), attempt.ID{Team: "t", Key: t.key}, claim, contract.StoredAnswer{Body: []byte(strings.Join(all, " "))}, 0)
+			r.Complete(context.Background(), attempt.ID{Team: "t", Key: t.key}, claim, contract.StoredAnswer{Body: []byte(strings.Join(all, " "))}, 0)
 		}
 		send(contract.Frame{Kind: contract.FrameEvent, EventSeq: i, Text: all[i], Final: last})
 	}
--- a/contract/outcome/machine.go
+++ b/contract/outcome/machine.go
@@ -173,7 +173,7 @@
 	switch r.Verdict {
 	case attempt.Confirmed:
 		return m.notRun(m.problem, m.request.Attempt)
-	case attempt.Found, attempt.Reused:
+	case attempt.Found, attempt.KeyReused:
 		return m.standing(r)
 	}
 	return m.unknown(problemPlatform())
@@ -181,10 +181,10 @@
 
 // Found takes the result of a Find.
 func (m *Machine) Found(r attempt.Result) Action {
-	stands := r.Verdict == attempt.Found || r.Verdict == attempt.Reused
+	stands := r.Verdict == attempt.Found || r.Verdict == attempt.KeyReused
 	switch m.phase {
 	case lookingUp:
-		lower := r.Attempt.State == contract.AttemptSealed && r.Attempt.Number < m.request.Attempt
+		lower := r.Record.State == contract.AttemptSealed && r.Record.Number < m.request.Attempt
 		if !stands || r.Verdict == attempt.Found && lower {
 			return m.dispatch(false)
 		}
@@ -276,9 +276,9 @@
 	if f.Record == nil {
 		return m.broken(problemGap())
 	}
-	r := attempt.Result{Verdict: attempt.Found, Attempt: *f.Record}
+	r := attempt.Result{Verdict: attempt.Found, Record: *f.Record}
 	if f.Record.Fingerprint != m.request.Fingerprint {
-		r.Verdict = attempt.Reused
+		r.Verdict = attempt.KeyReused
 	}
 	return m.standing(r)
 }
--- a/contract/outcome/machine_test.go
+++ b/contract/outcome/machine_test.go
@@ -34,7 +34,7 @@
 	done        = contract.AttemptRecord{State: contract.AttemptDone, Answer: &answer}
 	doneTooBig  = contract.AttemptRecord{State: contract.AttemptDone, Answer: &contract.StoredAnswer{TooLarge: true}}
 	found       = func(a contract.AttemptRecord) attempt.Result {
-		return attempt.Result{Verdict: attempt.Found, Attempt: a}
+		return attempt.Result{Verdict: attempt.Found, Record: a}
 	}
 	confirmed = attempt.Result{Verdict: attempt.Confirmed}
 	verdict   = func(v attempt.Verdict) attempt.Result { return attempt.Result{Verdict: v} }
@@ -93,7 +93,7 @@
 	queued  = kind(contract.FrameQueued)
 	claim   = kind(contract.FrameClaimed)
 	sent    = kind(contract.FrameSent)
-	lookup  = find(Dispatch, verdict(attempt.Absent))
+	lookup  = find(Dispatch, verdict(attempt.NoRecord))
 	begun   = []input{start(Dispatch), queued, sent}
 	keyedAt = []input{start(Find), lookup, queued, claim, sent}
 )
@@ -139,14 +139,14 @@
 
 	Entry("made key, refused unsent: no platform call", made, []input{start(Dispatch), refused(Tell, contract.CodePlatformUnavailable, nil)}, contract.OutcomeNotRun, contract.CodePlatformUnavailable, 0),
 	Entry("made key, home lost, sealed", made, []input{start(Dispatch), lost(Dispatch), noGroup(Seal), seal(Tell, confirmed)}, contract.OutcomeNotRun, contract.CodeHomeLost, 1),
-	Entry("made key, home lost, platform out", made, []input{start(Dispatch), lost(Dispatch), noGroup(Seal), seal(Tell, verdict(attempt.Untouched))}, contract.OutcomeUnknown, contract.CodePlatformUnavailable, 0),
+	Entry("made key, home lost, platform out", made, []input{start(Dispatch), lost(Dispatch), noGroup(Seal), seal(Tell, verdict(attempt.NotWritten))}, contract.OutcomeUnknown, contract.CodePlatformUnavailable, 0),
 	Entry("made key, home lost behind its claim, done meanwhile", made, []input{start(Dispatch), queued, claim, lost(Find), find(Tell, found(done))}, contract.OutcomeAnswered, contract.Code(""), 0),
 	Entry("made key, home lost behind its claim, at work", made, []input{start(Dispatch), queued, claim, lost(Find), find(AskHolder, found(claimed)), holder(true)}, contract.OutcomeInProgress, contract.CodeInProgress, 0),
 	Entry("made key, home lost behind its claim, dead", made, []input{start(Dispatch), queued, claim, lost(Find), find(AskHolder, found(claimed)), holder(false).wants(Find), find(Tell, found(claimed))}, contract.OutcomeUnknown, contract.CodeHomeLost, 0),
 
 	Entry("chosen key, refused, sealed", keyed, []input{start(Find), lookup, refused(Dispatch, contract.CodeOverloaded, nil), noGroup(Seal), seal(Tell, confirmed)}, contract.OutcomeNotRun, contract.CodeOverloaded, 2),
-	Entry("chosen key, refused, platform out", keyed, []input{start(Find), lookup, refused(Dispatch, contract.CodeOverloaded, nil), noGroup(Seal), seal(Tell, verdict(attempt.Untouched))}, contract.OutcomeUnknown, contract.CodePlatformUnavailable, 0),
-	Entry("chosen key, refused, seal unsure", keyed, []input{start(Find), lookup, refused(Dispatch, contract.CodeOverloaded, nil), noGroup(Seal), seal(Tell, verdict(attempt.Unsure))}, contract.OutcomeUnknown, contract.CodePlatformUnavailable, 0),
+	Entry("chosen key, refused, platform out", keyed, []input{start(Find), lookup, refused(Dispatch, contract.CodeOverloaded, nil), noGroup(Seal), seal(Tell, verdict(attempt.NotWritten))}, contract.OutcomeUnknown, contract.CodePlatformUnavailable, 0),
+	Entry("chosen key, refused, seal unsure", keyed, []input{start(Find), lookup, refused(Dispatch, contract.CodeOverloaded, nil), noGroup(Seal), seal(Tell, verdict(attempt.Indeterminate))}, contract.OutcomeUnknown, contract.CodePlatformUnavailable, 0),
 	Entry("chosen key, refused before any dispatch", keyed, []input{beforeStart(Seal), seal(Tell, confirmed)}, contract.OutcomeNotRun, contract.CodeOverloaded, 2),
 	Entry("chosen key, refused, but a copy ran", keyed, []input{beforeStart(Seal), seal(Tell, found(done))}, contract.OutcomeAnswered, contract.Code(""), 0),
 	Entry("chosen key, answered before", keyed, []input{start(Find), find(Tell, found(done))}, contract.OutcomeAnswered, contract.Code(""), 0),
@@ -157,9 +157,9 @@
 	Entry("chosen key, this attempt sealed", keyed, []input{start(Find), find(Tell, found(sealedAt(2)))}, contract.OutcomeNotRun, contract.CodeAttemptGivenUp, 2),
 	Entry("chosen key, a higher attempt sealed", keyed, []input{start(Find), find(Tell, found(sealedAt(7)))}, contract.OutcomeNotRun, contract.CodeAttemptGivenUp, 7),
 	Entry("chosen key, a lower attempt sealed", keyed, after(keyedAt, event(true), end(Tell)), contract.OutcomeAnswered, contract.Code(""), 0),
-	Entry("chosen key of another request", keyed, []input{start(Find), find(Tell, verdict(attempt.Reused))}, contract.OutcomeNotRun, contract.CodeKeyReused, 0),
+	Entry("chosen key of another request", keyed, []input{start(Find), find(Tell, verdict(attempt.KeyReused))}, contract.OutcomeNotRun, contract.CodeKeyReused, 0),
 	Entry("chosen key of another request, found by the home", keyed, []input{start(Find), lookup, homeFound(Tell, contract.AttemptRecord{Fingerprint: "g"})}, contract.OutcomeNotRun, contract.CodeKeyReused, 0),
-	Entry("chosen key, looked up in an outage, claimed by a copy meanwhile", keyed, []input{start(Find), find(Dispatch, verdict(attempt.Untouched)), homeFound(AskHolder, claimed), holder(false).wants(Find), find(Tell, found(claimed))}, contract.OutcomeUnknown, contract.CodeUnknownOutcome, 0),
+	Entry("chosen key, looked up in an outage, claimed by a copy meanwhile", keyed, []input{start(Find), find(Dispatch, verdict(attempt.NotWritten)), homeFound(AskHolder, claimed), holder(false).wants(Find), find(Tell, found(claimed))}, contract.OutcomeUnknown, contract.CodeUnknownOutcome, 0),
 	Entry("chosen key, backend server broke", keyed, after(keyedAt, broken(Find), find(AskHolder, found(claimed)), holder(false).wants(Find), find(Tell, found(claimed))), contract.OutcomeUnknown, contract.CodeInternal, 0),
 	Entry("chosen key, claim of an earlier copy given up, goes on in its place", keyed, []input{start(Find), find(AskHolder, found(claimed)), gaveUp(Dispatch), queued, claim, sent, event(true), end(Tell)}, contract.OutcomeAnswered, contract.Code(""), 0),
 	Entry("chosen key, claim of an earlier copy released while its holder was asked, goes on", keyed, []input{start(Find), find(AskHolder, found(claimed)), holder(false).wants(Find), find(Dispatch, found(sealedAt(1))), queued, claim, sent, event(true), end(Tell)}, contract.OutcomeAnswered, contract.Code(""), 0),
--- a/contract/outcome/tell.go
+++ b/contract/outcome/tell.go
@@ -28,18 +28,18 @@
 
 // standing: a record stands that this request can't replace. It decides.
 func (m *Machine) standing(r attempt.Result) Action {
-	if r.Verdict == attempt.Reused {
+	if r.Verdict == attempt.KeyReused {
 		return m.notRun(problemReused(), 0)
 	}
-	switch r.Attempt.State {
+	switch r.Record.State {
 	case contract.AttemptDone:
-		return m.stored(r.Attempt.Answer)
+		return m.stored(r.Record.Answer)
 	case contract.AttemptSealed:
-		if r.Attempt.RequestID == m.request.ID {
+		if r.Record.RequestID == m.request.ID {
 			m.ran = false // a seal replaces the claim of this request only after its holder gave it up
 		}
 		if !m.ran {
-			return m.sealed(r.Attempt)
+			return m.sealed(r.Record)
 		}
 	case contract.AttemptClaimed:
 		m.unsettled = m.problem
@@ -49,9 +49,9 @@
 		if m.asked {
 			return m.unknown(m.unsettled)
 		}
-		m.claim = r.Attempt
+		m.claim = r.Record
 		m.phase = asking
-		return Action{Do: AskHolder, Attempt: r.Attempt}
+		return Action{Do: AskHolder, Attempt: r.Record}
 	}
 	return m.unknown(problemClaimed())
 }
--- a/entry/front/drive.go
+++ b/entry/front/drive.go
@@ -236,9 +236,9 @@
 func (d *drive) seal(ctx context.Context, action outcome.Action) attempt.Result {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	result := d.front.deps.Attempts.Seal(ctx, attempt.Wish{
+	result := d.front.deps.Attempts.Seal(ctx, attempt.WriteRequest{
 		ID: d.id(), Number: d.q.attempt, Fingerprint: d.q.fingerprint, RequestID: d.q.id,
-		Retention: attempt.Retention(d.q.service), Renounced: action.Renounced,
+		Retention: attempt.Retention(d.q.service), AbandonedClaims: action.Renounced,
 	})
 	d.noteSeal(result)
 	return result
--- a/entry/home/keep.go
+++ b/entry/home/keep.go
@@ -63,7 +63,7 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), keepTimeout)
 	defer cancel()
 	answer := r.kept.stored(r.d.Plain != nil)
-	result := r.home.deps.Attempts.Done(ctx, r.wish().ID, r.claim, answer, attempt.Retention(r.service))
+	result := r.home.deps.Attempts.Complete(ctx, r.wish().ID, r.claim, answer, attempt.Retention(r.service))
 	return result.Verdict == attempt.Confirmed || result.Verdict == attempt.Found
 }
 
--- a/entry/home/lines.go
+++ b/entry/home/lines.go
@@ -41,7 +41,7 @@
 		return
 	}
 	r.record(timeline.ClaimUnconfirmed, result.Verdict.String())
-	r.log().WithFields(logrus.Fields{"verdict": result.Verdict.String(), "state": result.Attempt.State}).Warn(lineClaimUnconfirmed)
+	r.log().WithFields(logrus.Fields{"verdict": result.Verdict.String(), "state": result.Record.State}).Warn(lineClaimUnconfirmed)
 }
 
 // noteRefusal reports that the request is given up unsent.
--- a/entry/home/release.go
+++ b/entry/home/release.go
@@ -22,7 +22,7 @@
 func (r *run) startRelease() {
 	if r.home.releasing.Add(1) > maxReleasing {
 		r.home.releasing.Add(-1)
-		r.noteRelease(attempt.Result{Verdict: attempt.Untouched})
+		r.noteRelease(attempt.Result{Verdict: attempt.NotWritten})
 		return
 	}
 	r.d.Body, r.d.Plain = nil, nil // not held for as long as the release takes
--- a/entry/home/run.go
+++ b/entry/home/run.go
@@ -202,8 +202,8 @@
 // request holds a place at the group meanwhile.
 const claimTimeout = time.Second
 
-func (r *run) wish() attempt.Wish {
-	return attempt.Wish{
+func (r *run) wish() attempt.WriteRequest {
+	return attempt.WriteRequest{
 		ID: attempt.ID{Team: r.d.Team, Key: r.d.IdempotencyKey}, Number: r.d.AttemptNumber, Fingerprint: r.d.Fingerprint,
 		RequestID: r.d.RequestID, Retention: attempt.Retention(r.service),
 	}
@@ -212,7 +212,7 @@
 // claimRight takes the right to send. Without it the front is told what stands instead.
 func (r *run) claimRight(ctx context.Context) bool {
 	w := r.wish()
-	w.Renounced = r.d.AbandonedClaims
+	w.AbandonedClaims = r.d.AbandonedClaims
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	result := r.home.deps.Attempts.Claim(ctx, w, r.home.deps.Self, r.home.deps.Incarnation)
@@ -222,9 +222,9 @@
 		r.claim = result
 		r.frame(contract.Frame{Kind: contract.FrameClaimed, RecordVersion: uint64(result.Version)})
 		return true
-	case attempt.Found, attempt.Reused:
-		r.frame(contract.Frame{Kind: contract.FrameRecordExists, Record: &result.Attempt, RecordVersion: uint64(result.Version)})
-	case attempt.Unsure:
+	case attempt.Found, attempt.KeyReused:
+		r.frame(contract.Frame{Kind: contract.FrameRecordExists, Record: &result.Record, RecordVersion: uint64(result.Version)})
+	case attempt.Indeterminate:
 		r.claim = result
 		r.refuse(platformOut())
 	default:
@@ -251,7 +251,7 @@
 	r.noteRefusal(p)
 	f := contract.Frame{Kind: contract.FrameRefused, Problem: p}
 	if r.claim.Verdict != 0 {
-		claim := r.claim.Attempt
+		claim := r.claim.Record
 		f.Record = &claim
 		r.givenUp = true
 		r.home.work.giveUp(claim.Nonce)
