--- a/contract/outcome/action.go
+++ b/contract/outcome/action.go
@@ -14,13 +14,13 @@
 	"github.com/skylarkpond/skylarkpond/contract"
 )
 
-// Do says what is to be done.
-type Do uint8
+// ActionKind says what is to be done.
+type ActionKind uint8
 
 // What can be asked for.
 const (
 	// Wait: go on with the dispatch that is under way.
-	Wait Do = iota + 1
+	Wait ActionKind = iota + 1
 	// Dispatch: send the request to a group that did not have it yet, and report by Lost or Frame, or by
 	// NoDispatch if there is none, or neither budget nor time. An earlier dispatch is closed first.
 	Dispatch
@@ -32,8 +32,8 @@
 	Find
 	// AskHolder: ask the home in Attempt what became of this claim, report by Holder.
 	AskHolder
-	// Tell: the outcome is final. A dispatch under way is closed.
-	Tell
+	// Finish: the outcome is final. A dispatch under way is closed.
+	Finish
 )
 
 // HolderAnswer is what the holder of a claim says of it.
@@ -63,21 +63,21 @@
 
 // Action is what is to be done next.
 type Action struct {
-	Do Do
+	Kind ActionKind
 	// ResumeFrom is the first event wanted of a Dispatch; Restart says that what was gathered of an
 	// answer is void.
 	ResumeFrom uint64
 	Restart    bool
-	// Renounced goes with a Dispatch or a Seal: claims that may be replaced.
-	Renounced []string
-	// Attempt is the record whose holder is to be asked.
-	Attempt contract.AttemptRecord
+	// AbandonedClaims goes with a Dispatch or a Seal: claims that may be replaced.
+	AbandonedClaims []string
+	// Claim is the record whose holder is to be asked.
+	Claim contract.AttemptRecord
 	// Outcome is what is told. Answered comes with Stored, or with neither Stored nor Problem when the
 	// answer was delivered whole, or with a Problem when it was too large to be kept.
-	Outcome contract.Outcome
-	Problem *contract.Problem
-	Stored  *contract.StoredAnswer
-	// Attempts is the highest attempt number that is given up for good; 0: none. A caller that means to
+	Outcome      contract.Outcome
+	Problem      *contract.Problem
+	StoredAnswer *contract.StoredAnswer
+	// SealedThrough is the highest attempt number that is given up for good; 0: none. A caller that means to
 	// try again under its key names a higher one.
-	Attempts int
+	SealedThrough int
 }
--- a/contract/outcome/actors_test.go
+++ b/contract/outcome/actors_test.go
@@ -36,7 +36,7 @@
 
 func wish(r Request, key string, renounced []string) attempt.WriteRequest {
 	return attempt.WriteRequest{
-		ID: attempt.ID{Team: "t", Key: key}, Number: r.Attempt, Fingerprint: r.Fingerprint, RequestID: r.ID, AbandonedClaims: renounced,
+		ID: attempt.ID{Team: "t", Key: key}, Number: r.AttemptNumber, Fingerprint: r.Fingerprint, RequestID: r.ID, AbandonedClaims: renounced,
 	}
 }
 
@@ -63,17 +63,17 @@
 		tried := 0
 		action := m.Start()
 		for {
-			switch action.Do {
+			switch action.Kind {
 			case Dispatch:
 				action = w.dispatch(t, m, action, y, &l, &tried)
 			case Seal:
-				action = m.Sealed(r.Seal(context.Background(), wish(t.request, t.key, action.Renounced)))
+				action = m.HandleSeal(r.Seal(context.Background(), wish(t.request, t.key, action.AbandonedClaims)))
 			case Find:
-				action = m.Found(r.Find(context.Background(), attempt.ID{Team: "t", Key: t.key}, t.request.Fingerprint))
+				action = m.HandleFind(r.Find(context.Background(), attempt.ID{Team: "t", Key: t.key}, t.request.Fingerprint))
 			case AskHolder:
-				holder := action.Attempt
-				y(step{do: func() { action = m.Holder(w.ask(holder)) }})
-			case Tell:
+				holder := action.Claim
+				y(step{do: func() { action = m.HandleHolderAnswer(w.ask(holder)) }})
+			case Finish:
 				t.tell(action)
 				t.returned = w.clock
 				return
@@ -89,8 +89,8 @@
 	if a.Problem != nil {
 		t.code = a.Problem.Code
 	}
-	if a.Stored != nil {
-		t.events = strings.Fields(string(a.Stored.Body))
+	if a.StoredAnswer != nil {
+		t.events = strings.Fields(string(a.StoredAnswer.Body))
 	}
 }
 
@@ -103,12 +103,12 @@
 	}
 	y(step{do: func() {
 		if *tried == groups || w.chance(15, "no group") {
-			next = m.NoDispatch(contract.NewRetryLater(contract.CodeNoGroup, "none", RetrySoon))
+			next = m.HandleNoDispatch(contract.NewRetryLater(contract.CodeNoGroup, "none", RetryAfterShort))
 			return
 		}
 		*tried++
 		*l = &link{}
-		next = Action{Do: Wait}
+		next = Action{Kind: Wait}
 		w.home(t, *l, a)
 	}})
 	return next
@@ -117,9 +117,9 @@
 func (w *world) wait(t *teller, m *Machine, l *link, y yielder) (next Action) {
 	ready := func() bool { return !w.calm || len(l.frames) > 0 || l.home.over }
 	y(step{ready: ready, do: func() {
-		next = Action{Do: Wait}
+		next = Action{Kind: Wait}
 		if w.chance(4, "deadline") {
-			next = m.Deadline()
+			next = m.HandleDeadline()
 			return
 		}
 		if len(l.frames) == 0 && !l.home.over && !w.chance(10, "lost") {
@@ -127,21 +127,21 @@
 		}
 		if !l.taken && w.chance(10, "not sent") {
 			w.kill(l.home)
-			next = m.Lost(true)
+			next = m.HandleHomeLost(true)
 			return
 		}
 		f, lost := w.receive(l)
 		if lost {
-			next = m.Lost(false)
+			next = m.HandleHomeLost(false)
 			return
 		}
-		next = m.Frame(f)
-		if next.Do == Deliver {
+		next = m.HandleFrame(f)
+		if next.Kind == Deliver {
 			t.events = append(t.events, f.Text)
 			if w.chance(50, "delivered") {
-				m.Delivered()
+				m.MarkDelivered()
 			}
-			next = Action{Do: Wait}
+			next = Action{Kind: Wait}
 		}
 	}})
 	return next
@@ -178,7 +178,7 @@
 			}
 		}
 		refuse := func(code contract.Code) {
-			f := contract.Frame{Kind: contract.FrameRefused, Problem: contract.NewRetryLater(code, "", RetrySoon)}
+			f := contract.Frame{Kind: contract.FrameRefused, Problem: contract.NewRetryLater(code, "", RetryAfterShort)}
 			if claim.Verdict != 0 {
 				f.Record = &claim.Record
 				w.givenUp[claim.Record.Nonce] = true
@@ -196,8 +196,8 @@
 			refuse(contract.CodeOverloaded)
 			return
 		}
-		if q.Unrepeatable {
-			result := r.Claim(context.Background(), wish(q, t.key, a.Renounced), name, "1")
+		if q.AtMostOnce {
+			result := r.Claim(context.Background(), wish(q, t.key, a.AbandonedClaims), name, "1")
 			switch result.Verdict {
 			case attempt.Confirmed:
 				claim = result
@@ -232,7 +232,7 @@
 	all := events(q, w.newID("run"))
 	y(step{do: func() {
 		if refused = w.chance(10, "engine refuses"); !refused {
-			w.runs = append(w.runs, runLog{q.ID, t.key, q.Fingerprint, q.Attempt, all, w.clock})
+			w.runs = append(w.runs, runLog{q.ID, t.key, q.Fingerprint, q.AttemptNumber, all, w.clock})
 		}
 	}})
 	if refused {
@@ -250,7 +250,7 @@
 			return
 		}
 		last := i == uint64(len(all))-1
-		if last && q.Unrepeatable {
+		if last && q.AtMostOnce {
 			r.Complete(context.Background(), attempt.ID{Team: "t", Key: t.key}, claim, contract.StoredAnswer{Body: []byte(strings.Join(all, " "))}, 0)
 		}
 		send(contract.Frame{Kind: contract.FrameEvent, EventSeq: i, Text: all[i], Final: last})
--- a/contract/outcome/answer.go
+++ b/contract/outcome/answer.go
@@ -2,24 +2,24 @@
 
 import "github.com/skylarkpond/skylarkpond/contract"
 
-// Taken says what a frame is to the answer under way.
-type Taken uint8
+// FrameCheck says what a frame is to the answer under way.
+type FrameCheck uint8
 
 // What a frame can be.
 const (
-	// Next: it is the next part.
-	Next Taken = iota + 1
+	// InOrder: it is the next part.
+	InOrder FrameCheck = iota + 1
 	// Stray: it is another request's, or came before. It is dropped.
 	Stray
 	// Gap: something before it is missing, or the end came too early.
 	Gap
 )
 
-// Answer checks that the frames of a request are its own, in order, without gap, and whole at the end.
+// AnswerChecker checks that the frames of a request are its own, in order, without gap, and whole at the end.
 //
 // What goes wrong without it: frames of another request, or of an earlier dispatch of this one, arrive
 // late on a link and are handed on as this caller's answer; or a part is lost and the rest looks whole.
-type Answer struct {
+type AnswerChecker struct {
 	requestID string
 	plain     bool
 	// frame is the next frame number of the dispatch under way, event the next event of the answer.
@@ -30,20 +30,20 @@
 	bytes int64
 }
 
-// NewAnswer returns the check of one request's answer.
-func NewAnswer(requestID string, plain bool) *Answer {
-	return &Answer{requestID: requestID, plain: plain}
+// NewAnswerChecker returns the check of one request's answer.
+func NewAnswerChecker(requestID string, plain bool) *AnswerChecker {
+	return &AnswerChecker{requestID: requestID, plain: plain}
 }
 
 // Started says that a part of the answer was taken.
-func (a *Answer) Started() bool { return a.event > 0 || a.head }
+func (a *AnswerChecker) Started() bool { return a.event > 0 || a.head }
 
 // Complete says that a completion's final event was taken: nothing of the answer is missing, whatever
 // becomes of the dispatch.
-func (a *Answer) Complete() bool { return a.final }
+func (a *AnswerChecker) Complete() bool { return a.final }
 
-// NextDispatch begins the frames of another dispatch and returns the first event to ask for.
-func (a *Answer) NextDispatch(restart bool) uint64 {
+// BeginDispatch begins the frames of another dispatch and returns the first event to ask for.
+func (a *AnswerChecker) BeginDispatch(restart bool) uint64 {
 	a.frame = 0
 	if restart {
 		a.event = 0
@@ -54,8 +54,8 @@
 	return a.event
 }
 
-// Take checks one frame.
-func (a *Answer) Take(f contract.Frame) Taken {
+// Check checks one frame.
+func (a *AnswerChecker) Check(f contract.Frame) FrameCheck {
 	if f.RequestID != a.requestID || f.Seq < a.frame {
 		return Stray
 	}
@@ -81,10 +81,10 @@
 			return Gap
 		}
 	}
-	return Next
+	return InOrder
 }
 
-func (a *Answer) takeEvent(f contract.Frame) Taken {
+func (a *AnswerChecker) takeEvent(f contract.Frame) FrameCheck {
 	if a.plain || f.EventSeq > a.event || a.final {
 		return Gap
 	}
@@ -93,10 +93,10 @@
 	}
 	a.event++
 	a.final = f.Final
-	return Next
+	return InOrder
 }
 
-func (a *Answer) whole(f contract.Frame) bool {
+func (a *AnswerChecker) whole(f contract.Frame) bool {
 	if a.plain {
 		return a.head && a.bytes == f.AnswerBytes
 	}
--- a/contract/outcome/history_test.go
+++ b/contract/outcome/history_test.go
@@ -78,10 +78,10 @@
 	}
 	for i, t := range w.tellers {
 		q := t.request
-		if !q.Unrepeatable || t.outcome != contract.OutcomeNotRun && t.outcome != contract.OutcomeAnswered {
+		if !q.AtMostOnce || t.outcome != contract.OutcomeNotRun && t.outcome != contract.OutcomeAnswered {
 			continue
 		}
-		op := operation{key: t.key, request: q.Fingerprint, attempt: q.Attempt, told: t.outcome}
+		op := operation{key: t.key, request: q.Fingerprint, attempt: q.AttemptNumber, told: t.outcome}
 		history = append(history, porcupine.Operation{ClientId: len(w.runs) + i, Input: op, Call: 2 * t.called, Return: 2*t.returned + 1})
 	}
 	if !porcupine.CheckOperations(keyModel, history) {
@@ -92,7 +92,7 @@
 func (w *world) unrepeatable(requestID string) bool {
 	for _, t := range w.tellers {
 		if t.request.ID == requestID {
-			return t.request.Unrepeatable
+			return t.request.AtMostOnce
 		}
 	}
 	return false
--- a/contract/outcome/machine.go
+++ b/contract/outcome/machine.go
@@ -9,20 +9,20 @@
 
 // When a caller should come back: after a moment for what may soon be known, later for an outage.
 const (
-	RetrySoon   = time.Second
-	RetryOutage = 5 * time.Second
+	RetryAfterShort  = time.Second
+	RetryAfterOutage = 5 * time.Second
 )
 
 // Request is what the machine has to know of a request.
 type Request struct {
 	ID string
-	// Unrepeatable requests run at most once per key.
-	Unrepeatable bool
-	// KeyChosen says that the caller chose the key, so that another copy may exist.
-	KeyChosen bool
-	// Attempt is the caller's attempt number, from 1.
-	Attempt     int
-	Fingerprint string
+	// AtMostOnce requests run at most once per key.
+	AtMostOnce bool
+	// KeyFromCaller says that the caller chose the key, so that another copy may exist.
+	KeyFromCaller bool
+	// AttemptNumber is the caller's attempt number, from 1.
+	AttemptNumber int
+	Fingerprint   string
 	// Resumable says that the engines resume a completion at an offset.
 	Resumable bool
 	// Plain is set for a call of a plain service.
@@ -45,7 +45,7 @@
 type Machine struct {
 	request Request
 	phase   phase
-	answer  *Answer
+	answer  *AnswerChecker
 
 	// claimed and sent are of the dispatch under way.
 	claimed bool
@@ -68,45 +68,45 @@
 
 // New returns the machine of a request.
 func New(r Request) *Machine {
-	return &Machine{request: r, answer: NewAnswer(r.ID, r.Plain)}
+	return &Machine{request: r, answer: NewAnswerChecker(r.ID, r.Plain)}
 }
 
 // Start is called once, first. A key that the caller chose is looked up before anything is queued: a
 // repeated key is answered by one read, also while groups are overloaded or gone.
 func (m *Machine) Start() Action {
-	if m.request.Unrepeatable && m.request.KeyChosen {
+	if m.request.AtMostOnce && m.request.KeyFromCaller {
 		m.phase = lookingUp
-		return Action{Do: Find}
+		return Action{Kind: Find}
 	}
 	return m.dispatch(false)
 }
 
-// Delivered is called when the first byte of an answer was given to the caller.
-func (m *Machine) Delivered() { m.delivered = true }
+// MarkDelivered is called when the first byte of an answer was given to the caller.
+func (m *Machine) MarkDelivered() { m.delivered = true }
 
-// Frame takes the next frame of the dispatch under way.
-func (m *Machine) Frame(f contract.Frame) Action {
+// HandleFrame takes the next frame of the dispatch under way.
+func (m *Machine) HandleFrame(f contract.Frame) Action {
 	if m.phase != atHome {
-		return Action{Do: Wait}
+		return Action{Kind: Wait}
 	}
-	switch m.answer.Take(f) {
+	switch m.answer.Check(f) {
 	case Stray:
-		return Action{Do: Wait}
+		return Action{Kind: Wait}
 	case Gap:
 		return m.broken(problemGap())
 	}
 	switch f.Kind {
 	case contract.FrameQueued:
-		return Action{Do: Wait}
+		return Action{Kind: Wait}
 	case contract.FrameClaimed:
 		m.claimed = true
-		return Action{Do: Wait}
+		return Action{Kind: Wait}
 	case contract.FrameSent:
 		m.sent = true
-		return Action{Do: Wait}
+		return Action{Kind: Wait}
 	case contract.FrameHead, contract.FrameChunk, contract.FrameEvent:
 		m.sent = true
-		return Action{Do: Deliver}
+		return Action{Kind: Deliver}
 	case contract.FrameEnd:
 		return m.tell(Action{Outcome: contract.OutcomeAnswered})
 	case contract.FrameRefused:
@@ -120,11 +120,11 @@
 	return m.broken(problemGap())
 }
 
-// Lost says that the home of the dispatch under way can no longer be heard. notSent: it can't have
+// HandleHomeLost says that the home of the dispatch under way can no longer be heard. notSent: it can't have
 // taken the dispatch.
-func (m *Machine) Lost(notSent bool) Action {
+func (m *Machine) HandleHomeLost(notSent bool) Action {
 	if m.phase != atHome {
-		return Action{Do: Wait}
+		return Action{Kind: Wait}
 	}
 	if notSent {
 		m.problem = problemHomeLost()
@@ -133,10 +133,10 @@
 	return m.broken(problemHomeLost())
 }
 
-// NoDispatch says that the Dispatch asked for can't be made, and why.
-func (m *Machine) NoDispatch(p *contract.Problem) Action {
+// HandleNoDispatch says that the Dispatch asked for can't be made, and why.
+func (m *Machine) HandleNoDispatch(p *contract.Problem) Action {
 	if m.phase != atHome {
-		return Action{Do: Wait}
+		return Action{Kind: Wait}
 	}
 	m.noOther = true
 	if m.problem == nil {
@@ -145,46 +145,46 @@
 	return m.giveUp()
 }
 
-// Deadline says that the caller's time is over.
-func (m *Machine) Deadline() Action { return m.Abandon(problemDeadline()) }
+// HandleDeadline says that the caller's time is over.
+func (m *Machine) HandleDeadline() Action { return m.Abandon(problemDeadline()) }
 
 // Abandon leaves the dispatch under way and tries no other.
 func (m *Machine) Abandon(p *contract.Problem) Action {
 	if m.phase != atHome {
-		return Action{Do: Wait}
+		return Action{Kind: Wait}
 	}
 	m.leaveHome()
 	m.problem = p
 	return m.giveUp()
 }
 
-// Refuse gives the request up before its first dispatch.
-func (m *Machine) Refuse(p *contract.Problem) Action {
+// Reject gives the request up before its first dispatch.
+func (m *Machine) Reject(p *contract.Problem) Action {
 	m.noOther = true
 	m.problem = p
 	return m.giveUp()
 }
 
-// Sealed takes the result of a Seal.
-func (m *Machine) Sealed(r attempt.Result) Action {
+// HandleSeal takes the result of a Seal.
+func (m *Machine) HandleSeal(r attempt.Result) Action {
 	if m.phase != sealing {
-		return Action{Do: Wait}
+		return Action{Kind: Wait}
 	}
 	switch r.Verdict {
 	case attempt.Confirmed:
-		return m.notRun(m.problem, m.request.Attempt)
+		return m.notRun(m.problem, m.request.AttemptNumber)
 	case attempt.Found, attempt.KeyReused:
 		return m.standing(r)
 	}
 	return m.unknown(problemPlatform())
 }
 
-// Found takes the result of a Find.
-func (m *Machine) Found(r attempt.Result) Action {
+// HandleFind takes the result of a Find.
+func (m *Machine) HandleFind(r attempt.Result) Action {
 	stands := r.Verdict == attempt.Found || r.Verdict == attempt.KeyReused
 	switch m.phase {
 	case lookingUp:
-		lower := r.Record.State == contract.AttemptSealed && r.Record.Number < m.request.Attempt
+		lower := r.Record.State == contract.AttemptSealed && r.Record.Number < m.request.AttemptNumber
 		if !stands || r.Verdict == attempt.Found && lower {
 			return m.dispatch(false)
 		}
@@ -193,15 +193,15 @@
 			return m.unknown(m.whyUnknown())
 		}
 	default:
-		return Action{Do: Wait}
+		return Action{Kind: Wait}
 	}
 	return m.standing(r)
 }
 
-// Holder takes the answer to AskHolder.
-func (m *Machine) Holder(answer HolderAnswer) Action {
+// HandleHolderAnswer takes the answer to AskHolder.
+func (m *Machine) HandleHolderAnswer(answer HolderAnswer) Action {
 	if m.phase != asking {
-		return Action{Do: Wait}
+		return Action{Kind: Wait}
 	}
 	if answer == HolderWorking && !m.delivered {
 		return m.tell(Action{Outcome: contract.OutcomeInProgress, Problem: problemInProgress()})
@@ -213,7 +213,7 @@
 		// It may have ended between the look at the record and the question: then the answer is there now.
 		m.asked = true
 		m.phase = finding
-		return Action{Do: Find}
+		return Action{Kind: Find}
 	}
 	return m.unknown(m.whyUnknown())
 }
@@ -228,7 +228,7 @@
 // mayReplace says whether this request may go on in place of a claim that was given up: it is this request's own,
 // or that of another copy while nothing that this front sent may have run.
 func (m *Machine) mayReplace(claim contract.AttemptRecord) bool {
-	return claim.Number <= m.request.Attempt && !m.delivered && (!m.ran || claim.RequestID == m.request.ID)
+	return claim.Number <= m.request.AttemptNumber && !m.delivered && (!m.ran || claim.RequestID == m.request.ID)
 }
 
 // replaceClaim goes on after the holder of the claim that stands gave it up, as after a refusal.
@@ -252,8 +252,8 @@
 	m.phase = atHome
 	m.claimed = false
 	m.sent = false
-	action := Action{Do: Dispatch, Renounced: m.renounced, Restart: restart}
-	action.ResumeFrom = m.answer.NextDispatch(restart)
+	action := Action{Kind: Dispatch, AbandonedClaims: m.renounced, Restart: restart}
+	action.ResumeFrom = m.answer.BeginDispatch(restart)
 	return action
 }
 
@@ -299,7 +299,7 @@
 	}
 	m.leaveHome()
 	m.problem = p
-	if m.request.Unrepeatable {
+	if m.request.AtMostOnce {
 		if m.ran {
 			return m.giveUp()
 		}
--- a/contract/outcome/problem.go
+++ b/contract/outcome/problem.go
@@ -29,7 +29,7 @@
 }
 
 func nextUnknown(r Request) string {
-	if r.Unrepeatable {
+	if r.AtMostOnce {
 		return "ask again with the same Idempotency-Key and Skylarkpond-Attempt: it will not run twice"
 	}
 	return "the request may be repeated: send it again"
@@ -48,29 +48,29 @@
 }
 
 func problemHomeLost() *contract.Problem {
-	return contract.NewRetryLater(contract.CodeHomeLost, "the entry that handles the group can't be heard", RetrySoon)
+	return contract.NewRetryLater(contract.CodeHomeLost, "the entry that handles the group can't be heard", RetryAfterShort)
 }
 
-// TooLate is why there is no further try when the caller's time is over between two.
-func TooLate() *contract.Problem { return problemDeadline() }
+// DeadlineProblem is why there is no further try when the caller's time is over between two.
+func DeadlineProblem() *contract.Problem { return problemDeadline() }
 
 func problemDeadline() *contract.Problem {
 	return &contract.Problem{
 		Code: contract.CodeDeadline, Status: http.StatusGatewayTimeout, Message: "the request's time is over",
-		Hint: "send it again with a longer Request-Timeout", RetryAfter: RetrySoon,
+		Hint: "send it again with a longer Request-Timeout", RetryAfter: RetryAfterShort,
 	}
 }
 
 func problemPlatform() *contract.Problem {
 	return &contract.Problem{
-		Code: contract.CodePlatformUnavailable, Status: http.StatusServiceUnavailable, RetryAfter: RetryOutage,
+		Code: contract.CodePlatformUnavailable, Status: http.StatusServiceUnavailable, RetryAfter: RetryAfterOutage,
 		Message: "the platform could not confirm that the request can't run",
 	}
 }
 
 func problemInProgress() *contract.Problem {
 	return &contract.Problem{
-		Code: contract.CodeInProgress, Status: http.StatusConflict, Outcome: contract.OutcomeInProgress, RetryAfter: RetrySoon,
+		Code: contract.CodeInProgress, Status: http.StatusConflict, Outcome: contract.OutcomeInProgress, RetryAfter: RetryAfterShort,
 		Message: "an earlier copy with this key is still at work",
 		Hint:    "ask again with the same Idempotency-Key after Retry-After",
 	}
--- a/contract/outcome/property_test.go
+++ b/contract/outcome/property_test.go
@@ -36,11 +36,11 @@
 // arrive lets a caller send a request, or one of its keys again, through some front. A caller raises its
 // attempt number whenever it likes, and copies with lower numbers arrive late.
 func (w *world) arrive(highest map[string]int) {
-	r := Request{ID: w.newID("r"), Attempt: 1, Fingerprint: "f", Unrepeatable: w.pick(5, "kind") > 0}
+	r := Request{ID: w.newID("r"), AttemptNumber: 1, Fingerprint: "f", AtMostOnce: w.pick(5, "kind") > 0}
 	t := &teller{key: w.newID("made")}
-	r.Resumable = !r.Unrepeatable && w.pick(2, "resumable") == 0
-	if r.Unrepeatable && w.pick(4, "key") > 0 {
-		r.KeyChosen = true
+	r.Resumable = !r.AtMostOnce && w.pick(2, "resumable") == 0
+	if r.AtMostOnce && w.pick(4, "key") > 0 {
+		r.KeyFromCaller = true
 		t.key = fmt.Sprintf("key%d", w.pick(2, "key"))
 		if w.pick(8, "reuse") == 0 {
 			r.Fingerprint = "g"
@@ -48,7 +48,7 @@
 		if highest[t.key] == 0 || w.pick(3, "raise") == 0 {
 			highest[t.key]++
 		}
-		r.Attempt = 1 + w.pick(highest[t.key], "attempt")
+		r.AttemptNumber = 1 + w.pick(highest[t.key], "attempt")
 	}
 	t.request = r
 	w.front(t)
@@ -61,19 +61,19 @@
 	}
 	for _, t := range w.tellers {
 		q := t.request
-		if q.Unrepeatable && count[t.key] > 1 {
+		if q.AtMostOnce && count[t.key] > 1 {
 			w.t.Fatalf("key %s ran %d times: %v", t.key, count[t.key], w.runs)
 		}
 		ran := slices.ContainsFunc(w.runs, func(run runLog) bool {
-			if !q.Unrepeatable {
+			if !q.AtMostOnce {
 				return run.requestID == q.ID
 			}
-			return run.key == t.key && run.fingerprint == q.Fingerprint && run.attempt <= q.Attempt
+			return run.key == t.key && run.fingerprint == q.Fingerprint && run.attempt <= q.AttemptNumber
 		})
 		switch t.outcome {
 		case contract.OutcomeNotRun:
 			if ran {
-				w.t.Fatalf("request %s (key %s, attempt %d) was told not-run (%s) and ran: %v", q.ID, t.key, q.Attempt, t.code, w.runs)
+				w.t.Fatalf("request %s (key %s, attempt %d) was told not-run (%s) and ran: %v", q.ID, t.key, q.AttemptNumber, t.code, w.runs)
 			}
 		case contract.OutcomeAnswered:
 			whole := func(run runLog) bool { return run.key == t.key && slices.Equal(run.answer, t.events) }
--- a/contract/outcome/tell.go
+++ b/contract/outcome/tell.go
@@ -9,7 +9,7 @@
 
 // giveUp says the outcome, or finds out what may be said.
 func (m *Machine) giveUp() Action {
-	if !m.request.Unrepeatable {
+	if !m.request.AtMostOnce {
 		if m.ran || m.loose {
 			return m.unknown(m.problem)
 		}
@@ -17,11 +17,11 @@
 	}
 	if m.ran {
 		m.phase = finding
-		return Action{Do: Find}
+		return Action{Kind: Find}
 	}
-	if m.request.KeyChosen || m.loose {
+	if m.request.KeyFromCaller || m.loose {
 		m.phase = sealing
-		return Action{Do: Seal, Renounced: m.renounced}
+		return Action{Kind: Seal, AbandonedClaims: m.renounced}
 	}
 	return m.notRun(m.problem, 0)
 }
@@ -51,14 +51,14 @@
 		}
 		m.claim = r.Record
 		m.phase = asking
-		return Action{Do: AskHolder, Attempt: r.Record}
+		return Action{Kind: AskHolder, Claim: r.Record}
 	}
 	return m.unknown(problemClaimed())
 }
 
 // sealed: a seal stands, and nothing of this request ran.
 func (m *Machine) sealed(seal contract.AttemptRecord) Action {
-	if seal.Number >= m.request.Attempt {
+	if seal.Number >= m.request.AttemptNumber {
 		return m.notRun(m.sealedProblem(), seal.Number)
 	}
 	return m.goOn()
@@ -72,7 +72,7 @@
 	case answer == nil || answer.TooLarge:
 		return m.tell(Action{Outcome: contract.OutcomeAnswered, Problem: problemTooLarge()})
 	}
-	return m.tell(Action{Outcome: contract.OutcomeAnswered, Stored: answer})
+	return m.tell(Action{Outcome: contract.OutcomeAnswered, StoredAnswer: answer})
 }
 
 // sealedProblem keeps the own reason if there is one: the seal found may well be this front's own.
@@ -86,7 +86,7 @@
 func (m *Machine) notRun(p *contract.Problem, attempts int) Action {
 	told := *orInternal(p)
 	told.Outcome = contract.OutcomeNotRun
-	return m.tell(Action{Outcome: contract.OutcomeNotRun, Problem: &told, Attempts: attempts})
+	return m.tell(Action{Outcome: contract.OutcomeNotRun, Problem: &told, SealedThrough: attempts})
 }
 
 func (m *Machine) unknown(p *contract.Problem) Action {
@@ -95,8 +95,8 @@
 	if told.Status < http.StatusInternalServerError {
 		told.Status = http.StatusBadGateway
 	}
-	told.RetryAfter = max(told.RetryAfter, RetrySoon)
-	if m.request.Unrepeatable || told.Hint == "" {
+	told.RetryAfter = max(told.RetryAfter, RetryAfterShort)
+	if m.request.AtMostOnce || told.Hint == "" {
 		told.Hint = nextUnknown(m.request)
 	}
 	return m.tell(Action{Outcome: contract.OutcomeUnknown, Problem: &told})
@@ -104,6 +104,6 @@
 
 func (m *Machine) tell(a Action) Action {
 	m.phase = told
-	a.Do = Tell
+	a.Kind = Finish
 	return a
 }
--- a/entry/front/completion.go
+++ b/entry/front/completion.go
@@ -101,7 +101,7 @@
 func (s *streamWriter) restart() {}
 
 func (s *streamWriter) tell(a outcome.Action) {
-	if a.Stored != nil {
+	if a.StoredAnswer != nil {
 		s.stored(a)
 		return
 	}
@@ -121,7 +121,7 @@
 
 // stored gives an answer from the record as a stream of one event.
 func (s *streamWriter) stored(a outcome.Action) {
-	event, ok := storedEvent(a.Stored)
+	event, ok := storedEvent(a.StoredAnswer)
 	if !ok {
 		s.problem(unreadable())
 		return
@@ -187,8 +187,8 @@
 		s.problem(a)
 		return
 	}
-	if a.Stored != nil {
-		event, ok := storedEvent(a.Stored)
+	if a.StoredAnswer != nil {
+		event, ok := storedEvent(a.StoredAnswer)
 		if !ok {
 			s.problem(unreadable())
 			return
--- a/entry/front/drive.go
+++ b/entry/front/drive.go
@@ -53,7 +53,7 @@
 	d := &drive{
 		front: f, q: q, out: newWriter(q, w), began: now, until: now.Add(q.timeout),
 		machine: outcome.New(outcome.Request{
-			ID: q.id, Unrepeatable: q.unrepeatable, KeyChosen: q.chosen, Attempt: q.attempt,
+			ID: q.id, AtMostOnce: q.unrepeatable, KeyFromCaller: q.chosen, AttemptNumber: q.attempt,
 			Fingerprint: q.fingerprint, Resumable: q.service.CanResume, Plain: q.plain != nil,
 		}),
 	}
@@ -65,22 +65,22 @@
 func (d *drive) run(ctx context.Context, p *contract.Problem) {
 	action := outcome.Action{}
 	if p != nil {
-		action = d.machine.Refuse(p)
+		action = d.machine.Reject(p)
 	} else {
 		d.front.deps.Retries.First(d.q.service.Name)
 		action = d.machine.Start()
 	}
 	for {
-		switch action.Do {
+		switch action.Kind {
 		case outcome.Dispatch:
 			action = d.dispatch(ctx, action)
 		case outcome.Seal:
-			action = d.machine.Sealed(d.seal(ctx, action))
+			action = d.machine.HandleSeal(d.seal(ctx, action))
 		case outcome.Find:
-			action = d.machine.Found(d.find(ctx))
+			action = d.machine.HandleFind(d.find(ctx))
 		case outcome.AskHolder:
-			action = d.machine.Holder(d.askHolder(ctx, action.Attempt))
-		case outcome.Tell:
+			action = d.machine.HandleHolderAnswer(d.askHolder(ctx, action.Claim))
+		case outcome.Finish:
 			d.tell(action)
 			return
 		default:
@@ -100,11 +100,11 @@
 	case <-ctx.Done():
 		return action, true
 	case <-timer.C:
-		return d.machine.Deadline(), false
+		return d.machine.HandleDeadline(), false
 	case got := <-d.next:
 		if got.err != nil {
 			d.noteLost(got.err)
-			return d.machine.Lost(errors.Is(got.err, ErrNotSent)), false
+			return d.machine.HandleHomeLost(errors.Is(got.err, ErrNotSent)), false
 		}
 		return d.take(got.frame)
 	}
@@ -115,20 +115,20 @@
 	if f.CrashID != "" {
 		d.crash = f.CrashID
 	}
-	action = d.machine.Frame(f)
-	if action.Do != outcome.Deliver {
+	action = d.machine.HandleFrame(f)
+	if action.Kind != outcome.Deliver {
 		d.well = f.Kind == contract.FrameEnd || f.Kind == contract.FrameRefused || f.Kind == contract.FrameRecordExists
 		return action, false
 	}
 	began, err := d.out.deliver(f)
 	if began {
-		d.machine.Delivered()
+		d.machine.MarkDelivered()
 		d.front.counts.delivered(d)
 	}
 	if errors.Is(err, errAnswerTooLarge) {
 		return d.machine.Abandon(problemAnswerTooLarge()), false
 	}
-	return outcome.Action{Do: outcome.Wait}, err != nil
+	return outcome.Action{Kind: outcome.Wait}, err != nil
 }
 
 func (d *drive) dispatch(ctx context.Context, action outcome.Action) outcome.Action {
@@ -138,25 +138,25 @@
 	}
 	service := d.q.service
 	if !d.mayTry(ctx, time.Until(d.until)) {
-		return d.machine.NoDispatch(contract.NewRetryLater(contract.CodeOverloaded, "too many retries are under way", outcome.RetrySoon))
+		return d.machine.HandleNoDispatch(contract.NewRetryLater(contract.CodeOverloaded, "too many retries are under way", outcome.RetryAfterShort))
 	}
 	left := time.Until(d.until)
 	if left <= 0 {
-		return d.machine.NoDispatch(outcome.TooLate())
+		return d.machine.HandleNoDispatch(outcome.DeadlineProblem())
 	}
 	choice, p := d.front.deps.Chooser.Choose(Ask{Service: service, Prefix: d.q.prefix, Work: d.q.work, Tried: d.tried})
 	if p != nil {
-		return d.machine.NoDispatch(p)
+		return d.machine.HandleNoDispatch(p)
 	}
 	d.choice = choice
 	d.tried = append(d.tried, choice.Group)
 	order := d.q.dispatch(d.front, homeTimeout(left))
 	order.Group = choice.Group
 	order.ResumeFrom = action.ResumeFrom
-	order.AbandonedClaims = action.Renounced
+	order.AbandonedClaims = action.AbandonedClaims
 	order.CrashID = d.crash
 	d.open(ctx, order)
-	return outcome.Action{Do: outcome.Wait}
+	return outcome.Action{Kind: outcome.Wait}
 }
 
 // mayTry says whether another try may be made, after the pause that it has to keep. A first one always may.
@@ -238,7 +238,7 @@
 	defer cancel()
 	result := d.front.deps.Attempts.Seal(ctx, attempt.WriteRequest{
 		ID: d.id(), Number: d.q.attempt, Fingerprint: d.q.fingerprint, RequestID: d.q.id,
-		Retention: attempt.Retention(d.q.service), AbandonedClaims: action.Renounced,
+		Retention: attempt.Retention(d.q.service), AbandonedClaims: action.AbandonedClaims,
 	})
 	d.noteSeal(result)
 	return result
--- a/entry/front/plain.go
+++ b/entry/front/plain.go
@@ -88,10 +88,10 @@
 		s.problem(a)
 		return
 	}
-	if a.Stored != nil {
-		s.status = a.Stored.Status
-		s.header = a.Stored.Header
-		s.held = a.Stored.Body
+	if a.StoredAnswer != nil {
+		s.status = a.StoredAnswer.Status
+		s.header = a.StoredAnswer.Header
+		s.held = a.StoredAnswer.Body
 	}
 	s.answerHeaders()
 	s.outcomeHeaders(a)
--- a/entry/front/writer.go
+++ b/entry/front/writer.go
@@ -77,8 +77,8 @@
 	if c.q.unrepeatable && a.Outcome != contract.OutcomeNotRun {
 		header.Set(contract.HeaderIdempotencyKey, c.q.key)
 	}
-	if a.Attempts > 0 && c.q.chosen {
-		header.Set(contract.HeaderAttempt, strconv.Itoa(a.Attempts))
+	if a.SealedThrough > 0 && c.q.chosen {
+		header.Set(contract.HeaderAttempt, strconv.Itoa(a.SealedThrough))
 	}
 	if a.Problem != nil && a.Problem.RetryAfter > 0 {
 		seconds := math.Ceil(a.Problem.RetryAfter.Seconds())
