--- a/contract/route/route.go
+++ b/contract/route/route.go
@@ -33,15 +33,15 @@
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins and ends with a slash.
-	Prefix string
-	Kind   Kind
+	// PathPrefix begins and ends with a slash.
+	PathPrefix string
+	Kind       Kind
 	// Timeout is the longest time that a request may be kept waiting.
 	Timeout time.Duration
-	// FirstAnswer is the objective for the time to the answer, or to the first event of a stream.
-	FirstAnswer time.Duration
-	// MaxPause is the objective for the pause between two events of a stream.
-	MaxPause time.Duration
+	// LatencyTarget is the objective for the time to the answer, or to the first event of a stream.
+	LatencyTarget time.Duration
+	// EventGapTarget is the objective for the pause between two events of a stream.
+	EventGapTarget time.Duration
 	// Priority is 0 for the most urgent requests.
 	Priority int
 	// MaxAttempts is how many backend servers one request may be sent to.
@@ -111,7 +111,7 @@
 		if t.routes[host] == nil {
 			t.routes[host] = make(map[string]*Route)
 		}
-		t.routes[host][routes[i].Prefix] = &routes[i]
+		t.routes[host][routes[i].PathPrefix] = &routes[i]
 	}
 	for _, service := range services {
 		t.Services[service.Name] = service
@@ -141,11 +141,11 @@
 	return nil, false
 }
 
-// KeyNeeded says whether a request on the route needs a key.
-func (t *Table) KeyNeeded(route *Route) bool { return t.keyed && !route.Public }
+// RequiresKey says whether a request on the route needs a key.
+func (t *Table) RequiresKey(route *Route) bool { return t.keyed && !route.Public }
 
-// TeamOf returns the team that holds a key.
-func (t *Table) TeamOf(key string) (*Team, bool) {
+// TeamByKey returns the team that holds a key.
+func (t *Table) TeamByKey(key string) (*Team, bool) {
 	team, ok := t.teams[key]
 	return team, ok
 }
--- a/contract/route/route_test.go
+++ b/contract/route/route_test.go
@@ -16,9 +16,9 @@
 
 var _ = Describe("Table", func() {
 	table := route.NewTable(7, []route.Route{
-		{Name: "short", Host: "a.example", Prefix: "/x/", Public: true},
-		{Name: "long", Host: "a.example", Prefix: "/x/y/"},
-		{Name: "root", Host: "b.example", Prefix: "/"},
+		{Name: "short", Host: "a.example", PathPrefix: "/x/", Public: true},
+		{Name: "long", Host: "a.example", PathPrefix: "/x/y/"},
+		{Name: "root", Host: "b.example", PathPrefix: "/"},
 	}, nil, []route.Team{{Name: "one", Keys: []string{"k1", "k2"}}}, route.Limits{})
 
 	DescribeTable("finds the route of the host with the longest prefix",
@@ -43,12 +43,12 @@
 	It("knows which routes need a key, and whose key is whose", func() {
 		public, _ := table.Match("a.example", "/x/")
 		keyed, _ := table.Match("a.example", "/x/y/")
-		Expect(table.KeyNeeded(public)).To(BeFalse())
-		Expect(table.KeyNeeded(keyed)).To(BeTrue())
-		team, ok := table.TeamOf("k2")
+		Expect(table.RequiresKey(public)).To(BeFalse())
+		Expect(table.RequiresKey(keyed)).To(BeTrue())
+		team, ok := table.TeamByKey("k2")
 		Expect(ok).To(BeTrue())
 		Expect(team.Name).To(Equal("one"))
-		_, ok = table.TeamOf("k3")
+		_, ok = table.TeamByKey("k3")
 		Expect(ok).To(BeFalse())
 	})
 
--- a/entry/grouping/cell_test.go
+++ b/entry/grouping/cell_test.go
@@ -24,10 +24,10 @@
 
 // engine has models of three and two VMs, and times that are tenths of real ones.
 var engine = &route.Engine{
-	Slots: 4, LoadsPerSecond: 20, LoadsAtOnce: 6, OpenTime: 60 * time.Millisecond,
+	Slots: 4, LoadsPerSecond: 20, LoadsAtOnce: 6, GroupOpenTime: 60 * time.Millisecond,
 	Models: []route.Model{
-		{Name: "large", Size: 3, Share: 0.6, Load: time.Second, Warm: 100 * time.Millisecond},
-		{Name: "small", Size: 2, Share: 0.4, Load: time.Second, Warm: 100 * time.Millisecond},
+		{Name: "large", Size: 3, DemandShare: 0.6, LoadTime: time.Second, WarmLoadTime: 100 * time.Millisecond},
+		{Name: "small", Size: 2, DemandShare: 0.4, LoadTime: time.Second, WarmLoadTime: 100 * time.Millisecond},
 	},
 }
 
--- a/entry/grouping/dissolve.go
+++ b/entry/grouping/dissolve.go
@@ -168,13 +168,13 @@
 		return
 	}
 	early := c.deps.Early()
-	takes := model.Load
+	takes := model.LoadTime
 	if early {
 		takes /= earlySpeed
 	}
 	end := time.Now().Add(takes)
 	c.mu.Lock()
-	c.staging[server.ID] = staging{model: modelName, until: time.Now().Add(model.Load + stageMargin), born: server.Born}
+	c.staging[server.ID] = staging{model: modelName, until: time.Now().Add(model.LoadTime + stageMargin), born: server.Born}
 	c.loads.take(1, end, early)
 	c.mu.Unlock()
 	c.running.Go(func() {
@@ -195,7 +195,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if eris.Is(err, errRefused) {
-		c.staging[server.ID] = staging{model: unknownModel, until: time.Now().Add(model.Load), born: server.Born}
+		c.staging[server.ID] = staging{model: unknownModel, until: time.Now().Add(model.LoadTime), born: server.Born}
 		return
 	}
 	delete(c.staging, server.ID)
--- a/entry/grouping/form.go
+++ b/entry/grouping/form.go
@@ -54,12 +54,12 @@
 // loadTime is how long the members need for their weights. Loads are ten times as fast before callers come.
 func (f *formation) loadTime() time.Duration {
 	if f.loads == 0 {
-		return f.model.Warm
+		return f.model.WarmLoadTime
 	}
 	if f.controller.deps.Early() {
-		return f.model.Load / earlySpeed
+		return f.model.LoadTime / earlySpeed
 	}
-	return f.model.Load
+	return f.model.LoadTime
 }
 
 // earlySpeed is how many times faster loads are before callers come.
@@ -76,7 +76,7 @@
 func (f *formation) run(ctx context.Context) {
 	timeout := taskTimeout + f.loadTime()
 	if f.loads > 0 {
-		timeout += f.model.Load
+		timeout += f.model.LoadTime
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -305,7 +305,7 @@
 	if !f.controller.deps.Held() {
 		return errNotInCharge
 	}
-	order := backend.Order{Kind: backend.OrderOpen, Group: f.key, Expect: head.Orders, Takes: f.engine.OpenTime}
+	order := backend.Order{Kind: backend.OrderOpen, Group: f.key, Expect: head.Orders, Takes: f.engine.GroupOpenTime}
 	err := f.controller.engines.confirm(ctx, f.members[0], order, func(r backend.Report) bool {
 		return r.Group.GroupKey == f.key && r.Group.State == backend.GroupOpen
 	})
--- a/entry/grouping/view.go
+++ b/entry/grouping/view.go
@@ -279,7 +279,7 @@
 	sum := 0.0
 	for _, model := range service.Engine.Models {
 		wanted := c.deps.Demand(service.Name, model.Name)
-		models = append(models, policy.Model{Name: model.Name, Size: model.Size, Share: model.Share, LoadTime: model.Load, Wanted: wanted})
+		models = append(models, policy.Model{Name: model.Name, Size: model.Size, Share: model.DemandShare, LoadTime: model.LoadTime, Wanted: wanted})
 		vms := wanted * float64(model.Size)
 		demands = append(demands, vms)
 		sum += vms
--- a/entry/leader/demand.go
+++ b/entry/leader/demand.go
@@ -63,8 +63,8 @@
 // engineFor is what a group of a model takes for its work.
 func engineFor(engine *route.Engine, model route.Model) capacity.Engine {
 	return capacity.Engine{
-		Slots: engine.Slots, KVCacheTokens: engine.KVTokens, StepTime: engine.Step, StepTimePerSequence: engine.PerSequence, StepTimePerContext: engine.PerContext,
-		StepsPerPass: engine.Stride, PrefillTokensPerSecond: engine.ReadPerSecond, TimeFactor: model.Pace,
+		Slots: engine.Slots, KVCacheTokens: engine.KVCacheTokens, StepTime: engine.StepTime, StepTimePerSequence: engine.StepTimePerSequence, StepTimePerContext: engine.StepTimePerContext,
+		StepsPerPass: engine.StepsPerPass, PrefillTokensPerSecond: engine.PrefillTokensPerSecond, TimeFactor: model.TimeFactor,
 	}
 }
 
--- a/entry/leader/demand_test.go
+++ b/entry/leader/demand_test.go
@@ -19,9 +19,9 @@
 	// Both models are asked equally often, and no group of either stands. Reckoned by places, the one with long prompts would get as many groups as the
 	// other, and its callers would wait for their prompts to be read.
 	It("is reckoned by the work that its requests ask for, also while none of its groups stands", func() {
-		models := []route.Model{{Name: "long", Size: 4, Pace: 1}, {Name: "short", Size: 4, Pace: 1}}
+		models := []route.Model{{Name: "long", Size: 4, TimeFactor: 1}, {Name: "short", Size: 4, TimeFactor: 1}}
 		table := &route.Table{Version: 1, Services: map[string]route.Service{"chat": {Name: "chat", Engine: &route.Engine{
-			Slots: 8, Step: 6 * time.Millisecond, PerSequence: 100 * time.Microsecond, ReadPerSecond: 50_000, Models: models,
+			Slots: 8, StepTime: 6 * time.Millisecond, StepTimePerSequence: 100 * time.Microsecond, PrefillTokensPerSecond: 50_000, Models: models,
 		}}}}
 		l := leader.New(leader.Deps{
 			InOffice: func() bool { return true },
--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -95,7 +95,7 @@
 	}
 	e.route = found
 	e.priority = found.Priority
-	if e.table.KeyNeeded(found) && !e.identify() {
+	if e.table.RequiresKey(found) && !e.identify() {
 		return e.refuse(NoKey, http.StatusUnauthorized, 0, "no team holds this key")
 	}
 	e.deadline = e.arrived.Add(found.Timeout)
@@ -114,7 +114,7 @@
 }
 
 func (e *exchange) identify() bool {
-	team, ok := e.table.TeamOf(e.call.Key)
+	team, ok := e.table.TeamByKey(e.call.Key)
 	if !ok {
 		return false
 	}
@@ -196,7 +196,7 @@
 
 func (e *exchange) ask() turn.Ask {
 	returning := e.attempts > 0
-	due, patience := turns.WaitBounds(e.route.FirstAnswer, time.Since(e.arrived), returning)
+	due, patience := turns.WaitBounds(e.route.LatencyTarget, time.Since(e.arrived), returning)
 	ask := turn.Ask{
 		Service: e.service, Model: e.call.Model, Priority: e.priority, Returning: returning, Tried: e.tried,
 		Prompt: e.call.PromptTokens, Answer: e.call.ExpectedAnswer(),
--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -123,11 +123,11 @@
 	}
 	targets := []route.Target{{Service: "s", Weight: 1}}
 	r.table = route.NewTable(3, []route.Route{
-		{Name: "free", Host: "h.example", Prefix: "/free/", Kind: route.Idempotent, Timeout: 2 * time.Second, MaxAttempts: 2, Public: true, Targets: targets},
-		{Name: "look", Host: "h.example", Prefix: "/look/", Kind: route.Idempotent, Timeout: 2 * time.Second, MaxAttempts: 2, Targets: targets},
-		{Name: "book", Host: "h.example", Prefix: "/book/", Kind: route.NonIdempotent, Timeout: 2 * time.Second, MaxAttempts: 2, Targets: targets},
-		{Name: "chat", Host: "h.example", Prefix: "/chat/", Kind: route.Streaming, Timeout: 8 * time.Second, MaxAttempts: 2, Resumable: true, Targets: targets},
-		{Name: "once", Host: "h.example", Prefix: "/once/", Kind: route.Streaming, Timeout: 2 * time.Second, MaxAttempts: 2, Targets: targets},
+		{Name: "free", Host: "h.example", PathPrefix: "/free/", Kind: route.Idempotent, Timeout: 2 * time.Second, MaxAttempts: 2, Public: true, Targets: targets},
+		{Name: "look", Host: "h.example", PathPrefix: "/look/", Kind: route.Idempotent, Timeout: 2 * time.Second, MaxAttempts: 2, Targets: targets},
+		{Name: "book", Host: "h.example", PathPrefix: "/book/", Kind: route.NonIdempotent, Timeout: 2 * time.Second, MaxAttempts: 2, Targets: targets},
+		{Name: "chat", Host: "h.example", PathPrefix: "/chat/", Kind: route.Streaming, Timeout: 8 * time.Second, MaxAttempts: 2, Resumable: true, Targets: targets},
+		{Name: "once", Host: "h.example", PathPrefix: "/once/", Kind: route.Streaming, Timeout: 2 * time.Second, MaxAttempts: 2, Targets: targets},
 	}, nil, []route.Team{{Name: "one", Keys: []string{"key"}}}, route.Limits{BodyBytes: 1 << 20})
 	r.retries = relay.NewRetries(relay.Allowed{Ratio: 1, Extra: 20}, 1)
 	handler := relay.New(relay.Deps{
