--- a/contract/admin/admin.go
+++ b/contract/admin/admin.go
@@ -28,8 +28,8 @@
 	// Version is the platform version of the tree; 0: there is none yet.
 	Version uint64         `json:"version"`
 	Tree    *settings.Tree `json:"tree"`
-	// Copy says that the platform could not be asked and this is the entry's own copy, which may be old.
-	Copy bool `json:"copy,omitempty"`
+	// FromLocalCopy says that the platform could not be asked and this is the entry's own copy, which may be old.
+	FromLocalCopy bool `json:"copy,omitempty"`
 }
 
 // Applied answers an apply: 200 if the settings have the change, 409 for a conflict, 422 for faults.
@@ -58,17 +58,17 @@
 // Status answers GET StatusPath: what one entry knows of all.
 type Status struct {
 	// Reporter is the entry that was asked, At its clock in Unix milliseconds.
-	Reporter string          `json:"reporter"`
-	At       int64           `json:"at_ms"`
-	Entries  []EntryStatus   `json:"entries"`
-	Groups   []GroupStatus   `json:"groups"`
-	Services []ServiceStatus `json:"services"`
-	// Held is what controllers want and can't do now, as they say themselves.
-	Held []Held `json:"held,omitempty"`
+	Reporter   string          `json:"reporter"`
+	ReportedAt int64           `json:"at_ms"`
+	Entries    []EntryStatus   `json:"entries"`
+	Groups     []GroupStatus   `json:"groups"`
+	Services   []ServiceStatus `json:"services"`
+	// BlockedActions is what controllers want and can't do now, as they say themselves.
+	BlockedActions []BlockedAction `json:"held,omitempty"`
 }
 
-// Held is something that the controller of a fabric domain wants and can't do.
-type Held struct {
+// BlockedAction is something that the controller of a fabric domain wants and can't do.
+type BlockedAction struct {
 	FabricDomain string `json:"fabric_domain"`
 	// Service is empty where the controller's work as a whole is held up.
 	Service string `json:"service,omitempty"`
@@ -109,8 +109,8 @@
 	Wanted int    `json:"wanted"`
 	// Serving counts whole groups in state serving; Current those among them that have the size and
 	// model version wanted.
-	Serving int `json:"serving"`
-	Current int `json:"current"`
+	Serving  int `json:"serving"`
+	UpToDate int `json:"current"`
 	// Changing counts groups that form, load or drain.
 	Changing int `json:"changing"`
 	// Note says why more is not done now, and in which fabric domains.
@@ -137,8 +137,8 @@
 	Missing []string `json:"missing,omitempty"`
 }
 
-// Quarantined is one fingerprint that no backend server is given any more.
-type Quarantined struct {
+// QuarantinedRequest is one fingerprint that no backend server is given any more.
+type QuarantinedRequest struct {
 	Service     string `json:"service"`
 	Fingerprint string `json:"fingerprint"`
 	// Since is in Unix milliseconds, by the clock of the entry that saw the crash.
@@ -149,5 +149,5 @@
 
 // Quarantine answers GET QuarantinePath.
 type Quarantine struct {
-	Requests []Quarantined `json:"requests"`
+	Requests []QuarantinedRequest `json:"requests"`
 }
--- a/entry/operator/deps.go
+++ b/entry/operator/deps.go
@@ -52,7 +52,7 @@
 // QuarantineSource lists and lifts quarantined requests. Lift returns ErrNotQuarantined, or an error of the
 // platform.
 type QuarantineSource interface {
-	Quarantined(ctx context.Context) ([]admin.Quarantined, error)
+	Quarantined(ctx context.Context) ([]admin.QuarantinedRequest, error)
 	Lift(ctx context.Context, service, fingerprint string) error
 }
 
--- a/entry/operator/fakes_test.go
+++ b/entry/operator/fakes_test.go
@@ -145,8 +145,8 @@
 
 func (f *fakeEntry) VMLists(context.Context) ([]vm.List, error) { return f.lists, f.listsErr }
 
-func (f *fakeEntry) Quarantined(context.Context) ([]admin.Quarantined, error) {
-	return []admin.Quarantined{{Service: "desk", Fingerprint: "f1"}}, nil
+func (f *fakeEntry) Quarantined(context.Context) ([]admin.QuarantinedRequest, error) {
+	return []admin.QuarantinedRequest{{Service: "desk", Fingerprint: "f1"}}, nil
 }
 
 func (f *fakeEntry) Lift(_ context.Context, service, fingerprint string) error {
--- a/entry/operator/operator_test.go
+++ b/entry/operator/operator_test.go
@@ -337,7 +337,7 @@
 		r.store.getErr = platform.ErrUnavailable
 		var current admin.Settings
 		Expect(r.call(http.MethodGet, admin.SettingsPath, nil, &current)).To(Equal(http.StatusOK))
-		Expect(current.Copy).To(BeTrue())
+		Expect(current.FromLocalCopy).To(BeTrue())
 		Expect(current.Version).To(Equal(uint64(10)))
 	})
 
@@ -353,14 +353,14 @@
 			group("chat", vm.Serving, false, 4, "v1"), group("chat", vm.Loading, false, 4, "v1"),
 			group("gone", vm.Draining, true, 1, ""),
 		}}
-		r.entry.status.Held = []admin.Held{{FabricDomain: "f9", Reason: "the platform is out"}, {FabricDomain: "f2", Service: "desk", Reason: "no room"}}
+		r.entry.status.BlockedActions = []admin.BlockedAction{{FabricDomain: "f9", Reason: "the platform is out"}, {FabricDomain: "f2", Service: "desk", Reason: "no room"}}
 		for _, domain := range []string{"f5", "f1", "f4", "f1", "f3", "f2"} {
-			r.entry.status.Held = append(r.entry.status.Held, admin.Held{FabricDomain: domain, Service: "chat", Reason: "loads are paced"})
+			r.entry.status.BlockedActions = append(r.entry.status.BlockedActions, admin.BlockedAction{FabricDomain: domain, Service: "chat", Reason: "loads are paced"})
 		}
 		var status admin.Status
 		Expect(r.call(http.MethodGet, admin.StatusPath, nil, &status)).To(Equal(http.StatusOK))
 		Expect(status.Services).To(Equal([]admin.ServiceStatus{
-			{Name: "chat", Wanted: 2, Serving: 2, Current: 1, Changing: 1, Note: "loads are paced (f1, f2, f3 and 2 more)"},
+			{Name: "chat", Wanted: 2, Serving: 2, UpToDate: 1, Changing: 1, Note: "loads are paced (f1, f2, f3 and 2 more)"},
 			{Name: "desk", Wanted: 2, Note: "no room (f2)"},
 			{Name: "gone", Changing: 1},
 		}))
--- a/entry/operator/progress.go
+++ b/entry/operator/progress.go
@@ -13,7 +13,7 @@
 
 // progress compares the groups that exist with those that the settings want, service by service, sorted
 // by name. Services that are no longer declared are listed while groups of theirs remain.
-func progress(snapshot *settings.Snapshot, groups []admin.GroupStatus, held []admin.Held) []admin.ServiceStatus {
+func progress(snapshot *settings.Snapshot, groups []admin.GroupStatus, held []admin.BlockedAction) []admin.ServiceStatus {
 	rows := make(map[string]*admin.ServiceStatus)
 	if snapshot != nil {
 		for name, service := range snapshot.Services {
@@ -50,7 +50,7 @@
 	}
 	service, ok := snapshot.Services[group.Service]
 	if ok && len(group.Members) == service.GroupSize && group.ModelVersion == service.ModelVersion {
-		row.Current++
+		row.UpToDate++
 	}
 }
 
@@ -58,7 +58,7 @@
 const namedDomains = 3
 
 // noteOf says why more is not done for a service: each reason once, with the fabric domains it holds in.
-func noteOf(service string, held []admin.Held) string {
+func noteOf(service string, held []admin.BlockedAction) string {
 	domains := make(map[string][]string)
 	for _, h := range held {
 		if h.Service == service && !slices.Contains(domains[h.Reason], h.FabricDomain) {
--- a/entry/operator/server.go
+++ b/entry/operator/server.go
@@ -114,7 +114,7 @@
 	if parseErr != nil {
 		return admin.Settings{}, err
 	}
-	return admin.Settings{Version: uint64(object.Version), Tree: tree, Copy: true}, nil
+	return admin.Settings{Version: uint64(object.Version), Tree: tree, FromLocalCopy: true}, nil
 }
 
 func (s *Server) getSettings(req *restful.Request, resp *restful.Response) {
@@ -154,7 +154,7 @@
 func (s *Server) getStatus(req *restful.Request, resp *restful.Response) {
 	status, err := s.deps.Status.Status(req.Request.Context())
 	if err == nil {
-		status.Services = progress(s.deps.Snapshots.Snapshot(), status.Groups, status.Held)
+		status.Services = progress(s.deps.Snapshots.Snapshot(), status.Groups, status.BlockedActions)
 	}
 	answer(resp, status, err)
 }
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -15,17 +15,17 @@
 type heldRequests struct{ guard *guard.Guard }
 
 // Quarantined implements operator.QuarantineSource. Suspects are listed too, as such.
-func (h heldRequests) Quarantined(context.Context) ([]admin.Quarantined, error) {
-	var all []admin.Quarantined
+func (h heldRequests) Quarantined(context.Context) ([]admin.QuarantinedRequest, error) {
+	var all []admin.QuarantinedRequest
 	for service, held := range h.guard.Held() {
 		for _, request := range held {
-			all = append(all, admin.Quarantined{
+			all = append(all, admin.QuarantinedRequest{
 				Service: service, Fingerprint: request.Fingerprint, Since: request.Latest.UnixMilli(),
 				Crashes: request.Crashes, Reason: reasonOf(request.Verdict),
 			})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b admin.Quarantined) int { return strings.Compare(a.Service, b.Service) })
+	slices.SortStableFunc(all, func(a, b admin.QuarantinedRequest) int { return strings.Compare(a.Service, b.Service) })
 	return all, nil
 }
 
--- a/entry/status.go
+++ b/entry/status.go
@@ -36,7 +36,7 @@
 	// Since is in Unix milliseconds, by the answering entry's clock.
 	Since int64 `cbor:"2,keyasint"`
 	// Held is what the entry can't do as a controller.
-	Held []admin.Held `cbor:"3,keyasint,omitempty"`
+	Held []admin.BlockedAction `cbor:"3,keyasint,omitempty"`
 }
 
 // overview gathers status and time lines over all entries, when an operator asks. Between questions it
@@ -65,15 +65,15 @@
 	return selfStatus{Version: o.inForce.Snapshot().Version, Since: o.inForce.Since().UnixMilli(), Held: o.ownHeld()}
 }
 
-func (o *overview) ownHeld() []admin.Held {
-	var held []admin.Held
+func (o *overview) ownHeld() []admin.BlockedAction {
+	var held []admin.BlockedAction
 	for _, status := range o.controller.Status() {
 		domain := string(status.Domain)
 		for service, reason := range status.Held {
-			held = append(held, admin.Held{FabricDomain: domain, Service: service, Reason: reason})
+			held = append(held, admin.BlockedAction{FabricDomain: domain, Service: service, Reason: reason})
 		}
 		if status.Problem != "" {
-			held = append(held, admin.Held{FabricDomain: domain, Reason: status.Problem})
+			held = append(held, admin.BlockedAction{FabricDomain: domain, Reason: status.Problem})
 		}
 	}
 	return held
@@ -81,16 +81,16 @@
 
 // Status implements operator.StatusSource.
 func (o *overview) Status(ctx context.Context) (admin.Status, error) {
-	status := admin.Status{Reporter: o.self, At: time.Now().UnixMilli(), Groups: o.groups()}
+	status := admin.Status{Reporter: o.self, ReportedAt: time.Now().UnixMilli(), Groups: o.groups()}
 	peers := append(o.members.Peers(), o.members.Self())
 	status.Entries = make([]admin.EntryStatus, len(peers))
-	held := make([][]admin.Held, len(peers))
+	held := make([][]admin.BlockedAction, len(peers))
 	live := o.liveNames()
 	o.gather(len(peers), func(i int) {
 		status.Entries[i], held[i] = o.entryStatus(ctx, peers[i], live[peers[i].Name])
 	})
-	status.Held = slices.Concat(held...)
-	slices.SortFunc(status.Held, compareHeld)
+	status.BlockedActions = slices.Concat(held...)
+	slices.SortFunc(status.BlockedActions, compareHeld)
 	slices.SortFunc(status.Entries, func(a, b admin.EntryStatus) int { return strings.Compare(a.Name, b.Name) })
 	return status, nil
 }
@@ -121,12 +121,12 @@
 	pool.Wait()
 }
 
-func compareHeld(a, b admin.Held) int {
+func compareHeld(a, b admin.BlockedAction) int {
 	return cmp.Or(
 		strings.Compare(a.FabricDomain, b.FabricDomain), strings.Compare(a.Service, b.Service), strings.Compare(a.Reason, b.Reason))
 }
 
-func (o *overview) entryStatus(ctx context.Context, p member.Peer, live bool) (admin.EntryStatus, []admin.Held) {
+func (o *overview) entryStatus(ctx context.Context, p member.Peer, live bool) (admin.EntryStatus, []admin.BlockedAction) {
 	status := admin.EntryStatus{
 		Name: p.Name, Place: p.Place, FailureDomain: p.FailureDomain, AdminAddress: p.AdminAddress,
 		Incarnation: p.Incarnation, Live: live, Leaving: p.Leaving,
--- a/pondctl/diff.go
+++ b/pondctl/diff.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	if current.Copy {
+	if current.FromLocalCopy {
 		c.progress("warning: the platform can't be asked; this is compared with the entry's own copy, which may be old")
 	}
 	difference := compare(locked, change, current)
--- a/pondctl/pull.go
+++ b/pondctl/pull.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	if current.Copy {
+	if current.FromLocalCopy {
 		return eris.New("the platform can't be asked, and the entry's own copy may be old: nothing was written; try again later")
 	}
 	plan := planPull(declared, locked, current, args.Take)
--- a/pondctl/rig_test.go
+++ b/pondctl/rig_test.go
@@ -125,8 +125,8 @@
 			{Name: "e2", Live: true, SettingsVersion: slow, SettingsSince: 500},
 			{Name: "e3", SettingsVersion: 1},
 		},
-		Groups: []admin.GroupStatus{{Group: vm.Group{ID: "g1", Service: "desk", State: vm.Serving}, Whole: true}},
-		Held:   []admin.Held{{FabricDomain: "f1", Service: "desk", Reason: "loads are paced"}, {FabricDomain: "f2", Reason: "the platform is out"}},
+		Groups:         []admin.GroupStatus{{Group: vm.Group{ID: "g1", Service: "desk", State: vm.Serving}, Whole: true}},
+		BlockedActions: []admin.BlockedAction{{FabricDomain: "f1", Service: "desk", Reason: "loads are paced"}, {FabricDomain: "f2", Reason: "the platform is out"}},
 	}, nil
 }
 
@@ -137,8 +137,8 @@
 	}, nil
 }
 
-func (f *fakeSide) Quarantined(context.Context) ([]admin.Quarantined, error) {
-	return []admin.Quarantined{{Service: "desk", Fingerprint: "f1", Crashes: 2}}, nil
+func (f *fakeSide) Quarantined(context.Context) ([]admin.QuarantinedRequest, error) {
+	return []admin.QuarantinedRequest{{Service: "desk", Fingerprint: "f1", Crashes: 2}}, nil
 }
 
 func (f *fakeSide) Lift(_ context.Context, _, fingerprint string) error {
--- a/pondctl/show.go
+++ b/pondctl/show.go
@@ -93,7 +93,7 @@
 		writeEntries(w, answer.Entries)
 		fmt.Fprintln(w)
 		writeServices(w, answer.Services)
-		writeHeldDomains(w, answer.Held)
+		writeHeldDomains(w, answer.BlockedActions)
 		if groups {
 			fmt.Fprintln(w)
 			writeGroups(w, answer.Groups)
@@ -135,14 +135,14 @@
 	rows := [][]string{{"SERVICE", "WANTED", "SERVING", "UP TO DATE", "CHANGING", "NOTE"}}
 	for _, s := range services {
 		rows = append(rows, []string{
-			s.Name, strconv.Itoa(s.Wanted), strconv.Itoa(s.Serving), strconv.Itoa(s.Current), strconv.Itoa(s.Changing), s.Note,
+			s.Name, strconv.Itoa(s.Wanted), strconv.Itoa(s.Serving), strconv.Itoa(s.UpToDate), strconv.Itoa(s.Changing), s.Note,
 		})
 	}
 	table(w, rows)
 }
 
 // writeHeldDomains names the fabric domains whose controller can't work; what holds up a service is noted there.
-func writeHeldDomains(w io.Writer, held []admin.Held) {
+func writeHeldDomains(w io.Writer, held []admin.BlockedAction) {
 	for _, h := range held {
 		if h.Service == "" {
 			fmt.Fprintf(w, "fabric domain %s is held up: %s\n", h.FabricDomain, h.Reason)
--- a/test/quarantine_test.go
+++ b/test/quarantine_test.go
@@ -70,14 +70,14 @@
 	return count
 }
 
-func (e *entryProcess) quarantined() []admin.Quarantined {
+func (e *entryProcess) quarantined() []admin.QuarantinedRequest {
 	GinkgoHelper()
 	var list admin.Quarantine
 	e.operate(http.MethodGet, admin.QuarantinePath, &list)
 	return list.Requests
 }
 
-func (e *entryProcess) lift(q admin.Quarantined) {
+func (e *entryProcess) lift(q admin.QuarantinedRequest) {
 	GinkgoHelper()
 	e.operate(http.MethodDelete, admin.QuarantinePath+"/"+q.Service+"/"+q.Fingerprint, nil)
 }
--- a/test/rollout_test.go
+++ b/test/rollout_test.go
@@ -40,7 +40,7 @@
 		}
 		wanted := func(replicas int) func(admin.ServiceStatus) bool {
 			return func(s admin.ServiceStatus) bool {
-				return s.Wanted == replicas && s.Serving == replicas && s.Current == replicas && s.Changing == 0
+				return s.Wanted == replicas && s.Serving == replicas && s.UpToDate == replicas && s.Changing == 0
 			}
 		}
 		roll(wanted(2), map[string]string{"model_version": "v2", "group_size": "2", "spares": "4"})
@@ -71,7 +71,7 @@
 		i := slices.IndexFunc(status.Services, func(s admin.ServiceStatus) bool { return s.Name == service })
 		g.Expect(i).To(BeNumerically(">=", 0))
 		s := status.Services[i]
-		text := fmt.Sprintf("%d serving, %d up to date, %d changing %s", s.Serving, s.Current, s.Changing, s.Note)
+		text := fmt.Sprintf("%d serving, %d up to date, %d changing %s", s.Serving, s.UpToDate, s.Changing, s.Note)
 		if len(seen) == 0 || seen[len(seen)-1] != text {
 			seen = append(seen, text)
 		}
