--- a/contract/dispatch_test.go
+++ b/contract/dispatch_test.go
@@ -7,9 +7,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Two fields of a message are given the same number. Neither then reaches the other process, and nothing
-// says so: a suspect would run as if it were none, or a renounced claim would block its key.
-func TestNoFieldIsLostOnTheWay(t *testing.T) {
+// Guards against giving two fields of a message the same CBOR key. Such fields are dropped without an error, so that
+// a suspected request would run as an ordinary one, or an abandoned claim would block its key.
+func TestMessagesSurviveEncoding(t *testing.T) {
 	for _, message := range []any{&Dispatch{}, &Frame{}, &AttemptRecord{}, &Problem{}, &GroupLoad{}, &StoredAnswer{}} {
 		fill(reflect.ValueOf(message).Elem())
 		encoded, err := cbor.Marshal(message)
@@ -26,7 +26,7 @@
 	}
 }
 
-// fill sets every field to something.
+// fill sets every field to a non-zero value.
 func fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
--- a/contract/fingerprint.go
+++ b/contract/fingerprint.go
@@ -6,7 +6,8 @@
 	"strconv"
 )
 
-// Fingerprint identifies what is asked for: the same parts in the same order give the same one, in every process.
+// Fingerprint returns the hexadecimal SHA-256 hash of parts. Each part is hashed with its length in front, so the
+// result depends on the parts and on their order, and is the same in every process.
 func Fingerprint(parts ...string) string {
 	hash := sha256.New()
 	for _, part := range parts {
@@ -17,11 +18,12 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// ShortFingerprint is the first 8 bytes of a fingerprint. Two requests of some seconds have the same one by chance less than once in a billion.
+// ShortFingerprint returns the first 8 bytes of a fingerprint. Among the requests of a few seconds the probability
+// that two of them share a short fingerprint by chance is less than one in a billion.
 func ShortFingerprint(fingerprint string) uint64 {
 	short, err := strconv.ParseUint(fingerprint[:min(16, len(fingerprint))], 16, 64)
 	if err != nil {
-		return 0 // it was not made by Fingerprint; 0 stands for none
+		return 0 // not made by Fingerprint; 0 means no fingerprint
 	}
 	return short
 }
--- a/contract/outcome.go
+++ b/contract/outcome.go
@@ -1,5 +1,9 @@
-// Package contract holds what the parts promise each other and the caller: outcomes, problems, the
-// messages between front and home, and the record of a request that may not be repeated.
+// Package contract holds the types shared by Skylarkpond's parts and by its callers: outcomes, problems, the messages
+// between front and home, and the record of a request that must run at most once.
+//
+// An entry is one instance of Skylarkpond's proxy. For a given request it can act as the front, which holds the
+// caller's connection and decides what the caller is told, or as the home of a group, which alone sends requests to the
+// backend servers of a group. A group is a set of VMs that together run one replica of a service.
 package contract
 
 import (
@@ -8,18 +12,20 @@
 	"time"
 )
 
-// Outcome is what the caller is told of its request, in the header HeaderOutcome.
+// Outcome tells the caller what became of its request. It is sent in the header HeaderOutcome.
 type Outcome string
 
 // The outcomes.
 const (
-	// OutcomeAnswered: the request ran, and this is its whole answer (or the stored fact of it).
+	// OutcomeAnswered means that the request ran and that this is its complete answer, or the stored fact that it
+	// ran.
 	OutcomeAnswered Outcome = "answered"
-	// OutcomeNotRun is a promise: the request did not run and can no longer run.
+	// OutcomeNotRun guarantees that the request did not run and can no longer run.
 	OutcomeNotRun Outcome = "not-run"
-	// OutcomeInProgress: an earlier copy with the same key is still at work.
+	// OutcomeInProgress means that an earlier copy with the same key is still running.
 	OutcomeInProgress Outcome = "in-progress"
-	// OutcomeUnknown: it may have run, or may yet run. It will not be run a second time under this key.
+	// OutcomeUnknown means that the request may have run or may still run. A request under an idempotency key will
+	// not run a second time under that key.
 	OutcomeUnknown Outcome = "unknown"
 )
 
@@ -33,7 +39,7 @@
 	HeaderRetryAfter     = "Retry-After"
 )
 
-// Code is a stable name for a reason; callers may branch on it.
+// Code is a stable identifier of the reason for a problem. Callers may branch on it.
 type Code string
 
 // The codes.
@@ -68,31 +74,31 @@
 	CodeInternal            Code = "internal"
 )
 
-// Problem is the JSON body of every answer that is not the backend server's own. It is also the error
-// type of the request path.
+// Problem is the JSON body of every answer that is not the backend server's own. It is also the error type of the
+// request path.
 type Problem struct {
 	Code    Code    `json:"code" cbor:"1,keyasint"`
 	Status  int     `json:"status" cbor:"2,keyasint"`
 	Outcome Outcome `json:"outcome" cbor:"3,keyasint"`
 	Message string  `json:"message" cbor:"4,keyasint"`
-	// Hint says what the caller can do.
+	// Hint tells the caller what it can do.
 	Hint string `json:"next,omitempty" cbor:"5,keyasint,omitempty"`
-	// RetryAfter is when to come back; 0: not by itself.
+	// RetryAfter is how long the caller should wait before it retries; 0 if waiting alone does not help.
 	RetryAfter time.Duration `json:"-" cbor:"6,keyasint,omitempty"`
 	RequestID  string        `json:"request_id,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
-// Error makes a Problem an error.
+// Error implements error.
 func (p *Problem) Error() string {
 	return fmt.Sprintf("%s (%s, %d): %s", p.Code, p.Outcome, p.Status, p.Message)
 }
 
-// NewRejection returns a problem of a request that did not run and that the caller should mend first.
+// NewRejection returns a problem for a request that did not run and that the caller has to correct before it retries.
 func NewRejection(status int, code Code, message, next string) *Problem {
 	return &Problem{Code: code, Status: status, Outcome: OutcomeNotRun, Message: message, Hint: next}
 }
 
-// NewRetryLater returns a problem of a request that did not run and may be sent again after wait.
+// NewRetryLater returns a problem for a request that did not run and may be sent again after wait.
 func NewRetryLater(code Code, message string, wait time.Duration) *Problem {
 	return &Problem{
 		Code: code, Status: http.StatusServiceUnavailable, Outcome: OutcomeNotRun, Message: message,
