--- a/contract/attempt/fake_test.go
+++ b/contract/attempt/fake_test.go
@@ -16,19 +16,19 @@
 	RunSpecs(t, "attempt")
 }
 
-// fault is what becomes of one call.
+// fault is the effect of the simulated platform on one call.
 type fault uint8
 
 const (
-	fine  fault = iota
-	lost        // a write takes effect, its answer is lost; a read is not answered
-	void        // a write is lost, and so is its answer
-	late        // a write's answer is lost, and it takes effect behind the next read
-	out         // the platform does not take the call
-	limit       // the rate limit refuses the call
+	noFault      fault = iota
+	answerLost         // a write takes effect but its response is lost; a read gets no response
+	writeLost          // a write is lost and gets no response
+	writeDelayed       // a write gets no response and takes effect after the next read
+	unavailable        // the platform does not accept the call
+	throttled          // the rate limit rejects the call
 )
 
-// fakeStore keeps objects and plays one fault per call, then none.
+// fakeStore keeps objects in memory. It applies one entry of faults to each call, in order, and none to later calls.
 type fakeStore struct {
 	platform.Store
 	objects  map[string]platform.Object
@@ -43,9 +43,9 @@
 	return &fakeStore{objects: make(map[string]platform.Object), faults: faults}
 }
 
-func (s *fakeStore) fault() fault {
+func (s *fakeStore) nextFault() fault {
 	if len(s.faults) == 0 {
-		return fine
+		return noFault
 	}
 	f := s.faults[0]
 	s.faults = s.faults[1:]
@@ -63,8 +63,8 @@
 
 func (s *fakeStore) Get(_ context.Context, _ platform.Kind, name string) (platform.Object, error) {
 	s.gets++
-	defer s.land()
-	if s.fault() != fine {
+	defer s.applyPending()
+	if s.nextFault() != noFault {
 		return platform.Object{}, platform.ErrUnavailable
 	}
 	object, ok := s.objects[name]
@@ -74,7 +74,7 @@
 	return object, nil
 }
 
-func (s *fakeStore) land() {
+func (s *fakeStore) applyPending() {
 	for _, apply := range s.pending {
 		apply()
 	}
@@ -83,17 +83,17 @@
 
 func (s *fakeStore) Put(_ context.Context, _ platform.Kind, name string, version platform.Version, value json.RawMessage) (platform.Version, error) {
 	s.puts++
-	switch s.fault() {
-	case out:
+	switch s.nextFault() {
+	case unavailable:
 		return 0, platform.ErrUnavailable
-	case limit:
+	case throttled:
 		return 0, platform.ErrThrottled
-	case lost:
+	case answerLost:
 		_, _ = s.apply(name, version, value)
 		return 0, platform.ErrUnconfirmed
-	case void:
+	case writeLost:
 		return 0, platform.ErrUnconfirmed
-	case late:
+	case writeDelayed:
 		s.pending = append(s.pending, func() { _, _ = s.apply(name, version, value) })
 		return 0, platform.ErrUnconfirmed
 	}
@@ -109,7 +109,7 @@
 }
 
 func (s *fakeStore) Delete(_ context.Context, _ platform.Kind, name string, version platform.Version) error {
-	if s.fault() == out {
+	if s.nextFault() == unavailable {
 		return platform.ErrUnavailable
 	}
 	if s.objects[name].Version != version {
--- a/contract/attempt/purge.go
+++ b/contract/attempt/purge.go
@@ -11,29 +11,29 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// purgeGrace is added to each record's expiry. Expiry is a time of the writer's clock, read by the
-// purger's; entries' clocks differ by far less.
-const purgeGrace = 10 * time.Minute
+// clockSkewMargin is added to the expiry of each record. The expiry was set by the writer's clock and is checked
+// against the purger's; the clocks of entries differ by much less than this.
+const clockSkewMargin = 10 * time.Minute
 
 // Purger deletes expired records.
 //
-// Deleting shares the platform's writes with claims and seals, and after an outage or a quiet night very
-// many records are due at once. Unbounded, a purge would hold up the requests that it cleans up behind.
+// Its deletions share the platform's write rate with claims and seals, and after an outage or a quiet night very many
+// records expire at once. Without a rate limit a purge would delay current requests.
 type Purger struct {
 	store   platform.Store
-	clock   func() time.Time
+	now     func() time.Time
 	limiter *rate.Limiter
 }
 
-// NewPurger returns a purger that deletes at most perSecond records a second.
-func NewPurger(store platform.Store, clock func() time.Time, perSecond float64) *Purger {
-	return &Purger{store: store, clock: clock, limiter: rate.NewLimiter(rate.Limit(perSecond), 1)}
+// NewPurger returns a purger that deletes at most perSecond records per second.
+func NewPurger(store platform.Store, now func() time.Time, perSecond float64) *Purger {
+	return &Purger{store: store, now: now, limiter: rate.NewLimiter(rate.Limit(perSecond), 1)}
 }
 
-// Run purges every interval, as long as mine says that this entry is the one to do it. Two entries that
-// both think so only waste calls: a record is deleted at its version or not at all. Each purge is
-// reported: one that fails again and again lets the records pile up until no list of them fits into a call.
-func (p *Purger) Run(ctx context.Context, interval time.Duration, mine func() bool, report func(deleted int, err error)) {
+// Run purges at every interval while responsible reports that this entry is in charge of purging. Two entries that
+// both believe so only waste calls, because a record is deleted at its version or not at all. The result of every
+// purge is reported: if purges keep failing, records accumulate until their list no longer fits into one call.
+func (p *Purger) Run(ctx context.Context, interval time.Duration, responsible func() bool, report func(deleted int, err error)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -42,14 +42,14 @@
 			return
 		case <-ticker.C:
 		}
-		if mine() {
+		if responsible() {
 			report(p.Purge(ctx))
 		}
 	}
 }
 
-// Purge deletes what has expired and returns how many records it deleted. It stops at the first call that
-// the platform does not take: during an outage its tries would only be in the way.
+// Purge deletes the expired records and returns how many it deleted. It stops at the first call that the platform
+// does not accept, so as not to add load during an outage.
 func (p *Purger) Purge(ctx context.Context) (deleted int, err error) {
 	all, err := p.store.List(ctx, platform.KindAttempt)
 	if err != nil {
@@ -66,7 +66,7 @@
 		switch {
 		case err == nil:
 			deleted++
-		case untaken(err):
+		case notAccepted(err):
 			return deleted, err
 		}
 	}
@@ -78,6 +78,6 @@
 	if err := json.Unmarshal(object.Value, &record); err != nil {
 		return false
 	}
-	due := time.Unix(record.ExpiresAt, 0).Add(purgeGrace)
-	return p.clock().After(due)
+	due := time.Unix(record.ExpiresAt, 0).Add(clockSkewMargin)
+	return p.now().After(due)
 }
--- a/contract/attempt/records.go
+++ b/contract/attempt/records.go
@@ -1,17 +1,18 @@
-// Package attempt reads and writes the records of requests that may not be repeated, over the platform.
+// Package attempt reads and writes the platform records of requests that must run at most once.
 //
-// One record stands for one team and key. Its conditional creation decides between "a home sends" and
-// "it never runs": a home claims right before it sends, a front seals before it says not-run, and the
-// platform lets only one of the two through. What each write may replace:
+// There is one record per team and idempotency key. Its conditional creation decides between "a home sends the
+// request" and "the request never runs": a home claims right before it sends, a front seals before it tells the
+// caller not-run, and the platform lets only one of the two succeed. Each write may replace the following:
 //
-//	claim N    nothing, a seal of a lower number, a renounced claim of N or lower
-//	seal N     nothing, a seal of a lower number, a renounced claim of N+1 or lower
-//	release N  nothing, a seal of N-1 or lower, the holder's own claim of N
+//	claim N    no record, a seal of a lower number, an abandoned claim of N or lower
+//	seal N     no record, a seal of a lower number, an abandoned claim of N+1 or lower
+//	release N  no record, a seal of N-1 or lower, the holder's own claim of N
 //	done       the claim of the same holder
 //
-// A claim is renounced when its holder told a front that it will never send under it. Nothing else ever
-// replaces a claim: its holder may be frozen between the claim and the send. A release is a seal of N-1: it
-// ends the claim and leaves open what the claim found, so that attempt N can be claimed or sealed by anybody.
+// A claim is abandoned when its holder has told a front that it will never send under it. Nothing else ever replaces
+// a claim, because its holder may be suspended between the claim and the send. A release is a seal of N-1: it ends
+// the claim and restores the state that the claim replaced, so that attempt N can again be claimed or sealed by any
+// entry.
 package attempt
 
 import (
@@ -29,35 +30,36 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// ID names a record.
+// ID identifies a record.
 type ID struct {
 	Team string
 	Key  string
 }
 
-// ObjectName is the name of the platform object.
+// ObjectName returns the name of the platform object.
 func (id ID) ObjectName() string { return id.Team + "/" + id.Key }
 
-// Verdict says what came of a call.
+// Verdict is the result of a call.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Confirmed: the write took effect; the platform answered so, or the record bears the writer's nonce.
+	// Confirmed means that the write took effect: the platform confirmed it, or the record has the writer's nonce.
 	Confirmed Verdict = iota + 1
-	// Found: another record stands and may not be replaced. The write did not and can't take effect.
+	// Found means that another record exists and may not be replaced. The write did not and cannot take effect.
 	Found
-	// KeyReused: the standing record is of a request with another fingerprint.
+	// KeyReused means that the existing record belongs to a request with another fingerprint.
 	KeyReused
-	// NotWritten: the platform took no write, and none is on its way.
+	// NotWritten means that the platform accepted no write and that none is pending. Find returns it if the record
+	// cannot be read.
 	NotWritten
-	// Indeterminate: the write may have taken effect, or may yet.
+	// Indeterminate means that the write may have taken effect, or may still take effect.
 	Indeterminate
-	// NoRecord: there is no record (only from Find).
+	// NoRecord means that there is no record. Only Find returns it.
 	NoRecord
 )
 
-// String names the verdict in logs.
+// String returns the text of the verdict for logs and time line events.
 func (v Verdict) String() string {
 	names := [...]string{"none", "confirmed", "found", "reused", "untouched", "unsure", "absent"}
 	if int(v) >= len(names) {
@@ -66,19 +68,19 @@
 	return names[v]
 }
 
-// Settled says that a write was decided: it took effect, or another record stands in its way.
+// Settled reports whether a write was decided: it took effect, or another record prevents it.
 func (v Verdict) Settled() bool { return v == Confirmed || v == Found || v == KeyReused }
 
-// Result is what came of a call.
+// Result is the result of a call.
 type Result struct {
 	Verdict Verdict
-	// Record is the record that stands (Confirmed, Found, Reused) or that may come to stand (Unsure).
+	// Record is the existing record (Confirmed, Found, KeyReused), or the one that may come to exist (Indeterminate).
 	Record contract.AttemptRecord
-	// Version is that of the record that stands; 0 otherwise.
+	// Version is the version of the existing record; 0 if there is none.
 	Version platform.Version
 }
 
-// WriteRequest is the part of a claim or a seal that the request gives.
+// WriteRequest holds the parameters of a claim or a seal that come from the request.
 type WriteRequest struct {
 	ID ID
 	// Number is the caller's attempt number.
@@ -89,59 +91,61 @@
 	Retention time.Duration
 	// AbandonedClaims lists the nonces of claims that may be replaced.
 	AbandonedClaims []string
-	// refresh replaces a seal of the same number, so that a claim that is on its way to that seal's version can't land.
-	refresh bool
+	// replaceEqualSeal allows replacing a seal of the same number. The new version invalidates a pending claim that
+	// was written against the version of that seal.
+	replaceEqualSeal bool
 }
 
-// unknownRetention is that of a seal whose service this entry does not know.
-const unknownRetention = 24 * time.Hour
+// defaultRetention is the retention of a seal whose service is unknown to this entry.
+const defaultRetention = 24 * time.Hour
 
-// Retention is how long the records of a service are kept: as declared, and in any case for longer than a
-// dispatch may lie in a home that sleeps, since a record that is gone decides nothing.
+// Retention returns how long the records of a service are kept: for the declared time, but at least for twice the
+// longest request timeout. A dispatch can be delayed for that long in a home that is suspended, and a record that has
+// been deleted no longer prevents a second run.
 func Retention(s settings.Service) time.Duration {
 	if s.AttemptRetention <= 0 {
-		return unknownRetention
+		return defaultRetention
 	}
 	return max(s.AttemptRetention, 2*s.MaxRequestTimeout)
 }
 
 // Records reads and writes attempt records. It is safe for concurrent use.
 type Records struct {
-	store platform.Store
-	clock func() time.Time
-	nonce func() string
-	// Sleep waits between the tries of a write, or until ctx is over. Tests in virtual time replace it
+	store    platform.Store
+	now      func() time.Time
+	newNonce func() string
+	// Sleep waits between the tries of a write until d has passed or ctx ends. Tests in virtual time replace it
 	// before the first call.
 	Sleep func(ctx context.Context, d time.Duration)
 }
 
-// New returns records kept in store. The clock is the wall clock; it only stamps the expiry.
-func New(store platform.Store, clock func() time.Time) *Records {
-	return &Records{store: store, clock: clock, nonce: uuid.NewString, Sleep: func(ctx context.Context, d time.Duration) { wait.Pause(ctx, d) }}
+// New returns records that are kept in store. now returns the wall-clock time, which is only used for the expiry.
+func New(store platform.Store, now func() time.Time) *Records {
+	return &Records{store: store, now: now, newNonce: uuid.NewString, Sleep: func(ctx context.Context, d time.Duration) { wait.Pause(ctx, d) }}
 }
 
-// Claim takes the right to send, once, for this home and incarnation. Only Confirmed gives it.
-func (r *Records) Claim(ctx context.Context, w WriteRequest, home, incarnation string) Result {
-	record := r.record(w, contract.AttemptClaimed)
+// Claim acquires the right to send the request once for this home and incarnation. Only Confirmed grants it.
+func (r *Records) Claim(ctx context.Context, req WriteRequest, home, incarnation string) Result {
+	record := r.newRecord(req, contract.AttemptClaimed)
 	record.Home = home
 	record.Incarnation = incarnation
-	return r.write(ctx, w, record)
+	return r.write(ctx, req, record)
 }
 
-// Seal makes sure that attempts up to w.Number never run. Only Confirmed, or a seal of at least that
-// number Found, says that they didn't and can't.
-func (r *Records) Seal(ctx context.Context, w WriteRequest) Result {
-	return r.write(ctx, w, r.record(w, contract.AttemptSealed))
+// Seal ensures that attempts up to req.Number never run. Only Confirmed, or Found with a seal of at least that
+// number, proves that they did not and cannot run.
+func (r *Records) Seal(ctx context.Context, req WriteRequest) Result {
+	return r.write(ctx, req, r.newRecord(req, contract.AttemptSealed))
 }
 
-// Release ends a claim of this holder under which nothing was or will be sent. Once it is settled the claim does not
-// stand.
-func (r *Records) Release(ctx context.Context, w WriteRequest, claim Result) Result {
-	record := r.record(w, contract.AttemptSealed)
+// Release ends a claim of this holder under which nothing was or will be sent. Once the result is settled, the claim
+// no longer exists.
+func (r *Records) Release(ctx context.Context, req WriteRequest, claim Result) Result {
+	record := r.newRecord(req, contract.AttemptSealed)
 	record.Number = claim.Record.Number - 1
-	w.AbandonedClaims = []string{claim.Record.Nonce}
-	w.refresh = true
-	return r.writeFrom(ctx, w, record, claim.Version)
+	req.AbandonedClaims = []string{claim.Record.Nonce}
+	req.replaceEqualSeal = true
+	return r.writeOver(ctx, req, record, claim.Version)
 }
 
 // Complete replaces a confirmed claim by the answer.
@@ -149,32 +153,32 @@
 	record := claim.Record
 	record.State = contract.AttemptDone
 	record.Answer = &answer
-	record.Nonce = r.nonce()
-	record.ExpiresAt = r.clock().Add(retention).Unix()
-	w := WriteRequest{ID: id, Number: record.Number, Fingerprint: record.Fingerprint, AbandonedClaims: []string{claim.Record.Nonce}}
-	return r.writeFrom(ctx, w, record, claim.Version)
+	record.Nonce = r.newNonce()
+	record.ExpiresAt = r.now().Add(retention).Unix()
+	req := WriteRequest{ID: id, Number: record.Number, Fingerprint: record.Fingerprint, AbandonedClaims: []string{claim.Record.Nonce}}
+	return r.writeOver(ctx, req, record, claim.Version)
 }
 
-// Find reads the record: Found, Reused, Absent, or Untouched if the platform can't be asked.
+// Find reads the record. It returns Found, KeyReused or NoRecord, or NotWritten if the platform cannot be read.
 func (r *Records) Find(ctx context.Context, id ID, fingerprint string) Result {
-	standing, err := r.read(ctx, id)
+	existing, err := r.read(ctx, id)
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
 		return Result{Verdict: NoRecord}
 	case err != nil:
 		return Result{Verdict: NotWritten}
-	case standing.Record.Fingerprint != fingerprint:
-		standing.Verdict = KeyReused
+	case existing.Record.Fingerprint != fingerprint:
+		existing.Verdict = KeyReused
 	default:
-		standing.Verdict = Found
+		existing.Verdict = Found
 	}
-	return standing
+	return existing
 }
 
-func (r *Records) record(w WriteRequest, state contract.AttemptState) contract.AttemptRecord {
+func (r *Records) newRecord(req WriteRequest, state contract.AttemptState) contract.AttemptRecord {
 	return contract.AttemptRecord{
-		State: state, Number: w.Number, Fingerprint: w.Fingerprint, RequestID: w.RequestID,
-		Nonce: r.nonce(), ExpiresAt: r.clock().Add(w.Retention).Unix(),
+		State: state, Number: req.Number, Fingerprint: req.Fingerprint, RequestID: req.RequestID,
+		Nonce: r.newNonce(), ExpiresAt: r.now().Add(req.Retention).Unix(),
 	}
 }
 
@@ -183,30 +187,30 @@
 	if err != nil {
 		return Result{}, err
 	}
-	standing := Result{Version: object.Version}
-	if err := json.Unmarshal(object.Value, &standing.Record); err != nil {
+	existing := Result{Version: object.Version}
+	if err := json.Unmarshal(object.Value, &existing.Record); err != nil {
 		return Result{}, err
 	}
-	return standing, nil
+	return existing, nil
 }
 
-// leastOver is the lowest number that may replace a renounced claim. Attempts below that of the claim may have
-// been told not-run by a seal that the claim replaced: another claim must not bring one of them back, and a
-// seal must cover them still.
-func leastOver(claim, record contract.AttemptRecord) int {
+// minReplacingNumber returns the lowest number of a record that may replace an abandoned claim. Attempts below the
+// claim's number may have been reported as not-run because of a seal that the claim replaced: another claim must not
+// make one of them possible again, and a seal must still cover them.
+func minReplacingNumber(claim, record contract.AttemptRecord) int {
 	if record.State == contract.AttemptSealed {
 		return claim.Number - 1
 	}
 	return claim.Number
 }
 
-// mayReplace says whether record may be written over standing.
-func (w *WriteRequest) mayReplace(standing, record contract.AttemptRecord) bool {
-	switch standing.State {
+// mayReplace reports whether record may be written over existing.
+func (req *WriteRequest) mayReplace(existing, record contract.AttemptRecord) bool {
+	switch existing.State {
 	case contract.AttemptSealed:
-		return standing.Number < record.Number || w.refresh && standing.Number == record.Number
+		return existing.Number < record.Number || req.replaceEqualSeal && existing.Number == record.Number
 	case contract.AttemptClaimed:
-		return slices.Contains(w.AbandonedClaims, standing.Nonce) && record.Number >= leastOver(standing, record)
+		return slices.Contains(req.AbandonedClaims, existing.Nonce) && record.Number >= minReplacingNumber(existing, record)
 	default:
 		return false
 	}
--- a/contract/attempt/write.go
+++ b/contract/attempt/write.go
@@ -10,73 +10,73 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// The tries of one write. A platform that answers at all settles a conflict in one or two rounds; more
-// rounds than these only spend its rate during an outage. The pauses add up to less than a quarter of a
-// second, so that a caller is told its outcome at once.
+// Limits on the tries of one write. A platform that answers at all resolves a conflict within one or two tries; more
+// than these would only use up its rate limit during an outage. The pauses add up to less than a quarter of a second,
+// so that the caller learns its outcome without delay.
 const (
-	writeTries = 4
-	firstPause = 15 * time.Millisecond
+	maxWriteTries = 4
+	firstPause    = 15 * time.Millisecond
 )
 
-func (r *Records) write(ctx context.Context, w WriteRequest, record contract.AttemptRecord) Result {
-	return r.writeFrom(ctx, w, record, 0)
+func (r *Records) write(ctx context.Context, req WriteRequest, record contract.AttemptRecord) Result {
+	return r.writeOver(ctx, req, record, 0)
 }
 
-// writeFrom writes record over the given version, and looks again whenever that fails.
+// writeOver writes record over the given version, and reads the record back whenever that fails.
 //
-// What goes wrong without the second look: the platform took the write and its answer was lost. Taken as
-// "not written", a claim would run although its request is sealed later, and a seal would be told as
-// unknown; taken as "written", a not-run would be said of a request that runs when the write was in fact
-// lost. Only the record with the writer's nonce tells. A record that is absent tells nothing: the write
-// may land late. So it is sent again under the same nonce, until one is seen to stand.
-func (r *Records) writeFrom(ctx context.Context, w WriteRequest, record contract.AttemptRecord, version platform.Version) Result {
+// The read is needed because the platform may have executed a write whose response was lost. If the write were taken
+// as failed, a claim would run although its request is sealed later, and a successful seal would be reported as
+// unknown. If it were taken as successful although it was lost, not-run would be reported for a request that runs.
+// Only a record with the writer's nonce proves that the write took effect. A missing record proves nothing, because
+// the write may still take effect. It is therefore sent again under the same nonce until a record is seen.
+func (r *Records) writeOver(ctx context.Context, req WriteRequest, record contract.AttemptRecord, version platform.Version) Result {
 	value, err := json.Marshal(record)
 	if err != nil {
 		return Result{Verdict: NotWritten}
 	}
-	onItsWay := false
-	for try := range writeTries {
+	mayLand := false
+	for try := range maxWriteTries {
 		if try > 0 {
 			r.Sleep(ctx, firstPause<<(try-1))
 		}
-		written, err := r.store.Put(ctx, platform.KindAttempt, w.ID.ObjectName(), version, value)
+		written, err := r.store.Put(ctx, platform.KindAttempt, req.ID.ObjectName(), version, value)
 		if err == nil {
 			return Result{Verdict: Confirmed, Record: record, Version: written}
 		}
-		if untaken(err) {
+		if notAccepted(err) {
 			continue
 		}
 		if !errors.Is(err, platform.ErrConflict) {
-			onItsWay = true
+			mayLand = true
 		}
-		standing, err := r.read(ctx, w.ID)
+		existing, err := r.read(ctx, req.ID)
 		switch {
 		case errors.Is(err, platform.ErrNotFound):
 			version = 0
 		case err != nil:
-		case standing.Record.Nonce == record.Nonce:
-			return Result{Verdict: Confirmed, Record: record, Version: standing.Version}
-		case standing.Record.Fingerprint != record.Fingerprint:
-			standing.Verdict = KeyReused
-			return standing
-		case !w.mayReplace(standing.Record, record):
-			standing.Verdict = Found
-			return standing
+		case existing.Record.Nonce == record.Nonce:
+			return Result{Verdict: Confirmed, Record: record, Version: existing.Version}
+		case existing.Record.Fingerprint != record.Fingerprint:
+			existing.Verdict = KeyReused
+			return existing
+		case !req.mayReplace(existing.Record, record):
+			existing.Verdict = Found
+			return existing
 		default:
-			version = standing.Version
+			version = existing.Version
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	if onItsWay {
+	if mayLand {
 		return Result{Verdict: Indeterminate, Record: record}
 	}
 	return Result{Verdict: NotWritten}
 }
 
-// untaken says that the platform surely did not take the call.
-func untaken(err error) bool {
+// notAccepted reports whether the platform certainly did not execute the call.
+func notAccepted(err error) bool {
 	return errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrThrottled) ||
 		errors.Is(err, platform.ErrTooLarge)
 }
