--- a/entry/gateway/assemble.go
+++ b/entry/gateway/assemble.go
@@ -120,7 +120,7 @@
 }
 
 func provideSuspects(remote *turn.Remote) *suspects.Watch {
-	return suspects.New(suspects.Deps{Refuses: upstream.Refuses, Tell: remote.Tell})
+	return suspects.New(suspects.Deps{Refuses: upstream.Refuses, Tell: remote.Send})
 }
 
 func provideRetries(s *shell) *relay.Retries {
--- a/entry/gateway/follow.go
+++ b/entry/gateway/follow.go
@@ -125,10 +125,10 @@
 
 // fromLeader handles one message of the leader.
 func (g *Gateway) fromLeader(ctx context.Context, send func(link.Up), message link.Down) {
-	g.remote.Heard()
+	g.remote.LeaderAlive()
 	switch {
 	case message.Grant != nil || message.Refuse != nil || message.Queued != 0:
-		g.remote.Answered(message)
+		g.remote.HandleReply(message)
 	case message.Config != nil:
 		g.catalog.TakeConfig(message.Config.Spec)
 	case message.Renewed != nil:
--- a/entry/gateway/lines.go
+++ b/entry/gateway/lines.go
@@ -49,7 +49,7 @@
 	}
 	s.log.WithFields(logrus.Fields{
 		"request": rejection.Request, "vm": rejection.Server.ID, "status": rejection.Status, "leaving": leaving,
-		"by_leader": rejection.Basis.Leader, "basis_revision": rejection.Basis.Revision, "basis_age_ms": rejection.Basis.Age.Milliseconds(),
+		"by_leader": rejection.Basis.FromLeader, "basis_revision": rejection.Basis.Revision, "basis_age_ms": rejection.Basis.Age.Milliseconds(),
 		"list_revision": listing.Revision, "list_age_ms": s.parts.catalog.ServersAge().Milliseconds(),
 	}).Info(logline.RequestRejected)
 }
--- a/entry/leader/leader.go
+++ b/entry/leader/leader.go
@@ -327,7 +327,7 @@
 	}
 }
 
-var reasons = map[policy.Reason]turn.Reason{policy.NoGroup: turn.NoServer, policy.TooLate: turn.Full, policy.TriedAll: turn.Spent}
+var reasons = map[policy.Reason]turn.Reason{policy.NoGroup: turn.NoServer, policy.TooLate: turn.Full, policy.TriedAll: turn.TriedAll}
 
 // silent keeps turns from a group and has it looked into.
 func (l *Leader) silent(head backend.ID) {
--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -176,7 +176,7 @@
 		t := e.takeNext()
 		if t == nil {
 			var refusal *turn.Refusal
-			if t, refusal = e.relay.deps.Turns.Take(e.ctx, e.ask()); refusal != nil {
+			if t, refusal = e.relay.deps.Turns.Acquire(e.ctx, e.ask()); refusal != nil {
 				e.giveUp(refusal)
 				return
 			}
@@ -194,16 +194,16 @@
 	return t
 }
 
-func (e *exchange) ask() turn.Ask {
+func (e *exchange) ask() turn.Request {
 	returning := e.attempts > 0
 	due, patience := turns.WaitBounds(e.route.FirstAnswer, time.Since(e.arrived), returning)
-	ask := turn.Ask{
-		Service: e.service, Model: e.call.Model, Priority: e.priority, Returning: returning, Tried: e.tried,
-		Prompt: e.call.PromptTokens, Answer: e.call.ExpectedAnswer(),
-		Due: due, Patience: patience, Fingerprint: contract.ShortFingerprint(e.fingerprint),
+	ask := turn.Request{
+		Service: e.service, Model: e.call.Model, Priority: e.priority, Retry: returning, Tried: e.tried,
+		PromptTokens: e.call.PromptTokens, OutputTokens: e.call.ExpectedAnswer(),
+		FirstTokenBudget: due, MaxWait: patience, Fingerprint: contract.ShortFingerprint(e.fingerprint),
 	}
 	if e.attempts > 0 {
-		ask.Priority = turn.First // it has spent its time at a server that failed it, and its caller leaves soon
+		ask.Priority = turn.PriorityRetry // it has spent its time at a server that failed it, and its caller leaves soon
 	}
 	return ask
 }
@@ -228,7 +228,7 @@
 	}
 	said := platform.DecodeAnswer(answer.Status, answer.Header)
 	if said.Load != nil {
-		t.Load(said.Load.Running, said.Load.Waiting, said.Load.Slots)
+		t.ReportLoad(said.Load.Running, said.Load.Waiting, said.Load.Slots)
 	}
 	if said.NotRun {
 		e.rejected(t, answer)
@@ -252,7 +252,7 @@
 // resultOf says how a turn ended whose server gave no answer, or a part of one.
 func (e *exchange) resultOf() turn.Result {
 	silent := e.next != nil
-	return turn.Result{Silent: silent, Failed: !silent && e.ctx.Err() == nil, First: e.first}
+	return turn.Result{Stalled: silent, Failed: !silent && e.ctx.Err() == nil, TimeToFirstToken: e.first}
 }
 
 // send sends the request to one server, under a watch that is over when the attempt is: the caller stops it by endAttempt.
@@ -260,7 +260,7 @@
 	e.ended.Servers = append(e.ended.Servers, string(t.Server.ID))
 	e.sent, e.first = time.Now(), 0
 	if e.route.Kind == route.Streaming {
-		suspicion := time.AfterFunc(suspectFirst, t.Silent)
+		suspicion := time.AfterFunc(suspectFirst, t.ReportStall)
 		defer suspicion.Stop()
 	}
 	ctx, cancel := context.WithCancelCause(e.ctx)
--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -22,7 +22,7 @@
 type Deps struct {
 	// Table returns the operators' configuration in force, or nil before the first.
 	Table func() *route.Table
-	Turns turn.Taker
+	Turns turn.Source
 	Pool  *upstream.Pool
 	// Retries bounds repeats.
 	Retries *Retries
--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -40,15 +40,15 @@
 	silent  int
 }
 
-func (t *inOrder) Take(_ context.Context, ask turn.Ask) (*turn.Turn, *turn.Refusal) {
+func (t *inOrder) Acquire(_ context.Context, ask turn.Request) (*turn.Turn, *turn.Refusal) {
 	for _, server := range t.servers {
 		if slices.Contains(ask.Tried, server.ID) {
 			continue
 		}
 		return &turn.Turn{
-			Server: server,
-			Load:   func(int, int, int) {},
-			Silent: func() {
+			Server:     server,
+			ReportLoad: func(int, int, int) {},
+			ReportStall: func() {
 				t.mu.Lock()
 				defer t.mu.Unlock()
 				t.silent++
@@ -417,7 +417,7 @@
 		Expect(got.status).To(Equal(http.StatusOK))
 		Expect(got.body).To(Equal(whole(1, 6)))
 		Expect(time.Since(began)).To(BeNumerically(">=", 500*time.Millisecond))
-		Expect(r.turns.ended()[0].Silent).To(BeTrue())
+		Expect(r.turns.ended()[0].Stalled).To(BeTrue())
 	}, Entry("a stream", "/chat/x"), Entry("a look-up", "/look/x"))
 
 	// All other groups are full, or the budget of repeats is spent. A request that is given up for nothing gets no answer at all, where its server
@@ -442,7 +442,7 @@
 		r.turns.mu.Lock()
 		defer r.turns.mu.Unlock()
 		Expect(r.turns.silent).To(BeNumerically(">=", 1))
-		Expect(r.turns.results[0].Silent).To(BeTrue())
+		Expect(r.turns.results[0].Stalled).To(BeTrue())
 	})
 
 	// A stream that may not be repeated breaks off. Ended as if it were whole, the caller would act on a part.
@@ -476,8 +476,8 @@
 		_ = response.Body.Close()
 		Eventually(r.turns.ended).Should(HaveLen(1))
 		ended := r.turns.ended()[0]
-		Expect(ended.First).To(BeNumerically(">", 0), "the first part had come")
-		ended.First = 0
+		Expect(ended.TimeToFirstToken).To(BeNumerically(">", 0), "the first part had come")
+		ended.TimeToFirstToken = 0
 		Expect(ended).To(Equal(turn.Result{}))
 		Eventually(func() relay.Outcome { return r.last().Outcome }).Should(Or(Equal(relay.CallerLeft), Equal(relay.Cut)))
 	})
--- a/entry/relay/stream.go
+++ b/entry/relay/stream.go
@@ -40,7 +40,7 @@
 		_ = answer.Body.Close()
 		e.endAttempt()
 		if err == nil {
-			t.Done(turn.Result{First: e.first})
+			t.Done(turn.Result{TimeToFirstToken: e.first})
 			e.relay.deps.Suspects.Finished(e.service, e.fingerprint)
 			e.finish(head)
 			return true
@@ -79,7 +79,7 @@
 // that breaks off in its middle does not go out: the stream goes on elsewhere after the last whole one.
 func (e *exchange) copyEvents(t *turn.Turn, answer *upstream.Answer, head http.Header, last string) (string, error) {
 	events := newEventReader(answer.Body)
-	suspicion := time.AfterFunc(suspectFirst, t.Silent)
+	suspicion := time.AfterFunc(suspectFirst, t.ReportStall)
 	defer suspicion.Stop()
 	controller := http.NewResponseController(e.writer)
 	for {
@@ -141,7 +141,7 @@
 		e.fail(detail)
 		return nil
 	}
-	t, refusal := e.relay.deps.Turns.Take(e.ctx, e.ask())
+	t, refusal := e.relay.deps.Turns.Acquire(e.ctx, e.ask())
 	if refusal != nil {
 		e.fail(detail + "; " + string(refusal.Reason) + ": " + refusal.Detail)
 		return nil
--- a/entry/relay/watch.go
+++ b/entry/relay/watch.go
@@ -97,8 +97,8 @@
 // elsewhere takes a turn at another server, or returns nil where there is none or the budget of repeats is spent.
 func (w *watch) elsewhere() *turn.Turn {
 	e := w.exchange
-	t, refusal := e.relay.deps.Turns.Take(e.ctx, turn.Ask{
-		Service: e.service, Model: e.call.Model, Priority: turn.First, Returning: true, Tried: w.tried, Patience: turnElsewhere,
+	t, refusal := e.relay.deps.Turns.Acquire(e.ctx, turn.Request{
+		Service: e.service, Model: e.call.Model, Priority: turn.PriorityRetry, Retry: true, Tried: w.tried, MaxWait: turnElsewhere,
 	})
 	if refusal != nil {
 		return nil
--- a/entry/turn/local.go
+++ b/entry/turn/local.go
@@ -55,8 +55,8 @@
 	return &Local{listing: listing, age: age, table: table, loads: make(map[backend.ID]*load)}
 }
 
-// Take implements Taker.
-func (l *Local) Take(_ context.Context, ask Ask) (*Turn, *Refusal) {
+// Acquire implements Source.
+func (l *Local) Acquire(_ context.Context, ask Request) (*Turn, *Refusal) {
 	candidates := l.candidates(ask)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,7 +130,7 @@
 	return l.failure / float64(int(1)<<int(halves))
 }
 
-func (l *Local) candidates(ask Ask) []*backend.Server {
+func (l *Local) candidates(ask Request) []*backend.Server {
 	servers := l.listing().ByService[ask.Service]
 	table := l.table()
 	if table == nil {
@@ -172,8 +172,8 @@
 	return heads
 }
 
-// Hold notes a turn that another gave.
-func (l *Local) Hold(server *backend.Server) *Turn {
+// Track notes a turn that another gave.
+func (l *Local) Track(server *backend.Server) *Turn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.grant(server)
@@ -186,13 +186,13 @@
 	load.sent++
 	return &Turn{
 		Server: server,
-		Load: func(running, waiting, _ int) {
+		ReportLoad: func(running, waiting, _ int) {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			load.told, load.toldAt, load.sent = running+waiting, time.Now(), 0
 		},
-		Silent: func() {},
-		Done:   func(result Result) { l.done(load, result) },
+		ReportStall: func() {},
+		Done:        func(result Result) { l.done(load, result) },
 	}
 }
 
@@ -204,7 +204,7 @@
 	switch {
 	case result.Unreachable:
 		load.avoid = now.Add(avoidUnreachable)
-	case result.Silent:
+	case result.Stalled:
 		load.avoid = now.Add(avoidSilent)
 	case result.Failed:
 		load.failure = min(1, load.fading(now)+0.3)
--- a/entry/turn/remote.go
+++ b/entry/turn/remote.go
@@ -60,14 +60,14 @@
 	send(link.Up{Turns: &held})
 }
 
-// Take implements Taker.
-func (r *Remote) Take(ctx context.Context, ask Ask) (*Turn, *Refusal) {
+// Acquire implements Source.
+func (r *Remote) Acquire(ctx context.Context, ask Request) (*Turn, *Refusal) {
 	if ask.Model == "" {
-		return r.local.Take(ctx, ask)
+		return r.local.Acquire(ctx, ask)
 	}
 	key, answer := r.ask(ask)
 	if answer == nil {
-		return r.local.Take(ctx, ask)
+		return r.local.Acquire(ctx, ask)
 	}
 	timer := time.NewTimer(answerTime)
 	defer timer.Stop()
@@ -76,14 +76,14 @@
 		case down, ok := <-answer:
 			switch {
 			case !ok:
-				return r.local.Take(ctx, ask)
+				return r.local.Acquire(ctx, ask)
 			case down.Queued == 0:
 				return r.settle(ctx, ask, key, down)
 			}
-			timer.Reset(max(ask.Patience, turns.MaxRetryWait) + answerTime)
+			timer.Reset(max(ask.MaxWait, turns.MaxRetryWait) + answerTime)
 		case <-timer.C:
 			r.giveUp(key, true)
-			return r.local.Take(ctx, ask)
+			return r.local.Acquire(ctx, ask)
 		case <-ctx.Done():
 			r.giveUp(key, false)
 			return nil, &Refusal{Reason: Full, Detail: "deadline passed while waiting for a turn"}
@@ -91,7 +91,7 @@
 	}
 }
 
-func (r *Remote) ask(ask Ask) (uint64, chan link.Down) {
+func (r *Remote) ask(ask Request) (uint64, chan link.Down) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.send == nil || r.doubted {
@@ -102,9 +102,9 @@
 	answer := make(chan link.Down, wordsOfLeader)
 	r.waiting[key] = answer
 	r.send(link.Up{Ask: &link.Ask{
-		Key: key, Service: ask.Service, Model: ask.Model, PatienceMs: ask.Patience.Milliseconds(),
-		Priority: ask.Priority, Tried: ask.Tried, Returning: ask.Returning,
-		Prompt: ask.Prompt, Answer: ask.Answer, DueMs: ask.Due.Milliseconds(), Fingerprint: ask.Fingerprint,
+		Key: key, Service: ask.Service, Model: ask.Model, PatienceMs: ask.MaxWait.Milliseconds(),
+		Priority: ask.Priority, Tried: ask.Tried, Returning: ask.Retry,
+		Prompt: ask.PromptTokens, Answer: ask.OutputTokens, DueMs: ask.FirstTokenBudget.Milliseconds(), Fingerprint: ask.Fingerprint,
 	}})
 	return key, answer
 }
@@ -124,10 +124,10 @@
 }
 
 // settle turns the leader's word into a turn or a refusal.
-func (r *Remote) settle(ctx context.Context, ask Ask, key uint64, down link.Down) (*Turn, *Refusal) {
+func (r *Remote) settle(ctx context.Context, ask Request, key uint64, down link.Down) (*Turn, *Refusal) {
 	if refuse := down.Refuse; refuse != nil {
 		if refuse.RetryAfterMs == 0 {
-			return r.local.Take(ctx, ask) // it is not in charge
+			return r.local.Acquire(ctx, ask) // it is not in charge
 		}
 		return nil, &Refusal{
 			Reason: Reason(refuse.Reason), RetryAfter: time.Duration(refuse.RetryAfterMs) * time.Millisecond,
@@ -138,37 +138,37 @@
 	if server == nil || server.Leaving {
 		// A server never comes back from leaving in one life, so that this entry's list is newer than the leader's if it says so.
 		r.end(key, Result{Rejected: true})
-		return r.local.Take(ctx, ask)
+		return r.local.Acquire(ctx, ask)
 	}
 	t := r.turn(key, server)
-	t.Basis = Basis{Leader: true, Revision: down.Grant.Revision, Age: time.Duration(down.Grant.AgeMs) * time.Millisecond}
+	t.Basis = Basis{FromLeader: true, Revision: down.Grant.Revision, Age: time.Duration(down.Grant.AgeMs) * time.Millisecond}
 	return t, nil
 }
 
 // turn wraps the local account of the server, so that this entry knows enough when it has to decide by itself.
 func (r *Remote) turn(key uint64, server *backend.Server) *Turn {
-	t := r.local.Hold(server)
+	t := r.local.Track(server)
 	done := t.Done
 	t.Done = func(result Result) {
 		done(result)
 		r.end(key, result)
 	}
-	t.Silent = func() { r.Tell(link.Up{Silent: server.ID}) }
+	t.ReportStall = func() { r.Send(link.Up{Silent: server.ID}) }
 	return t
 }
 
 func (r *Remote) end(key uint64, result Result) {
-	whole := !result.Unreachable && !result.Rejected && !result.Failed && !result.Silent
+	whole := !result.Unreachable && !result.Rejected && !result.Failed && !result.Stalled
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.running, key)
 	if r.send != nil {
-		r.send(link.Up{Done: &link.Done{Key: key, Whole: whole, FirstMs: result.First.Milliseconds()}})
+		r.send(link.Up{Done: &link.Done{Key: key, Whole: whole, FirstMs: result.TimeToFirstToken.Milliseconds()}})
 	}
 }
 
-// Tell sends a message to the entry in charge, if there is a way.
-func (r *Remote) Tell(message link.Up) {
+// Send sends a message to the entry in charge, if there is a way.
+func (r *Remote) Send(message link.Up) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.send != nil {
@@ -176,15 +176,15 @@
 	}
 }
 
-// Heard notes that the entry in charge is there: something came from it.
-func (r *Remote) Heard() {
+// LeaderAlive notes that the entry in charge is there: something came from it.
+func (r *Remote) LeaderAlive() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.doubted = false
 }
 
-// Answered takes the leader's word on a request.
-func (r *Remote) Answered(down link.Down) {
+// HandleReply takes the leader's word on a request.
+func (r *Remote) HandleReply(down link.Down) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var key uint64
--- a/entry/turn/turn_test.go
+++ b/entry/turn/turn_test.go
@@ -45,7 +45,7 @@
 	head := &backend.Server{ID: "head", Service: "chat", Model: "large", Slots: 4, Group: backend.Membership{State: backend.GroupOpen}}
 	fresh := func() time.Duration { return 0 }
 	listing := func() *backend.Listing { return backend.NewListing(1, map[backend.ID]*backend.Server{"head": head}) }
-	ask := turn.Ask{Service: "chat", Model: "large", Patience: time.Minute}
+	ask := turn.Request{Service: "chat", Model: "large", MaxWait: time.Minute}
 	var (
 		remote *turn.Remote
 		sent   []link.Up
@@ -59,7 +59,7 @@
 		sent = append(sent, message)
 		if message.Ask != nil {
 			key := message.Ask.Key
-			go remote.Answered(link.Down{Grant: &link.Grant{Key: key, Head: "head"}})
+			go remote.HandleReply(link.Down{Grant: &link.Grant{Key: key, Head: "head"}})
 		}
 	}
 
@@ -67,9 +67,9 @@
 	// would take a place of its group for good.
 	It("tells a new leader first, and just, of the turns that it still holds", func() {
 		remote.Attach(leader)
-		ended, refusal := remote.Take(context.Background(), ask)
+		ended, refusal := remote.Acquire(context.Background(), ask)
 		Expect(refusal).To(BeNil())
-		kept, refusal := remote.Take(context.Background(), ask)
+		kept, refusal := remote.Acquire(context.Background(), ask)
 		Expect(refusal).To(BeNil())
 		remote.Attach(nil)
 		ended.Done(turn.Result{})
@@ -85,14 +85,14 @@
 	It("decides by itself when the leader says nothing, and asks no more until it hears from it", func() {
 		remote.Attach(func(message link.Up) { sent = append(sent, message) })
 		began := time.Now()
-		_, refusal := remote.Take(context.Background(), ask)
+		_, refusal := remote.Acquire(context.Background(), ask)
 		Expect(refusal.Reason).To(Equal(turn.NoServer), "there is no table to decide by")
-		Expect(time.Since(began)).To(BeNumerically("<", ask.Patience))
+		Expect(time.Since(began)).To(BeNumerically("<", ask.MaxWait))
 		asked := len(sent)
-		_, _ = remote.Take(context.Background(), ask)
+		_, _ = remote.Acquire(context.Background(), ask)
 		Expect(sent).To(HaveLen(asked))
-		remote.Heard()
-		_, _ = remote.Take(context.Background(), ask)
+		remote.LeaderAlive()
+		_, _ = remote.Acquire(context.Background(), ask)
 		Expect(len(sent)).To(BeNumerically(">", asked))
 	})
 
@@ -104,7 +104,7 @@
 		newer := func() *backend.Listing { return backend.NewListing(2, servers) }
 		remote = turn.NewRemote(turn.NewLocal(newer, fresh, func() *route.Table { return nil }), newer)
 		remote.Attach(leader)
-		granted, refusal := remote.Take(context.Background(), ask)
+		granted, refusal := remote.Acquire(context.Background(), ask)
 		Expect(granted).To(BeNil())
 		Expect(refusal.Reason).To(Equal(turn.NoServer))
 		Expect(sent).To(ContainElement(link.Up{Done: &link.Done{Key: 1}}))
@@ -118,12 +118,12 @@
 			}
 			key := message.Ask.Key
 			go func() {
-				remote.Answered(link.Down{Queued: key})
+				remote.HandleReply(link.Down{Queued: key})
 				time.Sleep(300 * time.Millisecond)
-				remote.Answered(link.Down{Grant: &link.Grant{Key: key, Head: "head"}})
+				remote.HandleReply(link.Down{Grant: &link.Grant{Key: key, Head: "head"}})
 			}()
 		})
-		granted, refusal := remote.Take(context.Background(), ask)
+		granted, refusal := remote.Acquire(context.Background(), ask)
 		Expect(refusal).To(BeNil())
 		Expect(granted.Server).To(Equal(head))
 	})
