--- a/entry/turn/local.go
+++ b/entry/turn/local.go
@@ -12,52 +12,55 @@
 	"github.com/skylarkpond/skylarkpond/contract/route"
 )
 
-// Local gives turns by what this entry itself knows: the registrations, its own requests in progress, and the load that
-// servers tell in their answers.
+// Local grants turns from the knowledge of this entry alone: the registered servers, its own requests in progress, and
+// the load that servers report in their answers.
 type Local struct {
 	listing func() *backend.Listing
-	// age is how long ago the listing was last known to be current.
-	age   func() time.Duration
-	table func() *route.Table
+	// listAge returns how long ago the listing was last known to be current.
+	listAge func() time.Duration
+	table   func() *route.Table
 
-	mu    sync.Mutex // guards loads; a leaf lock
+	mu    sync.Mutex // guards loads; no other lock of this package is taken while it is held
 	loads map[backend.ID]*load
 }
 
-// load is what is known of one server's load.
+// load is the known load of one server.
 type load struct {
 	inFlight int
-	// told is what the server said, running and waiting, at toldAt; sent counts the sends since.
-	told    int
-	toldAt  time.Time
-	sent    int
-	avoid   time.Time
-	failure float64
-	failed  time.Time
+	// reported is the number of running and waiting requests that the server reported at reportedAt. sentSince counts
+	// the requests sent to it since then.
+	reported      int
+	reportedAt    time.Time
+	sentSince     int
+	excludedUntil time.Time
+	penalty       float64
+	failedAt      time.Time
 }
 
 const (
-	// toldFor is how long a told load counts.
-	toldFor = 2 * time.Second
-	// avoidUnreachable, avoidSilent: how long a server is left out after it could not be reached, or kept silent.
-	avoidUnreachable = time.Second
-	avoidSilent      = 2 * time.Second
-	// failureHalf is the time in which the memory of failures fades to a half.
-	failureHalf = 2 * time.Second
-	// failureWeight makes a server that fails each request look as loaded as one that is full.
-	failureWeight = 1.0
-	// overhang is how many requests may wait at a group beyond its places: the time until one comes free is below the objective.
-	overhang = 3
+	// reportTTL is how long a reported load is used.
+	reportTTL = 2 * time.Second
+	// A server gets no requests for unreachableExclusion after a failed connection, and for stalledExclusion after a
+	// stall.
+	unreachableExclusion = time.Second
+	stalledExclusion     = 2 * time.Second
+	// penaltyHalfLife is the half-life of the penalty for failed requests.
+	penaltyHalfLife = 2 * time.Second
+	// penaltyWeight makes a server that fails every request score like one whose slots are all taken.
+	penaltyWeight = 1.0
+	// overcommit is how many requests a server may hold beyond its slots: with so few in excess, the wait until a slot
+	// is free stays below the first-token objective.
+	overcommit = 3
 )
 
-// NewLocal returns a Local.
+// NewLocal returns a Local. The age function returns how long ago the listing was last known to be current.
 func NewLocal(listing func() *backend.Listing, age func() time.Duration, table func() *route.Table) *Local {
-	return &Local{listing: listing, age: age, table: table, loads: make(map[backend.ID]*load)}
+	return &Local{listing: listing, listAge: age, table: table, loads: make(map[backend.ID]*load)}
 }
 
-// Acquire implements Source.
-func (l *Local) Acquire(_ context.Context, ask Request) (*Turn, *Refusal) {
-	candidates := l.candidates(ask)
+// Acquire implements Source. It returns a turn at the least loaded server, without waiting.
+func (l *Local) Acquire(_ context.Context, request Request) (*Turn, *Refusal) {
+	candidates := l.candidates(request)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -65,8 +68,8 @@
 	bestScore := 0.0
 	usable := 0
 	for _, server := range candidates {
-		load := l.of(server.ID)
-		if now.Before(load.avoid) || slices.Contains(ask.Tried, server.ID) {
+		load := l.loadOf(server.ID)
+		if now.Before(load.excludedUntil) || slices.Contains(request.Tried, server.ID) {
 			continue
 		}
 		usable++
@@ -74,7 +77,7 @@
 		if score < 0 {
 			continue
 		}
-		score += rand.Float64() * 0.05 // spreads equals
+		score += rand.Float64() * 0.05 // distributes requests over servers of equal score
 		if best == nil || score < bestScore {
 			best, bestScore = server, score
 		}
@@ -88,11 +91,11 @@
 		return nil, &Refusal{Reason: reason, RetryAfter: retryAfter(reason), Detail: detail}
 	}
 	t := l.grant(best)
-	t.Basis = Basis{Revision: l.listing().Revision, Age: l.age()}
+	t.Basis = Basis{Revision: l.listing().Revision, Age: l.listAge()}
 	return t, nil
 }
 
-// retryAfter is spread, so that requests that were refused together do not return together.
+// retryAfter is randomized, so that requests refused at the same time are not repeated at the same time.
 func retryAfter(reason Reason) time.Duration {
 	if reason == Full {
 		return 200*time.Millisecond + rand.N(400*time.Millisecond)
@@ -100,8 +103,8 @@
 	return 600*time.Millisecond + rand.N(800*time.Millisecond)
 }
 
-// of is called under the lock.
-func (l *Local) of(id backend.ID) *load {
+// loadOf must be called with l.mu held.
+func (l *Local) loadOf(id backend.ID) *load {
 	held := l.loads[id]
 	if held == nil {
 		held = &load{}
@@ -110,42 +113,44 @@
 	return held
 }
 
-// score is the share of the places that is taken, with the memory of failures on top; negative for a full server.
+// score returns the ratio of requests to slots plus the penalty for recent failures, or a negative value for a full
+// server.
 func (l *load) score(now time.Time, slots int) float64 {
 	taken := l.inFlight
-	if now.Sub(l.toldAt) < toldFor {
-		taken = max(taken, l.told+l.sent)
+	if now.Sub(l.reportedAt) < reportTTL {
+		taken = max(taken, l.reported+l.sentSince)
 	}
-	if taken >= slots+overhang {
+	if taken >= slots+overcommit {
 		return -1
 	}
-	return float64(taken)/float64(slots) + failureWeight*l.fading(now)
+	return float64(taken)/float64(slots) + penaltyWeight*l.decayedPenalty(now)
 }
 
-func (l *load) fading(now time.Time) float64 {
-	halves := now.Sub(l.failed).Seconds() / failureHalf.Seconds()
-	if halves > 10 {
+func (l *load) decayedPenalty(now time.Time) float64 {
+	halfLives := now.Sub(l.failedAt).Seconds() / penaltyHalfLife.Seconds()
+	if halfLives > 10 {
 		return 0
 	}
-	return l.failure / float64(int(1)<<int(halves))
+	return l.penalty / float64(int(1)<<int(halfLives))
 }
 
-func (l *Local) candidates(ask Request) []*backend.Server {
-	servers := l.listing().ByService[ask.Service]
+func (l *Local) candidates(request Request) []*backend.Server {
+	servers := l.listing().ByService[request.Service]
 	table := l.table()
 	if table == nil {
 		return nil
 	}
-	engine := table.Services[ask.Service].Engine
+	engine := table.Services[request.Service].Engine
 	if engine == nil || len(engine.Models) == 0 {
 		return slices.DeleteFunc(slices.Clone(servers), func(s *backend.Server) bool { return s.Leaving })
 	}
-	return Heads(servers, engine, ask.Model, nil)
+	return Heads(servers, engine, request.Model, nil)
 }
 
-// Heads returns the heads of the whole, open groups of a model: every member is registered, in the group, and not leaving. vouched is how many
-// members of a group are there although they are not registered; nil for none. It may be out of date, and never stands for the head.
-func Heads(servers []*backend.Server, engine *route.Engine, modelName string, vouched func(backend.GroupKey) int) []*backend.Server {
+// Heads returns the heads of those open groups of a model whose members are all present. A member is present if it is
+// registered with the group and not leaving. unregistered returns the number of members of a group that are running but
+// not registered; it may be nil. The count may be stale, and never stands for the head.
+func Heads(servers []*backend.Server, engine *route.Engine, modelName string, unregistered func(backend.GroupKey) int) []*backend.Server {
 	model, ok := engine.Model(modelName)
 	if !ok {
 		return nil
@@ -162,8 +167,8 @@
 			continue
 		}
 		present := members[server.Group.GroupKey]
-		if present < model.Size && vouched != nil {
-			present += vouched(server.Group.GroupKey)
+		if present < model.Size && unregistered != nil {
+			present += unregistered(server.Group.GroupKey)
 		}
 		if present == model.Size {
 			heads = append(heads, server)
@@ -172,24 +177,24 @@
 	return heads
 }
 
-// Track notes a turn that another gave.
+// Track returns a turn that another Source granted, and counts it in the load of its server.
 func (l *Local) Track(server *backend.Server) *Turn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.grant(server)
 }
 
-// grant is called under the lock.
+// grant must be called with l.mu held.
 func (l *Local) grant(server *backend.Server) *Turn {
-	load := l.of(server.ID)
+	load := l.loadOf(server.ID)
 	load.inFlight++
-	load.sent++
+	load.sentSince++
 	return &Turn{
 		Server: server,
 		ReportLoad: func(running, waiting, _ int) {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			load.told, load.toldAt, load.sent = running+waiting, time.Now(), 0
+			load.reported, load.reportedAt, load.sentSince = running+waiting, time.Now(), 0
 		},
 		ReportStall: func() {},
 		Done:        func(result Result) { l.done(load, result) },
@@ -203,16 +208,16 @@
 	load.inFlight--
 	switch {
 	case result.Unreachable:
-		load.avoid = now.Add(avoidUnreachable)
+		load.excludedUntil = now.Add(unreachableExclusion)
 	case result.Stalled:
-		load.avoid = now.Add(avoidSilent)
+		load.excludedUntil = now.Add(stalledExclusion)
 	case result.Failed:
-		load.failure = min(1, load.fading(now)+0.3)
-		load.failed = now
+		load.penalty = min(1, load.decayedPenalty(now)+0.3)
+		load.failedAt = now
 	}
 }
 
-// Sweep forgets servers that are no longer registered.
+// Sweep removes the load of servers that are no longer registered and have no request in progress.
 func (l *Local) Sweep() {
 	known := l.listing().Servers
 	l.mu.Lock()
--- a/entry/turn/remote.go
+++ b/entry/turn/remote.go
@@ -10,164 +10,170 @@
 	"github.com/skylarkpond/skylarkpond/policy/turns"
 )
 
-// answerTime is how long a request waits for the first word of the entry in charge, and how much longer than its patience for the last. The
-// way there and back takes some milliseconds. After that this entry decides for itself, and goes on so until it hears from the other: one that
-// is gone is noticed by its link only after a second, and each request that waits for it in vain is answered late.
-const answerTime = 80 * time.Millisecond
-
-// Remote gives turns by asking the entry in charge. Where that one does not answer, and for plain services, Local decides. No turn is given
-// at a server that is leaving or gone by this entry's own list, whoever granted it: the leader's list may be older.
+// replyTimeout is how long a request waits for the first reply of the leader. It is also the margin after the request's
+// maximum wait within which the final reply must arrive. A round trip takes a few milliseconds. After a timeout, this
+// entry grants turns locally until it hears from the leader again: the link notices a dead leader only after about a
+// second, and every request that waited for it in the meantime would be answered late.
+const replyTimeout = 80 * time.Millisecond
+
+// Remote grants turns by asking the leader. If the leader does not reply, and for plain services, Local decides. No
+// turn is granted at a server that is leaving or gone according to this entry's own list, even if the leader granted
+// it: the leader's list may be older.
 type Remote struct {
 	local   *Local
 	listing func() *backend.Listing
 
-	mu sync.Mutex // guards what follows; a leaf lock
-	// send reaches the entry in charge; nil without a link.
+	mu sync.Mutex // guards the fields below; if this entry is the leader, send takes the Leader's lock while it is held
+	// send sends a message to the leader; nil without a link.
 	send func(link.Up)
-	// waiting are the requests without an answer, running the turns that are held.
-	waiting map[uint64]chan link.Down
-	running map[uint64]backend.ID
+	// pending holds the requests that wait for a reply, and held the turns in use with the head that each was granted
+	// at.
+	pending map[uint64]chan link.Down
+	held    map[uint64]backend.ID
 	lastKey uint64
-	// doubted says that the entry in charge has left a request without a word, and was not heard since.
-	doubted bool
+	// unresponsive is set when a request to the leader has timed out, until anything is received from it.
+	unresponsive bool
 }
 
-// NewRemote returns a Remote without a link.
+// NewRemote returns a Remote without a link to a leader.
 func NewRemote(local *Local, listing func() *backend.Listing) *Remote {
 	return &Remote{
-		local: local, listing: listing, waiting: make(map[uint64]chan link.Down), running: make(map[uint64]backend.ID),
+		local: local, listing: listing, pending: make(map[uint64]chan link.Down), held: make(map[uint64]backend.ID),
 	}
 }
 
-// Attach sets the way to the entry in charge, or nil, and tells it of the turns that are held, before anything else. Were they told
-// sooner, those that end before the way is there would count for ever. Requests that wait at an earlier one are decided here.
+// Attach sets the function that sends messages to the leader, or nil without a link, and first of all reports the turns
+// that this entry holds. Reported before the link is in place, turns that end in the meantime would be counted forever.
+// Requests that wait for a reply on an earlier link are decided locally.
 func (r *Remote) Attach(send func(link.Up)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.send = send
-	r.doubted = false
-	for key, answer := range r.waiting {
-		close(answer)
-		delete(r.waiting, key)
+	r.unresponsive = false
+	for key, replies := range r.pending {
+		close(replies)
+		delete(r.pending, key)
 	}
 	if send == nil {
 		return
 	}
-	held := link.Turns{Running: make([]link.Running, 0, len(r.running))}
-	for key, head := range r.running {
+	held := link.Turns{Running: make([]link.Running, 0, len(r.held))}
+	for key, head := range r.held {
 		held.Running = append(held.Running, link.Running{Key: key, Head: head})
 	}
 	send(link.Up{Turns: &held})
 }
 
 // Acquire implements Source.
-func (r *Remote) Acquire(ctx context.Context, ask Request) (*Turn, *Refusal) {
-	if ask.Model == "" {
-		return r.local.Acquire(ctx, ask)
+func (r *Remote) Acquire(ctx context.Context, request Request) (*Turn, *Refusal) {
+	if request.Model == "" {
+		return r.local.Acquire(ctx, request)
 	}
-	key, answer := r.ask(ask)
-	if answer == nil {
-		return r.local.Acquire(ctx, ask)
+	key, replies := r.submit(request)
+	if replies == nil {
+		return r.local.Acquire(ctx, request)
 	}
-	timer := time.NewTimer(answerTime)
+	timer := time.NewTimer(replyTimeout)
 	defer timer.Stop()
 	for {
 		select {
-		case down, ok := <-answer:
+		case reply, ok := <-replies:
 			switch {
 			case !ok:
-				return r.local.Acquire(ctx, ask)
-			case down.Queued == 0:
-				return r.settle(ctx, ask, key, down)
+				return r.local.Acquire(ctx, request)
+			case reply.Queued == 0:
+				return r.resolve(ctx, request, key, reply)
 			}
-			timer.Reset(max(ask.MaxWait, turns.MaxRetryWait) + answerTime)
+			timer.Reset(max(request.MaxWait, turns.MaxRetryWait) + replyTimeout)
 		case <-timer.C:
-			r.giveUp(key, true)
-			return r.local.Acquire(ctx, ask)
+			r.withdraw(key, true)
+			return r.local.Acquire(ctx, request)
 		case <-ctx.Done():
-			r.giveUp(key, false)
+			r.withdraw(key, false)
 			return nil, &Refusal{Reason: Full, Detail: "deadline passed while waiting for a turn"}
 		}
 	}
 }
 
-func (r *Remote) ask(ask Request) (uint64, chan link.Down) {
+func (r *Remote) submit(request Request) (uint64, chan link.Down) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.send == nil || r.doubted {
+	if r.send == nil || r.unresponsive {
 		return 0, nil
 	}
 	r.lastKey++
 	key := r.lastKey
-	answer := make(chan link.Down, wordsOfLeader)
-	r.waiting[key] = answer
+	replies := make(chan link.Down, maxReplies)
+	r.pending[key] = replies
 	r.send(link.Up{Ask: &link.Ask{
-		Key: key, Service: ask.Service, Model: ask.Model, PatienceMs: ask.MaxWait.Milliseconds(),
-		Priority: ask.Priority, Tried: ask.Tried, Returning: ask.Retry,
-		Prompt: ask.PromptTokens, Answer: ask.OutputTokens, DueMs: ask.FirstTokenBudget.Milliseconds(), Fingerprint: ask.Fingerprint,
+		Key: key, Service: request.Service, Model: request.Model, PatienceMs: request.MaxWait.Milliseconds(),
+		Priority: request.Priority, Tried: request.Tried, Returning: request.Retry,
+		Prompt: request.PromptTokens, Answer: request.OutputTokens, DueMs: request.FirstTokenBudget.Milliseconds(), Fingerprint: request.Fingerprint,
 	}})
-	return key, answer
+	return key, replies
 }
 
-// wordsOfLeader is how many messages the entry in charge sends on one request at most: that it waits, and what becomes of it.
-const wordsOfLeader = 2
+// maxReplies is the maximum number of replies to one request: that it is queued, and the decision.
+const maxReplies = 2
 
-// giveUp takes a request back. A turn that crosses this is ended when it arrives.
-func (r *Remote) giveUp(key uint64, doubted bool) {
+// withdraw cancels a request. If it was granted in the meantime, the turn is ended when the grant arrives.
+func (r *Remote) withdraw(key uint64, timedOut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.waiting, key)
-	r.doubted = r.doubted || doubted
+	delete(r.pending, key)
+	r.unresponsive = r.unresponsive || timedOut
 	if r.send != nil {
 		r.send(link.Up{Done: &link.Done{Key: key}})
 	}
 }
 
-// settle turns the leader's word into a turn or a refusal.
-func (r *Remote) settle(ctx context.Context, ask Request, key uint64, down link.Down) (*Turn, *Refusal) {
-	if refuse := down.Refuse; refuse != nil {
+// resolve converts the leader's decision to a turn or a refusal.
+func (r *Remote) resolve(ctx context.Context, request Request, key uint64, reply link.Down) (*Turn, *Refusal) {
+	if refuse := reply.Refuse; refuse != nil {
 		if refuse.RetryAfterMs == 0 {
-			return r.local.Acquire(ctx, ask) // it is not in charge
+			return r.local.Acquire(ctx, request) // that entry is not the leader
 		}
 		return nil, &Refusal{
 			Reason: Reason(refuse.Reason), RetryAfter: time.Duration(refuse.RetryAfterMs) * time.Millisecond,
 			Detail: "leader: " + refuse.Detail,
 		}
 	}
-	server := r.listing().Servers[down.Grant.Head]
+	server := r.listing().Servers[reply.Grant.Head]
 	if server == nil || server.Leaving {
-		// A server never comes back from leaving in one life, so that this entry's list is newer than the leader's if it says so.
-		r.end(key, Result{Rejected: true})
-		return r.local.Acquire(ctx, ask)
+		// A server that is leaving stays so until its process ends. If this entry's list says so, it is newer than the
+		// leader's.
+		r.finish(key, Result{Rejected: true})
+		return r.local.Acquire(ctx, request)
 	}
-	t := r.turn(key, server)
-	t.Basis = Basis{FromLeader: true, Revision: down.Grant.Revision, Age: time.Duration(down.Grant.AgeMs) * time.Millisecond}
+	t := r.newTurn(key, server)
+	t.Basis = Basis{FromLeader: true, Revision: reply.Grant.Revision, Age: time.Duration(reply.Grant.AgeMs) * time.Millisecond}
 	return t, nil
 }
 
-// turn wraps the local account of the server, so that this entry knows enough when it has to decide by itself.
-func (r *Remote) turn(key uint64, server *backend.Server) *Turn {
+// newTurn also counts the turn locally, so that this entry knows the load of the server when it has to decide by
+// itself.
+func (r *Remote) newTurn(key uint64, server *backend.Server) *Turn {
 	t := r.local.Track(server)
 	done := t.Done
 	t.Done = func(result Result) {
 		done(result)
-		r.end(key, result)
+		r.finish(key, result)
 	}
 	t.ReportStall = func() { r.Send(link.Up{Silent: server.ID}) }
 	return t
 }
 
-func (r *Remote) end(key uint64, result Result) {
-	whole := !result.Unreachable && !result.Rejected && !result.Failed && !result.Stalled
+func (r *Remote) finish(key uint64, result Result) {
+	complete := !result.Unreachable && !result.Rejected && !result.Failed && !result.Stalled
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.running, key)
+	delete(r.held, key)
 	if r.send != nil {
-		r.send(link.Up{Done: &link.Done{Key: key, Whole: whole, FirstMs: result.TimeToFirstToken.Milliseconds()}})
+		r.send(link.Up{Done: &link.Done{Key: key, Whole: complete, FirstMs: result.TimeToFirstToken.Milliseconds()}})
 	}
 }
 
-// Send sends a message to the entry in charge, if there is a way.
+// Send sends a message to the leader, or drops it if there is no link.
 func (r *Remote) Send(message link.Up) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -176,41 +182,41 @@
 	}
 }
 
-// LeaderAlive notes that the entry in charge is there: something came from it.
+// LeaderAlive records that a message was received from the leader, so that it is asked for turns again.
 func (r *Remote) LeaderAlive() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.doubted = false
+	r.unresponsive = false
 }
 
-// HandleReply takes the leader's word on a request.
-func (r *Remote) HandleReply(down link.Down) {
+// HandleReply handles the leader's reply to a request.
+func (r *Remote) HandleReply(reply link.Down) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var key uint64
 	switch {
-	case down.Queued != 0:
-		if answer, ok := r.waiting[down.Queued]; ok {
-			answer <- down
+	case reply.Queued != 0:
+		if replies, ok := r.pending[reply.Queued]; ok {
+			replies <- reply
 		}
 		return
-	case down.Grant != nil:
-		key = down.Grant.Key
-	case down.Refuse != nil:
-		key = down.Refuse.Key
+	case reply.Grant != nil:
+		key = reply.Grant.Key
+	case reply.Refuse != nil:
+		key = reply.Refuse.Key
 	default:
 		return
 	}
-	answer, ok := r.waiting[key]
+	replies, ok := r.pending[key]
 	if !ok {
-		if down.Grant != nil && r.send != nil {
+		if reply.Grant != nil && r.send != nil {
 			r.send(link.Up{Done: &link.Done{Key: key}})
 		}
 		return
 	}
-	delete(r.waiting, key)
-	if down.Grant != nil {
-		r.running[key] = down.Grant.Head
+	delete(r.pending, key)
+	if reply.Grant != nil {
+		r.held[key] = reply.Grant.Head
 	}
-	answer <- down
+	replies <- reply
 }
--- a/entry/turn/turn.go
+++ b/entry/turn/turn.go
@@ -1,4 +1,10 @@
-// Package turn says which backend server a request may be sent to, and when.
+// Package turn decides which backend server a request may be sent to, and when.
+//
+// An entry is one gateway process. The leader is the entry that grants turns to all entries, so that their requests do
+// not overload a group together. Remote asks the leader for turns. Local grants them from what this entry knows, if the
+// leader can't be reached.
+//
+// A model is served by groups of servers, the members. Requests for a group are sent to one of its members, the head.
 package turn
 
 import (
@@ -8,68 +14,72 @@
 	"github.com/skylarkpond/skylarkpond/backend"
 )
 
-// Request is one request that wants to be sent.
+// Request describes a request that asks for a turn.
 type Request struct {
 	Service string
-	// Model is empty for plain services.
+	// Model is empty for plain services, which have no models.
 	Model string
-	// Priority is 0 for the most urgent, or First.
+	// Priority is 0 for the most urgent requests; larger values are less urgent. PriorityRetry precedes all of them.
 	Priority int
-	// FirstTokenBudget is when the first part of its answer is to be there, from now on; 0 where nothing is lost by waiting longer.
+	// FirstTokenBudget is how long from now the first token may take; 0 if there is no such objective.
 	FirstTokenBudget time.Duration
-	// MaxWait is how long the request may wait for its turn at most.
+	// MaxWait is the maximum time that the request may wait for its turn.
 	MaxWait time.Duration
-	// Retry says that the request was sent before. Callers that were turned away the entry in charge knows by their Fingerprint, which is
-	// alike for all tries of one request; 0 for none.
+	// Retry reports whether the request was sent to a server before. Requests that a caller repeats after a refusal are
+	// recognized by the leader from their Fingerprint, which is the same for all attempts of one request; 0 if there is
+	// none.
 	Retry       bool
 	Fingerprint uint64
-	// Tried are the servers that it was sent to.
+	// Tried lists the servers that the request was sent to before.
 	Tried []backend.ID
-	// PromptTokens and OutputTokens are the tokens of its prompt, and those that its answer is expected to have; 0 if that is not known.
+	// PromptTokens is the length of the prompt and OutputTokens the expected length of the answer, in tokens; 0 if
+	// unknown.
 	PromptTokens, OutputTokens int
 }
 
-// PriorityRetry is the priority of requests that were sent before: streams that are to go on, and those whose server failed them or keeps silent.
+// PriorityRetry is the priority of requests that were sent before: streams to be resumed, and requests whose server
+// failed or stalled.
 const PriorityRetry = -1
 
-// Reason says why there is no turn.
+// Reason tells why a turn was refused.
 type Reason string
 
-// The reasons.
+// Reasons for refusals.
 const (
 	// NoServer: no server of the service, or no open group of the model, is known.
 	NoServer Reason = "no-server"
-	// Full: those that are known have no room within the request's objective.
+	// Full: the known servers or groups can't take the request within its objective.
 	Full Reason = "full"
-	// TriedAll: the request has been tried on all that could take it.
+	// TriedAll: the request was tried on every server or group that could take it.
 	TriedAll Reason = "tried-all"
 )
 
-// Refusal says that the request gets no turn, and when there will be room.
+// Refusal tells why there is no turn, and when the request may be tried again.
 type Refusal struct {
 	Reason     Reason
 	RetryAfter time.Duration
-	// Detail is for the log: what the decision was made from.
+	// Detail describes the state that the decision was based on, for the log.
 	Detail string
 }
 
-// Result is how a turn ended.
+// Result describes how a turn ended. The zero value is a complete answer.
 type Result struct {
-	// Unreachable: no connection could be made.
+	// Unreachable: no connection to the server could be established.
 	Unreachable bool
-	// Rejected: the server said that it did not run the request.
+	// Rejected: the server reported that it did not run the request.
 	Rejected bool
-	// Failed: the answer was broken, wrong, or an error of the server.
+	// Failed: the answer was truncated or invalid, or the server returned an error.
 	Failed bool
-	// Stalled: the server said nothing for longer than a sound one does.
+	// Stalled: the server sent nothing for longer than a healthy server does.
 	Stalled bool
-	// TimeToFirstToken is what passed from the send to the first part of a streamed answer; 0 if none came.
+	// TimeToFirstToken is the time from sending the request to the first part of a streamed answer; 0 if there was
+	// none.
 	TimeToFirstToken time.Duration
 }
 
-// Basis is the list of servers by which a turn was given.
+// Basis identifies the list of servers from which a turn was granted.
 type Basis struct {
-	// FromLeader says that the leader gave the turn by its list; else this entry did by its own.
+	// FromLeader reports whether the leader granted the turn, from its own list. Otherwise this entry did.
 	FromLeader bool
 	Revision   uint64
 	// Age is how long before the turn the list was last known to be current.
@@ -80,15 +90,15 @@
 type Turn struct {
 	Server *backend.Server
 	Basis  Basis
-	// ReportLoad tells what the server said of its load.
+	// ReportLoad records the load that the server reported in its answer.
 	ReportLoad func(running, waiting, slots int)
-	// ReportStall tells that the server has said nothing for longer than usual, while the turn lasts.
+	// ReportStall reports, during the turn, that the server has sent nothing for longer than usual.
 	ReportStall func()
-	// Done ends the turn. It is called exactly once.
+	// Done ends the turn. It must be called exactly once.
 	Done func(Result)
 }
 
-// Source gives turns. Implementations are safe for concurrent use.
+// Source grants turns. Implementations are safe for concurrent use.
 type Source interface {
-	Acquire(ctx context.Context, ask Request) (*Turn, *Refusal)
+	Acquire(ctx context.Context, request Request) (*Turn, *Refusal)
 }
--- a/entry/turn/turn_test.go
+++ b/entry/turn/turn_test.go
@@ -16,7 +16,7 @@
 
 func TestTurn(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "where a request may be sent")
+	RunSpecs(t, "Turn")
 }
 
 var _ = Describe("Heads", func() {
@@ -29,15 +29,15 @@
 		}
 	}
 
-	DescribeTable("counts members that answer without a registration, and never a head that is leaving",
-		func(servers []*backend.Server, vouched, heads int) {
-			Expect(turn.Heads(servers, engine, "large", func(backend.GroupKey) int { return vouched })).To(HaveLen(heads))
+	DescribeTable("counts running members without a registration, and never a leaving head",
+		func(servers []*backend.Server, unregistered, heads int) {
+			Expect(turn.Heads(servers, engine, "large", func(backend.GroupKey) int { return unregistered })).To(HaveLen(heads))
 		},
-		Entry("whole", group(false, false), 0, 1),
+		Entry("all members registered", group(false, false), 0, 1),
 		Entry("a member is leaving", group(false, true), 0, 0),
-		Entry("a member has no registration and answers", group(false, false)[:1], 1, 1),
+		Entry("an unregistered member is running", group(false, false)[:1], 1, 1),
 		Entry("the head is leaving", group(true, false), 0, 0),
-		Entry("the head is leaving, and an old count says that a member answers", group(true, false), 1, 0),
+		Entry("the head is leaving, and a stale count includes an unregistered member", group(true, false), 1, 0),
 	)
 })
 
@@ -45,7 +45,7 @@
 	head := &backend.Server{ID: "head", Service: "chat", Model: "large", Slots: 4, Group: backend.Membership{State: backend.GroupOpen}}
 	fresh := func() time.Duration { return 0 }
 	listing := func() *backend.Listing { return backend.NewListing(1, map[backend.ID]*backend.Server{"head": head}) }
-	ask := turn.Request{Service: "chat", Model: "large", MaxWait: time.Minute}
+	request := turn.Request{Service: "chat", Model: "large", MaxWait: time.Minute}
 	var (
 		remote *turn.Remote
 		sent   []link.Up
@@ -54,7 +54,7 @@
 		remote = turn.NewRemote(turn.NewLocal(listing, fresh, func() *route.Table { return nil }), listing)
 		sent = nil
 	})
-	// leader grants every turn at once.
+	// leader grants every turn immediately.
 	leader := func(message link.Up) {
 		sent = append(sent, message)
 		if message.Ask != nil {
@@ -63,13 +63,13 @@
 		}
 	}
 
-	// The link to the entry in charge breaks, and two requests are in progress. One ends before the next link is there: were it told as held, it
-	// would take a place of its group for good.
-	It("tells a new leader first, and just, of the turns that it still holds", func() {
+	// The link to the leader breaks while two requests are in progress, and one of them ends before the next link is
+	// established. Reported as held, its turn would occupy a slot of the group forever.
+	It("first reports to a new leader the turns that it holds, and no others", func() {
 		remote.Attach(leader)
-		ended, refusal := remote.Acquire(context.Background(), ask)
+		ended, refusal := remote.Acquire(context.Background(), request)
 		Expect(refusal).To(BeNil())
-		kept, refusal := remote.Acquire(context.Background(), ask)
+		kept, refusal := remote.Acquire(context.Background(), request)
 		Expect(refusal).To(BeNil())
 		remote.Attach(nil)
 		ended.Done(turn.Result{})
@@ -81,37 +81,39 @@
 		Expect(sent[1].Done).To(Equal(&link.Done{Key: 2, Whole: true}))
 	})
 
-	// The entry in charge dies. Its link tells that only after a second; each request that waits for it meanwhile is answered late.
-	It("decides by itself when the leader says nothing, and asks no more until it hears from it", func() {
+	// The leader dies. The link notices this only after a second, and every request that waits for a reply until then
+	// is answered late.
+	It("decides locally when the leader does not reply, and does not ask again until it hears from it", func() {
 		remote.Attach(func(message link.Up) { sent = append(sent, message) })
 		began := time.Now()
-		_, refusal := remote.Acquire(context.Background(), ask)
-		Expect(refusal.Reason).To(Equal(turn.NoServer), "there is no table to decide by")
-		Expect(time.Since(began)).To(BeNumerically("<", ask.MaxWait))
+		_, refusal := remote.Acquire(context.Background(), request)
+		Expect(refusal.Reason).To(Equal(turn.NoServer), "there is no route table")
+		Expect(time.Since(began)).To(BeNumerically("<", request.MaxWait))
 		asked := len(sent)
-		_, _ = remote.Acquire(context.Background(), ask)
+		_, _ = remote.Acquire(context.Background(), request)
 		Expect(sent).To(HaveLen(asked))
 		remote.LeaderAlive()
-		_, _ = remote.Acquire(context.Background(), ask)
+		_, _ = remote.Acquire(context.Background(), request)
 		Expect(len(sent)).To(BeNumerically(">", asked))
 	})
 
-	// Guards against requests that reach a leaving server by grants of a leader that can't read the platform.
-	It("gives a turn back that is at a server which this entry knows to be leaving", func() {
+	// Guards against requests sent to a leaving server on grants of a leader that can't read the platform.
+	It("returns a turn granted at a server that this entry knows to be leaving", func() {
 		leaving := *head
 		leaving.Leaving = true
 		servers := map[backend.ID]*backend.Server{"head": &leaving}
 		newer := func() *backend.Listing { return backend.NewListing(2, servers) }
 		remote = turn.NewRemote(turn.NewLocal(newer, fresh, func() *route.Table { return nil }), newer)
 		remote.Attach(leader)
-		granted, refusal := remote.Acquire(context.Background(), ask)
+		granted, refusal := remote.Acquire(context.Background(), request)
 		Expect(granted).To(BeNil())
 		Expect(refusal.Reason).To(Equal(turn.NoServer))
 		Expect(sent).To(ContainElement(link.Up{Done: &link.Done{Key: 1}}))
 	})
 
-	// All places are taken, and the leader has said that the request waits. Deciding by itself, the entry would send it to a full group.
-	It("waits for its turn once the leader has said that it does", func() {
+	// All slots are taken, and the leader has replied that the request is queued. Deciding locally, the entry would
+	// send it to a full group.
+	It("waits for its turn once the leader has queued it", func() {
 		remote.Attach(func(message link.Up) {
 			if message.Ask == nil {
 				return
@@ -123,7 +125,7 @@
 				remote.HandleReply(link.Down{Grant: &link.Grant{Key: key, Head: "head"}})
 			}()
 		})
-		granted, refusal := remote.Acquire(context.Background(), ask)
+		granted, refusal := remote.Acquire(context.Background(), request)
 		Expect(refusal).To(BeNil())
 		Expect(granted.Server).To(Equal(head))
 	})
