--- a/entry/gateway/assemble.go
+++ b/entry/gateway/assemble.go
@@ -66,7 +66,7 @@
 func provideCatalog(s *shell, client *store.Client) *catalog.Catalog {
 	return catalog.New(catalog.Deps{
 		Store: client, Fed: s.following.linked, Leads: func() bool { return s.parts.lease.Held() },
-		News: func(news catalog.News) { s.parts.leader.PassOn(news) },
+		News: func(news catalog.News) { s.parts.leader.Broadcast(news) },
 		Lost: s.platformLost, Regained: s.platformRegained, Unreadable: s.unreadable, Config: s.configInForce,
 		ServerLeaves: s.serverLeaves,
 	})
@@ -83,7 +83,7 @@
 func provideLease(s *shell, client *store.Client, self lease.Holder) *lease.Lease {
 	return lease.New(lease.Deps{
 		Store: client, Self: self, Linked: s.following.linked, Changed: s.leaseChanged, Refused: s.leaseRefused,
-		Renewed:  func() { s.parts.leader.Renewed() },
+		Renewed:  func() { s.parts.leader.BroadcastRenewal() },
 		Capacity: takeover.Capacity{LinkMbps: s.config.LinkMbps, Cores: s.config.Cores},
 	})
 }
@@ -92,18 +92,18 @@
 	return grouping.New(grouping.Deps{
 		Pool: pool, Table: known.Table, Listing: known.Listing, Settled: known.Settled,
 		Held: s.mayOrder, Epoch: charge.Version,
-		Reached: s.reached, Answers: s.answers, Sound: func(head backend.ID) { s.parts.leader.Clear(head) },
-		Demand: func(service, model string) float64 { return s.parts.leader.Wanted(service, model) },
+		Reached: s.reached, Answers: s.answers, Sound: func(head backend.ID) { s.parts.leader.ClearSuspicion(head) },
+		Demand: func(service, model string) float64 { return s.parts.leader.GroupsNeeded(service, model) },
 		Early:  s.early, Event: s.groupEvent,
 	})
 }
 
 func provideLeader(s *shell, known *catalog.Catalog, charge *lease.Lease, controller *grouping.Controller) *leader.Leader {
 	return leader.New(leader.Deps{
-		InOffice: charge.InOffice, NewsSince: known.NewsSince, Listing: known.Listing, ListAge: known.ServersAge, Table: known.Table, Closed: controller.Closed,
-		Vouched: controller.Vouched,
-		Suspect: func(key backend.GroupKey) { controller.Suspect(context.Background(), key) },
-		Demand:  s.demand, Config: known.Config, TakeConfig: known.TakeConfig, LeaseVersion: charge.Version, Ages: known.Ages, Held: s.heldBack,
+		IsLeader: charge.InOffice, ChangesSince: known.NewsSince, Listing: known.Listing, ListAge: known.ServersAge, Table: known.Table, Dissolving: controller.Closed,
+		UnregisteredMembers: controller.Vouched,
+		Suspect:             func(key backend.GroupKey) { controller.Suspect(context.Background(), key) },
+		ReportDemand:        s.demand, Config: known.Config, OfferConfig: known.TakeConfig, LeaseVersion: charge.Version, Ages: known.Ages, ReportQuarantine: s.heldBack,
 	})
 }
 
@@ -141,7 +141,7 @@
 	g.shell.parts = &g.parts
 	g.catalog.Follow(store.KindEntry, catalog.EntriesPace, func(update catalog.Update) { g.roster.Apply(update.Objects()) })
 	g.catalog.OnServers(g.controller.Wake)
-	g.catalog.OnServers(g.leader.SetGroups)
+	g.catalog.OnServers(g.leader.RefreshGroups)
 	g.gauges()
 }
 
@@ -188,7 +188,7 @@
 // as long as it hears from at least half of the entries. What keeps groups whole does not rest on this (package grouping).
 func (s *shell) mayOrder() bool {
 	p := s.parts
-	return p.lease.Held() || (p.lease.InOffice() && 2*p.leader.Followers() >= p.roster.Len())
+	return p.lease.Held() || (p.lease.InOffice() && 2*p.leader.FollowerCount() >= p.roster.Len())
 }
 
 // gauges shows what is true now.
@@ -203,7 +203,7 @@
 		"entries.known":          func() int64 { return int64(g.roster.Len()) },
 		"leader.held":            func() int64 { return asNumber(g.lease.Held()) },
 		"leader.linked":          func() int64 { return asNumber(g.following.linked()) },
-		"leader.followers":       func() int64 { return int64(g.leader.Followers()) },
+		"leader.followers":       func() int64 { return int64(g.leader.FollowerCount()) },
 		"process.uptime.seconds": func() int64 { return int64(time.Since(g.started).Seconds()) },
 		"process.goroutines":     func() int64 { return int64(runtime.NumGoroutine()) },
 		"process.stopping":       func() int64 { return asNumber(g.leaving.Load()) },
--- a/entry/gateway/follow.go
+++ b/entry/gateway/follow.go
@@ -52,7 +52,7 @@
 	self := &selfLink{queue: make(chan link.Down, selfQueue)}
 	send := func(message link.Up) { g.leader.Receive(g.config.Name, self, message) }
 	version, _ := g.catalog.Config()
-	g.leader.SetGroups()
+	g.leader.RefreshGroups()
 	g.leader.Join(g.config.Name, self, link.Hello{
 		Entry: g.config.Name, ConfigVersion: version, Crashes: g.suspects.Reports(),
 	})
@@ -169,16 +169,16 @@
 
 // reached asks the other entries whether a server that this one does not reach serves a group.
 func (s *shell) reached(ctx context.Context, server *backend.Server, key backend.GroupKey) bool {
-	seen, answered := s.parts.leader.Reached(ctx, server)
+	seen, answered := s.parts.leader.ProbeIndirectly(ctx, server)
 	serving := answered && seen.Group == key && seen.Serving
 	s.log.WithFields(logrus.Fields{
-		"vm": server.ID, "group": key.String(), "answered": answered, "serving": serving, "asked_of": s.parts.leader.Followers(),
+		"vm": server.ID, "group": key.String(), "answered": answered, "serving": serving, "asked_of": s.parts.leader.FollowerCount(),
 	}).Info(logline.AskedOthers)
 	return serving
 }
 
 // answers asks the other entries whether they reach a server that this one does not reach.
 func (s *shell) answers(ctx context.Context, server *backend.Server) bool {
-	_, answered := s.parts.leader.Reached(ctx, server)
+	_, answered := s.parts.leader.ProbeIndirectly(ctx, server)
 	return answered
 }
--- a/entry/leader/crashes.go
+++ b/entry/leader/crashes.go
@@ -87,7 +87,7 @@
 // tellHeld is called under the lock.
 func (l *Leader) tellHeld(service string) {
 	if held, changed := l.crashes.changed(service); changed {
-		l.deps.Held(held)
+		l.deps.ReportQuarantine(held)
 		l.share(&link.Shared{Down: link.Down{Held: &held}})
 	}
 }
--- a/entry/leader/demand.go
+++ b/entry/leader/demand.go
@@ -19,7 +19,7 @@
 	}
 	l.mu.Unlock()
 	for _, demand := range demands {
-		l.deps.Demand(demand)
+		l.deps.ReportDemand(demand)
 	}
 }
 
@@ -68,8 +68,8 @@
 	}
 }
 
-// Wanted returns how many groups' worth of requests of a model come, or 0 where that is not known yet.
-func (l *Leader) Wanted(service, model string) float64 {
+// GroupsNeeded returns how many groups' worth of requests of a model come, or 0 where that is not known yet.
+func (l *Leader) GroupsNeeded(service, model string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.seconds < demandSeconds {
--- a/entry/leader/demand_test.go
+++ b/entry/leader/demand_test.go
@@ -24,12 +24,12 @@
 			Slots: 8, Step: 6 * time.Millisecond, PerSequence: 100 * time.Microsecond, ReadPerSecond: 50_000, Models: models,
 		}}}}
 		l := leader.New(leader.Deps{
-			InOffice: func() bool { return true },
-			Listing:  func() *backend.Listing { return backend.NewListing(1, nil) },
-			ListAge:  func() time.Duration { return 0 },
-			Table:    func() *route.Table { return table },
-			Closed:   func(backend.GroupKey) bool { return false },
-			Demand:   func(turns.Demand) {},
+			IsLeader:     func() bool { return true },
+			Listing:      func() *backend.Listing { return backend.NewListing(1, nil) },
+			ListAge:      func() time.Duration { return 0 },
+			Table:        func() *route.Table { return table },
+			Dissolving:   func(backend.GroupKey) bool { return false },
+			ReportDemand: func(turns.Demand) {},
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -53,7 +53,7 @@
 					Key: asked, Service: "chat", Model: model.Name, Prompt: prompt, Answer: 50, Fingerprint: asked,
 				}})
 			}
-			long, short := l.Wanted("chat", "long"), l.Wanted("chat", "short")
+			long, short := l.GroupsNeeded("chat", "long"), l.GroupsNeeded("chat", "short")
 			g.Expect(short).To(BeNumerically(">", 0), fmt.Sprint("asked ", asked))
 			g.Expect(long).To(BeNumerically(">", 1.5*short))
 		}, "20s", "20ms").Should(Succeed())
--- a/entry/leader/leader.go
+++ b/entry/leader/leader.go
@@ -25,31 +25,31 @@
 
 // Deps is what a Leader works with.
 type Deps struct {
-	// InOffice says whether this entry gives the turns.
-	InOffice func() bool
+	// IsLeader says whether this entry gives the turns.
+	IsLeader func() bool
 	Listing  func() *backend.Listing
 	// ListAge is how long ago the listing was last known to be current.
 	ListAge func() time.Duration
 	Table   func() *route.Table
-	// Closed says that a group is being dissolved although it is still listed as open.
-	Closed func(key backend.GroupKey) bool
-	// Vouched is how many members of a group are there although they are not registered; nil for none.
-	Vouched func(key backend.GroupKey) int
+	// Dissolving says that a group is being dissolved although it is still listed as open.
+	Dissolving func(key backend.GroupKey) bool
+	// UnregisteredMembers is how many members of a group are there although they are not registered; nil for none.
+	UnregisteredMembers func(key backend.GroupKey) int
 	// Suspect looks into a group whose head keeps silent.
 	Suspect func(group backend.GroupKey)
 	// Config returns the configuration in force; TakeConfig offers another one.
-	Config     func() (uint64, json.RawMessage)
-	TakeConfig func(spec json.RawMessage)
-	// Demand tells of each model once in demandEvery, while this entry is in charge.
-	Demand func(demand policy.Demand)
-	// NewsSince returns what happened to a kind since a revision.
-	NewsSince func(kind store.Kind, revision store.Version) (catalog.News, bool)
+	Config      func() (uint64, json.RawMessage)
+	OfferConfig func(spec json.RawMessage)
+	// ReportDemand tells of each model once in demandEvery, while this entry is in charge.
+	ReportDemand func(demand policy.Demand)
+	// ChangesSince returns what happened to a kind since a revision.
+	ChangesSince func(kind store.Kind, revision store.Version) (catalog.News, bool)
 	// Ages returns how long ago this entry knew each kind to be current.
 	Ages func() []link.Age
 	// LeaseVersion is that of the last renewal.
 	LeaseVersion func() uint64
-	// Held tells which requests of a service are held back from now on, because they crash servers.
-	Held func(held link.Held)
+	// ReportQuarantine tells which requests of a service are held back from now on, because they crash servers.
+	ReportQuarantine func(held link.Held)
 }
 
 // Leader implements link/leader.Handler. It is safe for concurrent use.
@@ -113,13 +113,13 @@
 			return
 		case <-ticker.C:
 		}
-		if !l.deps.InOffice() {
+		if !l.deps.IsLeader() {
 			l.stepDown()
 			continue
 		}
 		if time.Since(groupsAt) >= groupsEvery {
 			groupsAt = time.Now()
-			l.SetGroups()
+			l.RefreshGroups()
 		}
 		l.mu.Lock()
 		l.send(l.turns.Tick(l.now(), rand.Float64))
@@ -144,9 +144,9 @@
 	}
 }
 
-// SetGroups reads the groups that stand.
-func (l *Leader) SetGroups() {
-	if !l.deps.InOffice() {
+// RefreshGroups reads the groups that stand.
+func (l *Leader) RefreshGroups() {
+	if !l.deps.IsLeader() {
 		return
 	}
 	table := l.deps.Table()
@@ -180,8 +180,8 @@
 
 // heads returns the heads of a model's groups that take requests.
 func (l *Leader) heads(service route.Service, model route.Model, servers []*backend.Server) []*backend.Server {
-	heads := turn.Heads(servers, service.Engine, model.Name, l.deps.Vouched)
-	return slices.DeleteFunc(heads, func(head *backend.Server) bool { return l.deps.Closed(head.Group.GroupKey) })
+	heads := turn.Heads(servers, service.Engine, model.Name, l.deps.UnregisteredMembers)
+	return slices.DeleteFunc(heads, func(head *backend.Server) bool { return l.deps.Dissolving(head.Group.GroupKey) })
 }
 
 func modelKey(service, model string) string { return service + "/" + model }
@@ -236,7 +236,7 @@
 	case message.Silent != "":
 		l.silent(message.Silent)
 	case message.Config != nil:
-		l.deps.TakeConfig(message.Config.Spec)
+		l.deps.OfferConfig(message.Config.Spec)
 	case message.Seen != nil:
 		l.seen(*message.Seen)
 	case message.Crash != nil:
@@ -332,7 +332,7 @@
 // silent keeps turns from a group and has it looked into.
 func (l *Leader) silent(head backend.ID) {
 	server := l.deps.Listing().Servers[head]
-	if server == nil || !l.deps.InOffice() {
+	if server == nil || !l.deps.IsLeader() {
 		return
 	}
 	l.mu.Lock()
@@ -341,15 +341,15 @@
 	l.deps.Suspect(server.Group.GroupKey)
 }
 
-// Clear ends a suspicion: all members of the group have answered.
-func (l *Leader) Clear(head backend.ID) {
+// ClearSuspicion ends a suspicion: all members of the group have answered.
+func (l *Leader) ClearSuspicion(head backend.ID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.send(l.turns.ClearSuspicion(l.now(), string(head), rand.Float64))
 }
 
-// Followers counts the entries that are linked, this one included.
-func (l *Leader) Followers() int {
+// FollowerCount counts the entries that are linked, this one included.
+func (l *Leader) FollowerCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.followers)
--- a/entry/leader/leader_test.go
+++ b/entry/leader/leader_test.go
@@ -50,7 +50,7 @@
 // newLeader returns a leader in charge of one plain service.
 func newLeader() *leader.Leader {
 	l := newEntry()
-	l.SetGroups()
+	l.RefreshGroups()
 	return l
 }
 
@@ -58,16 +58,16 @@
 func newEntry() *leader.Leader {
 	servers := map[backend.ID]*backend.Server{"i-1": {ID: "i-1", Service: "desk"}}
 	return leader.New(leader.Deps{
-		InOffice:     func() bool { return true },
-		Listing:      func() *backend.Listing { return backend.NewListing(1, servers) },
-		ListAge:      func() time.Duration { return 0 },
-		Table:        func() *route.Table { return &route.Table{Version: 3} },
-		Closed:       func(backend.GroupKey) bool { return false },
-		Demand:       func(turns.Demand) {},
-		Config:       func() (uint64, json.RawMessage) { return 3, nil },
-		LeaseVersion: func() uint64 { return 9 },
-		Ages:         func() []link.Age { return ages },
-		Held:         func(link.Held) {},
+		IsLeader:         func() bool { return true },
+		Listing:          func() *backend.Listing { return backend.NewListing(1, servers) },
+		ListAge:          func() time.Duration { return 0 },
+		Table:            func() *route.Table { return &route.Table{Version: 3} },
+		Dissolving:       func(backend.GroupKey) bool { return false },
+		ReportDemand:     func(turns.Demand) {},
+		Config:           func() (uint64, json.RawMessage) { return 3, nil },
+		LeaseVersion:     func() uint64 { return 9 },
+		Ages:             func() []link.Age { return ages },
+		ReportQuarantine: func(link.Held) {},
 	})
 }
 
@@ -76,7 +76,7 @@
 		l := newLeader()
 		one := &follower{}
 		l.Join("e-1", one, link.Hello{})
-		l.Renewed()
+		l.BroadcastRenewal()
 		Expect(one.last().Renewed.Ages).To(Equal(ages))
 	})
 
@@ -84,13 +84,13 @@
 		l := newLeader()
 		first, second := &follower{}, &follower{}
 		l.Join("e-1", first, link.Hello{})
-		l.Renewed()
+		l.BroadcastRenewal()
 		Expect(first.last().Renewed).To(Equal(&link.Renewed{Version: 9, ConfigVersion: 3, Live: []string{"e-1"}, Ages: ages}))
 		l.Join("e-2", second, link.Hello{})
-		l.Renewed()
+		l.BroadcastRenewal()
 		Expect(second.last().Renewed.Live).To(Equal([]string{"e-1", "e-2"}))
 		Expect(first.last().Renewed).To(Equal(&link.Renewed{Version: 9, ConfigVersion: 3, Joined: []string{"e-2"}, Ages: ages}))
-		l.Renewed()
+		l.BroadcastRenewal()
 		Expect(second.last().Renewed).To(Equal(&link.Renewed{Version: 9, ConfigVersion: 3, Ages: ages}))
 	})
 
@@ -108,11 +108,11 @@
 		_, _ = random.Read(large) // never fails
 		value, err := json.Marshal(large)
 		Expect(err).NotTo(HaveOccurred())
-		l.PassOn(configNews(5, 6, value))
+		l.Broadcast(configNews(5, 6, value))
 		for _, f := range all {
 			Expect(*f.last().News).To(Equal(link.Gap("config", 6)))
 		}
-		l.PassOn(configNews(5, 6, json.RawMessage(`{"version":4}`)))
+		l.Broadcast(configNews(5, 6, json.RawMessage(`{"version":4}`)))
 		Expect(all[0].last().News.Changes).To(HaveLen(1))
 	})
 
@@ -121,9 +121,9 @@
 		l := newEntry()
 		early := &follower{}
 		l.Join("e-1", early, link.Hello{})
-		l.PassOn(configNews(5, 6, nil))
+		l.Broadcast(configNews(5, 6, nil))
 		Expect(early.last().News.Changes).To(HaveLen(1))
-		l.PassOn(configNews(8, 9, nil)) // what it read between brought nothing
+		l.Broadcast(configNews(8, 9, nil)) // what it read between brought nothing
 		Expect(early.last().News.From).To(BeEquivalentTo(6))
 	})
 
--- a/entry/leader/live.go
+++ b/entry/leader/live.go
@@ -11,8 +11,8 @@
 // settled is how long entries have to link to a new leader before one that did not counts as down.
 const settled = 1500 * time.Millisecond
 
-// Renewed tells all followers that the lease is held, how old what they were passed on is, and which of them have come and gone.
-func (l *Leader) Renewed() {
+// BroadcastRenewal tells all followers that the lease is held, how old what they were passed on is, and which of them have come and gone.
+func (l *Leader) BroadcastRenewal() {
 	version, _ := l.deps.Config()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/leader/looks.go
+++ b/entry/leader/looks.go
@@ -15,9 +15,9 @@
 	lookTime = 900 * time.Millisecond
 )
 
-// Reached asks other entries whether a server answers them, and returns what one that reached it saw. A server can be cut off from this
+// ProbeIndirectly asks other entries whether a server answers them, and returns what one that reached it saw. A server can be cut off from this
 // entry and from the platform, and still serve others.
-func (l *Leader) Reached(ctx context.Context, server *backend.Server) (link.Seen, bool) {
+func (l *Leader) ProbeIndirectly(ctx context.Context, server *backend.Server) (link.Seen, bool) {
 	answers := make(chan link.Seen, lookers)
 	l.mu.Lock()
 	l.looks[server.ID] = answers
--- a/entry/leader/news.go
+++ b/entry/leader/news.go
@@ -9,7 +9,7 @@
 // catchUp passes on what an entry has missed. Where that is no longer known, the entry is told of a gap and reads for itself.
 func (l *Leader) catchUp(to sender, revisions map[store.Kind]store.Version) {
 	for kind, revision := range revisions {
-		news, ok := l.deps.NewsSince(kind, revision)
+		news, ok := l.deps.ChangesSince(kind, revision)
 		if !ok {
 			news = link.Gap(kind, revision+1)
 		}
@@ -17,8 +17,8 @@
 	}
 }
 
-// PassOn tells all followers what a watch of this entry brought. Some link to it before it knows that it holds the lease.
-func (l *Leader) PassOn(news catalog.News) {
+// Broadcast tells all followers what a watch of this entry brought. Some link to it before it knows that it holds the lease.
+func (l *Leader) Broadcast(news catalog.News) {
 	if len(news.Changes) == 0 && news.From != 0 {
 		return
 	}
