--- a/entry/leader/crashes.go
+++ b/entry/leader/crashes.go
@@ -9,45 +9,45 @@
 	"github.com/skylarkpond/skylarkpond/policy/quarantine"
 )
 
-// crashesHeld is how many servers a request must have crashed to be held back. Where VMs are lost every few seconds, a request that was on two of
-// them is no rarity; operators allow three.
-const crashesHeld = 3
+// quarantineThreshold is the number of servers that a request must have crashed to be quarantined. Where VMs fail every
+// few seconds, requests that lost two servers by chance are common, and operators allow three.
+const quarantineThreshold = 3
 
-// crashes counts, for each service, which requests crashed servers. It is used under the leader's lock.
-type crashes struct {
+// crashTracker records, for each service, which requests crashed servers. It is guarded by the leader's mutex.
+type crashTracker struct {
 	registers map[string]*quarantine.Register
-	// told is what the followers were told last, by service.
-	told map[string][]string
+	// announced is the quarantine that the followers were last sent, by service.
+	announced map[string][]string
 }
 
-func newCrashes() *crashes {
-	return &crashes{registers: make(map[string]*quarantine.Register), told: make(map[string][]string)}
+func newCrashTracker() *crashTracker {
+	return &crashTracker{registers: make(map[string]*quarantine.Register), announced: make(map[string][]string)}
 }
 
-func (c *crashes) register(service string) *quarantine.Register {
+func (c *crashTracker) register(service string) *quarantine.Register {
 	register := c.registers[service]
 	if register == nil {
 		config := quarantine.DefaultConfig()
-		config.Crashes = crashesHeld
+		config.Crashes = quarantineThreshold
 		register = quarantine.New(config)
 		c.registers[service] = register
 	}
 	return register
 }
 
-func (c *crashes) add(crash link.Crash) {
-	life := string(crash.Server) + "@" + strconv.FormatInt(crash.Born, 10)
-	c.register(crash.Service).RecordCrash(time.Now(), life, string(crash.Server), []string{crash.Fingerprint})
+func (c *crashTracker) add(crash link.Crash) {
+	incarnation := string(crash.Server) + "@" + strconv.FormatInt(crash.Born, 10)
+	c.register(crash.Service).RecordCrash(time.Now(), incarnation, string(crash.Server), []string{crash.Fingerprint})
 }
 
-func (c *crashes) clear(cleared link.Cleared) {
+func (c *crashTracker) clear(cleared link.Cleared) {
 	register := c.register(cleared.Service)
 	register.RecordFinish(time.Now(), cleared.Fingerprint, "")
 	register.Expire(time.Now())
 }
 
-// held returns the requests of a service that are held back, in order.
-func (c *crashes) held(service string) []string {
+// quarantined returns the fingerprints of the quarantined requests of a service in sorted order.
+func (c *crashTracker) quarantined(service string) []string {
 	var fingerprints []string
 	for _, held := range c.register(service).Held(time.Now()) {
 		if held.Verdict == quarantine.Quarantined {
@@ -58,43 +58,43 @@
 	return fingerprints
 }
 
-// changed returns what is held back of a service, and whether that is new to the followers.
-func (c *crashes) changed(service string) (link.Held, bool) {
-	held := c.held(service)
-	if slices.Equal(held, c.told[service]) {
+// quarantineChange returns the quarantine of a service, and whether it differs from what the followers were last sent.
+func (c *crashTracker) quarantineChange(service string) (link.Held, bool) {
+	held := c.quarantined(service)
+	if slices.Equal(held, c.announced[service]) {
 		return link.Held{}, false
 	}
-	c.told[service] = held
+	c.announced[service] = held
 	return link.Held{Service: service, Fingerprints: held}, true
 }
 
-// crashed counts a crash and tells all followers what follows.
-func (l *Leader) crashed(crash link.Crash) {
+// addCrash records a crash, and sends the quarantine to all followers if it has changed.
+func (l *Leader) addCrash(crash link.Crash) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.crashes.add(crash)
-	l.tellHeld(crash.Service)
+	l.broadcastQuarantine(crash.Service)
 }
 
-// cleared takes a request out of suspicion that a server has answered in full.
-func (l *Leader) cleared(cleared link.Cleared) {
+// clearCrashes clears a request of suspicion because a server has answered it completely.
+func (l *Leader) clearCrashes(cleared link.Cleared) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.crashes.clear(cleared)
-	l.tellHeld(cleared.Service)
+	l.broadcastQuarantine(cleared.Service)
 }
 
-// tellHeld is called under the lock.
-func (l *Leader) tellHeld(service string) {
-	if held, changed := l.crashes.changed(service); changed {
+// broadcastQuarantine must be called with l.mu held.
+func (l *Leader) broadcastQuarantine(service string) {
+	if held, changed := l.crashes.quarantineChange(service); changed {
 		l.deps.ReportQuarantine(held)
-		l.share(&link.Shared{Down: link.Down{Held: &held}})
+		l.sendToAll(&link.Shared{Down: link.Down{Held: &held}})
 	}
 }
 
-// tellAllHeld tells one follower all that is held back. It is called under the lock.
-func (l *Leader) tellAllHeld(to sender) {
-	for service, fingerprints := range l.crashes.told {
+// sendQuarantines sends the quarantines of all services to one follower. It must be called with l.mu held.
+func (l *Leader) sendQuarantines(to recipient) {
+	for service, fingerprints := range l.crashes.announced {
 		to.Send(link.Down{Held: &link.Held{Service: service, Fingerprints: fingerprints}})
 	}
 }
--- a/entry/leader/demand.go
+++ b/entry/leader/demand.go
@@ -8,14 +8,14 @@
 	policy "github.com/skylarkpond/skylarkpond/policy/turns"
 )
 
-// demandEvery is how often the demand of each model is told.
-const demandEvery = time.Second
+// demandInterval is the interval over which demand is measured, and at which it is reported.
+const demandInterval = time.Second
 
-func (l *Leader) tellDemand() {
+func (l *Leader) reportDemand() {
 	l.mu.Lock()
 	demands := l.turns.Demands(l.now())
 	for _, demand := range demands {
-		l.learn(demand)
+		l.updateDemand(demand)
 	}
 	l.mu.Unlock()
 	for _, demand := range demands {
@@ -24,43 +24,43 @@
 }
 
 const (
-	// demandShare is the weight of the latest second in the mean demand: a change counts by half after 3 s.
-	demandShare = 0.2
-	// demandSeconds is how many seconds must have been seen before the mean counts.
-	demandSeconds = 3
+	// demandWeight is the weight of the latest sample in the moving average: half of a change is reflected after 3 s.
+	demandWeight = 0.2
+	// minDemandSamples is the number of samples, counted over all models, before the average is used.
+	minDemandSamples = 3
 )
 
-// learn takes the latest second into the mean. It is called under the lock.
-func (l *Leader) learn(demand policy.Demand) {
-	groups, known := l.groupsFor(demand)
+// updateDemand adds the latest sample to the moving average. It must be called with l.mu held.
+func (l *Leader) updateDemand(demand policy.Demand) {
+	groups, known := l.requiredGroups(demand)
 	if !known {
 		return
 	}
-	held, seen := l.wanted[demand.Model]
-	if !seen {
-		held = groups
+	mean, known := l.groupsNeeded[demand.Model]
+	if !known {
+		mean = groups
 	}
-	l.wanted[demand.Model] = held + demandShare*(groups-held)
-	l.seconds++
+	l.groupsNeeded[demand.Model] = mean + demandWeight*(groups-mean)
+	l.demandSamples++
 }
 
-// groupsFor returns how many full groups would serve what was asked for in the latest second.
-func (l *Leader) groupsFor(demand policy.Demand) (groups float64, known bool) {
+// requiredGroups returns how many fully used groups would serve the requests of the latest interval.
+func (l *Leader) requiredGroups(demand policy.Demand) (groups float64, known bool) {
 	if demand.NewRequests == 0 {
-		return 0, false // none came, or they went another way
+		return 0, false // no requests, or the requests did not pass through the leader
 	}
-	perSecond := float64(demand.NewRequests) / demandEvery.Seconds()
+	perSecond := float64(demand.NewRequests) / demandInterval.Seconds()
 	if rate := l.engines[demand.Model].Rate(demand.MeanSize); rate > 0 {
 		return perSecond / rate, true
 	}
 	if demand.Groups == 0 {
-		return 0, false // nothing tells how long its requests would take
+		return 0, false // without a group, the duration of a request is unknown
 	}
 	slots := float64(demand.Slots) / float64(demand.Groups)
 	return perSecond * demand.MeanTurnTime.Seconds() / slots, true
 }
 
-// engineFor is what a group of a model takes for its work.
+// engineFor returns the performance parameters of a group that serves model.
 func engineFor(engine *route.Engine, model route.Model) capacity.Engine {
 	return capacity.Engine{
 		Slots: engine.Slots, KVCacheTokens: engine.KVTokens, StepTime: engine.Step, StepTimePerSequence: engine.PerSequence, StepTimePerContext: engine.PerContext,
@@ -68,12 +68,12 @@
 	}
 }
 
-// GroupsNeeded returns how many groups' worth of requests of a model come, or 0 where that is not known yet.
+// GroupsNeeded returns the average demand for a model as a number of fully used groups, or 0 if it is not known yet.
 func (l *Leader) GroupsNeeded(service, model string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.seconds < demandSeconds {
+	if l.demandSamples < minDemandSamples {
 		return 0
 	}
-	return l.wanted[modelKey(service, model)]
+	return l.groupsNeeded[modelKey(service, model)]
 }
--- a/entry/leader/demand_test.go
+++ b/entry/leader/demand_test.go
@@ -15,10 +15,11 @@
 	"github.com/skylarkpond/skylarkpond/policy/turns"
 )
 
-var _ = Describe("The demand of a model", func() {
-	// Both models are asked equally often, and no group of either stands. Reckoned by places, the one with long prompts would get as many groups as the
-	// other, and its callers would wait for their prompts to be read.
-	It("is reckoned by the work that its requests ask for, also while none of its groups stands", func() {
+var _ = Describe("Demand", func() {
+	// Both models get equally many requests, and no group serves either of them. Estimated from slots alone, the model
+	// with long prompts would get as many groups as the other, and its callers would wait for the prefill of their
+	// prompts.
+	It("is estimated from the work of the requests, even while the model has no group", func() {
 		models := []route.Model{{Name: "long", Size: 4, Pace: 1}, {Name: "short", Size: 4, Pace: 1}}
 		table := &route.Table{Version: 1, Services: map[string]route.Service{"chat": {Name: "chat", Engine: &route.Engine{
 			Slots: 8, Step: 6 * time.Millisecond, PerSequence: 100 * time.Microsecond, ReadPerSecond: 50_000, Models: models,
--- a/entry/leader/leader.go
+++ b/entry/leader/leader.go
@@ -1,5 +1,8 @@
-// Package leader is what the entry in charge does for the others: it gives turns at the groups, looks into groups that keep
-// silent, and passes on news.
+// Package leader implements the duties of the leader, the entry that coordinates all entries (gateway processes). The
+// other entries are its followers; the leader is also a follower of its own.
+//
+// The leader grants turns, which are the rights to send a request to a group of servers; has groups checked that have
+// stopped answering; and broadcasts changes of the platform's objects, so that not every entry has to read them.
 package leader
 
 import (
@@ -23,32 +26,35 @@
 	policy "github.com/skylarkpond/skylarkpond/policy/turns"
 )
 
-// Deps is what a Leader works with.
+// Deps holds the dependencies of a Leader.
 type Deps struct {
-	// IsLeader says whether this entry gives the turns.
+	// IsLeader reports whether this entry is the leader.
 	IsLeader func() bool
 	Listing  func() *backend.Listing
-	// ListAge is how long ago the listing was last known to be current.
+	// ListAge returns how long ago the listing was last known to be current.
 	ListAge func() time.Duration
 	Table   func() *route.Table
-	// Dissolving says that a group is being dissolved although it is still listed as open.
+	// Dissolving reports whether a group is being dissolved although it is still listed as open.
 	Dissolving func(key backend.GroupKey) bool
-	// UnregisteredMembers is how many members of a group are there although they are not registered; nil for none.
+	// UnregisteredMembers returns the number of members of a group that are running although they are not registered.
+	// It may be nil.
 	UnregisteredMembers func(key backend.GroupKey) int
-	// Suspect looks into a group whose head keeps silent.
+	// Suspect starts a check of a group whose head has stopped answering.
 	Suspect func(group backend.GroupKey)
-	// Config returns the configuration in force; TakeConfig offers another one.
+	// Config returns the version and the text of the configuration in force. OfferConfig offers a configuration, which
+	// takes effect if it is newer.
 	Config      func() (uint64, json.RawMessage)
 	OfferConfig func(spec json.RawMessage)
-	// ReportDemand tells of each model once in demandEvery, while this entry is in charge.
+	// ReportDemand is called for each model once in demandInterval while this entry is the leader.
 	ReportDemand func(demand policy.Demand)
-	// ChangesSince returns what happened to a kind since a revision.
+	// ChangesSince returns the changes of a kind of objects since a revision, or false if they are no longer known.
 	ChangesSince func(kind store.Kind, revision store.Version) (catalog.News, bool)
-	// Ages returns how long ago this entry knew each kind to be current.
+	// Ages returns, for each kind of objects, how long ago this entry's copy was known to be current.
 	Ages func() []link.Age
-	// LeaseVersion is that of the last renewal.
+	// LeaseVersion returns the version of the lease at its last renewal.
 	LeaseVersion func() uint64
-	// ReportQuarantine tells which requests of a service are held back from now on, because they crash servers.
+	// ReportQuarantine is called when the set of quarantined requests of a service changes: requests that are held back
+	// because they crash servers.
 	ReportQuarantine func(held link.Held)
 }
 
@@ -57,54 +63,55 @@
 	deps    Deps
 	started time.Time
 
-	mu sync.Mutex // guards what follows; a leaf lock
-	// turns is made anew when this entry takes charge.
+	mu sync.Mutex // guards the fields below; several Deps are called while it is held, and must not call the Leader
+	// turns is replaced when this entry ceases to be the leader.
 	turns     *policy.Scheduler
-	followers map[string]sender
-	inCharge  bool
-	// since is when this entry took charge.
-	since time.Time
-	// passed is up to which revision each kind was passed on.
-	passed map[store.Kind]store.Version
-	// engines are what groups take for their work, by model.
+	followers map[string]recipient
+	leading   bool
+	// leadingSince is when this entry became the leader.
+	leadingSince time.Time
+	// broadcastUpTo is the latest revision of each kind that was broadcast.
+	broadcastUpTo map[store.Kind]store.Version
+	// engines holds the performance parameters of the groups of each model.
 	engines map[string]capacity.Engine
-	// wanted is how many groups' worth of requests come, by model.
-	wanted  map[string]float64
-	seconds int
-	// told is the set of live entries that the followers were told last; fresh are those that were told none yet.
-	told    map[string]bool
-	fresh   map[string]bool
-	crashes *crashes
-	// looks are the questions in progress, by server.
-	looks map[backend.ID]chan link.Seen
+	// groupsNeeded is the average demand for each model in fully used groups, and demandSamples the number of samples.
+	groupsNeeded  map[string]float64
+	demandSamples int
+	// announced holds the live entries that the followers were last sent. newFollowers holds the followers that have
+	// not been sent any yet.
+	announced    map[string]bool
+	newFollowers map[string]bool
+	crashes      *crashTracker
+	// probes holds the channels for the results of indirect probes in progress, by server.
+	probes map[backend.ID]chan link.Seen
 }
 
-// sender is a follower, or this entry itself.
-type sender interface {
+// recipient is a follower, or this entry itself.
+type recipient interface {
 	Send(message link.Down)
 	SendShared(message *link.Shared)
 }
 
-// New returns a leader that is not in charge.
+// New returns a Leader that is not leading.
 func New(deps Deps) *Leader {
 	return &Leader{
-		deps: deps, started: time.Now(), turns: policy.New(policy.DefaultConfig()), followers: make(map[string]sender),
-		looks: make(map[backend.ID]chan link.Seen), wanted: make(map[string]float64),
-		passed: make(map[store.Kind]store.Version), told: make(map[string]bool), fresh: make(map[string]bool),
-		crashes: newCrashes(),
+		deps: deps, started: time.Now(), turns: policy.New(policy.DefaultConfig()), followers: make(map[string]recipient),
+		probes: make(map[backend.ID]chan link.Seen), groupsNeeded: make(map[string]float64),
+		broadcastUpTo: make(map[store.Kind]store.Version), announced: make(map[string]bool), newFollowers: make(map[string]bool),
+		crashes: newCrashTracker(),
 	}
 }
 
 const (
-	// tick is how often waiting requests are looked at.
-	tick = 20 * time.Millisecond
-	// groupsEvery is how often the groups are read from the listing, beside its changes.
-	groupsEvery = 100 * time.Millisecond
+	// tickInterval is how often the queues of waiting requests are processed.
+	tickInterval = 20 * time.Millisecond
+	// refreshInterval is how often the groups are read from the listing, in addition to each of its changes.
+	refreshInterval = 100 * time.Millisecond
 )
 
-// Run works until ctx ends.
+// Run runs the leader's periodic work until ctx ends.
 func (l *Leader) Run(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	var groupsAt, demandAt time.Time
 	for {
@@ -117,34 +124,35 @@
 			l.stepDown()
 			continue
 		}
-		if time.Since(groupsAt) >= groupsEvery {
+		if time.Since(groupsAt) >= refreshInterval {
 			groupsAt = time.Now()
 			l.RefreshGroups()
 		}
 		l.mu.Lock()
-		l.send(l.turns.Tick(l.now(), rand.Float64))
+		l.sendDecisions(l.turns.Tick(l.now(), rand.Float64))
 		l.mu.Unlock()
-		if time.Since(demandAt) >= demandEvery {
+		if time.Since(demandAt) >= demandInterval {
 			demandAt = time.Now()
-			l.tellDemand()
+			l.reportDemand()
 		}
 	}
 }
 
 func (l *Leader) now() time.Duration { return time.Since(l.started) }
 
-// stepDown forgets the turns: another entry gives them now.
+// stepDown discards the turns and crashes, which are now tracked by another leader.
 func (l *Leader) stepDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.inCharge {
-		l.inCharge = false
-		l.crashes = newCrashes()
+	if l.leading {
+		l.leading = false
+		l.crashes = newCrashTracker()
 		l.turns = policy.New(policy.DefaultConfig())
 	}
 }
 
-// RefreshGroups reads the groups that stand.
+// RefreshGroups updates the available groups from the listing and the route table. Its first call makes this entry
+// grant turns, if it is the leader.
 func (l *Leader) RefreshGroups() {
 	if !l.deps.IsLeader() {
 		return
@@ -170,15 +178,15 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.inCharge {
-		l.inCharge = true
-		l.since = time.Now()
+	if !l.leading {
+		l.leading = true
+		l.leadingSince = time.Now()
 	}
 	l.engines = engines
-	l.send(l.turns.SetGroups(l.now(), groups, rand.Float64))
+	l.sendDecisions(l.turns.SetGroups(l.now(), groups, rand.Float64))
 }
 
-// heads returns the heads of a model's groups that take requests.
+// heads returns the heads of a model's groups that accept requests.
 func (l *Leader) heads(service route.Service, model route.Model, servers []*backend.Server) []*backend.Server {
 	heads := turn.Heads(servers, service.Engine, model.Name, l.deps.UnregisteredMembers)
 	return slices.DeleteFunc(heads, func(head *backend.Server) bool { return l.deps.Dissolving(head.Group.GroupKey) })
@@ -186,15 +194,15 @@
 
 func modelKey(service, model string) string { return service + "/" + model }
 
-// turnKey names a turn over all entries.
+// turnKey returns the key of a turn, which is unique over all entries.
 func turnKey(entry string, key uint64) string { return entry + "/" + strconv.FormatUint(key, 10) }
 
-// splitKey is the reverse of turnKey.
+// splitKey is the inverse of turnKey.
 func splitKey(turnKey string) (entry string, key uint64) {
 	i := strings.LastIndexByte(turnKey, '/')
 	key, err := strconv.ParseUint(turnKey[i+1:], 10, 64)
 	if err != nil {
-		return "", 0 // turnKey made it
+		return "", 0 // can't happen: turnKey produced the key
 	}
 	return turnKey[:i], key
 }
@@ -204,18 +212,18 @@
 	l.Join(follower.Entry, follower, hello)
 }
 
-// Join adds an entry.
-func (l *Leader) Join(entry string, to sender, hello link.Hello) {
+// Join adds an entry as a follower.
+func (l *Leader) Join(entry string, to recipient, hello link.Hello) {
 	l.mu.Lock()
 	l.followers[entry] = to
-	l.fresh[entry] = true
-	l.tellAllHeld(to)
+	l.newFollowers[entry] = true
+	l.sendQuarantines(to)
 	for _, crash := range hello.Crashes {
 		l.crashes.add(crash)
-		l.tellHeld(crash.Service)
+		l.broadcastQuarantine(crash.Service)
 	}
 	l.mu.Unlock()
-	l.passConfig(to, hello.ConfigVersion)
+	l.sendNewerConfig(to, hello.ConfigVersion)
 	l.catchUp(to, hello.Revisions)
 }
 
@@ -224,69 +232,69 @@
 	l.Receive(follower.Entry, follower, message)
 }
 
-// Receive handles a message of an entry.
-func (l *Leader) Receive(entry string, from sender, message link.Up) {
+// Receive handles a message from an entry.
+func (l *Leader) Receive(entry string, from recipient, message link.Up) {
 	switch {
 	case message.Turns != nil:
 		l.reconcile(entry, message.Turns.Running)
 	case message.Ask != nil:
-		l.ask(entry, from, *message.Ask)
+		l.submit(entry, from, *message.Ask)
 	case message.Done != nil:
 		l.done(entry, *message.Done)
 	case message.Silent != "":
-		l.silent(message.Silent)
+		l.suspect(message.Silent)
 	case message.Config != nil:
 		l.deps.OfferConfig(message.Config.Spec)
 	case message.Seen != nil:
-		l.seen(*message.Seen)
+		l.handleProbeResult(*message.Seen)
 	case message.Crash != nil:
-		l.crashed(*message.Crash)
+		l.addCrash(*message.Crash)
 	case message.Cleared != nil:
-		l.cleared(*message.Cleared)
+		l.clearCrashes(*message.Cleared)
 	case message.Has != 0:
-		l.passConfig(from, message.Has)
+		l.sendNewerConfig(from, message.Has)
 	}
 }
 
-// Left implements link/leader.Handler. The turns of an entry that is gone are over: the servers drop what it asked for. One that only
-// lost its link names its turns again when it is back.
+// Left implements link/leader.Handler. The turns of a dead entry end with it, because the servers abort its requests.
+// An entry that only lost its link reports its turns again when it reconnects.
 func (l *Leader) Left(follower *link.Follower) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.followers[follower.Entry] != sender(follower) {
-		return // it has a newer link
+	if l.followers[follower.Entry] != recipient(follower) {
+		return // the follower has reconnected on a newer link
 	}
 	delete(l.followers, follower.Entry)
-	l.send(l.turns.Forget(l.now(), follower.Entry+"/", rand.Float64))
+	l.sendDecisions(l.turns.Forget(l.now(), follower.Entry+"/", rand.Float64))
 }
 
-// notInCharge tells a follower to decide for itself.
-const notInCharge = "not-in-charge"
+// notLeader tells a follower that this entry is not the leader, so that the follower decides for itself.
+const notLeader = "not-in-charge"
 
-func (l *Leader) ask(entry string, from sender, ask link.Ask) {
+func (l *Leader) submit(entry string, from recipient, request link.Ask) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.inCharge {
-		from.Send(link.Down{Refuse: &link.Refuse{Key: ask.Key, Reason: notInCharge}})
+	if !l.leading {
+		from.Send(link.Down{Refuse: &link.Refuse{Key: request.Key, Reason: notLeader}})
 		return
 	}
-	tried := make([]string, 0, len(ask.Tried))
-	for _, id := range ask.Tried {
+	tried := make([]string, 0, len(request.Tried))
+	for _, id := range request.Tried {
 		tried = append(tried, string(id))
 	}
-	key := turnKey(entry, ask.Key)
+	key := turnKey(entry, request.Key)
 	decisions := l.turns.Submit(l.now(), policy.Request{
-		Key: key, Model: modelKey(ask.Service, ask.Model),
-		FirstTokenBudget: time.Duration(ask.DueMs) * time.Millisecond, MaxWait: time.Duration(ask.PatienceMs) * time.Millisecond, Priority: ask.Priority, TriedHeads: tried,
-		Retry: ask.Returning, Fingerprint: ask.Fingerprint, Size: capacity.RequestSize{PromptTokens: float64(ask.Prompt), OutputTokens: float64(ask.Answer)},
+		Key: key, Model: modelKey(request.Service, request.Model),
+		FirstTokenBudget: time.Duration(request.DueMs) * time.Millisecond, MaxWait: time.Duration(request.PatienceMs) * time.Millisecond, Priority: request.Priority, TriedHeads: tried,
+		Retry: request.Returning, Fingerprint: request.Fingerprint, Size: capacity.RequestSize{PromptTokens: float64(request.Prompt), OutputTokens: float64(request.Answer)},
 	}, rand.Float64)
-	l.send(decisions)
+	l.sendDecisions(decisions)
 	if !slices.ContainsFunc(decisions, func(d policy.Decision) bool { return d.Key == key }) {
-		from.Send(link.Down{Queued: ask.Key})
+		from.Send(link.Down{Queued: request.Key})
 	}
 }
 
-// reconcile takes an entry's word on which turns it holds.
+// reconcile replaces the turns held by an entry with those that it reports.
 func (l *Leader) reconcile(entry string, held []link.Running) {
 	heads := make(map[string]string, len(held))
 	for _, running := range held {
@@ -294,18 +302,18 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.send(l.turns.Reconcile(l.now(), entry+"/", heads, rand.Float64))
+	l.sendDecisions(l.turns.Reconcile(l.now(), entry+"/", heads, rand.Float64))
 }
 
 func (l *Leader) done(entry string, done link.Done) {
 	end := policy.End{Complete: done.Whole, FirstToken: time.Duration(done.FirstMs) * time.Millisecond}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.send(l.turns.Done(l.now(), turnKey(entry, done.Key), end, rand.Float64))
+	l.sendDecisions(l.turns.Done(l.now(), turnKey(entry, done.Key), end, rand.Float64))
 }
 
-// send tells the followers what was decided. It is called under the lock; sending never blocks.
-func (l *Leader) send(decisions []policy.Decision) {
+// sendDecisions sends decisions to the followers concerned. It must be called with l.mu held; sending never blocks.
+func (l *Leader) sendDecisions(decisions []policy.Decision) {
 	if len(decisions) == 0 {
 		return
 	}
@@ -329,8 +337,8 @@
 
 var reasons = map[policy.Reason]turn.Reason{policy.NoGroup: turn.NoServer, policy.TooLate: turn.Full, policy.TriedAll: turn.TriedAll}
 
-// silent keeps turns from a group and has it looked into.
-func (l *Leader) silent(head backend.ID) {
+// suspect withholds turns from a group and starts a check of it.
+func (l *Leader) suspect(head backend.ID) {
 	server := l.deps.Listing().Servers[head]
 	if server == nil || !l.deps.IsLeader() {
 		return
@@ -341,14 +349,14 @@
 	l.deps.Suspect(server.Group.GroupKey)
 }
 
-// ClearSuspicion ends a suspicion: all members of the group have answered.
+// ClearSuspicion makes a suspected group available again, after all of its members have answered.
 func (l *Leader) ClearSuspicion(head backend.ID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.send(l.turns.ClearSuspicion(l.now(), string(head), rand.Float64))
+	l.sendDecisions(l.turns.ClearSuspicion(l.now(), string(head), rand.Float64))
 }
 
-// FollowerCount counts the entries that are linked, this one included.
+// FollowerCount returns the number of linked entries, including this one.
 func (l *Leader) FollowerCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/leader/live.go
+++ b/entry/leader/live.go
@@ -8,57 +8,58 @@
 	link "github.com/skylarkpond/skylarkpond/link/leader"
 )
 
-// settled is how long entries have to link to a new leader before one that did not counts as down.
-const settled = 1500 * time.Millisecond
+// settleTime is how long after a change of leader an entry may take to connect before it counts as down.
+const settleTime = 1500 * time.Millisecond
 
-// BroadcastRenewal tells all followers that the lease is held, how old what they were passed on is, and which of them have come and gone.
+// BroadcastRenewal tells all followers that the lease was renewed, how old this entry's copies of the platform's
+// objects are, and which followers have joined or left since the last call.
 func (l *Leader) BroadcastRenewal() {
 	version, _ := l.deps.Config()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	message := link.Renewed{
-		Version: l.deps.LeaseVersion(), ConfigVersion: version, Settled: l.inCharge && time.Since(l.since) >= settled, Ages: l.deps.Ages(),
+		Version: l.deps.LeaseVersion(), ConfigVersion: version, Settled: l.leading && time.Since(l.leadingSince) >= settleTime, Ages: l.deps.Ages(),
 	}
-	first := message
-	if len(l.fresh) > 0 {
-		first.Live = slices.Sorted(maps.Keys(l.followers))
+	full := message
+	if len(l.newFollowers) > 0 {
+		full.Live = slices.Sorted(maps.Keys(l.followers))
 	}
-	message.Joined, message.Left = l.changedLive()
+	message.Joined, message.Left = l.liveChanges()
 	shared := &link.Shared{Down: link.Down{Renewed: &message}}
-	whole := &link.Shared{Down: link.Down{Renewed: &first}}
+	sharedFull := &link.Shared{Down: link.Down{Renewed: &full}}
 	for entry, to := range l.followers {
-		if l.fresh[entry] {
-			to.SendShared(whole)
+		if l.newFollowers[entry] {
+			to.SendShared(sharedFull)
 			continue
 		}
 		to.SendShared(shared)
 	}
-	clear(l.fresh)
+	clear(l.newFollowers)
 }
 
-// changedLive returns which followers came and went since the last call. It is called under the lock.
-func (l *Leader) changedLive() (joined, left []string) {
+// liveChanges returns which followers have joined and left since the last call. It must be called with l.mu held.
+func (l *Leader) liveChanges() (joined, left []string) {
 	for entry := range l.followers {
-		if !l.told[entry] {
+		if !l.announced[entry] {
 			joined = append(joined, entry)
 		}
 	}
-	for entry := range l.told {
+	for entry := range l.announced {
 		if l.followers[entry] == nil {
 			left = append(left, entry)
 		}
 	}
 	for _, entry := range joined {
-		l.told[entry] = true
+		l.announced[entry] = true
 	}
 	for _, entry := range left {
-		delete(l.told, entry)
+		delete(l.announced, entry)
 	}
 	return joined, left
 }
 
-// share tells every follower the same. It is called under the lock.
-func (l *Leader) share(shared *link.Shared) {
+// sendToAll sends the same message to every follower. It must be called with l.mu held.
+func (l *Leader) sendToAll(shared *link.Shared) {
 	for _, to := range l.followers {
 		to.SendShared(shared)
 	}
--- a/entry/leader/looks.go
+++ b/entry/leader/looks.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// lookers is how many entries are asked whether they reach a server.
-	lookers = 6
-	// lookTime is how long their answers are waited for.
-	lookTime = 900 * time.Millisecond
+	// maxProbers is the maximum number of entries that are asked to probe a server.
+	maxProbers = 6
+	// probeTimeout is how long their results are waited for.
+	probeTimeout = 900 * time.Millisecond
 )
 
-// ProbeIndirectly asks other entries whether a server answers them, and returns what one that reached it saw. A server can be cut off from this
-// entry and from the platform, and still serve others.
+// ProbeIndirectly asks other entries whether they reach a server, and returns the result of the first that does. A
+// server can be cut off from this entry and from the platform, and still serve requests of other entries.
 func (l *Leader) ProbeIndirectly(ctx context.Context, server *backend.Server) (link.Seen, bool) {
-	answers := make(chan link.Seen, lookers)
+	answers := make(chan link.Seen, maxProbers)
 	l.mu.Lock()
-	l.looks[server.ID] = answers
+	l.probes[server.ID] = answers
 	asked := 0
 	for _, to := range l.followers {
-		if asked == lookers {
+		if asked == maxProbers {
 			break
 		}
 		to.Send(link.Down{Look: &link.Look{Server: server.ID, Address: server.Address}})
@@ -32,15 +32,15 @@
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		delete(l.looks, server.ID)
+		delete(l.probes, server.ID)
 		l.mu.Unlock()
 	}()
-	timeout := time.After(lookTime)
+	timeout := time.After(probeTimeout)
 	for range asked {
 		select {
-		case seen := <-answers:
-			if seen.Answered {
-				return seen, true
+		case result := <-answers:
+			if result.Answered {
+				return result, true
 			}
 		case <-timeout:
 			return link.Seen{}, false
@@ -51,15 +51,15 @@
 	return link.Seen{}, false
 }
 
-func (l *Leader) seen(seen link.Seen) {
+func (l *Leader) handleProbeResult(result link.Seen) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	answers, ok := l.looks[seen.Server]
+	answers, ok := l.probes[result.Server]
 	if !ok {
-		return // too late
+		return // the probe has ended
 	}
 	select {
-	case answers <- seen:
+	case answers <- result:
 	default:
 	}
 }
--- a/entry/leader/news.go
+++ b/entry/leader/news.go
@@ -6,8 +6,9 @@
 	store "github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// catchUp passes on what an entry has missed. Where that is no longer known, the entry is told of a gap and reads for itself.
-func (l *Leader) catchUp(to sender, revisions map[store.Kind]store.Version) {
+// catchUp sends the changes that a follower has missed. If they are no longer known, the follower is sent a gap and
+// reads the objects from the platform.
+func (l *Leader) catchUp(to recipient, revisions map[store.Kind]store.Version) {
 	for kind, revision := range revisions {
 		news, ok := l.deps.ChangesSince(kind, revision)
 		if !ok {
@@ -17,35 +18,37 @@
 	}
 }
 
-// Broadcast tells all followers what a watch of this entry brought. Some link to it before it knows that it holds the lease.
+// Broadcast sends changes that this entry's watch returned to all followers. Followers may connect before this entry
+// knows that it holds the lease, so it also broadcasts before it is leading.
 func (l *Leader) Broadcast(news catalog.News) {
 	if len(news.Changes) == 0 && news.From != 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if passed := l.passed[news.Kind]; passed > 0 {
-		news.From = min(news.From, passed) // what lies between brought nothing, and was not passed on
+	if passed := l.broadcastUpTo[news.Kind]; passed > 0 {
+		news.From = min(news.From, passed) // there were no changes in between, so that nothing was broadcast
 	}
-	l.passed[news.Kind] = news.To
+	l.broadcastUpTo[news.Kind] = news.To
 	if len(l.followers) == 0 {
 		return
 	}
 	shared := &link.Shared{Down: link.Down{News: &news}}
-	if shared.Size()*len(l.followers) > mostPassed {
+	if shared.Size()*len(l.followers) > maxBroadcastBytes {
 		gap := link.Gap(news.Kind, news.To)
 		shared = &link.Shared{Down: link.Down{News: &gap}}
 	}
-	l.share(shared)
+	l.sendToAll(shared)
 }
 
-// mostPassed bounds the bytes of one piece of news over all followers. A leader whose link carries 14 Mbit/s sends them in half a second, in
-// which nothing else goes out; were a large configuration passed on to all, links would time out, and it would be in force late. What is
-// larger is read from the platform by each follower.
-const mostPassed = 900 << 10
+// maxBroadcastBytes limits the size of one broadcast, summed over all followers. A leader with a link of 14 Mbit/s
+// sends this much in half a second, during which it can't send anything else. If a large configuration were broadcast,
+// links would time out and the configuration would take effect late. Each follower reads larger changes from the
+// platform itself.
+const maxBroadcastBytes = 900 << 10
 
-// passConfig sends the configuration to a follower that has an older one.
-func (l *Leader) passConfig(to sender, has uint64) {
+// sendNewerConfig sends the configuration to a follower that has an older version.
+func (l *Leader) sendNewerConfig(to recipient, has uint64) {
 	version, spec := l.deps.Config()
 	if version > has && spec != nil {
 		to.Send(link.Down{Config: &link.Config{Spec: spec}})
