--- a/entry/leader/demand.go
+++ b/entry/leader/demand.go
@@ -36,8 +36,8 @@
 	if !known {
 		return
 	}
-	mean, known := l.groupsNeeded[demand.Model]
-	if !known {
+	mean, found := l.groupsNeeded[demand.Model]
+	if !found {
 		mean = groups
 	}
 	l.groupsNeeded[demand.Model] = mean + demandWeight*(groups-mean)
--- a/entry/leader/leader_test.go
+++ b/entry/leader/leader_test.go
@@ -29,7 +29,7 @@
 func (f *follower) Send(message link.Down)          { f.received = append(f.received, message) }
 func (f *follower) SendShared(message *link.Shared) { f.received = append(f.received, message.Down) }
 
-// takeLast returns the takeLast message and discards all.
+// takeLast returns the last message and discards all.
 func (f *follower) takeLast() link.Down {
 	GinkgoHelper()
 	Expect(f.received).NotTo(BeEmpty())
