--- a/entry/gateway/assemble.go
+++ b/entry/gateway/assemble.go
@@ -82,7 +82,7 @@
 
 func provideLease(s *shell, client *store.Client, self lease.Holder) *lease.Lease {
 	return lease.New(lease.Deps{
-		Store: client, Self: self, Linked: s.following.linked, Changed: s.leaseChanged, Refused: s.leaseRefused,
+		Store: client, Self: self, Linked: s.following.linked, HolderChanged: s.leaseChanged, WriteConflict: s.leaseRefused,
 		Renewed:  func() { s.parts.leader.BroadcastRenewal() },
 		Capacity: takeover.Capacity{LinkMbps: s.config.LinkMbps, Cores: s.config.Cores},
 	})
@@ -100,7 +100,7 @@
 
 func provideLeader(s *shell, known *catalog.Catalog, charge *lease.Lease, controller *grouping.Controller) *leader.Leader {
 	return leader.New(leader.Deps{
-		IsLeader: charge.InOffice, ChangesSince: known.NewsSince, Listing: known.Listing, ListAge: known.ServersAge, Table: known.Table, Dissolving: controller.Closed,
+		IsLeader: charge.IsLeader, ChangesSince: known.NewsSince, Listing: known.Listing, ListAge: known.ServersAge, Table: known.Table, Dissolving: controller.Closed,
 		UnregisteredMembers: controller.Vouched,
 		Suspect:             func(key backend.GroupKey) { controller.Suspect(context.Background(), key) },
 		ReportDemand:        s.demand, Config: known.Config, OfferConfig: known.TakeConfig, LeaseVersion: charge.Version, Ages: known.Ages, ReportQuarantine: s.heldBack,
@@ -188,7 +188,7 @@
 // as long as it hears from at least half of the entries. What keeps groups whole does not rest on this (package grouping).
 func (s *shell) mayOrder() bool {
 	p := s.parts
-	return p.lease.Held() || (p.lease.InOffice() && 2*p.leader.FollowerCount() >= p.roster.Len())
+	return p.lease.Held() || (p.lease.IsLeader() && 2*p.leader.FollowerCount() >= p.roster.Len())
 }
 
 // gauges shows what is true now.
--- a/entry/gateway/follow.go
+++ b/entry/gateway/follow.go
@@ -21,7 +21,7 @@
 	for ctx.Err() == nil {
 		holder, known := g.lease.Holder()
 		switch {
-		case g.lease.InOffice():
+		case g.lease.IsLeader():
 			g.followSelf(ctx)
 		case known && holder.Entry != g.config.Name:
 			g.followOther(ctx, holder)
@@ -66,7 +66,7 @@
 		case message := <-self.queue:
 			g.fromLeader(ctx, send, message)
 		case <-check.C:
-			if !g.lease.InOffice() {
+			if !g.lease.IsLeader() {
 				return
 			}
 		case <-ctx.Done():
@@ -88,7 +88,7 @@
 	to, err := link.Dial(dialling, g.identity, sourceOf(g.config.Callers), holder.Address, holder.Fingerprint, hello)
 	if err != nil {
 		g.log.WithError(err).WithField("leader", holder.Entry).Debug("no link to the leader")
-		g.lease.Doubt()
+		g.lease.HolderUnreachable()
 		return
 	}
 	g.log.WithField("leader", holder.Entry).Info(logline.Linked)
@@ -143,7 +143,7 @@
 }
 
 func (g *Gateway) leaderRenewed(send func(link.Up), renewed link.Renewed) {
-	g.lease.Heard(renewed.Version)
+	g.lease.ObserveRenewal(renewed.Version)
 	g.following.renewed(renewed, g.roster.Names())
 	g.catalog.Confirm(renewed.Ages)
 	version, spec := g.catalog.Config()
--- a/entry/lease/lease.go
+++ b/entry/lease/lease.go
@@ -31,8 +31,8 @@
 const (
 	// renewEvery is how often the holder writes.
 	renewEvery = 600 * time.Millisecond
-	// ActWithin is how long the holder may act after it sent the last confirmed write.
-	ActWithin = 1300 * time.Millisecond
+	// Validity is how long the holder may act after it sent the last confirmed write.
+	Validity = 1300 * time.Millisecond
 	// takeAfter is how long the object must stand still before another entry takes it. It is above ActWithin by
 	// the time that a write may take.
 	takeAfter = 1700 * time.Millisecond
@@ -64,10 +64,10 @@
 	Capacity takeover.Capacity
 	// Renewed tells of each confirmed write of this entry.
 	Renewed func()
-	// Changed tells of another holder.
-	Changed func(holder Holder, held bool)
-	// Refused tells that another entry has written the object before this one.
-	Refused func()
+	// HolderChanged tells of another holder.
+	HolderChanged func(holder Holder, held bool)
+	// WriteConflict tells that another entry has written the object before this one.
+	WriteConflict func()
 }
 
 // Lease is safe for concurrent use.
@@ -98,12 +98,12 @@
 func (l *Lease) Held() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.held && time.Since(l.confirmed) < ActWithin
+	return l.held && time.Since(l.confirmed) < Validity
 }
 
-// InOffice says whether this entry took the lease and has not heard of another holder. It may be unable to confirm that: then it may
+// IsLeader says whether this entry took the lease and has not heard of another holder. It may be unable to confirm that: then it may
 // go on with what is safe without, and not with what must be known to be current.
-func (l *Lease) InOffice() bool { return l.owns() }
+func (l *Lease) IsLeader() bool { return l.owns() }
 
 // Version returns the version of the last write of this entry: a number that no earlier holder had.
 func (l *Lease) Version() uint64 {
@@ -146,9 +146,9 @@
 	return l.doubted || l.holder.Entry == "" || now.Sub(l.since) >= takeAfter+l.delay
 }
 
-// Doubt notes that the holder can't be reached where the object says. Its process may have started again, with another certificate: after all
+// HolderUnreachable notes that the holder can't be reached where the object says. Its process may have started again, with another certificate: after all
 // entries were killed, most have read the object before the holder wrote it anew, and would find it only once the lease can be taken.
-func (l *Lease) Doubt() {
+func (l *Lease) HolderUnreachable() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.doubted = true
@@ -212,7 +212,7 @@
 	ripe := time.Since(l.since) > takeAfter || l.formerSelf(holder)
 	l.mu.Unlock()
 	if other {
-		l.deps.Changed(holder, false)
+		l.deps.HolderChanged(holder, false)
 	}
 	return ripe
 }
@@ -223,8 +223,8 @@
 	return holder.Entry == l.deps.Self.Entry && holder.Token != l.deps.Self.Token
 }
 
-// Heard notes that the holder has written the object at version, as its link tells.
-func (l *Lease) Heard(version uint64) {
+// ObserveRenewal notes that the holder has written the object at version, as its link tells.
+func (l *Lease) ObserveRenewal(version uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if platform.Version(version) > l.version {
@@ -248,7 +248,7 @@
 		return // text always encodes
 	}
 	sent := time.Now()
-	bounded, cancel := context.WithTimeout(ctx, ActWithin)
+	bounded, cancel := context.WithTimeout(ctx, Validity)
 	defer cancel()
 	written, err := platform.PutConfirmed(bounded, l.deps.Store, Kind, Name, version, body, value.Nonce)
 	l.settle(value, written, sent, err)
@@ -272,10 +272,10 @@
 	held := l.held
 	l.mu.Unlock()
 	if conflict {
-		l.deps.Refused()
+		l.deps.WriteConflict()
 	}
 	if held != was {
-		l.deps.Changed(value, held)
+		l.deps.HolderChanged(value, held)
 	}
 	if err == nil {
 		l.deps.Renewed()
--- a/entry/lease/lease_test.go
+++ b/entry/lease/lease_test.go
@@ -57,8 +57,8 @@
 	m := &member{refused: make(chan struct{}, 1)}
 	m.Lease = lease.New(lease.Deps{
 		Store: platform, Self: self, Linked: m.linked.Load,
-		Renewed: func() {}, Changed: func(lease.Holder, bool) {},
-		Refused: func() {
+		Renewed: func() {}, HolderChanged: func(lease.Holder, bool) {},
+		WriteConflict: func() {
 			select {
 			case m.refused <- struct{}{}:
 			default:
@@ -126,7 +126,7 @@
 		Eventually(a.Held, waitFor).Should(BeTrue())
 		api.Set(objects.Faults{Silent: true})
 		Eventually(a.Held, waitFor).Should(BeFalse())
-		Expect(a.InOffice()).To(BeTrue())
+		Expect(a.IsLeader()).To(BeTrue())
 		api.Set(objects.Faults{})
 		Eventually(a.Held, waitFor).Should(BeTrue())
 	})
@@ -145,7 +145,7 @@
 		a := start(api, "a")
 		Eventually(a.Held, waitFor).Should(BeTrue())
 		api.Write(string(lease.Kind), lease.Name, lease.Holder{Entry: "other", Token: "other"})
-		Eventually(a.InOffice, waitFor).Should(BeFalse())
+		Eventually(a.IsLeader, waitFor).Should(BeFalse())
 	})
 
 	It("asks the platform nothing while it hears from the holder", func() {
@@ -167,7 +167,7 @@
 		gets := func() int { return api.Calls()["GET "+string(lease.Kind)] }
 		b.linked.Store(true)
 		time.Sleep(200 * time.Millisecond)
-		b.Heard(a.Version() + 1000) // the holder renewed it a moment ago
+		b.ObserveRenewal(a.Version() + 1000) // the holder renewed it a moment ago
 		before := gets()
 		b.linked.Store(false)
 		time.Sleep(1200 * time.Millisecond)
@@ -186,7 +186,7 @@
 		a.stop()
 		again := startAs(api, lease.Holder{Entry: "a", Token: "of its next process"})
 		Eventually(again.Held, waitFor).Should(BeTrue())
-		Expect(other.InOffice()).To(BeFalse())
+		Expect(other.IsLeader()).To(BeFalse())
 	})
 
 	// Guards against an entry that goes on with a former leader, which can't read the platform, because another entry took the lease just before it.
@@ -197,7 +197,7 @@
 		version := uint64(1000)
 		Eventually(func() string {
 			version++
-			late.Heard(version) // it is renewed all the time, so that nobody may take it
+			late.ObserveRenewal(version) // it is renewed all the time, so that nobody may take it
 			holder, _ := late.Holder()
 			return holder.Entry
 		}, waitFor, "50ms").Should(Equal("first"))
@@ -216,8 +216,8 @@
 		renewed := a.Version() + 1000
 		Eventually(func() string {
 			renewed++
-			b.Heard(renewed) // it is renewed all the time, so that nobody may take it
-			b.Doubt()
+			b.ObserveRenewal(renewed) // it is renewed all the time, so that nobody may take it
+			b.HolderUnreachable()
 			holder, _ := b.Holder()
 			return holder.Token
 		}, waitFor, "50ms").Should(Equal("of its next process"))
