--- a/entry/lease/lease.go
+++ b/entry/lease/lease.go
@@ -1,9 +1,10 @@
-// Package lease keeps one entry in charge of the groups, by conditional writes of one object.
+// Package lease elects the leader, the entry (gateway process) that manages the groups of servers, by conditional
+// writes of one object of the platform.
 //
-// The holder writes the object anew every 600 ms. Another entry takes over when it has seen the same version for longer
-// than the holder may act on it, by its own monotonic clock. Nothing that must hold rests on this alone: two entries that
-// both believe they are in charge can't harm each other's groups (package grouping says why). The lease keeps the
-// orders of two from crossing, and the pace of loads in one hand.
+// The holder rewrites the object every 600 ms. Another entry acquires the lease when it has seen the same version for
+// longer than the holder may act on it, by its own monotonic clock. No safety property depends on the lease alone: two
+// entries that both believe they are the leader can't harm each other's groups (package grouping explains why). The
+// lease avoids conflicting orders from two leaders, and lets one entry pace the loading of models.
 package lease
 
 import (
@@ -22,157 +23,165 @@
 	"github.com/skylarkpond/skylarkpond/policy/takeover"
 )
 
-// Kind and Name are those of the object.
+// Kind and Name identify the object.
 const (
 	Kind platform.Kind = "leases"
 	Name string        = "grouping"
 )
 
 const (
-	// renewEvery is how often the holder writes.
-	renewEvery = 600 * time.Millisecond
-	// Validity is how long the holder may act after it sent the last confirmed write.
+	// renewInterval is how often the holder writes the object.
+	renewInterval = 600 * time.Millisecond
+	// Validity is how long the holder may act on the lease, from when it sent its last confirmed write.
 	Validity = 1300 * time.Millisecond
-	// takeAfter is how long the object must stand still before another entry takes it. It is above ActWithin by
+	// expiry is how long the object must be unchanged before another entry acquires the lease. It exceeds Validity by
 	// the time that a write may take.
-	takeAfter = 1700 * time.Millisecond
-	// lookEvery is the mean pause between two looks of an entry that knows no holder yet.
-	lookEvery = 300 * time.Millisecond
-	// dueEvery is how often an entry sees whether it has to look.
-	dueEvery = 50 * time.Millisecond
+	expiry = 1700 * time.Millisecond
+	// pollInterval is the mean interval between reads of the object by an entry that knows no holder.
+	pollInterval = 300 * time.Millisecond
+	// checkInterval is how often an entry checks whether a read is due.
+	checkInterval = 50 * time.Millisecond
 )
 
-// Holder is the value of the object.
+// Holder is the value of the object. It identifies the leader.
 type Holder struct {
 	Entry string `json:"entry"`
-	// Address is where the other entries reach the holder, IP:port.
+	// Address is where other entries reach the holder, as IP:port.
 	Address string `json:"address"`
-	// Fingerprint is that of the holder's certificate.
+	// Fingerprint is the fingerprint of the holder's certificate.
 	Fingerprint string `json:"fingerprint"`
-	// Token is what the other entries show to the holder. Whoever may read the platform knows it.
+	// Token authenticates other entries to the holder. Anyone who may read the platform's objects knows it.
 	Token string `json:"token"`
 	Nonce string `json:"nonce"`
 }
 
-// Deps is what a Lease works with.
+// Deps holds the dependencies of a Lease.
 type Deps struct {
 	Store platform.Store
 	Self  Holder
-	// Linked says whether this entry hears from the holder, so that it need not ask the platform.
+	// Linked reports whether this entry hears from the holder, so that it need not read the object.
 	Linked func() bool
-	// Capacity is that of this entry's VM.
+	// Capacity is the capacity of this entry's VM. Entries with little capacity wait longer before they acquire the
+	// lease.
 	Capacity takeover.Capacity
-	// Renewed tells of each confirmed write of this entry.
+	// Renewed is called after each confirmed write of this entry.
 	Renewed func()
-	// HolderChanged tells of another holder.
+	// HolderChanged is called with the new holder, and whether this entry holds the lease.
 	HolderChanged func(holder Holder, held bool)
-	// WriteConflict tells that another entry has written the object before this one.
+	// WriteConflict is called when a write failed because another entry had written the object first, or because the
+	// object was removed.
 	WriteConflict func()
 }
 
-// Lease is safe for concurrent use.
+// Lease is this entry's view of the lease. It is safe for concurrent use.
 type Lease struct {
 	deps Deps
 
-	mu sync.Mutex // guards what follows; a leaf lock
-	// holder is the last one seen, at version, which was first seen at since.
-	holder  Holder
-	version platform.Version
-	since   time.Time
-	held    bool
-	// confirmed is when the last confirmed write was sent.
-	confirmed time.Time
-	// delay is how long after the object may be taken this entry looks; it is drawn anew with each version.
-	delay time.Duration
-	// failures counts the looks that got no answer, in a row; again is when the next one may be.
-	failures int
-	again    time.Time
-	// doubted says that the holder could not be reached where the object says, or that another entry has written the object since.
-	doubted bool
+	mu sync.Mutex // guards the fields below; no other lock is taken while it is held
+	// holder is the last known holder. version is the last known version of the object, and unchangedSince when this
+	// version was first seen.
+	holder         Holder
+	version        platform.Version
+	unchangedSince time.Time
+	held           bool
+	// confirmedAt is when the last confirmed write was sent.
+	confirmedAt time.Time
+	// acquireDelay is how long after the expiry this entry reads the object to acquire the lease. It is chosen anew for
+	// each version.
+	acquireDelay time.Duration
+	// pollFailures counts consecutive reads without an answer, and nextPoll is the earliest time of the next read.
+	pollFailures int
+	nextPoll     time.Time
+	// stale is set when the holder can't be reached at the address in the object, or another entry has written the
+	// object since it was read.
+	stale bool
 }
 
-// New returns a lease that nobody is known to hold.
+// New returns a Lease with no known holder.
 func New(deps Deps) *Lease { return &Lease{deps: deps} }
 
-// Held says whether this entry is in charge and may act now.
+// Held reports whether this entry holds the lease and may act on it now.
 func (l *Lease) Held() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.held && time.Since(l.confirmed) < Validity
+	return l.held && time.Since(l.confirmedAt) < Validity
 }
 
-// IsLeader says whether this entry took the lease and has not heard of another holder. It may be unable to confirm that: then it may
-// go on with what is safe without, and not with what must be known to be current.
+// IsLeader reports whether this entry acquired the lease and knows of no other holder. The lease may be past its
+// Validity if renewals fail: the entry may then continue what is safe under an unconfirmed lease, but not what requires
+// the lease to be valid.
 func (l *Lease) IsLeader() bool { return l.owns() }
 
-// Version returns the version of the last write of this entry: a number that no earlier holder had.
+// Version returns the last known version of the object. While this entry holds the lease, that is the version of its
+// last write, which is higher than any version written by an earlier holder.
 func (l *Lease) Version() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return uint64(l.version)
 }
 
-// Holder returns the last holder seen.
+// Holder returns the last known holder.
 func (l *Lease) Holder() (Holder, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.holder, l.holder.Entry != ""
 }
 
-// Run takes and renews the lease until ctx ends.
+// Run acquires and renews the lease until ctx ends.
 func (l *Lease) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if l.owns() {
 			l.renew(ctx)
-			wait.Pause(ctx, renewEvery)
+			wait.Pause(ctx, renewInterval)
 			continue
 		}
-		if !l.deps.Linked() && l.due() {
-			l.look(ctx)
+		if !l.deps.Linked() && l.pollDue() {
+			l.poll(ctx)
 		}
-		wait.Pause(ctx, dueEvery)
+		wait.Pause(ctx, checkInterval)
 	}
 }
 
-// due says whether it is time to look: at once while no holder is known, and else when the lease can be taken. Whoever looks sooner learns
-// nothing that its link would not tell.
-func (l *Lease) due() bool {
+// pollDue reports whether to read the object: immediately while no holder is known, and otherwise when the lease can be
+// acquired. An earlier read yields nothing that the link to the holder would not.
+func (l *Lease) pollDue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if now.Before(l.again) {
+	if now.Before(l.nextPoll) {
 		return false
 	}
-	return l.doubted || l.holder.Entry == "" || now.Sub(l.since) >= takeAfter+l.delay
+	return l.stale || l.holder.Entry == "" || now.Sub(l.unchangedSince) >= expiry+l.acquireDelay
 }
 
-// HolderUnreachable notes that the holder can't be reached where the object says. Its process may have started again, with another certificate: after all
-// entries were killed, most have read the object before the holder wrote it anew, and would find it only once the lease can be taken.
+// HolderUnreachable records that the holder can't be reached at the address in the object. Its process may have
+// restarted with another certificate: after all entries were killed, most of them have read the object before the
+// holder rewrote it, and would otherwise read it again only when the lease can be acquired.
 func (l *Lease) HolderUnreachable() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.doubted = true
+	l.stale = true
 }
 
-// answered notes whether a look got an answer, and when the next one may be.
-func (l *Lease) answered(ok bool) {
+// recordPoll records whether a read got an answer, and schedules the next one.
+func (l *Lease) recordPoll(ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.doubted = false
+	l.stale = false
 	if ok {
-		l.failures = 0
-		l.again = time.Now().Add(lookEvery/2 + rand.N(lookEvery))
+		l.pollFailures = 0
+		l.nextPoll = time.Now().Add(pollInterval/2 + rand.N(pollInterval))
 		return
 	}
-	l.failures++
-	l.again = time.Now().Add(outage.Backoff(l.failures, rand.Float64()))
+	l.pollFailures++
+	l.nextPoll = time.Now().Add(outage.Backoff(l.pollFailures, rand.Float64()))
 }
 
-// changed notes that the object was seen at another version. It is called under the lock.
-func (l *Lease) changed(version platform.Version) {
+// setVersion records that the object has a new version. It must be called with l.mu held.
+func (l *Lease) setVersion(version platform.Version) {
 	l.version = version
-	l.since = time.Now()
-	l.delay = takeover.Delay(l.deps.Capacity, rand.Float64())
+	l.unchangedSince = time.Now()
+	l.acquireDelay = takeover.Delay(l.deps.Capacity, rand.Float64())
 }
 
 func (l *Lease) owns() bool {
@@ -181,54 +190,55 @@
 	return l.held
 }
 
-// look reads the object, and takes it where it has stood still for long or does not exist.
-func (l *Lease) look(ctx context.Context) {
+// poll reads the object, and acquires the lease if it has expired or the object does not exist.
+func (l *Lease) poll(ctx context.Context) {
 	object, err := l.deps.Store.Get(ctx, Kind, Name)
-	l.answered(err == nil || eris.Is(err, platform.ErrNotFound))
+	l.recordPoll(err == nil || eris.Is(err, platform.ErrNotFound))
 	if eris.Is(err, platform.ErrNotFound) {
 		l.write(ctx, 0)
 		return
 	}
 	if err != nil {
-		return // an unreachable platform names no holder; the next look asks again
+		return // the holder is unknown while the platform can't be reached; the next poll retries
 	}
 	var holder Holder
 	if err := json.Unmarshal(object.Value, &holder); err != nil {
-		holder = Holder{} // an unreadable object is taken over like one that stands still
+		holder = Holder{} // an invalid object is replaced once it has expired
 	}
-	if l.saw(holder, object.Version) {
+	if l.observe(holder, object.Version) {
 		l.write(ctx, object.Version)
 	}
 }
 
-// saw notes the object and says whether it may be taken.
-func (l *Lease) saw(holder Holder, version platform.Version) bool {
+// observe records the object as read, and reports whether the lease may be acquired.
+func (l *Lease) observe(holder Holder, version platform.Version) bool {
 	l.mu.Lock()
 	other := holder.Entry != l.holder.Entry || holder.Token != l.holder.Token
 	if version != l.version {
-		l.changed(version)
+		l.setVersion(version)
 	}
 	l.holder = holder
-	ripe := time.Since(l.since) > takeAfter || l.formerSelf(holder)
+	expired := time.Since(l.unchangedSince) > expiry || l.isPreviousProcess(holder)
 	l.mu.Unlock()
 	if other {
 		l.deps.HolderChanged(holder, false)
 	}
-	return ripe
+	return expired
 }
 
-// formerSelf says whether the holder is an earlier process of this entry. It has ended, since this one has its addresses, so that nobody needs
-// to wait for it: when all entries were killed at once, groups are mended and turns are given 1.7 s sooner.
-func (l *Lease) formerSelf(holder Holder) bool {
+// isPreviousProcess reports whether the holder is an earlier process of this entry. That process has ended, because
+// this one uses its addresses, so the lease need not expire: when all entries were killed at once, groups are repaired
+// and turns granted 1.7 s sooner.
+func (l *Lease) isPreviousProcess(holder Holder) bool {
 	return holder.Entry == l.deps.Self.Entry && holder.Token != l.deps.Self.Token
 }
 
-// ObserveRenewal notes that the holder has written the object at version, as its link tells.
+// ObserveRenewal records that the holder has written the object at version, as reported over the link.
 func (l *Lease) ObserveRenewal(version uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if platform.Version(version) > l.version {
-		l.changed(platform.Version(version))
+		l.setVersion(platform.Version(version))
 	}
 }
 
@@ -239,42 +249,42 @@
 	l.write(ctx, version)
 }
 
-// write replaces the object at version by one that names this entry.
+// write replaces the object at version with one that names this entry.
 func (l *Lease) write(ctx context.Context, version platform.Version) {
 	value := l.deps.Self
 	value.Nonce = uuid.NewString()
 	body, err := json.Marshal(value)
 	if err != nil {
-		return // text always encodes
+		return // can't happen: the value has only string fields
 	}
 	sent := time.Now()
 	bounded, cancel := context.WithTimeout(ctx, Validity)
 	defer cancel()
 	written, err := platform.PutConfirmed(bounded, l.deps.Store, Kind, Name, version, body, value.Nonce)
-	l.settle(value, written, sent, err)
+	l.recordWrite(value, written, sent, err)
 }
 
-// settle notes the outcome of a write. A conflict means that another entry has the lease; after any other failure the next
-// write tells.
-func (l *Lease) settle(value Holder, written platform.Version, sent time.Time, err error) {
+// recordWrite records the outcome of a write. A conflict means that another entry has acquired the lease. After any
+// other failure the outcome is unknown, and the next write determines it.
+func (l *Lease) recordWrite(value Holder, written platform.Version, sent time.Time, err error) {
 	conflict := eris.Is(err, platform.ErrConflict) || eris.Is(err, platform.ErrSuperseded) || eris.Is(err, platform.ErrNotFound)
 	l.mu.Lock()
-	was := l.held
+	wasHeld := l.held
 	switch {
 	case err == nil:
-		l.held, l.holder, l.version, l.confirmed = true, value, written, sent
-		l.since = time.Now()
+		l.held, l.holder, l.version, l.confirmedAt = true, value, written, sent
+		l.unchangedSince = time.Now()
 	case conflict:
 		l.held = false
-		l.since = time.Now()
-		l.doubted, l.again = true, time.Time{} // the holder that this entry knows of has been replaced; the next look tells by whom
+		l.unchangedSince = time.Now()
+		l.stale, l.nextPoll = true, time.Time{} // the known holder was replaced; the next poll finds its successor
 	}
 	held := l.held
 	l.mu.Unlock()
 	if conflict {
 		l.deps.WriteConflict()
 	}
-	if held != was {
+	if held != wasHeld {
 		l.deps.HolderChanged(value, held)
 	}
 	if err == nil {
--- a/entry/lease/lease_test.go
+++ b/entry/lease/lease_test.go
@@ -20,47 +20,47 @@
 
 func TestLease(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "who is in charge")
+	RunSpecs(t, "Lease")
 }
 
-// member is one entry that may hold the lease.
-type member struct {
+// candidate is an entry that may hold the lease.
+type candidate struct {
 	*lease.Lease
 	stop   context.CancelFunc
 	linked atomic.Bool
-	// refused tells that another entry has written the lease first.
-	refused chan struct{}
+	// conflicts receives a value when another entry has written the lease first.
+	conflicts chan struct{}
 }
 
-// outrun lets another entry write the lease just before each write that passes it.
-type outrun struct {
+// racingStore lets another entry write the lease immediately before each write through it.
+type racingStore struct {
 	store.Store
 	api *objects.API
 }
 
-func (o outrun) Put(ctx context.Context, kind store.Kind, name string, version store.Version, value json.RawMessage) (store.Version, error) {
+func (o racingStore) Put(ctx context.Context, kind store.Kind, name string, version store.Version, value json.RawMessage) (store.Version, error) {
 	o.api.Write(string(kind), name, lease.Holder{Entry: "first", Token: "first", Nonce: strconv.FormatUint(uint64(version), 10)})
 	return o.Store.Put(ctx, kind, name, version, value)
 }
 
-func start(api *objects.API, name string) *member {
+func start(api *objects.API, name string) *candidate {
 	return startAs(api, lease.Holder{Entry: name, Token: name})
 }
 
-func startAs(api *objects.API, self lease.Holder) *member { return startOver(newClient(api), self) }
+func startAs(api *objects.API, self lease.Holder) *candidate { return startOn(newClient(api), self) }
 
 func newClient(api *objects.API) store.Store {
 	return store.NewClient("http://"+api.Address(), store.WithWire(platform.Objects{}), store.WithCallTimeout(300*time.Millisecond))
 }
 
-func startOver(platform store.Store, self lease.Holder) *member {
-	m := &member{refused: make(chan struct{}, 1)}
+func startOn(platform store.Store, self lease.Holder) *candidate {
+	m := &candidate{conflicts: make(chan struct{}, 1)}
 	m.Lease = lease.New(lease.Deps{
 		Store: platform, Self: self, Linked: m.linked.Load,
 		Renewed: func() {}, HolderChanged: func(lease.Holder, bool) {},
 		WriteConflict: func() {
 			select {
-			case m.refused <- struct{}{}:
+			case m.conflicts <- struct{}{}:
 			default:
 			}
 		},
@@ -76,10 +76,10 @@
 	return m
 }
 
-func held(members ...*member) func() int {
+func heldCount(candidates ...*candidate) func() int {
 	return func() int {
 		n := 0
-		for _, m := range members {
+		for _, m := range candidates {
 			if m.Held() {
 				n++
 			}
@@ -97,10 +97,10 @@
 		DeferCleanup(api.Close)
 	})
 
-	It("is held by one entry, which the others know", func() {
+	It("is held by one entry, known to all others", func() {
 		a, b, c := start(api, "a"), start(api, "b"), start(api, "c")
-		Eventually(held(a, b, c), waitFor).Should(Equal(1))
-		Consistently(func() int { return held(a, b, c)() }, "2s").Should(BeNumerically("<=", 1))
+		Eventually(heldCount(a, b, c), waitFor).Should(Equal(1))
+		Consistently(func() int { return heldCount(a, b, c)() }, "2s").Should(BeNumerically("<=", 1))
 		Eventually(func() bool {
 			x, _ := a.Holder()
 			y, _ := b.Holder()
@@ -109,8 +109,8 @@
 		}, waitFor).Should(BeTrue())
 	})
 
-	// The entry in charge dies. Until another one takes over, no group is mended.
-	It("passes to another entry when its holder is gone", func() {
+	// The leader dies. No group is repaired until another entry takes over.
+	It("passes to another entry after its holder has died", func() {
 		a := start(api, "a")
 		Eventually(a.Held, waitFor).Should(BeTrue())
 		first := a.Version()
@@ -120,8 +120,8 @@
 		Expect(b.Version()).To(BeNumerically(">", first))
 	})
 
-	// The platform does not answer. A holder that acts on as if nothing had happened may meet its successor.
-	It("is not held for longer than its last confirmation allows", func() {
+	// The platform does not answer. A holder that went on acting could conflict with its successor.
+	It("is not held for longer than its validity after the last confirmed write", func() {
 		a := start(api, "a")
 		Eventually(a.Held, waitFor).Should(BeTrue())
 		api.Set(objects.Faults{Silent: true})
@@ -131,9 +131,9 @@
 		Eventually(a.Held, waitFor).Should(BeTrue())
 	})
 
-	// The answer to the write that took the lease is lost. An entry that takes that for a refusal leaves everybody waiting for a holder
-	// that does not know of its office.
-	It("is held after a write whose answer was lost", func() {
+	// The answer to the write that acquired the lease is lost. If the entry took this for a conflict, all others would
+	// wait for a leader that does not know its role.
+	It("is held after the answer to a write was lost", func() {
 		api.Set(objects.Faults{LoseAnswers: true})
 		a := start(api, "a")
 		Consistently(a.Held, "500ms").Should(BeFalse())
@@ -141,14 +141,14 @@
 		Eventually(a.Held, waitFor).Should(BeTrue())
 	})
 
-	It("is given up by a holder that meets another one", func() {
+	It("is given up by a holder that finds another holder", func() {
 		a := start(api, "a")
 		Eventually(a.Held, waitFor).Should(BeTrue())
 		api.Write(string(lease.Kind), lease.Name, lease.Holder{Entry: "other", Token: "other"})
 		Eventually(a.IsLeader, waitFor).Should(BeFalse())
 	})
 
-	It("asks the platform nothing while it hears from the holder", func() {
+	It("is not read while the entry hears from the holder", func() {
 		a := start(api, "a")
 		Eventually(a.Held, waitFor).Should(BeTrue())
 		b := start(api, "b")
@@ -158,8 +158,8 @@
 		Consistently(func() int { return api.Calls()["GET "+string(lease.Kind)] }, "1500ms").Should(Equal(before))
 	})
 
-	// The entry in charge has died. Hundreds of others ask who holds the lease, again and again, before it can have changed.
-	It("is not asked for before it can be taken", func() {
+	// The leader has died. Hundreds of entries would read the lease repeatedly before it can have changed.
+	It("is not read before it can be acquired", func() {
 		a := start(api, "a")
 		Eventually(a.Held, waitFor).Should(BeTrue())
 		b := start(api, "b")
@@ -167,7 +167,7 @@
 		gets := func() int { return api.Calls()["GET "+string(lease.Kind)] }
 		b.linked.Store(true)
 		time.Sleep(200 * time.Millisecond)
-		b.ObserveRenewal(a.Version() + 1000) // the holder renewed it a moment ago
+		b.ObserveRenewal(a.Version() + 1000) // reported as renewed a moment ago
 		before := gets()
 		b.linked.Store(false)
 		time.Sleep(1200 * time.Millisecond)
@@ -176,35 +176,37 @@
 		Eventually(b.Held, waitFor).Should(BeTrue())
 	})
 
-	// The entry in charge is killed, with all others or alone, and starts again at once. Nobody would be in charge for as long as its former
-	// process might still act, although it is known to have ended.
-	It("is taken up at once by the entry that held it before its restart", func() {
+	// The leader is killed, alone or with all other entries, and restarts immediately. Without this rule there would be
+	// no leader for as long as its previous process might still act, although that process is known to have ended.
+	It("is acquired immediately by an entry that held it before its restart", func() {
 		a := start(api, "a")
 		Eventually(a.Held, waitFor).Should(BeTrue())
 		other := start(api, "other")
 		Eventually(func() bool { _, known := other.Holder(); return known }, waitFor).Should(BeTrue())
 		a.stop()
-		again := startAs(api, lease.Holder{Entry: "a", Token: "of its next process"})
-		Eventually(again.Held, waitFor).Should(BeTrue())
+		restarted := startAs(api, lease.Holder{Entry: "a", Token: "of its next process"})
+		Eventually(restarted.Held, waitFor).Should(BeTrue())
 		Expect(other.IsLeader()).To(BeFalse())
 	})
 
-	// Guards against an entry that goes on with a former leader, which can't read the platform, because another entry took the lease just before it.
-	It("is read again by an entry that was not the first to take it", func() {
+	// Guards against an entry that keeps following a former leader, which can't read the platform, after another entry
+	// acquired the lease just before it.
+	It("is read again by an entry whose attempt to acquire it failed", func() {
 		api.Write(string(lease.Kind), lease.Name, lease.Holder{Entry: "former", Token: "former"})
-		late := startOver(outrun{newClient(api), api}, lease.Holder{Entry: "late", Token: "late"})
-		Eventually(late.refused, waitFor).Should(Receive())
+		late := startOn(racingStore{newClient(api), api}, lease.Holder{Entry: "late", Token: "late"})
+		Eventually(late.conflicts, waitFor).Should(Receive())
 		version := uint64(1000)
 		Eventually(func() string {
 			version++
-			late.ObserveRenewal(version) // it is renewed all the time, so that nobody may take it
+			late.ObserveRenewal(version) // renewed continuously, so that it never expires
 			holder, _ := late.Holder()
 			return holder.Entry
 		}, waitFor, "50ms").Should(Equal("first"))
 	})
 
-	// All entries were killed. One reads the lease before the holder's next process has written it anew, and can't link to what it read.
-	It("is read again soon by an entry that does not reach the holder", func() {
+	// All entries were killed. One reads the lease before the holder's next process rewrites it, and can't connect to
+	// the holder that it read.
+	It("is read again early by an entry that can't reach the holder", func() {
 		a := start(api, "a")
 		Eventually(a.Held, waitFor).Should(BeTrue())
 		b := start(api, "b")
@@ -216,7 +218,7 @@
 		renewed := a.Version() + 1000
 		Eventually(func() string {
 			renewed++
-			b.ObserveRenewal(renewed) // it is renewed all the time, so that nobody may take it
+			b.ObserveRenewal(renewed) // renewed continuously, so that it never expires
 			b.HolderUnreachable()
 			holder, _ := b.Holder()
 			return holder.Token
