--- a/entry/lease/lease.go
+++ b/entry/lease/lease.go
@@ -66,7 +66,8 @@
 	Capacity takeover.Capacity
 	// Renewed is called after each confirmed write of this entry.
 	Renewed func()
-	// HolderChanged is called with the new holder, and whether this entry holds the lease.
+	// HolderChanged is called when this entry reads a new holder, with held false, and when it acquires or loses the
+	// lease, with itself as the holder.
 	HolderChanged func(holder Holder, held bool)
 	// WriteConflict is called when a write failed because another entry had written the object first, or because the
 	// object was removed.
