--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	// pumpInterval is how often queues are asked again without an event: places kept for short requests
+	// admitInterval is how often queues are asked again without an event: places kept for short requests
 	// come free with time alone.
-	pumpInterval = 50 * time.Millisecond
+	admitInterval = 50 * time.Millisecond
 	// idleAfter is how long the queue of a group without requests is kept. Its limit was learned, so it is
 	// kept for longer than a lull; a group that has another home by then would only waste memory.
 	idleAfter = 10 * time.Minute
@@ -39,38 +39,38 @@
 	start time.Time
 	ids   atomic.Uint64
 
-	mu    sync.Mutex // guards gates
-	gates map[vm.GroupID]*gate
+	mu     sync.Mutex // guards gates
+	groups map[vm.GroupID]*group
 }
 
 // New returns an Admission; Run keeps its queues moving.
 func New() *Admission {
-	return &Admission{start: time.Now(), gates: make(map[vm.GroupID]*gate)}
+	return &Admission{start: time.Now(), groups: make(map[vm.GroupID]*group)}
 }
 
 // Run pumps until ctx ends.
 func (a *Admission) Run(ctx context.Context) {
-	ticker := time.NewTicker(pumpInterval)
+	ticker := time.NewTicker(admitInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			a.pumpAll()
+			a.admitAll()
 		}
 	}
 }
 
 func (a *Admission) now() time.Duration { return time.Since(a.start) }
 
-func (a *Admission) pumpAll() {
+func (a *Admission) admitAll() {
 	now := a.now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for id, g := range a.gates {
-		if g.pump(now) && now-g.lastUse() > idleAfter {
-			delete(a.gates, id)
+	for id, g := range a.groups {
+		if g.admit(now) && now-g.idleSince() > idleAfter {
+			delete(a.groups, id)
 		}
 	}
 }
@@ -78,7 +78,7 @@
 // Load returns the load of a group at this home.
 func (a *Admission) Load(id vm.GroupID) contract.GroupLoad {
 	a.mu.Lock()
-	g := a.gates[id]
+	g := a.groups[id]
 	a.mu.Unlock()
 	if g == nil {
 		return contract.GroupLoad{}
@@ -86,30 +86,30 @@
 	return g.load()
 }
 
-func (a *Admission) gate(item home.Item) *gate {
+func (a *Admission) group(item home.Item) *group {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	g := a.gates[item.Group]
+	g := a.groups[item.Group]
 	if g == nil {
-		g = newGate(item.Service)
-		a.gates[item.Group] = g
+		g = newGroup(item.Service)
+		a.groups[item.Group] = g
 	}
 	return g
 }
 
 // Enter implements home.Admission.
 func (a *Admission) Enter(ctx context.Context, item home.Item) (home.Turn, *contract.Problem) {
-	g := a.gate(item)
+	g := a.group(item)
 	t := &turn{
-		admission: a, gate: g, id: strconv.FormatUint(a.ids.Add(1), 10),
-		plain: item.Service.Kind == settings.Plain, prompt: item.Prompt,
+		admission: a, group: g, id: strconv.FormatUint(a.ids.Add(1), 10),
+		plain: item.Service.Kind == settings.Plain, promptTokens: item.Prompt,
 	}
 	verdict := g.offer(a.now(), item, t)
 	switch verdict.Decision {
 	case fairqueue.Admitted:
 		return t, nil
 	case fairqueue.Refused:
-		return nil, refusal(verdict)
+		return nil, problemFor(verdict)
 	}
 	return a.wait(ctx, item, t)
 }
@@ -120,21 +120,21 @@
 	timer := time.NewTimer(item.Service.QueueTimeout)
 	defer timer.Stop()
 	select {
-	case <-t.called:
-		if t.late {
-			return nil, t.gate.overloaded(a.now(), item, t.id)
+	case <-t.decided:
+		if t.expired {
+			return nil, t.group.overloaded(a.now(), item, t.id)
 		}
 		return t, nil
 	case <-ctx.Done():
 	case <-timer.C:
 	}
-	if !t.gate.remove(a.now(), t) && !t.late {
+	if !t.group.remove(a.now(), t) && !t.expired {
 		return t, nil
 	}
-	return nil, t.gate.overloaded(a.now(), item, t.id)
+	return nil, t.group.overloaded(a.now(), item, t.id)
 }
 
-func refusal(verdict fairqueue.Verdict) *contract.Problem {
+func problemFor(verdict fairqueue.Verdict) *contract.Problem {
 	if verdict.Code == fairqueue.CodeDeadline {
 		p := contract.Later(contract.CodeDeadline, "the request can't be answered before its deadline", verdict.RetryAfter)
 		p.Next = "give it a later Request-Timeout, or come back after Retry-After"
@@ -145,20 +145,20 @@
 	return p
 }
 
-// gate is the queue and the limit of one group.
-type gate struct {
-	mu      sync.Mutex // guards what follows
-	queue   *fairqueue.Queue
-	limit   *limit.Limit
-	config  limit.Config
-	waiting map[string]*turn
-	first   average
-	gap     average
-	used    time.Duration
+// group is the queue and the limit of one group.
+type group struct {
+	mu         sync.Mutex // guards what follows
+	queue      *fairqueue.Queue
+	limit      *limit.Limit
+	config     limit.Config
+	waiting    map[string]*turn
+	firstToken average
+	tokenGap   average
+	lastUsed   time.Duration
 }
 
-func newGate(service settings.Service) *gate {
-	g := &gate{waiting: make(map[string]*turn)}
+func newGroup(service settings.Service) *group {
+	g := &group{waiting: make(map[string]*turn)}
 	config := fairqueue.Config{MaxWait: service.QueueTimeout}
 	if service.Kind == settings.Plain {
 		config = config.ForPlain(service.FirstToken)
@@ -169,7 +169,7 @@
 }
 
 // setConfig must be called with mu held, or before the gate is shared. A new limit starts slowly again.
-func (g *gate) setConfig(service settings.Service) {
+func (g *group) setConfig(service settings.Service) {
 	config := limit.Config{
 		TokenGap: service.TokenGap, FirstToken: service.FirstToken,
 		Max: service.MaxConcurrency, NonStreaming: service.Kind == settings.Plain,
@@ -181,49 +181,49 @@
 	g.limit = limit.New(config)
 }
 
-func (g *gate) offer(now time.Duration, item home.Item, t *turn) fairqueue.Verdict {
+func (g *group) offer(now time.Duration, item home.Item, t *turn) fairqueue.Verdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.used = now
+	g.lastUsed = now
 	g.setConfig(item.Service)
 	g.applyLimit()
-	verdict := g.queue.Offer(now, queued(now, item, t.id))
+	verdict := g.queue.Offer(now, queueItem(now, item, t.id))
 	switch verdict.Decision {
 	case fairqueue.Admitted:
-		t.begin(now, g.queue.Running())
+		t.start(now, g.queue.Running())
 	case fairqueue.Queued:
-		t.called = make(chan struct{})
+		t.decided = make(chan struct{})
 		g.waiting[t.id] = t
 	}
 	return verdict
 }
 
-// leastAnswer is the length of an answer, in tokens, by which a deadline is judged. The bound that a caller
+// minAnswerTokens is the length of an answer, in tokens, by which a deadline is judged. The bound that a caller
 // names is mostly a ceiling: held against its deadline, a service whose callers all name a high one would
 // refuse every request, and never learn how long they take.
-const leastAnswer = 16
+const minAnswerTokens = 16
 
-func queued(now time.Duration, item home.Item, id string) fairqueue.Item {
+func queueItem(now time.Duration, item home.Item, id string) fairqueue.Item {
 	q := fairqueue.Item{
 		ID: id, Team: item.Team.Name, Share: item.Team.Share, Priority: item.Priority, Work: fairqueue.PlainWork,
 		Deadline: now + item.Timeout, Jitter: rand.Float64(),
 	}
 	if item.Service.Kind == settings.Language {
 		q.Work = item.Work
-		q.MinWork = item.Prompt + min(leastAnswer, item.Work-item.Prompt)
+		q.MinWork = item.Prompt + min(minAnswerTokens, item.Work-item.Prompt)
 	}
 	return q
 }
 
 // applyLimit must be called with mu held.
-func (g *gate) applyLimit() {
+func (g *group) applyLimit() {
 	g.queue.SetLimit(g.limit.Current())
 	g.queue.SetStartLimit(g.limit.Starting())
 }
 
-// pump calls those whose turn it is, refuses those that have become too late, and reports whether the gate
+// admit calls those whose turn it is, refuses those that have become too late, and reports whether the gate
 // is empty.
-func (g *gate) pump(now time.Duration) (empty bool) {
+func (g *group) admit(now time.Duration) (empty bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.applyLimit()
@@ -234,36 +234,36 @@
 		}
 		t := g.waiting[item.ID]
 		delete(g.waiting, item.ID)
-		t.begin(now, g.queue.Running())
-		close(t.called)
+		t.start(now, g.queue.Running())
+		close(t.decided)
 	}
-	g.refuseLate(now)
+	g.refuseExpired(now)
 	return g.queue.Len() == 0 && g.queue.Running() == 0
 }
 
-// refuseLate ends the wait of requests that could no longer be answered in time. It must be called with mu
+// refuseExpired ends the wait of requests that could no longer be answered in time. It must be called with mu
 // held. Left alone, they would hold places in the queue until their own timers, and their callers would
 // learn late what is certain now.
-func (g *gate) refuseLate(now time.Duration) {
+func (g *group) refuseExpired(now time.Duration) {
 	for _, item := range g.queue.Expire(now) {
 		t := g.waiting[item.ID]
 		if t == nil {
 			continue
 		}
 		delete(g.waiting, item.ID)
-		t.late = true
-		close(t.called)
+		t.expired = true
+		close(t.decided)
 	}
 }
 
-func (g *gate) lastUse() time.Duration {
+func (g *group) idleSince() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.used
+	return g.lastUsed
 }
 
 // remove takes a waiting request out; false: it was called, or refused as too late, meanwhile.
-func (g *gate) remove(now time.Duration, t *turn) bool {
+func (g *group) remove(now time.Duration, t *turn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.waiting[t.id] == nil {
@@ -274,18 +274,18 @@
 	return true
 }
 
-func (g *gate) overloaded(now time.Duration, item home.Item, id string) *contract.Problem {
+func (g *group) overloaded(now time.Duration, item home.Item, id string) *contract.Problem {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	retry := g.queue.RetryAfter(now, queued(now, item, id))
-	return refusal(fairqueue.Verdict{Code: fairqueue.CodeOverloaded, RetryAfter: retry})
+	retry := g.queue.RetryAfter(now, queueItem(now, item, id))
+	return problemFor(fairqueue.Verdict{Code: fairqueue.CodeOverloaded, RetryAfter: retry})
 }
 
-func (g *gate) load() contract.GroupLoad {
+func (g *group) load() contract.GroupLoad {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return contract.GroupLoad{
 		InFlight: g.queue.Running(), Queued: g.queue.Len(), Limit: g.limit.Current(),
-		FirstToken: g.first.value(), TokenGap: g.gap.value(),
+		FirstToken: g.firstToken.value(), TokenGap: g.tokenGap.value(),
 	}
 }
--- a/entry/admission/admission_test.go
+++ b/entry/admission/admission_test.go
@@ -18,7 +18,7 @@
 	RunSpecs(t, "Admission")
 }
 
-func ask(team string, timeout time.Duration) home.Item {
+func newItem(team string, timeout time.Duration) home.Item {
 	return home.Item{
 		Group: "g", Team: settings.Team{Name: team, Share: 1}, Work: 10, Timeout: timeout,
 		Service: settings.Service{
@@ -39,11 +39,11 @@
 		return turn
 	}
 
-	It("gives the place to the next one as soon as it is free", func() {
-		first := enter(context.Background(), ask("a", time.Minute))
+	It("admits the next request as soon as a slot is free", func() {
+		first := enter(context.Background(), newItem("a", time.Minute))
 		entered := make(chan home.Turn)
 		go func() {
-			turn, _ := a.Enter(context.Background(), ask("b", time.Minute))
+			turn, _ := a.Enter(context.Background(), newItem("b", time.Minute))
 			entered <- turn
 		}()
 		Eventually(func() int { return a.Load("g").Queued }).Should(Equal(1))
@@ -55,32 +55,31 @@
 		Expect(a.Load("g").InFlight).To(BeZero())
 	})
 
-	// A caller asks for an answer within a time in which none can be made. Were it let in, the group would
-	// work on an answer that nobody reads; were it held back, the caller would learn nothing in time.
-	It("refuses at once what can't meet its deadline", func() {
-		turn, problem := a.Enter(context.Background(), ask("a", time.Millisecond))
+	// The deadline is too short for any answer. If the request were admitted, the group would work on an answer that
+	// nobody reads; if it were queued, the caller would not learn of the refusal in time.
+	It("immediately refuses a request that can't meet its deadline", func() {
+		turn, problem := a.Enter(context.Background(), newItem("a", time.Millisecond))
 		Expect(turn).To(BeNil())
 		Expect(problem.Code).To(Equal(contract.CodeDeadline))
 		Expect(problem.Outcome).To(Equal(contract.NotRun))
 	})
 
-	// A caller leaves while its request waits. Its place in the queue must not be given a turn that nobody
-	// takes: the group would have one place less for ever.
-	It("loses no place to a caller that left while it waited", func() {
-		first := enter(context.Background(), ask("a", time.Minute))
-		ctx, leave := context.WithCancel(context.Background())
+	// A caller disconnects while its request waits. If the request were admitted later, its slot would never be freed.
+	It("loses no slot to a caller that disconnected while it waited", func() {
+		first := enter(context.Background(), newItem("a", time.Minute))
+		ctx, disconnect := context.WithCancel(context.Background())
 		refused := make(chan *contract.Problem)
 		go func() {
-			_, problem := a.Enter(ctx, ask("b", time.Minute))
+			_, problem := a.Enter(ctx, newItem("b", time.Minute))
 			refused <- problem
 		}()
 		Eventually(func() int { return a.Load("g").Queued }).Should(Equal(1))
-		leave()
+		disconnect()
 		var problem *contract.Problem
 		Eventually(refused).Should(Receive(&problem))
 		Expect(problem.RetryAfter).To(BeNumerically(">", 0))
 		first.Done()
-		enter(context.Background(), ask("c", time.Minute)).Done()
+		enter(context.Background(), newItem("c", time.Minute)).Done()
 		Expect(a.Load("g").InFlight).To(BeZero())
 		Expect(a.Load("g").Queued).To(BeZero())
 	})
--- a/entry/admission/turn.go
+++ b/entry/admission/turn.go
@@ -7,44 +7,45 @@
 	"github.com/skylarkpond/skylarkpond/policy/limit"
 )
 
-// turn is a request's place at work. Only the request's own goroutine uses it, but for begin.
+// turn is the slot that a request holds at a group. Only the request's own goroutine uses it, except for start.
 type turn struct {
 	admission *Admission
-	gate      *gate
+	group     *group
 	id        string
-	// plain says that answers come whole; prompt is the work of reading the prompt.
-	plain  bool
-	prompt int
-	// called is closed when the turn comes, or when it is too late for one; nil if it came at once.
-	called chan struct{}
+	// plain reports that answers arrive whole, not as a stream of tokens. promptTokens is the length of the prompt.
+	plain        bool
+	promptTokens int
+	// decided is closed when the request is admitted or refused as expired; nil if it was admitted without waiting.
+	decided chan struct{}
 
-	// These are set with the gate's lock held, before called is closed.
-	late    bool
-	begun   time.Duration
-	running int
-	// last is when the last token came; tokens counts them.
-	last    time.Duration
-	tokens  int
-	started bool
-	done    bool
+	// The following fields are set with the group's mutex held, before decided is closed.
+	expired        bool
+	admittedAt     time.Duration
+	runningAtStart int
+	// lastToken is when the last token arrived, and tokens the number of tokens so far.
+	lastToken time.Duration
+	tokens    int
+	answered  bool
+	done      bool
 }
 
-// begin must be called with the gate's lock held.
-func (t *turn) begin(now time.Duration, running int) {
-	t.begun = now
-	t.running = running
+// start must be called with the group's mutex held.
+func (t *turn) start(now time.Duration, running int) {
+	t.admittedAt = now
+	t.runningAtStart = running
 }
 
-// FirstToken implements home.Turn. The place that it frees for another request to start in is used at once.
+// FirstToken implements home.Turn. A request that has its first token no longer counts as starting, so that another one
+// may start.
 func (t *turn) FirstToken() {
 	now := t.admission.now()
-	t.last = now
-	t.started = true
+	t.lastToken = now
+	t.answered = true
 	if t.plain {
 		return
 	}
-	t.gate.observeFirst(now, now-t.begun, t)
-	t.gate.pump(now)
+	t.group.observeFirstToken(now, now-t.admittedAt, t)
+	t.group.admit(now)
 }
 
 // Token implements home.Turn.
@@ -53,57 +54,57 @@
 	first := t.tokens == 0
 	t.tokens += count
 	if !first && count > 0 {
-		t.gate.observeGap(now, (now-t.last)/time.Duration(count), count)
+		t.group.observeGap(now, (now-t.lastToken)/time.Duration(count), count)
 	}
-	t.last = now
+	t.lastToken = now
 }
 
-// Done implements home.Turn. It may be called twice.
+// Done implements home.Turn. Further calls have no effect.
 func (t *turn) Done() {
 	if t.done {
 		return
 	}
 	t.done = true
 	now := t.admission.now()
-	if t.plain && t.started {
-		t.gate.observeFirst(now, now-t.begun, t)
+	if t.plain && t.answered {
+		t.group.observeFirstToken(now, now-t.admittedAt, t)
 	}
-	t.gate.end(now, t)
-	t.gate.pump(now)
+	t.group.end(now, t)
+	t.group.admit(now)
 }
 
-func (g *gate) observeFirst(now, took time.Duration, t *turn) {
+func (g *group) observeFirstToken(now, took time.Duration, t *turn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.queue.Started(t.id)
-	g.first.add(took)
-	g.limit.Observe(now, limit.Sample{Running: t.running, FirstToken: took, Starting: g.queue.Starting() + 1})
+	g.firstToken.add(took)
+	g.limit.Observe(now, limit.Sample{Running: t.runningAtStart, FirstToken: took, Starting: g.queue.Starting() + 1})
 }
 
-func (g *gate) observeGap(now, gap time.Duration, count int) {
+func (g *group) observeGap(now, gap time.Duration, count int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.gap.add(gap)
+	g.tokenGap.add(gap)
 	g.limit.Observe(now, limit.Sample{Running: g.queue.Running(), Gap: gap, GapCount: count})
 }
 
-// end frees the place. The team is charged what was done: nothing for a request without any answer, which
-// was not sent or was refused.
-func (g *gate) end(now time.Duration, t *turn) {
+// end frees the slot. The team is charged for the work done: nothing for a request without any answer, which was not
+// sent or was refused.
+func (g *group) end(now time.Duration, t *turn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	work := 0
 	switch {
-	case t.started && t.plain:
+	case t.answered && t.plain:
 		work = fairqueue.PlainWork
-	case t.started:
-		work = t.prompt + max(1, t.tokens)
+	case t.answered:
+		work = t.promptTokens + max(1, t.tokens)
 	}
 	g.queue.Done(now, t.id, work)
-	g.used = now
+	g.lastUsed = now
 }
 
-// averageWeight is that of the newest value in a moving average: about the last twenty count.
+// averageWeight is the weight of the newest value in a moving average, so that about the last twenty values count.
 const averageWeight = 0.05
 
 // average is a moving average of durations.
