--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -1,9 +1,10 @@
-// Package admission runs the decisions of policy/fairqueue and policy/limit at a home: it gives them the
-// time, keeps one queue and one limit for each group, and wakes the requests that they let go.
+// Package admission applies the queueing of policy/fairqueue and the concurrency limit of policy/limit to the groups of
+// servers that an entry (gateway process) is home to. It supplies the clock to these policies, keeps one queue and one
+// limit per group, and wakes the requests that are admitted.
 //
-// The flow of a request: Enter offers it to the group's queue -> it is admitted, refused at once, or
-// waits until pump calls it or its time is over -> its Turn reports first token and gaps to the limit ->
-// Done frees the place and pumps the queue again.
+// The life of a request: Enter offers it to the queue of its group -> it is admitted, refused immediately, or waits
+// until it is admitted, expires or times out -> its Turn reports the time to first token and the gaps between tokens to
+// the limit -> Done frees its slot and admits waiting requests.
 package admission
 
 import (
@@ -24,31 +25,32 @@
 )
 
 const (
-	// admitInterval is how often queues are asked again without an event: places kept for short requests
-	// come free with time alone.
+	// admitInterval is how often the queues are processed in the absence of events: slots reserved for short requests
+	// become available by the passage of time alone.
 	admitInterval = 50 * time.Millisecond
-	// idleAfter is how long the queue of a group without requests is kept. Its limit was learned, so it is
-	// kept for longer than a lull; a group that has another home by then would only waste memory.
+	// idleAfter is how long the queue and the limit of a group without requests are kept. The limit was learned from
+	// past requests, so it outlasts a pause in the traffic. If the group has another home by then, keeping it would
+	// only waste memory.
 	idleAfter = 10 * time.Minute
 )
 
 // Admission implements home.Admission. It is safe for concurrent use.
 //
-// Lock order: Admission.mu before gate.mu; no other lock is taken under either.
+// Lock order: Admission.mu before group.mu. No other lock is taken while either is held.
 type Admission struct {
 	start time.Time
 	ids   atomic.Uint64
 
-	mu     sync.Mutex // guards gates
+	mu     sync.Mutex // guards groups
 	groups map[vm.GroupID]*group
 }
 
-// New returns an Admission; Run keeps its queues moving.
+// New returns an Admission. Run must be called to admit waiting requests in the absence of other events.
 func New() *Admission {
 	return &Admission{start: time.Now(), groups: make(map[vm.GroupID]*group)}
 }
 
-// Run pumps until ctx ends.
+// Run admits waiting requests periodically until ctx ends.
 func (a *Admission) Run(ctx context.Context) {
 	ticker := time.NewTicker(admitInterval)
 	defer ticker.Stop()
@@ -114,8 +116,9 @@
 	return a.wait(ctx, item, t)
 }
 
-// wait returns once it is the request's turn, or its time is over. A turn that comes at the same moment
-// as the end of the wait is taken: the check before the send sees whether it is still worth it.
+// wait waits until the request is admitted or expires, its context ends, or the queue timeout passes. If the request is
+// admitted at the same moment as the wait ends, the turn is used: a check before the request is sent determines whether
+// it can still be answered in time.
 func (a *Admission) wait(ctx context.Context, item home.Item, t *turn) (home.Turn, *contract.Problem) {
 	timer := time.NewTimer(item.Service.QueueTimeout)
 	defer timer.Stop()
@@ -145,9 +148,9 @@
 	return p
 }
 
-// group is the queue and the limit of one group.
+// group holds the queue and the concurrency limit of one group.
 type group struct {
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	queue      *fairqueue.Queue
 	limit      *limit.Limit
 	config     limit.Config
@@ -168,7 +171,8 @@
 	return g
 }
 
-// setConfig must be called with mu held, or before the gate is shared. A new limit starts slowly again.
+// setConfig replaces the limit if the configuration of the service has changed. The new limit starts low again. It must
+// be called with g.mu held, or before the group is shared.
 func (g *group) setConfig(service settings.Service) {
 	config := limit.Config{
 		TokenGap: service.TokenGap, FirstToken: service.FirstToken,
@@ -198,9 +202,9 @@
 	return verdict
 }
 
-// minAnswerTokens is the length of an answer, in tokens, by which a deadline is judged. The bound that a caller
-// names is mostly a ceiling: held against its deadline, a service whose callers all name a high one would
-// refuse every request, and never learn how long they take.
+// minAnswerTokens is the length of answer that must be possible before the deadline. The maximum length that a caller
+// states is usually far above the actual length: checked against the deadline, it would make a service whose callers
+// all state a high maximum refuse every request, and never learn how long requests take.
 const minAnswerTokens = 16
 
 func queueItem(now time.Duration, item home.Item, id string) fairqueue.Item {
@@ -215,14 +219,14 @@
 	return q
 }
 
-// applyLimit must be called with mu held.
+// applyLimit must be called with g.mu held.
 func (g *group) applyLimit() {
 	g.queue.SetLimit(g.limit.Current())
 	g.queue.SetStartLimit(g.limit.Starting())
 }
 
-// admit calls those whose turn it is, refuses those that have become too late, and reports whether the gate
-// is empty.
+// admit admits the requests at the front of the queue as far as the limit allows, refuses those that can no longer meet
+// their deadline, and reports whether the group has no requests left.
 func (g *group) admit(now time.Duration) (empty bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -241,9 +245,9 @@
 	return g.queue.Len() == 0 && g.queue.Running() == 0
 }
 
-// refuseExpired ends the wait of requests that could no longer be answered in time. It must be called with mu
-// held. Left alone, they would hold places in the queue until their own timers, and their callers would
-// learn late what is certain now.
+// refuseExpired ends the wait of requests that can no longer be answered before their deadline. Otherwise they would
+// occupy the queue until their own timeouts, and their callers would learn late what is already certain. It must be
+// called with g.mu held.
 func (g *group) refuseExpired(now time.Duration) {
 	for _, item := range g.queue.Expire(now) {
 		t := g.waiting[item.ID]
@@ -262,7 +266,8 @@
 	return g.lastUsed
 }
 
-// remove takes a waiting request out; false: it was called, or refused as too late, meanwhile.
+// remove removes a waiting request from the queue. It returns false if the request was admitted or refused as expired
+// in the meantime.
 func (g *group) remove(now time.Duration, t *turn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/entry/admission/turn.go
+++ b/entry/admission/turn.go
@@ -18,7 +18,7 @@
 	// decided is closed when the request is admitted or refused as expired; nil if it was admitted without waiting.
 	decided chan struct{}
 
-	// The following fields are set with the group's mutex held, before decided is closed.
+	// expired, admittedAt and runningAtStart are set with the group's mutex held, before decided is closed.
 	expired        bool
 	admittedAt     time.Duration
 	runningAtStart int
