--- a/entry/gateway/follow.go
+++ b/entry/gateway/follow.go
@@ -21,7 +21,7 @@
 	for ctx.Err() == nil {
 		holder, known := g.lease.Holder()
 		switch {
-		case g.lease.InOffice():
+		case g.lease.IsLeader():
 			g.followSelf(ctx)
 		case known && holder.Entry != g.config.Name:
 			g.followOther(ctx, holder)
@@ -52,7 +52,7 @@
 	self := &selfLink{queue: make(chan link.Down, selfQueue)}
 	send := func(message link.Up) { g.leader.Receive(g.config.Name, self, message) }
 	version, _ := g.catalog.Config()
-	g.leader.SetGroups()
+	g.leader.RefreshGroups()
 	g.leader.Join(g.config.Name, self, link.Hello{
 		Entry: g.config.Name, ConfigVersion: version, Crashes: g.suspects.Reports(),
 	})
@@ -66,7 +66,7 @@
 		case message := <-self.queue:
 			g.fromLeader(ctx, send, message)
 		case <-check.C:
-			if !g.lease.InOffice() {
+			if !g.lease.IsLeader() {
 				return
 			}
 		case <-ctx.Done():
@@ -88,7 +88,7 @@
 	to, err := link.Dial(dialling, g.identity, sourceOf(g.config.Callers), holder.Address, holder.Fingerprint, hello)
 	if err != nil {
 		g.log.WithError(err).WithField("leader", holder.Entry).Debug("no link to the leader")
-		g.lease.Doubt()
+		g.lease.HolderUnreachable()
 		return
 	}
 	g.log.WithField("leader", holder.Entry).Info(logline.Linked)
@@ -125,10 +125,10 @@
 
 // fromLeader handles one message of the leader.
 func (g *Gateway) fromLeader(ctx context.Context, send func(link.Up), message link.Down) {
-	g.remote.Heard()
+	g.remote.LeaderAlive()
 	switch {
 	case message.Grant != nil || message.Refuse != nil || message.Queued != 0:
-		g.remote.Answered(message)
+		g.remote.HandleReply(message)
 	case message.Config != nil:
 		g.catalog.TakeConfig(message.Config.Spec)
 	case message.Renewed != nil:
@@ -143,7 +143,7 @@
 }
 
 func (g *Gateway) leaderRenewed(send func(link.Up), renewed link.Renewed) {
-	g.lease.Heard(renewed.Version)
+	g.lease.ObserveRenewal(renewed.Version)
 	g.following.renewed(renewed, g.roster.Names())
 	g.catalog.Confirm(renewed.Ages)
 	version, spec := g.catalog.Config()
@@ -169,16 +169,16 @@
 
 // reached asks the other entries whether a server that this one does not reach serves a group.
 func (s *shell) reached(ctx context.Context, server *backend.Server, key backend.GroupKey) bool {
-	seen, answered := s.parts.leader.Reached(ctx, server)
+	seen, answered := s.parts.leader.ProbeIndirectly(ctx, server)
 	serving := answered && seen.Group == key && seen.Serving
 	s.log.WithFields(logrus.Fields{
-		"vm": server.ID, "group": key.String(), "answered": answered, "serving": serving, "asked_of": s.parts.leader.Followers(),
+		"vm": server.ID, "group": key.String(), "answered": answered, "serving": serving, "asked_of": s.parts.leader.FollowerCount(),
 	}).Info(logline.AskedOthers)
 	return serving
 }
 
 // answers asks the other entries whether they reach a server that this one does not reach.
 func (s *shell) answers(ctx context.Context, server *backend.Server) bool {
-	_, answered := s.parts.leader.Reached(ctx, server)
+	_, answered := s.parts.leader.ProbeIndirectly(ctx, server)
 	return answered
 }
