--- a/entry/gateway/assemble.go
+++ b/entry/gateway/assemble.go
@@ -90,18 +90,18 @@
 
 func provideController(s *shell, pool *upstream.Pool, known *catalog.Catalog, charge *lease.Lease) *grouping.Controller {
 	return grouping.New(grouping.Deps{
-		Pool: pool, Table: known.Table, Listing: known.Listing, Settled: known.Settled,
-		Held: s.mayOrder, Epoch: charge.Version,
-		Reached: s.reached, Answers: s.answers, Sound: func(head backend.ID) { s.parts.leader.Clear(head) },
-		Demand: func(service, model string) float64 { return s.parts.leader.Wanted(service, model) },
-		Early:  s.early, Event: s.groupEvent,
+		Pool: pool, Table: known.Table, Listing: known.Listing, RegistrationsReliable: known.Settled,
+		IsLeader: s.mayOrder, Epoch: charge.Version,
+		PeersSeeServing: s.reached, PeersReach: s.answers, ClearSuspicion: func(head backend.ID) { s.parts.leader.Clear(head) },
+		DemandGroups:  func(service, model string) float64 { return s.parts.leader.Wanted(service, model) },
+		BeforeTraffic: s.early, OnEvent: s.groupEvent,
 	})
 }
 
 func provideLeader(s *shell, known *catalog.Catalog, charge *lease.Lease, controller *grouping.Controller) *leader.Leader {
 	return leader.New(leader.Deps{
 		InOffice: charge.InOffice, NewsSince: known.NewsSince, Listing: known.Listing, ListAge: known.ServersAge, Table: known.Table, Closed: controller.Closed,
-		Vouched: controller.Vouched,
+		Vouched: controller.ResponsiveUnregistered,
 		Suspect: func(key backend.GroupKey) { controller.Suspect(context.Background(), key) },
 		Demand:  s.demand, Config: known.Config, TakeConfig: known.TakeConfig, LeaseVersion: charge.Version, Ages: known.Ages, Held: s.heldBack,
 	})
--- a/entry/gateway/follow.go
+++ b/entry/gateway/follow.go
@@ -158,7 +158,7 @@
 // look answers the leader's question whether this entry reaches a server.
 func (g *Gateway) look(ctx context.Context, send func(link.Up), asked link.Look) {
 	seen := link.Seen{Server: asked.Server}
-	report, err := g.controller.Look(ctx, &backend.Server{ID: asked.Server, Address: asked.Address})
+	report, err := g.controller.Report(ctx, &backend.Server{ID: asked.Server, Address: asked.Address})
 	if err == nil {
 		seen.Answered = true
 		seen.Group = report.Group.GroupKey
--- a/entry/gateway/lines.go
+++ b/entry/gateway/lines.go
@@ -61,7 +61,7 @@
 func (s *shell) leaseRefused() { s.log.Info(logline.LeaseRefused) }
 
 func (s *shell) groupEvent(event grouping.Event) {
-	if event.Kind == grouping.FleetSeen {
+	if event.Kind == grouping.FleetReport {
 		s.log.WithFields(logrus.Fields{"service": event.Service, "detail": event.Detail}).Info(string(event.Kind))
 		return
 	}
--- a/entry/grouping/cell_test.go
+++ b/entry/grouping/cell_test.go
@@ -109,17 +109,17 @@
 	k := &control{}
 	k.held.Store(true)
 	k.Controller = grouping.New(grouping.Deps{
-		Pool: upstream.NewPool(), Table: func() *route.Table { return table }, Listing: known.Listing, Settled: known.Settled,
-		Held: k.held.Load, Epoch: func() uint64 { return epoch },
-		Reached: func(context.Context, *backend.Server, backend.GroupKey) bool { return k.reached.Load() },
-		Answers: func(context.Context, *backend.Server) bool { return k.reached.Load() },
-		Sound:   func(backend.ID) {}, Demand: func(string, string) float64 { return 0 }, Early: func() bool { return false },
-		Event: func(event grouping.Event) {
+		Pool: upstream.NewPool(), Table: func() *route.Table { return table }, Listing: known.Listing, RegistrationsReliable: known.Settled,
+		IsLeader: k.held.Load, Epoch: func() uint64 { return epoch },
+		PeersSeeServing: func(context.Context, *backend.Server, backend.GroupKey) bool { return k.reached.Load() },
+		PeersReach:      func(context.Context, *backend.Server) bool { return k.reached.Load() },
+		ClearSuspicion:  func(backend.ID) {}, DemandGroups: func(string, string) float64 { return 0 }, BeforeTraffic: func() bool { return false },
+		OnEvent: func(event grouping.Event) {
 			GinkgoWriter.Printf("%d %+v\n", epoch, event)
 			switch event.Kind {
 			case grouping.GroupForming:
 				k.begun.Add(1)
-			case grouping.ModelUnformable:
+			case grouping.ModelCannotBeFormed:
 				k.unformable.Add(1)
 			}
 		},
--- a/entry/grouping/dark.go
+++ b/entry/grouping/dark.go
@@ -18,8 +18,8 @@
 // noAnswer leaves a VM out that did not answer. Where this entry may be the one in trouble, others are asked first: an entry that took charge
 // on a machine that was busy found fourteen sound groups silent, and dissolved ten of them.
 func (c *Controller) noAnswer(ctx context.Context, server *backend.Server, err error) {
-	if c.doubtsItself(server) && c.deps.Answers(ctx, server) {
-		c.deps.Event(Event{Kind: MemberBack, VM: server.ID, Detail: "another entry reaches it: " + err.Error()})
+	if c.doubtsItself(server) && c.deps.PeersReach(ctx, server) {
+		c.deps.OnEvent(Event{Kind: MemberResponsive, VM: server.ID, Detail: "another entry reaches it: " + err.Error()})
 		return
 	}
 	c.mu.Lock()
@@ -27,7 +27,7 @@
 	c.dark[server.ID] = time.Now().Add(darkFor)
 	c.mu.Unlock()
 	if !known {
-		c.deps.Event(Event{Kind: MemberDark, VM: server.ID, Detail: err.Error()})
+		c.deps.OnEvent(Event{Kind: MemberUnresponsive, VM: server.ID, Detail: err.Error()})
 	}
 }
 
--- a/entry/grouping/dissolve.go
+++ b/entry/grouping/dissolve.go
@@ -38,10 +38,10 @@
 		c.mu.Unlock()
 		event := Event{Kind: GroupDissolved, Group: group.key, VM: group.head.ID, Detail: group.reason, Took: time.Since(began)}
 		if err != nil {
-			event.Kind = GroupStuck
+			event.Kind = GroupNotDissolved
 			event.Detail += ": " + err.Error()
 		}
-		c.deps.Event(event)
+		c.deps.OnEvent(event)
 		c.Wake()
 	})
 }
@@ -84,12 +84,12 @@
 		head = listed
 	}
 	for {
-		if !c.deps.Held() {
+		if !c.deps.IsLeader() {
 			return errNotInCharge
 		}
 		report, err := c.engines.report(ctx, head)
 		switch {
-		case err != nil && listed == nil && !c.deps.Settled():
+		case err != nil && listed == nil && !c.deps.RegistrationsReliable():
 			return eris.Wrapf(errUnsettled, "head %s", head.ID)
 		case err != nil && listed == nil:
 			if c.servesOthers(ctx, head, key) {
@@ -127,7 +127,7 @@
 	if lately {
 		return false
 	}
-	if c.deps.Reached(ctx, head, key) {
+	if c.deps.PeersSeeServing(ctx, head, key) {
 		return true
 	}
 	c.mu.Lock()
@@ -167,7 +167,7 @@
 	if !ok || server == nil {
 		return
 	}
-	early := c.deps.Early()
+	early := c.deps.BeforeTraffic()
 	takes := model.Load
 	if early {
 		takes /= earlySpeed
@@ -185,7 +185,7 @@
 			event.Kind, event.Detail = StageFailed, err.Error()
 			c.stagingFailed(server, model, end, err)
 		}
-		c.deps.Event(event)
+		c.deps.OnEvent(event)
 	})
 }
 
--- a/entry/grouping/fleet.go
+++ b/entry/grouping/fleet.go
@@ -33,7 +33,7 @@
 		domains = append(domains, describe(domain))
 	}
 	detail := fmt.Sprintf("%d dark, %d broken, room for %d loads; %s", dark, len(view.broken), view.input.AvailableLoads, strings.Join(domains, "; "))
-	c.deps.Event(Event{Kind: FleetSeen, Service: service.Name, Detail: detail})
+	c.deps.OnEvent(Event{Kind: FleetReport, Service: service.Name, Detail: detail})
 	c.tellUnformable(service.Name, service.Engine.Models, view.input.Domains)
 }
 
@@ -47,7 +47,7 @@
 	for _, model := range models {
 		if model.Size > largest {
 			detail := fmt.Sprintf("a group takes %d VMs, the largest fabric domain has %d", model.Size, largest)
-			c.deps.Event(Event{Kind: ModelUnformable, Service: service, Model: model.Name, Detail: detail})
+			c.deps.OnEvent(Event{Kind: ModelCannotBeFormed, Service: service, Model: model.Name, Detail: detail})
 		}
 	}
 }
--- a/entry/grouping/form.go
+++ b/entry/grouping/form.go
@@ -37,7 +37,7 @@
 		f.members = append(f.members, v.servers[backend.ID(id)])
 	}
 	f.key = backend.GroupKey{Name: newName(f.members[0])}
-	early := c.deps.Early()
+	early := c.deps.BeforeTraffic()
 	c.mu.Lock()
 	for i, member := range f.members {
 		c.tasks[member.ID] = ""
@@ -47,7 +47,7 @@
 	}
 	c.loads.take(f.loads, time.Now().Add(f.loadTime()), early)
 	c.mu.Unlock()
-	c.deps.Event(Event{Kind: GroupForming, Group: f.key, Model: model.Name, Detail: f.describe()})
+	c.deps.OnEvent(Event{Kind: GroupForming, Group: f.key, Model: model.Name, Detail: f.describe()})
 	c.running.Go(func() { f.run(ctx) })
 }
 
@@ -56,7 +56,7 @@
 	if f.loads == 0 {
 		return f.model.Warm
 	}
-	if f.controller.deps.Early() {
+	if f.controller.deps.BeforeTraffic() {
 		return f.model.Load / earlySpeed
 	}
 	return f.model.Load
@@ -95,9 +95,9 @@
 	c.mu.Unlock()
 	event := Event{Kind: GroupOpened, Group: f.key, Model: f.model.Name, Took: time.Since(f.started)}
 	if err != nil {
-		event.Kind, event.Detail = GroupFailed, err.Error()
+		event.Kind, event.Detail = GroupNotFormed, err.Error()
 	}
-	c.deps.Event(event)
+	c.deps.OnEvent(event)
 	c.Wake()
 }
 
@@ -198,7 +198,7 @@
 
 // leave takes a member that is the head of its old group out of it.
 func (f *formation) leave(ctx context.Context, i int, reports []backend.Report) error {
-	if !f.controller.deps.Held() {
+	if !f.controller.deps.IsLeader() {
 		return errNotInCharge
 	}
 	key := reports[i].Group.GroupKey
@@ -225,7 +225,7 @@
 }
 
 func (f *formation) joinOne(ctx context.Context, member *backend.Server, expect uint64) error {
-	if !f.controller.deps.Held() {
+	if !f.controller.deps.IsLeader() {
 		return errNotInCharge
 	}
 	order := backend.Order{Kind: backend.OrderJoin, Group: f.key, Model: f.model.Name, Members: f.ids(), Expect: expect}
@@ -302,7 +302,7 @@
 
 // open makes the head serve.
 func (f *formation) open(ctx context.Context, head backend.Report) error {
-	if !f.controller.deps.Held() {
+	if !f.controller.deps.IsLeader() {
 		return errNotInCharge
 	}
 	order := backend.Order{Kind: backend.OrderOpen, Group: f.key, Expect: head.Orders, Takes: f.engine.OpenTime}
--- a/entry/grouping/grouping.go
+++ b/entry/grouping/grouping.go
@@ -29,23 +29,23 @@
 	Table   func() *route.Table
 	Listing func() *backend.Listing
 	// Settled says whether a registration that is missing tells that its server is gone.
-	Settled func() bool
+	RegistrationsReliable func() bool
 	// Held says whether this entry is in charge.
-	Held func() bool
+	IsLeader func() bool
 	// Epoch returns a number that no earlier holder of the lease had.
 	Epoch func() uint64
 	// Reached asks other entries whether they reach a server that this one does not, and says whether it serves a group there.
-	Reached func(ctx context.Context, server *backend.Server, key backend.GroupKey) (serving bool)
+	PeersSeeServing func(ctx context.Context, server *backend.Server, key backend.GroupKey) (serving bool)
 	// Answers asks other entries for a server, and says whether one of them reaches it.
-	Answers func(ctx context.Context, server *backend.Server) bool
+	PeersReach func(ctx context.Context, server *backend.Server) bool
 	// Sound tells that a suspected group has answered in full.
-	Sound func(head backend.ID)
+	ClearSuspicion func(head backend.ID)
 	// Demand returns how many groups' worth of requests of a model come, or 0 where that is not known yet.
-	Demand func(service, model string) float64
+	DemandGroups func(service, model string) float64
 	// Early says that no caller has come yet.
-	Early func() bool
+	BeforeTraffic func() bool
 	// Event tells what was done or seen.
-	Event func(Event)
+	OnEvent func(Event)
 }
 
 // Event is one step, for the log.
@@ -65,22 +65,22 @@
 
 // The steps.
 const (
-	GroupForming   EventKind = "group-forming"
-	GroupOpened    EventKind = "group-opened"
-	GroupFailed    EventKind = "group-not-formed"
-	GroupDissolved EventKind = "group-dissolved"
-	GroupStuck     EventKind = "group-not-dissolved"
-	SpareWarmed    EventKind = "spare-warmed"
-	SpareNotWarmed EventKind = "spare-not-warmed"
-	StageOrdered   EventKind = "stage-ordered"
-	StageFailed    EventKind = "stage-failed"
-	GroupSuspected EventKind = "group-suspected"
-	MemberDark     EventKind = "member-dark"
-	MemberBack     EventKind = "member-answers-again"
+	GroupForming       EventKind = "group-forming"
+	GroupOpened        EventKind = "group-opened"
+	GroupNotFormed     EventKind = "group-not-formed"
+	GroupDissolved     EventKind = "group-dissolved"
+	GroupNotDissolved  EventKind = "group-not-dissolved"
+	SpareWarmed        EventKind = "spare-warmed"
+	SpareNotWarmed     EventKind = "spare-not-warmed"
+	StageOrdered       EventKind = "stage-ordered"
+	StageFailed        EventKind = "stage-failed"
+	GroupSuspected     EventKind = "group-suspected"
+	MemberUnresponsive EventKind = "member-dark"
+	MemberResponsive   EventKind = "member-answers-again"
 	// ModelUnformable: no fabric domain has the VMs for a group of the model.
-	ModelUnformable EventKind = "model-cannot-be-formed"
+	ModelCannotBeFormed EventKind = "model-cannot-be-formed"
 	// FleetSeen is what a round saw of one service, once in fleetEvery.
-	FleetSeen EventKind = "fleet"
+	FleetReport EventKind = "fleet"
 )
 
 const (
@@ -229,7 +229,7 @@
 
 // holds forgets what an earlier time in charge has left when this entry takes charge again.
 func (c *Controller) holds() bool {
-	held := c.deps.Held()
+	held := c.deps.IsLeader()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if held && !c.inForce {
@@ -244,7 +244,7 @@
 	for _, broken := range view.broken {
 		c.startDissolve(ctx, broken)
 	}
-	early := c.deps.Early()
+	early := c.deps.BeforeTraffic()
 	view.input.BeforeTraffic = early
 	view.input.LossRate = c.lossRate(service.Engine, view)
 	c.noteFilling(service.Name, view.input.Domains)
--- a/entry/grouping/grouping_test.go
+++ b/entry/grouping/grouping_test.go
@@ -245,7 +245,7 @@
 		asking := grouping.New(grouping.Deps{Pool: pool})
 		vm := &backend.Server{ID: backend.ID(c.vms[0].ID()), Address: c.vms[0].Address()}
 		for range 10 {
-			_, err := asking.Look(context.Background(), vm)
+			_, err := asking.Report(context.Background(), vm)
 			Expect(err).NotTo(HaveOccurred())
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -279,7 +279,7 @@
 		member := c.member(1)
 		member.Set(replica.Faults{Unregistered: true})
 		c.api.Delete("servers", member.ID())
-		Eventually(func() int { return k.Vouched(key) }, waitFor).Should(Equal(1))
+		Eventually(func() int { return k.ResponsiveUnregistered(key) }, waitFor).Should(Equal(1))
 		Consistently(func() bool { return k.Closed(key) }, "3s").Should(BeFalse())
 		member.Die()
 		Eventually(func() bool { return k.Closed(key) }, waitFor).Should(BeTrue())
--- a/entry/grouping/suspect.go
+++ b/entry/grouping/suspect.go
@@ -37,13 +37,13 @@
 	}
 	for range members {
 		if err := <-answers; err != nil {
-			c.deps.Event(Event{Kind: GroupSuspected, Group: key, Detail: err.Error()})
+			c.deps.OnEvent(Event{Kind: GroupSuspected, Group: key, Detail: err.Error()})
 			c.Wake()
 			return
 		}
 	}
 	if head, ok := headOf(key.Name); ok {
-		c.deps.Sound(head.ID)
+		c.deps.ClearSuspicion(head.ID)
 	}
 }
 
@@ -93,7 +93,7 @@
 	c.mu.Lock()
 	delete(c.dark, server.ID)
 	c.mu.Unlock()
-	c.deps.Event(Event{Kind: MemberBack, VM: server.ID})
+	c.deps.OnEvent(Event{Kind: MemberResponsive, VM: server.ID})
 }
 
 // Closed says that a group is listed as open although it is being dissolved, or is known to have lost a member.
@@ -118,6 +118,6 @@
 func (c *Controller) isDark(id backend.ID, now time.Time) bool { return now.Before(c.dark[id]) }
 
 // Look asks a server for the leader, which can't reach it.
-func (c *Controller) Look(ctx context.Context, server *backend.Server) (backend.Report, error) {
+func (c *Controller) Report(ctx context.Context, server *backend.Server) (backend.Report, error) {
 	return c.engines.reportOnce(ctx, server)
 }
--- a/entry/grouping/view.go
+++ b/entry/grouping/view.go
@@ -278,7 +278,7 @@
 	demands := make([]float64, 0, len(service.Engine.Models))
 	sum := 0.0
 	for _, model := range service.Engine.Models {
-		wanted := c.deps.Demand(service.Name, model.Name)
+		wanted := c.deps.DemandGroups(service.Name, model.Name)
 		models = append(models, policy.Model{Name: model.Name, Size: model.Size, Share: model.Share, LoadTime: model.Load, DemandGroups: wanted})
 		vms := wanted * float64(model.Size)
 		demands = append(demands, vms)
--- a/entry/grouping/vouch.go
+++ b/entry/grouping/vouch.go
@@ -37,7 +37,7 @@
 func (c *Controller) unlistedGap(ctx context.Context, key backend.GroupKey, listed []*backend.Server, now time.Time) string {
 	group, known := c.whole[key]
 	if !known {
-		if c.deps.Settled() {
+		if c.deps.RegistrationsReliable() {
 			return "a member's registration is gone"
 		}
 		return ""
@@ -116,7 +116,7 @@
 }
 
 // Vouched is how many members of a group are not registered and answer for themselves.
-func (c *Controller) Vouched(key backend.GroupKey) int {
+func (c *Controller) ResponsiveUnregistered(key backend.GroupKey) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.vouched[key]
--- a/entry/grouping/warm.go
+++ b/entry/grouping/warm.go
@@ -37,7 +37,7 @@
 			c.cold[server.ID] = time.Now().Add(coldFor)
 		}
 		c.mu.Unlock()
-		c.deps.Event(event)
+		c.deps.OnEvent(event)
 		c.Wake()
 	})
 }
