--- a/entry/grouping/cell_test.go
+++ b/entry/grouping/cell_test.go
@@ -22,7 +22,7 @@
 	"github.com/skylarkpond/skylarkpond/platform/standin/replica"
 )
 
-// engine has models of three and two VMs, and times that are tenths of real ones.
+// engine serves models with groups of three and two VMs. Its durations are a tenth of realistic ones.
 var engine = &route.Engine{
 	Slots: 4, LoadsPerSecond: 20, LoadsAtOnce: 6, OpenTime: 60 * time.Millisecond,
 	Models: []route.Model{
@@ -31,118 +31,121 @@
 	},
 }
 
-// table has a second service, without VMs: what is known of one must not be lost when the other is looked at.
+// table has a second service without VMs, to check that processing one service does not discard what is known about the other.
 var table = route.NewTable(1, nil, []route.Service{{Name: "s", Engine: engine}, {Name: "t", Engine: engine}}, nil, route.Limits{})
 
-// cell is a fabric domain of VMs before some controllers.
-type cell struct {
+// fixture runs the VMs of one or more fabric domains, a stand-in platform and a catalog that the controllers under test share.
+type fixture struct {
 	api     *objects.API
 	world   *replica.World
 	catalog *catalog.Catalog
 	vms     []*replica.Server
-	// ctx ends with the spec.
+	// ctx is cancelled when the spec ends.
 	ctx     context.Context
 	running sync.WaitGroup
 	next    int
 }
 
-func newCell(vms int) *cell {
-	c := &cell{api: objects.New(), world: replica.NewWorld()}
+func newFixture(vms int) *fixture {
+	f := &fixture{api: objects.New(), world: replica.NewWorld()}
 	ctx, cancel := context.WithCancel(context.Background())
-	c.ctx = ctx
-	c.catalog = c.newCatalog()
+	f.ctx = ctx
+	f.catalog = f.newCatalog()
 	for range vms {
-		c.add("large")
+		f.addVM("large")
 	}
 	DeferCleanup(func() {
 		cancel()
-		c.running.Wait()
-		for _, vm := range c.vms {
+		f.running.Wait()
+		for _, vm := range f.vms {
 			vm.Close()
 		}
-		c.api.Close()
+		f.api.Close()
 	})
-	return c
+	return f
 }
 
-// newCatalog is that of a process that starts now.
-func (c *cell) newCatalog() *catalog.Catalog {
-	client := store.NewClient("http://"+c.api.Address(), store.WithWire(platform.Objects{}))
-	started := catalog.New(catalog.Deps{
+// newCatalog starts an empty catalog, as a newly started process has it.
+func (f *fixture) newCatalog() *catalog.Catalog {
+	client := store.NewClient("http://"+f.api.Address(), store.WithWire(platform.Objects{}))
+	created := catalog.New(catalog.Deps{
 		Store: client, Fed: func() bool { return false }, Leads: func() bool { return true }, News: func(catalog.News) {},
 		Lost: func(store.Kind, error) {}, Regained: func(store.Kind, time.Duration) {}, Unreadable: func(store.Object, error) {},
 		Config: func(*route.Table) {},
 	})
-	c.running.Go(func() { started.Run(c.ctx) })
-	return started
+	f.running.Go(func() { created.Run(f.ctx) })
+	return created
 }
 
-func (c *cell) add(staged ...string) *replica.Server { return c.addIn("d", staged...) }
+func (f *fixture) addVM(staged ...string) *replica.Server { return f.addVMIn("d", staged...) }
 
-func (c *cell) addIn(fabric string, staged ...string) *replica.Server {
-	c.next++
-	vm := c.world.Start(c.api, replica.Config{
-		ID: fmt.Sprintf("vm-%02d", c.next), Service: "s", Zone: "z", Domain: fabric, Slots: 4, Engine: true, Staged: staged,
+func (f *fixture) addVMIn(fabric string, staged ...string) *replica.Server {
+	f.next++
+	vm := f.world.Start(f.api, replica.Config{
+		ID: fmt.Sprintf("vm-%02d", f.next), Service: "s", Zone: "z", Domain: fabric, Slots: 4, Engine: true, Staged: staged,
 		JoinTakes: 80 * time.Millisecond, OpenTakes: 60 * time.Millisecond, ReportLag: 40 * time.Millisecond,
 	})
-	c.vms = append(c.vms, vm)
+	f.vms = append(f.vms, vm)
 	return vm
 }
 
-// control is a controller that believes itself in charge while its flag is set.
-type control struct {
+// testController is a controller that considers itself the leader while its leader flag is set.
+type testController struct {
 	*grouping.Controller
-	held atomic.Bool
-	// reached says that another entry finds every head serving that this one does not reach.
-	reached atomic.Bool
-	// begun counts the formations.
-	begun atomic.Int32
-	// unformable counts the lines that tell of a model that no fabric domain holds.
-	unformable atomic.Int32
-	stop       context.CancelFunc
+	leader atomic.Bool
+	// peersReach makes the peers report that they reach every VM, and that every head that this controller can't reach is
+	// serving.
+	peersReach atomic.Bool
+	// formations counts the groups that the controller began to form.
+	formations atomic.Int32
+	// unformableReports counts the events about a model that fits into no fabric domain.
+	unformableReports atomic.Int32
+	stop              context.CancelFunc
 }
 
-func (c *cell) control(epoch uint64) *control { return c.controlBy(c.catalog, epoch) }
-
-// controlBy is the controller of a process with a catalog of its own.
-func (c *cell) controlBy(known *catalog.Catalog, epoch uint64) *control {
-	k := &control{}
-	k.held.Store(true)
-	k.Controller = grouping.New(grouping.Deps{
-		Pool: upstream.NewPool(), Table: func() *route.Table { return table }, Listing: known.Listing, RegistrationsReliable: known.Settled,
-		IsLeader: k.held.Load, Epoch: func() uint64 { return epoch },
-		PeersSeeServing: func(context.Context, *backend.Server, backend.GroupKey) bool { return k.reached.Load() },
-		PeersReach:      func(context.Context, *backend.Server) bool { return k.reached.Load() },
+func (f *fixture) startController(epoch uint64) *testController {
+	return f.startControllerWith(f.catalog, epoch)
+}
+
+// startControllerWith starts a controller that uses the given catalog, as a separate process would.
+func (f *fixture) startControllerWith(listings *catalog.Catalog, epoch uint64) *testController {
+	controller := &testController{}
+	controller.leader.Store(true)
+	controller.Controller = grouping.New(grouping.Deps{
+		Pool: upstream.NewPool(), Table: func() *route.Table { return table }, Listing: listings.Listing, RegistrationsReliable: listings.Settled,
+		IsLeader: controller.leader.Load, Epoch: func() uint64 { return epoch },
+		PeersSeeServing: func(context.Context, *backend.Server, backend.GroupKey) bool { return controller.peersReach.Load() },
+		PeersReach:      func(context.Context, *backend.Server) bool { return controller.peersReach.Load() },
 		ClearSuspicion:  func(backend.ID) {}, DemandGroups: func(string, string) float64 { return 0 }, BeforeTraffic: func() bool { return false },
 		OnEvent: func(event grouping.Event) {
 			GinkgoWriter.Printf("%d %+v\n", epoch, event)
 			switch event.Kind {
 			case grouping.GroupForming:
-				k.begun.Add(1)
+				controller.formations.Add(1)
 			case grouping.ModelCannotBeFormed:
-				k.unformable.Add(1)
+				controller.unformableReports.Add(1)
 			}
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { k.Run(ctx) })
-	k.stop = func() {
+	running.Go(func() { controller.Run(ctx) })
+	controller.stop = func() {
 		cancel()
 		running.Wait()
 	}
-	DeferCleanup(k.stop)
-	return k
+	DeferCleanup(controller.stop)
+	return controller
 }
 
-// heads returns the heads of whole, open groups of both models, as entries see them.
-func (c *cell) heads() []*backend.Server {
-	servers := c.catalog.Listing().ByService["s"]
+// heads returns the heads of the complete, open groups of both models, as listed in the shared catalog.
+func (f *fixture) heads() []*backend.Server {
+	servers := f.catalog.Listing().ByService["s"]
 	return append(turn.Heads(servers, engine, "large", nil), turn.Heads(servers, engine, "small", nil)...)
 }
 
-func (c *cell) vm(id backend.ID) *replica.Server {
-	for _, vm := range c.vms {
+func (f *fixture) vm(id backend.ID) *replica.Server {
+	for _, vm := range f.vms {
 		if vm.ID() == string(id) {
 			return vm
 		}
@@ -150,9 +153,9 @@
 	return nil
 }
 
-// member returns the VM with a rank in the only group.
-func (c *cell) member(rank int) *replica.Server {
-	for _, vm := range c.vms {
+// member returns the VM that has the given rank. It is used where only one group exists.
+func (f *fixture) member(rank int) *replica.Server {
+	for _, vm := range f.vms {
 		if group := vm.Group(); group != nil && group.Rank == rank {
 			return vm
 		}
@@ -160,21 +163,22 @@
 	return nil
 }
 
-// outage takes the platform away for a time, in which some registrations lapse; they are back within a second and a half of its return.
-func (c *cell) outage(r *rand.Rand) {
-	c.api.Set(objects.Faults{Silent: true})
-	away := time.Duration(300+r.IntN(600)) * time.Millisecond
-	time.AfterFunc(away, func() { c.api.Set(objects.Faults{}) })
-	for _, vm := range c.vms {
+// outage makes the platform unresponsive for a while. Some registrations lapse during that time and return within 1.5 s after
+// the platform does.
+func (f *fixture) outage(r *rand.Rand) {
+	f.api.Set(objects.Faults{Silent: true})
+	duration := time.Duration(300+r.IntN(600)) * time.Millisecond
+	time.AfterFunc(duration, func() { f.api.Set(objects.Faults{}) })
+	for _, vm := range f.vms {
 		if r.IntN(2) == 0 {
 			continue
 		}
 		vm.Set(replica.Faults{Unregistered: true, Mute: r.IntN(3) == 0})
-		c.api.Delete("servers", vm.ID())
-		time.AfterFunc(away+time.Duration(r.IntN(1500))*time.Millisecond, func() { vm.Set(replica.Faults{}) })
+		f.api.Delete("servers", vm.ID())
+		time.AfterFunc(duration+time.Duration(r.IntN(1500))*time.Millisecond, func() { vm.Set(replica.Faults{}) })
 	}
 }
 
-func (c *cell) groups() int { return len(c.heads()) }
+func (f *fixture) groupCount() int { return len(f.heads()) }
 
 const waitFor = "20s"
--- a/entry/grouping/dark.go
+++ b/entry/grouping/dark.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	// doubtWithin and doubtDomains tell this entry's own trouble from that of VMs: when VMs of so many fabric domains do not answer within
-	// that time, it is rather this entry that is slow or cut off. Fabric domains fail one at a time, and single VMs are lost some seconds
-	// apart.
-	doubtWithin  = time.Second
-	doubtDomains = 3
+	// If VMs of selfSuspicionDomains fabric domains fail to answer within selfSuspicionWindow, this entry itself is probably
+	// slow or disconnected: fabric domains fail one at a time, and losses of single VMs are seconds apart.
+	selfSuspicionWindow  = time.Second
+	selfSuspicionDomains = 3
 )
 
-// noAnswer leaves a VM out that did not answer. Where this entry may be the one in trouble, others are asked first: an entry that took charge
-// on a machine that was busy found fourteen sound groups silent, and dissolved ten of them.
-func (c *Controller) noAnswer(ctx context.Context, server *backend.Server, err error) {
-	if c.doubtsItself(server) && c.deps.PeersReach(ctx, server) {
+// handleNoAnswer excludes a VM that did not answer. If this entry itself may be the cause, it asks its peers first: an entry
+// that became leader on a busy machine once found 14 healthy groups unresponsive and dissolved ten of them.
+func (c *Controller) handleNoAnswer(ctx context.Context, server *backend.Server, err error) {
+	if c.suspectsItself(server) && c.deps.PeersReach(ctx, server) {
 		c.deps.OnEvent(Event{Kind: MemberResponsive, VM: server.ID, Detail: "another entry reaches it: " + err.Error()})
 		return
 	}
 	c.mu.Lock()
-	_, known := c.dark[server.ID]
-	c.dark[server.ID] = time.Now().Add(darkFor)
+	_, known := c.unresponsiveUntil[server.ID]
+	c.unresponsiveUntil[server.ID] = time.Now().Add(unresponsiveTimeout)
 	c.mu.Unlock()
 	if !known {
 		c.deps.OnEvent(Event{Kind: MemberUnresponsive, VM: server.ID, Detail: err.Error()})
 	}
 }
 
-// doubtsItself notes that a VM of a fabric domain did not answer, and says whether VMs of too many have not.
-func (c *Controller) doubtsItself(server *backend.Server) bool {
+// suspectsItself records that a VM did not answer, and reports whether VMs of so many fabric domains failed to answer that
+// this entry itself is the likely cause.
+func (c *Controller) suspectsItself(server *backend.Server) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.silent[server.Fabric] = now
+	c.domainSilentAt[server.Fabric] = now
 	domains := 0
-	for domain, at := range c.silent {
-		if now.Sub(at) > doubtWithin {
-			delete(c.silent, domain)
+	for domain, at := range c.domainSilentAt {
+		if now.Sub(at) > selfSuspicionWindow {
+			delete(c.domainSilentAt, domain)
 			continue
 		}
 		domains++
 	}
-	return domains >= doubtDomains
+	return domains >= selfSuspicionDomains
 }
--- a/entry/grouping/dissolve.go
+++ b/entry/grouping/dissolve.go
@@ -12,31 +12,31 @@
 	policy "github.com/skylarkpond/skylarkpond/policy/grouping"
 )
 
-// startDissolve makes a head that is not whole stop serving. The VMs are free once it does.
-func (c *Controller) startDissolve(ctx context.Context, group brokenGroup) {
+// startDissolve makes the head of an incomplete group stop serving. After that, the group's VMs are free.
+func (c *Controller) startDissolve(ctx context.Context, group incompleteGroup) {
 	c.mu.Lock()
 	started := c.dissolving[group.key]
 	c.dissolving[group.key] = true
 	if !started && group.cancel {
-		c.losses.ObserveLoss()
+		c.lossEstimator.ObserveLoss()
 	}
 	c.mu.Unlock()
 	if started {
 		return
 	}
 	c.running.Go(func() {
-		ctx, cancel := context.WithTimeout(ctx, closeTimeout)
+		ctx, cancel := context.WithTimeout(ctx, dissolveTimeout)
 		defer cancel()
-		began := time.Now()
-		err := c.retire(ctx, group.key, group.cancel)
+		startedAt := time.Now()
+		err := c.closeHead(ctx, group.key, group.cancel)
 		c.mu.Lock()
 		delete(c.dissolving, group.key)
 		delete(c.opened, group.key)
 		if err == nil {
-			c.closed[group.key] = time.Now()
+			c.dissolvedAt[group.key] = time.Now()
 		}
 		c.mu.Unlock()
-		event := Event{Kind: GroupDissolved, Group: group.key, VM: group.head.ID, Detail: group.reason, Took: time.Since(began)}
+		event := Event{Kind: GroupDissolved, Group: group.key, VM: group.head.ID, Detail: group.reason, Took: time.Since(startedAt)}
 		if err != nil {
 			event.Kind = GroupNotDissolved
 			event.Detail += ": " + err.Error()
@@ -46,36 +46,37 @@
 	})
 }
 
-// startConversion ends the work of a group whose VMs another model needs. Nothing is cut.
+// startConversion drains a group whose VMs another model needs. Requests in progress are completed.
 func (c *Controller) startConversion(ctx context.Context, v *view, drain policy.Drain) {
 	var chosen *backend.Server
-	for _, head := range v.whole {
+	for _, head := range v.completeHeads {
 		fits := string(head.Fabric) == drain.Domain && head.Model == drain.Model
 		if fits && (chosen == nil || head.ID < chosen.ID) {
 			chosen = head
 		}
 	}
 	if chosen == nil {
-		return // its group was closed meanwhile
+		return // the group was closed in the meantime
 	}
-	c.startDissolve(ctx, brokenGroup{key: chosen.Group.GroupKey, head: chosen, reason: "its VMs are needed for " + drain.Recipient})
+	c.startDissolve(ctx, incompleteGroup{key: chosen.Group.GroupKey, head: chosen, reason: "its VMs are needed for " + drain.Recipient})
 }
 
 const (
-	// closeTimeout is above the time that a member which leaves waits for its group's work.
-	closeTimeout = 12 * time.Second
-	// closeLook is how often a head that is closing is asked.
-	closeLook = 150 * time.Millisecond
+	// dissolveTimeout is longer than a leaving member waits for the requests of its group.
+	dissolveTimeout = 12 * time.Second
+	// headPollInterval is the interval between requests for the state of a head that is closing.
+	headPollInterval = 150 * time.Millisecond
 )
 
-// errUnsettled: a registration is missing, and may only have lapsed while the platform was away. Its server may be dark for a moment and
-// still serve: its members taken for another group would be in two.
-var errUnsettled = eris.New("registrations may not be back yet")
+// errRegistrationsPending is returned if a missing registration may have lapsed only because the platform was unavailable. The
+// server may be unreachable for a moment and still be serving; if its members were assigned to another group, they would be in
+// two groups.
+var errRegistrationsPending = eris.New("registrations may not be back yet")
 
-// retire ends the part of a head in a group: it serves no more, and no late order can make it serve. A nil error also
-// means that the head is gone, or has gone on to another group by itself.
-func (c *Controller) retire(ctx context.Context, key backend.GroupKey, cancel bool) error {
-	head, ok := headOf(key.Name)
+// closeHead ends a head's membership in a group: the head stops serving, and no delayed order can make it serve again. A nil
+// error may also mean that the head is gone or has already moved to another group.
+func (c *Controller) closeHead(ctx context.Context, key backend.GroupKey, cancel bool) error {
+	head, ok := headFromName(key.Name)
 	if !ok {
 		return eris.Wrapf(errServing, "head of %s is not known", key)
 	}
@@ -85,75 +86,77 @@
 	}
 	for {
 		if !c.deps.IsLeader() {
-			return errNotInCharge
+			return errNotLeader
 		}
-		report, err := c.engines.report(ctx, head)
+		report, err := c.client.report(ctx, head)
 		switch {
 		case err != nil && listed == nil && !c.deps.RegistrationsReliable():
-			return eris.Wrapf(errUnsettled, "head %s", head.ID)
+			return eris.Wrapf(errRegistrationsPending, "head %s", head.ID)
 		case err != nil && listed == nil:
-			if c.servesOthers(ctx, head, key) {
+			if c.peersSeeServing(ctx, head, key) {
 				return eris.Wrapf(errServing, "head %s serves behind a cut", head.ID)
 			}
-			return nil // its registration has ended and it answers nobody: it is gone
-		case eris.Is(err, errOther):
-			return nil // another server has the address
+			return nil // the registration has ended and no entry gets an answer: the server is gone
+		case eris.Is(err, errOtherServer):
+			return nil // the address now belongs to another server
 		case err != nil:
-			// Asked now, the others' word is at hand when the registration ends: 0.9 s less without the group.
-			c.servesOthers(ctx, head, key)
+			// Asking the peers now makes their answer available by the time the registration ends. That shortens the time
+			// without the group by 0.9 s.
+			c.peersSeeServing(ctx, head, key)
 			return eris.Wrapf(err, "head %s", head.ID)
 		case report.Group.GroupKey != key:
 			return nil
 		}
-		done, err := c.retireStep(ctx, head, key, report, cancel)
+		done, err := c.closeHeadStep(ctx, head, key, report, cancel)
 		if done || err != nil {
 			return err
 		}
-		if !wait.Pause(ctx, closeLook) {
+		if !wait.Pause(ctx, headPollInterval) {
 			return eris.Wrapf(ctx.Err(), "closing %s", key)
 		}
 	}
 }
 
-// unreachedFor is how long the word of the other entries counts that they don't reach a server. Within it the server's registration can't
-// have lapsed for a cut that began later: that takes three silent heartbeats.
-const unreachedFor = 2 * time.Second
+// unreachableTTL is how long the peers' answer that they can't reach a server remains valid. If a disconnection begins later
+// than the answer, the server's registration can't lapse within this time, because that takes three missed heartbeats.
+const unreachableTTL = 2 * time.Second
 
-// servesOthers says whether another entry reaches a head that this one does not, and finds it serving.
-func (c *Controller) servesOthers(ctx context.Context, head *backend.Server, key backend.GroupKey) bool {
+// peersSeeServing reports whether a peer reaches a head that this entry can't reach, and finds it serving the group.
+func (c *Controller) peersSeeServing(ctx context.Context, head *backend.Server, key backend.GroupKey) bool {
 	c.mu.Lock()
-	lately := time.Since(c.unreached[head.ID]) < unreachedFor
+	recent := time.Since(c.unreachableAt[head.ID]) < unreachableTTL
 	c.mu.Unlock()
-	if lately {
+	if recent {
 		return false
 	}
 	if c.deps.PeersSeeServing(ctx, head, key) {
 		return true
 	}
 	c.mu.Lock()
-	c.unreached[head.ID] = time.Now()
+	c.unreachableAt[head.ID] = time.Now()
 	c.mu.Unlock()
 	return false
 }
 
-// retireStep sends the order that fits the head's state, and says whether the head is out of the group.
-func (c *Controller) retireStep(ctx context.Context, head *backend.Server, key backend.GroupKey, report backend.Report, cancel bool) (bool, error) {
+// closeHeadStep sends the order that applies to the head's current state. It reports whether the head has left the group.
+func (c *Controller) closeHeadStep(ctx context.Context, head *backend.Server, key backend.GroupKey, report backend.Report, cancel bool) (bool, error) {
 	switch report.Group.State {
 	case backend.GroupClosing:
 		return false, nil
 	case backend.GroupOpen:
 		order := backend.Order{Kind: backend.OrderClose, Group: key, Cancel: cancel, Expect: report.Orders}
-		err := c.engines.confirm(ctx, head, order, func(r backend.Report) bool {
+		err := c.client.sendUntilEffective(ctx, head, order, func(r backend.Report) bool {
 			return r.Group.GroupKey != key || r.Group.State != backend.GroupOpen
 		})
 		return false, ignoreRefused(err)
 	}
 	order := backend.Order{Kind: backend.OrderLeave, Group: key, Expect: report.Orders}
-	err := c.engines.confirm(ctx, head, order, func(r backend.Report) bool { return r.Group.GroupKey != key })
+	err := c.client.sendUntilEffective(ctx, head, order, func(r backend.Report) bool { return r.Group.GroupKey != key })
 	return err == nil, ignoreRefused(err)
 }
 
-// ignoreRefused lets the next look at the head decide: a refusal means that its state has changed meanwhile.
+// ignoreRefused drops errRefused, because a refusal means that the head's state has changed. The next poll shows the new
+// state.
 func ignoreRefused(err error) error {
 	if eris.Is(err, errRefused) {
 		return nil
@@ -161,55 +164,56 @@
 	return err
 }
 
-// startStaging puts a model's weights on a VM's host.
+// startStaging loads a model's weights onto a VM's host.
 func (c *Controller) startStaging(ctx context.Context, engine *route.Engine, server *backend.Server, modelName string) {
 	model, ok := engine.Model(modelName)
 	if !ok || server == nil {
 		return
 	}
-	early := c.deps.BeforeTraffic()
-	takes := model.Load
-	if early {
-		takes /= earlySpeed
+	beforeTraffic := c.deps.BeforeTraffic()
+	duration := model.Load
+	if beforeTraffic {
+		duration /= speedupBeforeTraffic
 	}
-	end := time.Now().Add(takes)
+	end := time.Now().Add(duration)
 	c.mu.Lock()
-	c.staging[server.ID] = staging{model: modelName, until: time.Now().Add(model.Load + stageMargin), born: server.Born}
-	c.loads.take(1, end, early)
+	c.staging[server.ID] = pendingLoad{model: modelName, until: time.Now().Add(model.Load + stagingMargin), born: server.Born}
+	c.loads.reserve(1, end, beforeTraffic)
 	c.mu.Unlock()
 	c.running.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, taskTimeout)
 		defer cancel()
 		event := Event{Kind: StageOrdered, VM: server.ID, Model: modelName}
-		if err := c.stage(ctx, server, modelName); err != nil {
+		if err := c.orderStaging(ctx, server, modelName); err != nil {
 			event.Kind, event.Detail = StageFailed, err.Error()
-			c.stagingFailed(server, model, end, err)
+			c.handleStagingFailure(server, model, end, err)
 		}
 		c.deps.OnEvent(event)
 	})
 }
 
-// stagingFailed corrects the account of loads. A VM that refuses is most likely busy with a load that an earlier holder of the lease ordered:
-// it is left alone for as long as one takes. Ordered again and again, it would use up the room for all other loads.
-func (c *Controller) stagingFailed(server *backend.Server, model route.Model, end time.Time, err error) {
+// handleStagingFailure corrects the load accounting. A VM that refuses is most likely executing a load that an earlier leader
+// ordered, so it is left alone for the duration of a load. If the order were repeated, it would use up the capacity for all
+// other loads.
+func (c *Controller) handleStagingFailure(server *backend.Server, model route.Model, end time.Time, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if eris.Is(err, errRefused) {
-		c.staging[server.ID] = staging{model: unknownModel, until: time.Now().Add(model.Load), born: server.Born}
+		c.staging[server.ID] = pendingLoad{model: unknownModel, until: time.Now().Add(model.Load), born: server.Born}
 		return
 	}
 	delete(c.staging, server.ID)
-	c.loads.giveBack(end)
+	c.loads.release(end)
 }
 
-// unknownModel stands for weights that another entry has ordered.
+// unknownModel represents weights whose loading another entry has ordered.
 const unknownModel = "?"
 
-func (c *Controller) stage(ctx context.Context, server *backend.Server, model string) error {
-	report, err := c.ask(ctx, server)
+func (c *Controller) orderStaging(ctx context.Context, server *backend.Server, model string) error {
+	report, err := c.checkedReport(ctx, server)
 	if err != nil {
 		return err
 	}
 	order := backend.Order{Kind: backend.OrderStage, Model: model, Expect: report.Orders}
-	return c.engines.confirm(ctx, server, order, func(r backend.Report) bool { return r.Orders > report.Orders })
+	return c.client.sendUntilEffective(ctx, server, order, func(r backend.Report) bool { return r.Orders > report.Orders })
 }
--- a/entry/grouping/fleet.go
+++ b/entry/grouping/fleet.go
@@ -11,35 +11,35 @@
 	policy "github.com/skylarkpond/skylarkpond/policy/grouping"
 )
 
-// fleetEvery is how often what a round saw is told. An engineer who asks why a model had too few groups finds there what its VMs were
-// waiting for.
-const fleetEvery = time.Second
+// fleetReportInterval is the interval between FleetReport events of a service. An operator who investigates why a model had
+// too few groups can see there what its VMs were waiting for.
+const fleetReportInterval = time.Second
 
-// tellFleet tells, for each fabric domain, the VMs that could be used, the groups that serve or form, and the VMs that are free: with
-// the weights that they have, or load.
-func (c *Controller) tellFleet(service route.Service, view *view) {
+// reportFleet reports, for each fabric domain, the usable VMs, the groups that are serving or being formed, and the free VMs
+// with the weights that they have or are loading.
+func (c *Controller) reportFleet(service route.Service, view *view) {
 	c.mu.Lock()
-	due := time.Since(c.toldFleet[service.Name]) >= fleetEvery
+	due := time.Since(c.fleetReportedAt[service.Name]) >= fleetReportInterval
 	if due {
-		c.toldFleet[service.Name] = time.Now()
+		c.fleetReportedAt[service.Name] = time.Now()
 	}
-	dark := len(c.dark)
+	unresponsive := len(c.unresponsiveUntil)
 	c.mu.Unlock()
 	if !due {
 		return
 	}
 	var domains []string
 	for _, domain := range view.input.Domains {
-		domains = append(domains, describe(domain))
+		domains = append(domains, describeDomain(domain))
 	}
-	detail := fmt.Sprintf("%d dark, %d broken, room for %d loads; %s", dark, len(view.broken), view.input.AvailableLoads, strings.Join(domains, "; "))
+	detail := fmt.Sprintf("%d dark, %d broken, room for %d loads; %s", unresponsive, len(view.incomplete), view.input.AvailableLoads, strings.Join(domains, "; "))
 	c.deps.OnEvent(Event{Kind: FleetReport, Service: service.Name, Detail: detail})
-	c.tellUnformable(service.Name, service.Engine.Models, view.input.Domains)
+	c.reportUnformable(service.Name, service.Engine.Models, view.input.Domains)
 }
 
-// tellUnformable tells of models whose groups are larger than any fabric domain. Their callers are turned away for as long as that is so, and
-// nothing else in the log would say why.
-func (c *Controller) tellUnformable(service string, models []route.Model, domains []policy.Domain) {
+// reportUnformable reports the models whose groups are larger than any fabric domain. Their requests are refused as long as
+// that is the case, and no other log entry would show the reason.
+func (c *Controller) reportUnformable(service string, models []route.Model, domains []policy.Domain) {
 	largest := 0
 	for _, domain := range domains {
 		largest = max(largest, domain.Total)
@@ -52,23 +52,23 @@
 	}
 }
 
-func describe(domain policy.Domain) string {
+func describeDomain(domain policy.Domain) string {
 	var parts []string
 	for _, model := range slices.Sorted(maps.Keys(domain.Groups)) {
 		parts = append(parts, fmt.Sprintf("%d x %s", domain.Groups[model], model))
 	}
 	free := make(map[string]int)
 	for _, vm := range domain.Free {
-		free[weights(vm)]++
+		free[describeWeights(vm)]++
 	}
-	for _, kind := range slices.Sorted(maps.Keys(free)) {
-		parts = append(parts, fmt.Sprintf("%d free %s", free[kind], kind))
+	for _, weights := range slices.Sorted(maps.Keys(free)) {
+		parts = append(parts, fmt.Sprintf("%d free %s", free[weights], weights))
 	}
 	return fmt.Sprintf("%s: %d VMs, %s", domain.Name, domain.Total, strings.Join(parts, ", "))
 }
 
-// weights says which weights a VM has or loads.
-func weights(vm policy.VM) string {
+// describeWeights describes the weights that a VM has or is loading.
+func describeWeights(vm policy.VM) string {
 	switch {
 	case vm.Staging != "":
 		return "loading " + vm.Staging
--- a/entry/grouping/form.go
+++ b/entry/grouping/form.go
@@ -13,10 +13,10 @@
 	policy "github.com/skylarkpond/skylarkpond/policy/grouping"
 )
 
-// errServing: a VM that was to be taken belongs to a group that may serve.
+// errServing is returned if a VM that a formation needs belongs to a group that may be serving.
 var errServing = eris.New("VM's group may be serving")
 
-// formation is the task of forming one group. One goroutine works on it, with helpers for orders side by side.
+// formation is the task of forming one group. It runs in one goroutine, which starts others to send orders concurrently.
 type formation struct {
 	controller *Controller
 	key        backend.GroupKey
@@ -27,45 +27,45 @@
 	started    time.Time
 }
 
-func (c *Controller) startForming(ctx context.Context, engine *route.Engine, v *view, planned policy.Formation) {
-	model, ok := engine.Model(planned.Model)
+func (c *Controller) startForming(ctx context.Context, engine *route.Engine, v *view, plan policy.Formation) {
+	model, ok := engine.Model(plan.Model)
 	if !ok {
 		return
 	}
-	f := &formation{controller: c, model: model, engine: engine, loads: planned.Loads, started: time.Now()}
-	for _, id := range planned.Members {
+	f := &formation{controller: c, model: model, engine: engine, loads: plan.Loads, started: time.Now()}
+	for _, id := range plan.Members {
 		f.members = append(f.members, v.servers[backend.ID(id)])
 	}
-	f.key = backend.GroupKey{Name: newName(f.members[0])}
-	early := c.deps.BeforeTraffic()
+	f.key = backend.GroupKey{Name: newGroupName(f.members[0])}
+	beforeTraffic := c.deps.BeforeTraffic()
 	c.mu.Lock()
 	for i, member := range f.members {
-		c.tasks[member.ID] = ""
+		c.forming[member.ID] = ""
 		if i == 0 {
-			c.tasks[member.ID] = model.Name
+			c.forming[member.ID] = model.Name
 		}
 	}
-	c.loads.take(f.loads, time.Now().Add(f.loadTime()), early)
+	c.loads.reserve(f.loads, time.Now().Add(f.loadTime()), beforeTraffic)
 	c.mu.Unlock()
-	c.deps.OnEvent(Event{Kind: GroupForming, Group: f.key, Model: model.Name, Detail: f.describe()})
+	c.deps.OnEvent(Event{Kind: GroupForming, Group: f.key, Model: model.Name, Detail: f.memberList()})
 	c.running.Go(func() { f.run(ctx) })
 }
 
-// loadTime is how long the members need for their weights. Loads are ten times as fast before callers come.
+// loadTime is how long the members need to get their weights ready. Loads are faster before the first request arrives.
 func (f *formation) loadTime() time.Duration {
 	if f.loads == 0 {
 		return f.model.Warm
 	}
 	if f.controller.deps.BeforeTraffic() {
-		return f.model.Load / earlySpeed
+		return f.model.Load / speedupBeforeTraffic
 	}
 	return f.model.Load
 }
 
-// earlySpeed is how many times faster loads are before callers come.
-const earlySpeed = 10
+// speedupBeforeTraffic is the factor by which loads are faster before the first request arrives.
+const speedupBeforeTraffic = 10
 
-func (f *formation) describe() string {
+func (f *formation) memberList() string {
 	text := ""
 	for _, member := range f.members {
 		text += string(member.ID) + " "
@@ -84,13 +84,13 @@
 	c := f.controller
 	c.mu.Lock()
 	for _, member := range f.members {
-		delete(c.tasks, member.ID)
+		delete(c.forming, member.ID)
 		if err != nil {
-			c.resting[member.ID] = time.Now().Add(restFor)
+			c.backoffUntil[member.ID] = time.Now().Add(formationBackoff)
 		}
 	}
 	if err == nil {
-		c.opened[f.key] = opened{at: time.Now(), members: f.members}
+		c.opened[f.key] = openedGroup{at: time.Now(), members: f.members}
 	}
 	c.mu.Unlock()
 	event := Event{Kind: GroupOpened, Group: f.key, Model: f.model.Name, Took: time.Since(f.started)}
@@ -101,23 +101,24 @@
 	c.Wake()
 }
 
-// form gathers the VMs and opens the group.
+// form assembles the members and opens the group.
 func (f *formation) form(ctx context.Context) error {
-	head, err := f.gather(ctx)
+	head, err := f.assemble(ctx)
 	if err != nil {
 		return err
 	}
 	return f.open(ctx, head)
 }
 
-// gather takes the VMs out of their earlier groups and joins them. It returns the head's report once all are ready.
-func (f *formation) gather(ctx context.Context) (backend.Report, error) {
-	reports, err := f.reports(ctx)
+// assemble removes the VMs from their earlier groups and joins them to the new one. It returns the head's report once all
+// members are ready.
+func (f *formation) assemble(ctx context.Context) (backend.Report, error) {
+	reports, err := f.memberReports(ctx)
 	if err != nil {
 		return backend.Report{}, err
 	}
 	f.key.Epoch = f.nextEpoch(reports)
-	if err := f.release(ctx, reports); err != nil {
+	if err := f.leaveOldGroups(ctx, reports); err != nil {
 		return backend.Report{}, err
 	}
 	if err := f.join(ctx, reports); err != nil {
@@ -126,15 +127,16 @@
 	return f.awaitReady(ctx)
 }
 
-// reports asks all members, side by side. One that does not answer is left out of plans for a while.
-func (f *formation) reports(ctx context.Context) ([]backend.Report, error) {
+// memberReports requests the reports of all members concurrently. A member that does not answer is excluded from plans for a
+// while.
+func (f *formation) memberReports(ctx context.Context) ([]backend.Report, error) {
 	reports := make([]backend.Report, len(f.members))
 	errs := make([]error, len(f.members))
-	var asked sync.WaitGroup
+	var requests sync.WaitGroup
 	for i, member := range f.members {
-		asked.Go(func() { reports[i], errs[i] = f.controller.ask(ctx, member) })
+		requests.Go(func() { reports[i], errs[i] = f.controller.checkedReport(ctx, member) })
 	}
-	asked.Wait()
+	requests.Wait()
 	for i, err := range errs {
 		if err != nil {
 			return nil, eris.Wrapf(err, "member %s", f.members[i].ID)
@@ -143,19 +145,20 @@
 	return reports, nil
 }
 
-// ask reports a VM, and notes one that does not answer.
-func (c *Controller) ask(ctx context.Context, server *backend.Server) (backend.Report, error) {
-	report, err := c.engines.report(ctx, server)
+// checkedReport returns a VM's report. A VM that does not answer, or has been restarted since it was listed, is passed to
+// handleNoAnswer.
+func (c *Controller) checkedReport(ctx context.Context, server *backend.Server) (backend.Report, error) {
+	report, err := c.client.report(ctx, server)
 	if err == nil && report.Born != 0 && server.Born != 0 && report.Born != server.Born {
-		err = eris.Wrap(errOther, "the VM has started again")
+		err = eris.Wrap(errOtherServer, "the VM has started again")
 	}
 	if err != nil && ctx.Err() == nil {
-		c.noAnswer(ctx, server, err)
+		c.handleNoAnswer(ctx, server, err)
 	}
 	return report, err
 }
 
-// nextEpoch is above all that the members have seen.
+// nextEpoch returns an epoch greater than any that the members have seen.
 func (f *formation) nextEpoch(reports []backend.Report) uint64 {
 	epoch := f.controller.deps.Epoch()
 	for _, report := range reports {
@@ -164,9 +167,10 @@
 	return epoch
 }
 
-// release ends the part of every old head, also of those that are to be members: a head may have been told to open so lately that its
-// report does not show it, and must not take a join before it has left. It raises the counts of orders of members that left.
-func (f *formation) release(ctx context.Context, reports []backend.Report) error {
+// leaveOldGroups ends the membership of every old head, also of those that will be members of the new group. A head may have
+// received an order to open so recently that its report does not show it yet, and must not join before it has left. The
+// expected order counts in reports are incremented for members that left.
+func (f *formation) leaveOldGroups(ctx context.Context, reports []backend.Report) error {
 	released := make(map[backend.GroupKey]bool)
 	for i, report := range reports {
 		key := report.Group.GroupKey
@@ -177,7 +181,7 @@
 			return eris.Wrapf(errServing, "%s in %s", f.members[i].ID, key)
 		}
 		if report.Group.Rank == 0 {
-			if err := f.leave(ctx, i, reports); err != nil {
+			if err := f.leaveOldGroup(ctx, i, reports); err != nil {
 				return err
 			}
 			released[key] = true
@@ -188,7 +192,7 @@
 		if key.Name == "" || released[key] {
 			continue
 		}
-		if err := f.controller.retire(ctx, key, true); err != nil {
+		if err := f.controller.closeHead(ctx, key, true); err != nil {
 			return err
 		}
 		released[key] = true
@@ -196,26 +200,26 @@
 	return nil
 }
 
-// leave takes a member that is the head of its old group out of it.
-func (f *formation) leave(ctx context.Context, i int, reports []backend.Report) error {
+// leaveOldGroup makes a member that is the head of its old group leave that group.
+func (f *formation) leaveOldGroup(ctx context.Context, i int, reports []backend.Report) error {
 	if !f.controller.deps.IsLeader() {
-		return errNotInCharge
+		return errNotLeader
 	}
 	key := reports[i].Group.GroupKey
 	order := backend.Order{Kind: backend.OrderLeave, Group: key, Expect: reports[i].Orders}
-	err := f.controller.engines.confirm(ctx, f.members[i], order, func(r backend.Report) bool { return r.Group.GroupKey != key })
+	err := f.controller.client.sendUntilEffective(ctx, f.members[i], order, func(r backend.Report) bool { return r.Group.GroupKey != key })
 	reports[i].Orders++
 	return eris.Wrapf(err, "%s leaving %s", f.members[i].ID, key)
 }
 
-// join orders the joins, side by side.
+// join sends the join orders concurrently.
 func (f *formation) join(ctx context.Context, reports []backend.Report) error {
 	errs := make([]error, len(f.members))
-	var ordered sync.WaitGroup
+	var orders sync.WaitGroup
 	for i, member := range f.members {
-		ordered.Go(func() { errs[i] = f.joinOne(ctx, member, reports[i].Orders) })
+		orders.Go(func() { errs[i] = f.joinMember(ctx, member, reports[i].Orders) })
 	}
-	ordered.Wait()
+	orders.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -224,19 +228,19 @@
 	return nil
 }
 
-func (f *formation) joinOne(ctx context.Context, member *backend.Server, expect uint64) error {
+func (f *formation) joinMember(ctx context.Context, member *backend.Server, expect uint64) error {
 	if !f.controller.deps.IsLeader() {
-		return errNotInCharge
+		return errNotLeader
 	}
-	order := backend.Order{Kind: backend.OrderJoin, Group: f.key, Model: f.model.Name, Members: f.ids(), Expect: expect}
-	err := f.controller.engines.confirm(ctx, member, order, func(r backend.Report) bool { return r.Group.GroupKey == f.key })
+	order := backend.Order{Kind: backend.OrderJoin, Group: f.key, Model: f.model.Name, Members: f.memberIDs(), Expect: expect}
+	err := f.controller.client.sendUntilEffective(ctx, member, order, func(r backend.Report) bool { return r.Group.GroupKey == f.key })
 	return eris.Wrapf(err, "join of %s", member.ID)
 }
 
-// errNotInCharge: the lease was lost or could not be confirmed.
-var errNotInCharge = eris.New("no longer in charge")
+// errNotLeader is returned if the lease was lost or could not be confirmed.
+var errNotLeader = eris.New("no longer in charge")
 
-func (f *formation) ids() []backend.ID {
+func (f *formation) memberIDs() []backend.ID {
 	ids := make([]backend.ID, 0, len(f.members))
 	for _, member := range f.members {
 		ids = append(ids, member.ID)
@@ -245,26 +249,28 @@
 }
 
 const (
-	// readyLook is how often the listing is looked at while members get ready; it costs nothing.
-	readyLook = 50 * time.Millisecond
-	// readyAsk is how often members are asked that are not listed as ready, once they should be.
-	readyAsk = 400 * time.Millisecond
-	// rejoinTime is how long a VM takes to join with the model it has loaded.
+	// readyListingInterval is the interval between checks of the listing while members get ready. A check is local and costs
+	// nothing.
+	readyListingInterval = 50 * time.Millisecond
+	// readyReportInterval is the interval between requests for the reports of members that should be ready but are not listed
+	// as ready.
+	readyReportInterval = 400 * time.Millisecond
+	// rejoinTime is how long a VM takes to join a group of the model that it has loaded.
 	rejoinTime = 200 * time.Millisecond
 )
 
-// awaitReady returns the head's report once every member itself reports to be ready under this name and epoch.
+// awaitReady returns the head's report once every member itself reports to be ready under the group's name and epoch.
 func (f *formation) awaitReady(ctx context.Context) (backend.Report, error) {
-	nextAsk := time.Now().Add(rejoinTime + readyLook)
+	nextReport := time.Now().Add(rejoinTime + readyListingInterval)
 	for {
-		if !wait.Pause(ctx, readyLook) {
+		if !wait.Pause(ctx, readyListingInterval) {
 			return backend.Report{}, eris.Wrap(ctx.Err(), "waiting for members")
 		}
-		if !f.listedReady() && time.Now().Before(nextAsk) {
+		if !f.listedReady() && time.Now().Before(nextReport) {
 			continue
 		}
-		nextAsk = time.Now().Add(readyAsk)
-		reports, err := f.reports(ctx)
+		nextReport = time.Now().Add(readyReportInterval)
+		reports, err := f.memberReports(ctx)
 		if err != nil {
 			return backend.Report{}, err
 		}
@@ -300,13 +306,13 @@
 	return ready, nil
 }
 
-// open makes the head serve.
+// open makes the head serve requests.
 func (f *formation) open(ctx context.Context, head backend.Report) error {
 	if !f.controller.deps.IsLeader() {
-		return errNotInCharge
+		return errNotLeader
 	}
 	order := backend.Order{Kind: backend.OrderOpen, Group: f.key, Expect: head.Orders, Takes: f.engine.OpenTime}
-	err := f.controller.engines.confirm(ctx, f.members[0], order, func(r backend.Report) bool {
+	err := f.controller.client.sendUntilEffective(ctx, f.members[0], order, func(r backend.Report) bool {
 		return r.Group.GroupKey == f.key && r.Group.State == backend.GroupOpen
 	})
 	return eris.Wrap(err, "open")
--- a/entry/grouping/grouping.go
+++ b/entry/grouping/grouping.go
@@ -1,14 +1,14 @@
-// Package grouping carries out what policy/grouping decides: it forms groups of VMs by orders to their model servers, opens
-// them, and dissolves those that lost a member.
+// Package grouping carries out the decisions of policy/grouping: it forms groups of VMs by sending orders to their model
+// servers, opens the groups, and dissolves those that lost a member.
 //
-// What always holds, also while another entry believes that it is in charge, and when orders are carried out late:
+// The following invariants hold even while another entry also considers itself the leader, and when orders are executed late:
 //
-//   - Every order names the count of orders that its VM must have, so that of any number of copies at most one takes effect,
-//     and none after another order.
-//   - The name of a group is never used again. A group is opened only by the task that ordered its joins, and only after each
-//     member has itself reported to be ready under that name and epoch.
-//   - A VM takes a join only after the head of its earlier group has taken an order that ends its part in that group, or
-//     is gone. So a late order to open that head is refused.
+//   - Every order states the order count that its VM must have. Of any number of copies at most one takes effect, and
+//     none takes effect after another order.
+//   - A group name is never reused. A group is opened only by the task that ordered its joins, and only after each
+//     member itself has reported to be ready under that name and epoch.
+//   - A VM receives a join only after the head of its earlier group has executed an order that ends its membership in
+//     that group, or is gone. A delayed order to open that head is therefore refused.
 package grouping
 
 import (
@@ -23,35 +23,36 @@
 	policy "github.com/skylarkpond/skylarkpond/policy/grouping"
 )
 
-// Deps is what a Controller works with.
+// Deps holds the dependencies of a Controller.
 type Deps struct {
 	Pool    *upstream.Pool
 	Table   func() *route.Table
 	Listing func() *backend.Listing
-	// Settled says whether a registration that is missing tells that its server is gone.
+	// RegistrationsReliable reports whether a missing registration means that its server is gone.
 	RegistrationsReliable func() bool
-	// Held says whether this entry is in charge.
+	// IsLeader reports whether this entry is the leader.
 	IsLeader func() bool
 	// Epoch returns a number that no earlier holder of the lease had.
 	Epoch func() uint64
-	// Reached asks other entries whether they reach a server that this one does not, and says whether it serves a group there.
+	// PeersSeeServing asks other entries whether they reach a server that this entry can't reach, and reports whether it is
+	// serving the group.
 	PeersSeeServing func(ctx context.Context, server *backend.Server, key backend.GroupKey) (serving bool)
-	// Answers asks other entries for a server, and says whether one of them reaches it.
+	// PeersReach reports whether another entry reaches the server.
 	PeersReach func(ctx context.Context, server *backend.Server) bool
-	// Sound tells that a suspected group has answered in full.
+	// ClearSuspicion is called when all members of a suspected group have answered.
 	ClearSuspicion func(head backend.ID)
-	// Demand returns how many groups' worth of requests of a model come, or 0 where that is not known yet.
+	// DemandGroups returns the number of groups that the current requests of a model would fill; 0 if unknown.
 	DemandGroups func(service, model string) float64
-	// Early says that no caller has come yet.
+	// BeforeTraffic reports that no request has arrived yet.
 	BeforeTraffic func() bool
-	// Event tells what was done or seen.
+	// OnEvent is called for each action and observation.
 	OnEvent func(Event)
 }
 
-// Event is one step, for the log.
+// Event describes one action or observation for the log.
 type Event struct {
 	Kind EventKind
-	// Service is set for FleetSeen and ModelUnformable alone.
+	// Service is set only for FleetReport and ModelCannotBeFormed.
 	Service string
 	Group   backend.GroupKey
 	VM      backend.ID
@@ -60,10 +61,10 @@
 	Took    time.Duration
 }
 
-// EventKind names a step.
+// EventKind identifies the type of an Event.
 type EventKind string
 
-// The steps.
+// Event kinds.
 const (
 	GroupForming       EventKind = "group-forming"
 	GroupOpened        EventKind = "group-opened"
@@ -77,113 +78,116 @@
 	GroupSuspected     EventKind = "group-suspected"
 	MemberUnresponsive EventKind = "member-dark"
 	MemberResponsive   EventKind = "member-answers-again"
-	// ModelUnformable: no fabric domain has the VMs for a group of the model.
+	// ModelCannotBeFormed reports that no fabric domain has enough VMs for a group of the model.
 	ModelCannotBeFormed EventKind = "model-cannot-be-formed"
-	// FleetSeen is what a round saw of one service, once in fleetEvery.
+	// FleetReport describes the VMs of one service, once per fleetReportInterval.
 	FleetReport EventKind = "fleet"
 )
 
 const (
-	// tick is how often the VMs are looked at; changes of the listing come in between.
-	tick = 100 * time.Millisecond
-	// darkFor is how long a VM that did not answer is left out. It is above the time in which the registration of a VM that is gone
-	// lapses (3.6 s); one that answers again is back sooner.
-	darkFor = 4500 * time.Millisecond
-	// restFor is how long the VMs of a formation that failed are left alone, so that a cause which lasts does not cost
-	// an order a millisecond.
-	restFor = 300 * time.Millisecond
-	// taskTimeout bounds the forming of a group beyond the time of its loads.
+	// reconcileInterval is the interval between reconciliations. Changes of the listing trigger additional ones.
+	reconcileInterval = 100 * time.Millisecond
+	// unresponsiveTimeout is how long a VM that did not answer is excluded. It is longer than the registration of a VM that is
+	// gone takes to lapse (3.6 s). A VM that answers again is readmitted sooner.
+	unresponsiveTimeout = 4500 * time.Millisecond
+	// formationBackoff is how long the VMs of a failed formation are left alone. Without it, a persistent cause would cost an
+	// order per millisecond.
+	formationBackoff = 300 * time.Millisecond
+	// taskTimeout bounds the formation of a group, not counting the duration of its loads.
 	taskTimeout = 8 * time.Second
-	// stageMargin is how much longer than its time a load is waited for before it counts as lost.
-	stageMargin = 20 * time.Second
+	// stagingMargin is how much longer than its expected duration a load may take before it is considered lost.
+	stagingMargin = 20 * time.Second
 )
 
-// Controller is safe for concurrent use.
+// Controller forms, opens and dissolves the groups of all model services while this entry is the leader. It is safe for
+// concurrent use.
 type Controller struct {
-	deps    Deps
-	engines *engines
-	wake    chan struct{}
+	deps   Deps
+	client *serverClient
+	wake   chan struct{}
 
-	mu sync.Mutex // guards what follows; a leaf lock
-	// tasks holds the VMs of groups that are being formed, with the model at the head's and nothing at the others'.
-	tasks map[backend.ID]string
-	// checking holds the groups that are being looked into.
+	mu sync.Mutex // guards the fields below; a leaf lock
+	// forming contains the VMs that a task is joining to a group: the head with the group's model, all others with an empty
+	// string.
+	forming map[backend.ID]string
+	// checking contains the groups whose members are being probed.
 	checking map[backend.GroupKey]bool
-	// dissolving holds the groups that a task dissolves.
+	// dissolving contains the groups that a task is dissolving.
 	dissolving map[backend.GroupKey]bool
-	// opened holds groups that were opened and are not yet listed as such.
-	opened map[backend.GroupKey]opened
-	// closed holds groups that were dissolved and may still be listed as open, with when.
-	closed map[backend.GroupKey]time.Time
-	// resting holds VMs of a formation that failed, until when.
-	resting map[backend.ID]time.Time
-	// lastModels holds the model of each VM's last group.
-	lastModels map[backend.ID]lastModel
-	// cold holds spares that could not be warmed, until when they are left as they are.
-	cold map[backend.ID]time.Time
-	// dark holds VMs that did not answer, until when.
-	dark map[backend.ID]time.Time
-	// unreached holds heads that no other entry reached, with when they were asked.
-	unreached map[backend.ID]time.Time
-	// staging holds the loads that were ordered.
-	staging map[backend.ID]staging
-	// whole holds the groups that were seen whole, vouched how many of their members are not registered and answer, absentees those members.
-	whole     map[backend.GroupKey]wholeGroup
-	vouched   map[backend.GroupKey]int
-	absentees map[backend.ID]*absentee
-	loads     *loadPace
-	// silent holds when a VM of each fabric domain last did not answer.
-	silent map[domain.FabricDomain]time.Time
-	// toldFleet is when each service's VMs were last told.
-	toldFleet map[string]time.Time
-	// listed is how many VMs of each service and fabric domain were listed last, and since when.
-	listed map[string]listedCount
-	// askedDark is when the VMs that did not answer were asked last.
-	askedDark time.Time
-	// losses learn how many VMs are lost, watched is up to when.
-	losses  *policy.LossEstimator
-	watched time.Time
-	running sync.WaitGroup
-	inForce bool
+	// opened contains the groups that were opened and are not yet listed as open.
+	opened map[backend.GroupKey]openedGroup
+	// dissolvedAt contains the groups that were dissolved and may still be listed as open, with the time of the dissolution.
+	dissolvedAt map[backend.GroupKey]time.Time
+	// backoffUntil contains the VMs of failed formations, with the time until which they are left alone.
+	backoffUntil map[backend.ID]time.Time
+	// lastModels contains the model of each VM's last group.
+	lastModels map[backend.ID]groupModel
+	// warmRetryAt contains the spares whose warming failed, with the time until which they are left alone.
+	warmRetryAt map[backend.ID]time.Time
+	// unresponsiveUntil contains the VMs that did not answer, with the time until which they are excluded.
+	unresponsiveUntil map[backend.ID]time.Time
+	// unreachableAt contains the heads that no peer could reach, with the time when the peers were asked.
+	unreachableAt map[backend.ID]time.Time
+	// staging contains the loads that were ordered.
+	staging map[backend.ID]pendingLoad
+	// complete contains the groups that were seen with all their members. responsiveUnregistered is the number of their
+	// members that are not registered but answer, unregistered the state of those members.
+	complete               map[backend.GroupKey]completeGroup
+	responsiveUnregistered map[backend.GroupKey]int
+	unregistered           map[backend.ID]*unregisteredMember
+	loads                  *loadLimiter
+	// domainSilentAt is when a VM of each fabric domain last failed to answer.
+	domainSilentAt map[domain.FabricDomain]time.Time
+	// fleetReportedAt is when each service's VMs were last reported.
+	fleetReportedAt map[string]time.Time
+	// listedCounts is the number of VMs listed last for each service and fabric domain, and since when.
+	listedCounts map[string]listedCount
+	// unresponsivePolledAt is when the VMs that did not answer were last polled.
+	unresponsivePolledAt time.Time
+	// lossEstimator estimates the rate at which VMs are lost. exposureObservedAt is the time up to which it has observations.
+	lossEstimator      *policy.LossEstimator
+	exposureObservedAt time.Time
+	running            sync.WaitGroup
+	wasLeader          bool
 }
 
-// opened is a group that this entry has opened. Its members may be cut off from the platform, so that they stay listed as they
-// were before.
-type opened struct {
+// openedGroup is a group that this entry has opened. If its members are disconnected from the platform, their registrations
+// still show the state before the opening.
+type openedGroup struct {
 	at      time.Time
 	members []*backend.Server
 }
 
-// lastModel is the model of a VM's last group in one of its lives.
-type lastModel struct {
+// groupModel is the model of a VM's last group. It applies only to the VM process that started at born.
+type groupModel struct {
 	model string
 	born  int64
 }
 
-type staging struct {
+type pendingLoad struct {
 	model string
 	until time.Time
 	born  int64
 }
 
-// New returns a controller; Run makes it work.
+// New returns a controller. Run starts its work.
 func New(deps Deps) *Controller {
 	return &Controller{
-		deps: deps, engines: newEngines(deps.Pool), wake: make(chan struct{}, 1),
-		tasks: make(map[backend.ID]string), dissolving: make(map[backend.GroupKey]bool),
+		deps: deps, client: newServerClient(deps.Pool), wake: make(chan struct{}, 1),
+		forming: make(map[backend.ID]string), dissolving: make(map[backend.GroupKey]bool),
 		checking: make(map[backend.GroupKey]bool),
-		opened:   make(map[backend.GroupKey]opened), closed: make(map[backend.GroupKey]time.Time),
-		resting: make(map[backend.ID]time.Time), cold: make(map[backend.ID]time.Time),
-		lastModels: make(map[backend.ID]lastModel), dark: make(map[backend.ID]time.Time),
-		silent:    make(map[domain.FabricDomain]time.Time),
-		toldFleet: make(map[string]time.Time), listed: make(map[string]listedCount),
-		whole: make(map[backend.GroupKey]wholeGroup), vouched: make(map[backend.GroupKey]int),
-		absentees: make(map[backend.ID]*absentee),
-		staging:   make(map[backend.ID]staging), unreached: make(map[backend.ID]time.Time), loads: newLoadPace(), losses: policy.NewLossEstimator(),
+		opened:   make(map[backend.GroupKey]openedGroup), dissolvedAt: make(map[backend.GroupKey]time.Time),
+		backoffUntil: make(map[backend.ID]time.Time), warmRetryAt: make(map[backend.ID]time.Time),
+		lastModels: make(map[backend.ID]groupModel), unresponsiveUntil: make(map[backend.ID]time.Time),
+		domainSilentAt:  make(map[domain.FabricDomain]time.Time),
+		fleetReportedAt: make(map[string]time.Time), listedCounts: make(map[string]listedCount),
+		complete: make(map[backend.GroupKey]completeGroup), responsiveUnregistered: make(map[backend.GroupKey]int),
+		unregistered: make(map[backend.ID]*unregisteredMember),
+		staging:      make(map[backend.ID]pendingLoad), unreachableAt: make(map[backend.ID]time.Time), loads: newLoadLimiter(), lossEstimator: policy.NewLossEstimator(),
 	}
 }
 
-// Wake makes the controller look at once.
+// Wake triggers a reconciliation without waiting for the next interval.
 func (c *Controller) Wake() {
 	select {
 	case c.wake <- struct{}{}:
@@ -191,10 +195,10 @@
 	}
 }
 
-// Run works until ctx ends.
+// Run reconciles until ctx is cancelled.
 func (c *Controller) Run(ctx context.Context) {
 	defer c.running.Wait()
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -203,55 +207,55 @@
 		case <-ticker.C:
 		case <-c.wake:
 		}
-		c.round(ctx)
+		c.reconcile(ctx)
 	}
 }
 
-// round looks at all model services and starts what is to be done.
-func (c *Controller) round(ctx context.Context) {
-	if !c.holds() {
+// reconcile processes all model services and starts the tasks that are due.
+func (c *Controller) reconcile(ctx context.Context) {
+	if !c.updateLeadership() {
 		return
 	}
 	table := c.deps.Table()
 	if table == nil {
 		return
 	}
-	c.engines.sweep()
-	c.askDark(ctx)
+	c.client.pruneOrders()
+	c.pollUnresponsive(ctx)
 	listing := c.deps.Listing()
 	for _, service := range table.Services {
 		if service.Engine == nil || len(service.Engine.Models) == 0 {
 			continue
 		}
-		c.serve(ctx, service, listing.ByService[service.Name])
+		c.reconcileService(ctx, service, listing.ByService[service.Name])
 	}
 }
 
-// holds forgets what an earlier time in charge has left when this entry takes charge again.
-func (c *Controller) holds() bool {
-	held := c.deps.IsLeader()
+// updateLeadership reports whether this entry is the leader. When it becomes the leader, the load limits start afresh.
+func (c *Controller) updateLeadership() bool {
+	leader := c.deps.IsLeader()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if held && !c.inForce {
-		c.loads.restart(time.Now())
+	if leader && !c.wasLeader {
+		c.loads.reset(time.Now())
 	}
-	c.inForce = held
-	return held
+	c.wasLeader = leader
+	return leader
 }
 
-func (c *Controller) serve(ctx context.Context, service route.Service, servers []*backend.Server) {
-	view := c.look(ctx, service, servers)
-	for _, broken := range view.broken {
-		c.startDissolve(ctx, broken)
+func (c *Controller) reconcileService(ctx context.Context, service route.Service, servers []*backend.Server) {
+	view := c.observe(ctx, service, servers)
+	for _, incomplete := range view.incomplete {
+		c.startDissolve(ctx, incomplete)
 	}
-	early := c.deps.BeforeTraffic()
-	view.input.BeforeTraffic = early
+	beforeTraffic := c.deps.BeforeTraffic()
+	view.input.BeforeTraffic = beforeTraffic
 	view.input.LossRate = c.lossRate(service.Engine, view)
-	c.noteFilling(service.Name, view.input.Domains)
-	view.input.AvailableLoads = c.availableLoads(service.Engine, early)
+	c.markRegistering(service.Name, view.input.Domains)
+	view.input.AvailableLoads = c.availableLoads(service.Engine, beforeTraffic)
 	view.input.LoadsInProgress, view.input.LoadsAtOnce = c.loadsInProgress(), service.Engine.LoadsAtOnce
 	plan := policy.Decide(view.input)
-	c.tellFleet(service, view)
+	c.reportFleet(service, view)
 	for _, formation := range plan.Form {
 		c.startForming(ctx, service.Engine, view, formation)
 	}
@@ -272,11 +276,11 @@
 	return c.loads.inProgress(time.Now())
 }
 
-func (c *Controller) availableLoads(engine *route.Engine, early bool) int {
+func (c *Controller) availableLoads(engine *route.Engine, beforeTraffic bool) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if early {
-		return c.loads.earlyRoom(engine, time.Now())
+	if beforeTraffic {
+		return c.loads.availableBeforeTraffic(engine, time.Now())
 	}
-	return c.loads.room(engine, time.Now())
+	return c.loads.available(engine, time.Now())
 }
--- a/entry/grouping/grouping_test.go
+++ b/entry/grouping/grouping_test.go
@@ -21,97 +21,97 @@
 
 var _ = Describe("Controller", func() {
 	It("forms and opens groups of VMs that have the weights", func() {
-		c := newCell(7)
-		c.control(1)
-		Eventually(c.groups, waitFor).Should(Equal(2))
-		Expect(c.world.Broken()).To(BeEmpty())
+		f := newFixture(7)
+		f.startController(1)
+		Eventually(f.groupCount, waitFor).Should(Equal(2))
+		Expect(f.world.Broken()).To(BeEmpty())
 	})
 
-	// A member dies. Its group goes on accepting, and nothing moves in it.
-	It("closes a group that lost a member and forms another of the survivors and a spare", func() {
-		c := newCell(4)
-		k := c.control(1)
-		Eventually(c.groups, waitFor).Should(Equal(1))
-		head := c.heads()[0]
-		for _, vm := range c.vms {
+	// Guards against a group that lost a member and continues to accept requests without making progress.
+	It("closes a group that lost a member and forms another one from the survivors and a spare", func() {
+		f := newFixture(4)
+		controller := f.startController(1)
+		Eventually(f.groupCount, waitFor).Should(Equal(1))
+		head := f.heads()[0]
+		for _, vm := range f.vms {
 			if group := vm.Group(); group != nil && group.Rank == 1 {
 				vm.Die()
 				break
 			}
 		}
-		k.Suspect(context.Background(), head.Group.GroupKey)
+		controller.Suspect(context.Background(), head.Group.GroupKey)
 		Eventually(func() bool {
-			heads := c.heads()
+			heads := f.heads()
 			return len(heads) == 1 && heads[0].Group.GroupKey != head.Group.GroupKey
 		}, waitFor).Should(BeTrue())
-		Expect(c.world.Broken()).To(BeEmpty())
+		Expect(f.world.Broken()).To(BeEmpty())
 	})
 
-	// A VM's process starts again under its id, faster than its registration lapses. It knows no group, while the others of its group
-	// wait for it: streams there stand still.
-	DescribeTable("forms a group anew when one of its VMs was restarted under its id", func(rank int) {
-		c := newCell(4)
-		c.control(1)
-		Eventually(c.groups, waitFor).Should(Equal(1))
-		before := c.heads()[0].Group.GroupKey
-		for _, vm := range c.vms {
-			// A free VM that takes up weights is the head of a group of its own for a moment.
+	// A VM's process restarts under the same id before its registration lapses. It knows of no group, while the other members
+	// of its group wait for it and all streams of the group stall.
+	DescribeTable("replaces a group when one of its VMs was restarted under the same id", func(rank int) {
+		f := newFixture(4)
+		f.startController(1)
+		Eventually(f.groupCount, waitFor).Should(Equal(1))
+		before := f.heads()[0].Group.GroupKey
+		for _, vm := range f.vms {
+			// A free VM that loads weights is briefly the head of a group of its own.
 			if group := vm.Group(); group != nil && group.Name == before.Name && group.Rank == rank {
 				vm.Restart()
 				break
 			}
 		}
 		Eventually(func() bool {
-			heads := c.heads()
+			heads := f.heads()
 			return len(heads) == 1 && heads[0].Group.GroupKey != before
 		}, waitFor).Should(BeTrue())
-		Expect(c.world.Broken()).To(BeEmpty())
+		Expect(f.world.Broken()).To(BeEmpty())
 	}, Entry("a member", 1), Entry("the head", 0))
 
-	// The entry in charge is choked: it reaches no VM in time, of any fabric domain, while callers' streams pause for a moment. Believing itself, it
-	// would dissolve every group there is.
-	It("believes other entries when VMs of many fabric domains do not answer it", func() {
-		c := newCell(0)
+	// The leader is overloaded and reaches no VM of any fabric domain in time, while requests are only paused for a moment. If
+	// it trusted its own observation, it would dissolve all groups.
+	It("trusts other entries if VMs of many fabric domains do not answer", func() {
+		f := newFixture(0)
 		for _, fabric := range []string{"d1", "d2", "d3", "d4"} {
 			for range 3 {
-				c.addIn(fabric, "large")
+				f.addVMIn(fabric, "large")
 			}
 		}
-		k := c.control(1)
-		Eventually(c.groups, waitFor).Should(Equal(4))
-		before := c.heads()
-		k.reached.Store(true)
-		for _, vm := range c.vms {
+		controller := f.startController(1)
+		Eventually(f.groupCount, waitFor).Should(Equal(4))
+		before := f.heads()
+		controller.peersReach.Store(true)
+		for _, vm := range f.vms {
 			vm.Set(replica.Faults{Mute: true})
 		}
 		for _, head := range before {
-			k.Suspect(context.Background(), head.Group.GroupKey)
+			controller.Suspect(context.Background(), head.Group.GroupKey)
 		}
 		closed := func() int {
 			n := 0
 			for _, head := range before {
-				if k.Closed(head.Group.GroupKey) {
+				if controller.Closed(head.Group.GroupKey) {
 					n++
 				}
 			}
 			return n
 		}
-		Eventually(closed, waitFor).Should(Equal(2), "the first two can't be told from VMs that are gone")
+		Eventually(closed, waitFor).Should(Equal(2), "the first two can't be distinguished from VMs that are gone")
 		Consistently(closed, "2s").Should(Equal(2))
 	})
 
-	// A group's members are cut off from the platform just as it opens, so that they stay listed as free. Taken for another group, they
-	// would leave one that serves.
-	It("takes no VM of a group that it opened, although it is listed as free", func() {
-		c := newCell(3)
-		Eventually(func() int { return len(c.catalog.Listing().Servers) }, waitFor).Should(Equal(3))
-		for _, vm := range c.vms {
+	// The members of a group lose the connection to the platform just as the group opens, so they remain listed as free. If
+	// they were assigned to another group, they would leave one that is serving.
+	It("does not reassign a VM of a group that it opened, even if the VM is listed as free", func() {
+		f := newFixture(3)
+		Eventually(func() int { return len(f.catalog.Listing().Servers) }, waitFor).Should(Equal(3))
+		for _, vm := range f.vms {
 			vm.Set(replica.Faults{Unregistered: true})
 		}
-		k := c.control(1)
+		controller := f.startController(1)
 		open := func() int {
 			n := 0
-			for _, vm := range c.vms {
+			for _, vm := range f.vms {
 				if group := vm.Group(); group != nil && group.State == "open" {
 					n++
 				}
@@ -120,184 +120,190 @@
 		}
 		Eventually(open, waitFor).Should(Equal(1))
 		Consistently(open, "2s").Should(Equal(1))
-		Expect(k.begun.Load()).To(Equal(int32(1)))
-		Expect(c.world.Broken()).To(BeEmpty())
+		Expect(controller.formations.Load()).To(Equal(int32(1)))
+		Expect(f.world.Broken()).To(BeEmpty())
 	})
 
-	// Orders get no answer and are carried out later, when newer ones have come.
-	It("is not misled by orders that are carried out late", func() {
-		c := newCell(7)
-		for _, vm := range c.vms[:3] {
+	// Orders get no response and are executed later, after newer orders have arrived.
+	It("tolerates orders that are executed late", func() {
+		f := newFixture(7)
+		for _, vm := range f.vms[:3] {
 			vm.Set(replica.Faults{LateOrders: 700 * time.Millisecond})
 		}
-		c.control(1)
+		f.startController(1)
 		time.AfterFunc(1500*time.Millisecond, func() {
-			for _, vm := range c.vms[:3] {
+			for _, vm := range f.vms[:3] {
 				vm.Set(replica.Faults{})
 			}
 		})
-		Eventually(c.groups, waitFor).Should(Equal(2))
-		Expect(c.world.Broken()).To(BeEmpty())
+		Eventually(f.groupCount, waitFor).Should(Equal(2))
+		Expect(f.world.Broken()).To(BeEmpty())
 	})
 
-	// The entry in charge is gone, and the next one knows nothing but what VMs report.
-	It("takes over groups that stand, without touching them", func() {
-		c := newCell(7)
-		first := c.control(1)
-		Eventually(c.groups, waitFor).Should(Equal(2))
+	// The leader is gone, and its successor knows only what the VMs report.
+	It("takes over existing groups unchanged", func() {
+		f := newFixture(7)
+		first := f.startController(1)
+		Eventually(f.groupCount, waitFor).Should(Equal(2))
 		first.stop()
-		before := c.heads()
-		c.control(2)
-		Consistently(c.groups, "1500ms").Should(Equal(2))
-		Expect(c.heads()[0].Group.GroupKey).To(Equal(before[0].Group.GroupKey))
+		before := f.heads()
+		f.startController(2)
+		Consistently(f.groupCount, "1500ms").Should(Equal(2))
+		Expect(f.heads()[0].Group.GroupKey).To(Equal(before[0].Group.GroupKey))
 	})
 
-	It("forms another group of the survivors once a head is gone", func() {
-		c := newCell(4)
-		c.control(1)
-		Eventually(c.groups, waitFor).Should(Equal(1))
-		head := c.heads()[0]
-		for _, vm := range c.vms {
+	It("forms another group from the survivors when a head is gone", func() {
+		f := newFixture(4)
+		f.startController(1)
+		Eventually(f.groupCount, waitFor).Should(Equal(1))
+		head := f.heads()[0]
+		for _, vm := range f.vms {
 			if vm.ID() == string(head.ID) {
 				vm.Die()
 			}
 		}
 		Eventually(func() bool {
-			heads := c.heads()
+			heads := f.heads()
 			return len(heads) == 1 && heads[0].ID != head.ID
 		}, waitFor).Should(BeTrue())
-		Expect(c.world.Broken()).To(BeEmpty())
+		Expect(f.world.Broken()).To(BeEmpty())
 	})
 
-	// A head is cut off from the platform and from the entry in charge, and still serves callers of other entries. Its members joined to
-	// another group would be in two.
-	It("leaves the members of a head alone that another entry finds serving", func() {
-		c := newCell(4)
-		k := c.control(1)
-		Eventually(c.groups, waitFor).Should(Equal(1))
-		head := c.heads()[0]
-		k.reached.Store(true)
-		for _, vm := range c.vms {
+	// A head is disconnected from the platform and from the leader, and still serves requests from other entries. If its
+	// members joined another group, they would be in two groups.
+	It("does not reassign the members of a head that another entry finds serving", func() {
+		f := newFixture(4)
+		controller := f.startController(1)
+		Eventually(f.groupCount, waitFor).Should(Equal(1))
+		head := f.heads()[0]
+		controller.peersReach.Store(true)
+		for _, vm := range f.vms {
 			if vm.ID() == string(head.ID) {
 				vm.Set(replica.Faults{Mute: true, Unregistered: true})
 			}
 		}
-		c.api.Delete("servers", string(head.ID))
-		Eventually(c.groups, waitFor).Should(BeZero())
-		Consistently(c.groups, "2s").Should(BeZero())
-		Expect(c.world.Broken()).To(BeEmpty())
+		f.api.Delete("servers", string(head.ID))
+		Eventually(f.groupCount, waitFor).Should(BeZero())
+		Consistently(f.groupCount, "2s").Should(BeZero())
+		Expect(f.world.Broken()).To(BeEmpty())
 	})
 
-	// The platform was away and registrations lapsed, although their servers live. A process that starts on its return takes charge, and finds the
-	// members of a group, but not its head, which is dark for a moment and not registered yet. Joined to another group, the members
-	// would be in two, and callers of the head wait for answers that never come.
-	It("takes no members of a head that may not have registered again since the platform is back", func() {
-		c := newCell(4)
-		first := c.control(1)
-		Eventually(c.groups, waitFor).Should(Equal(1))
+	// The platform was unavailable, and registrations of running servers lapsed. A process that starts on its return becomes
+	// leader and finds the members of a group but not its head, which is unreachable for a moment and not registered yet. If
+	// the members joined another group, they would be in two groups, and requests at the head would wait for responses that
+	// never come.
+	It("does not reassign the members of a head that may not have re-registered since the platform returned", func() {
+		f := newFixture(4)
+		first := f.startController(1)
+		Eventually(f.groupCount, waitFor).Should(Equal(1))
 		first.stop()
-		head := c.vm(c.heads()[0].ID)
+		head := f.vm(f.heads()[0].ID)
 		head.Set(replica.Faults{Mute: true, Unregistered: true})
-		c.api.Delete("servers", head.ID())
-		c.controlBy(c.newCatalog(), 2)
-		Consistently(c.world.Broken, "1500ms").Should(BeEmpty())
+		f.api.Delete("servers", head.ID())
+		f.startControllerWith(f.newCatalog(), 2)
+		Consistently(f.world.Broken, "1500ms").Should(BeEmpty())
 		head.Set(replica.Faults{})
-		Eventually(c.groups, waitFor).Should(Equal(1))
-		Expect(c.heads()[0].ID).To(Equal(backend.ID(head.ID())))
-		Expect(c.world.Broken()).To(BeEmpty())
+		Eventually(f.groupCount, waitFor).Should(Equal(1))
+		Expect(f.heads()[0].ID).To(Equal(backend.ID(head.ID())))
+		Expect(f.world.Broken()).To(BeEmpty())
 	})
 
-	// The same, but a member's registration is missing. Its group serves; dissolved, all its callers would be cut off.
-	It("leaves a group alone whose member may not have registered again since the platform is back", func() {
-		c := newCell(3)
-		first := c.control(1)
-		Eventually(c.groups, waitFor).Should(Equal(1))
+	// As above, but a member's registration is missing. Its group is serving; if it were dissolved, all its requests would be
+	// aborted.
+	It("keeps a group whose member may not have re-registered since the platform returned", func() {
+		f := newFixture(3)
+		first := f.startController(1)
+		Eventually(f.groupCount, waitFor).Should(Equal(1))
 		first.stop()
-		before := c.heads()[0].Group.GroupKey
-		member := c.member(1)
+		before := f.heads()[0].Group.GroupKey
+		member := f.member(1)
 		member.Set(replica.Faults{Unregistered: true})
-		c.api.Delete("servers", member.ID())
-		k := c.controlBy(c.newCatalog(), 2)
-		Consistently(func() bool { return k.Closed(before) }, "1500ms").Should(BeFalse())
+		f.api.Delete("servers", member.ID())
+		controller := f.startControllerWith(f.newCatalog(), 2)
+		Consistently(func() bool { return controller.Closed(before) }, "1500ms").Should(BeFalse())
 		member.Set(replica.Faults{})
-		Eventually(c.groups, waitFor).Should(Equal(1))
-		Expect(c.heads()[0].Group.GroupKey).To(Equal(before))
+		Eventually(f.groupCount, waitFor).Should(Equal(1))
+		Expect(f.heads()[0].Group.GroupKey).To(Equal(before))
 	})
 
-	// The operators name a model whose groups take more VMs than any fabric domain has. Its callers are turned away, and the log is to say why, while no
-	// VM gets orders in vain.
-	It("tells of a model that can't be formed, and serves the others", func() {
-		c := newCell(0)
+	// The operators configure a model whose groups need more VMs than any fabric domain has. Its requests are refused, the log
+	// must state the reason, and no VM may receive useless orders.
+	It("reports a model that can't be formed, and serves the others", func() {
+		f := newFixture(0)
 		for range 2 {
-			c.add("small")
+			f.addVM("small")
 		}
-		k := c.control(1)
-		Eventually(c.groups, waitFor).Should(Equal(1))
-		Eventually(k.unformable.Load, waitFor).Should(BeNumerically(">", 0))
-		Expect(k.begun.Load()).To(Equal(int32(1)))
+		controller := f.startController(1)
+		Eventually(f.groupCount, waitFor).Should(Equal(1))
+		Eventually(controller.unformableReports.Load, waitFor).Should(BeNumerically(">", 0))
+		Expect(controller.formations.Load()).To(Equal(int32(1)))
 	})
 
-	// A VM is asked several times a second. The second try begins a moment after the first was answered and has nothing left to ask; were it sent
-	// all the same, each question would cost the VM's kept connection, and some a question more.
-	It("asks a VM again over the connection that it has", func() {
-		c := newCell(1)
+	// A VM is asked several times per second. The second attempt begins a moment after the first was answered and is not
+	// needed any more. If it were sent anyway, each report would cost the VM's pooled connection, and some reports another
+	// request.
+	It("reuses the connection to a VM for repeated reports", func() {
+		f := newFixture(1)
 		pool := upstream.NewPool()
-		asking := grouping.New(grouping.Deps{Pool: pool})
-		vm := &backend.Server{ID: backend.ID(c.vms[0].ID()), Address: c.vms[0].Address()}
+		controller := grouping.New(grouping.Deps{Pool: pool})
+		vm := &backend.Server{ID: backend.ID(f.vms[0].ID()), Address: f.vms[0].Address()}
 		for range 10 {
-			_, err := asking.Report(context.Background(), vm)
+			_, err := controller.Report(context.Background(), vm)
 			Expect(err).NotTo(HaveOccurred())
 			time.Sleep(20 * time.Millisecond)
 		}
 		Expect(pool.Dialled()).To(Equal(int64(1)))
 	})
 
-	// A spare has the weights on its host. Taken up only after a loss, all other members of the group would wait for that.
-	It("lets a spare take up the weights of its host", func() {
-		c := newCell(4)
-		c.control(1)
-		Eventually(c.groups, waitFor).Should(Equal(1))
+	// A spare has the weights only on its host. If it loaded them only after a loss, all other members of the group would wait
+	// for it.
+	It("makes a spare load the weights of its host", func() {
+		f := newFixture(4)
+		f.startController(1)
+		Eventually(f.groupCount, waitFor).Should(Equal(1))
 		Eventually(func() []string {
 			var states []string
-			for _, vm := range c.vms {
+			for _, vm := range f.vms {
 				if group := vm.Group(); group != nil {
 					states = append(states, group.State)
 				}
 			}
 			return states
 		}, waitFor).Should(ConsistOf("open", "ready", "ready", "ready"))
-		Expect(c.world.Broken()).To(BeEmpty())
+		Expect(f.world.Broken()).To(BeEmpty())
 	})
 
-	// A member is cut off from the platform alone: its registration lapses, and it goes on working for its group. Were the group closed for that, all
-	// streams there would break off, and its callers be refused until another stands.
+	// A member is disconnected only from the platform: its registration lapses while it continues to work for its group. If
+	// the group were closed because of that, all its streams would be aborted and its requests refused until another group is
+	// open.
 	It("keeps a group whose member answers although its registration has lapsed, and closes it when it no longer does", func() {
-		c := newCell(3)
-		k := c.control(1)
-		Eventually(c.groups, waitFor).Should(Equal(1))
-		key := c.heads()[0].Group.GroupKey
-		member := c.member(1)
+		f := newFixture(3)
+		controller := f.startController(1)
+		Eventually(f.groupCount, waitFor).Should(Equal(1))
+		key := f.heads()[0].Group.GroupKey
+		member := f.member(1)
 		member.Set(replica.Faults{Unregistered: true})
-		c.api.Delete("servers", member.ID())
-		Eventually(func() int { return k.ResponsiveUnregistered(key) }, waitFor).Should(Equal(1))
-		Consistently(func() bool { return k.Closed(key) }, "3s").Should(BeFalse())
+		f.api.Delete("servers", member.ID())
+		Eventually(func() int { return controller.ResponsiveUnregistered(key) }, waitFor).Should(Equal(1))
+		Consistently(func() bool { return controller.Closed(key) }, "3s").Should(BeFalse())
 		member.Die()
-		Eventually(func() bool { return k.Closed(key) }, waitFor).Should(BeTrue())
+		Eventually(func() bool { return controller.Closed(key) }, waitFor).Should(BeTrue())
 	})
 
-	// The entry in charge has died while a host loads weights that it ordered. The next one does not know of the load; ordered again and
-	// again, each refusal would take the room of another load, and no host would load anything for as long as a load takes.
-	It("orders weights for a host that is busy loading once, and goes on with other hosts", func() {
-		c := newCell(2)
-		slow := c.world.Start(c.api, replica.Config{
+	// The leader fails while a host loads weights that it ordered. Its successor does not know of the load. If it repeated the
+	// order again and again, each refusal would use up the capacity of another load, and no host would load anything for the
+	// duration of a load.
+	It("orders weights only once for a host that is busy loading, and continues with other hosts", func() {
+		f := newFixture(2)
+		slow := f.world.Start(f.api, replica.Config{
 			ID: "vm-slow", Service: "s", Zone: "z", Domain: "d", Slots: 4, Engine: true, JoinTakes: 2 * time.Second, ReportLag: 40 * time.Millisecond,
 		})
-		c.vms = append(c.vms, slow)
-		first := c.control(1)
+		f.vms = append(f.vms, slow)
+		first := f.startController(1)
 		Eventually(func() int { return slow.Asked("phase") }, waitFor).Should(Equal(1))
 		first.stop()
-		c.control(2)
-		others := []*replica.Server{c.add(), c.add(), c.add()}
+		f.startController(2)
+		others := []*replica.Server{f.addVM(), f.addVM(), f.addVM()}
 		for _, vm := range others {
 			Eventually(func() int { return vm.Asked("phase") }, waitFor).Should(BeNumerically(">=", 1))
 		}
@@ -305,18 +311,18 @@
 	})
 
 	It("drains the group of a member that leaves", func() {
-		c := newCell(4)
-		c.control(1)
-		Eventually(c.groups, waitFor).Should(Equal(1))
-		for _, vm := range c.vms {
+		f := newFixture(4)
+		f.startController(1)
+		Eventually(f.groupCount, waitFor).Should(Equal(1))
+		for _, vm := range f.vms {
 			if group := vm.Group(); group != nil && group.Rank == 2 {
 				vm.Leave()
 			}
 		}
 		Eventually(func() bool {
-			heads := c.heads()
+			heads := f.heads()
 			return len(heads) == 1
 		}, waitFor).Should(BeTrue())
-		Expect(c.world.Broken()).To(BeEmpty())
+		Expect(f.world.Broken()).To(BeEmpty())
 	})
 })
--- a/entry/grouping/losses.go
+++ b/entry/grouping/losses.go
@@ -6,20 +6,22 @@
 	"github.com/skylarkpond/skylarkpond/contract/route"
 )
 
-// watchedMost bounds what one look counts: an entry that stood still has seen nothing meanwhile.
-const watchedMost = time.Second
+// maxExposureInterval bounds the time that one observation covers: an entry that was paused has observed nothing in the
+// meantime.
+const maxExposureInterval = time.Second
 
-// lossRate is the part of the VMs in groups that is lost in a second, by what this entry has seen while it was in charge.
+// lossRate returns the fraction of the VMs in groups that is lost per second, as observed by this entry while it was the
+// leader.
 func (c *Controller) lossRate(engine *route.Engine, v *view) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	vms := 0
-	for _, head := range v.whole {
-		model, _ := engine.Model(head.Model) // one that is no longer configured counts no VMs
+	for _, head := range v.completeHeads {
+		model, _ := engine.Model(head.Model) // VMs of a model that is no longer configured are not counted
 		vms += model.Size
 	}
-	c.losses.ObserveExposure(vms, min(now.Sub(c.watched), watchedMost).Seconds())
-	c.watched = now
-	return c.losses.Rate()
+	c.lossEstimator.ObserveExposure(vms, min(now.Sub(c.exposureObservedAt), maxExposureInterval).Seconds())
+	c.exposureObservedAt = now
+	return c.lossEstimator.Rate()
 }
--- a/entry/grouping/pace.go
+++ b/entry/grouping/pace.go
@@ -9,73 +9,75 @@
 
 // Limits of loads from the weight store.
 const (
-	// paceShare of the store's rate is used: a late order may add a load that was counted elsewhere.
-	paceShare = 0.9
-	// paceBurst is how many loads may begin together; with the rate it stays below the store's ceiling over any window.
-	paceBurst = 3
-	// earlyLoads is how many loads run beside each other before callers come: one group more than what the store
-	// loads at full speed, so that it never idles.
-	earlyLoads = 21
+	// loadRateShare is the fraction of the store's rate that is used. The rest is reserved for delayed orders, which may add a
+	// load that was accounted for elsewhere.
+	loadRateShare = 0.9
+	// loadBurst is the number of loads that may start together. In combination with the rate, it stays below the store's limit
+	// over any window.
+	loadBurst = 3
+	// extraLoadsBeforeTraffic is the number of loads that may run concurrently before the first request arrives, in addition
+	// to those that the store executes at full speed. It corresponds to one more group, so that the store is never idle.
+	extraLoadsBeforeTraffic = 21
 )
 
-// loadPace counts the loads that were ordered. It is guarded by the Controller's lock.
-type loadPace struct {
-	tokens float64
-	filled time.Time
-	// ends are the expected ends of loads.
-	ends []time.Time
+// loadLimiter limits the rate and concurrency of the ordered loads. It is guarded by Controller.mu.
+type loadLimiter struct {
+	tokens     float64
+	refilledAt time.Time
+	// expectedEnds are the expected end times of the running loads.
+	expectedEnds []time.Time
 }
 
-func newLoadPace() *loadPace { return &loadPace{} }
+func newLoadLimiter() *loadLimiter { return &loadLimiter{} }
 
-// restart begins without any room: an earlier holder may just have used it.
-func (p *loadPace) restart(now time.Time) {
-	p.tokens = 0
-	p.filled = now
-	p.ends = nil
+// reset starts with no capacity available, because an earlier leader may just have used it.
+func (l *loadLimiter) reset(now time.Time) {
+	l.tokens = 0
+	l.refilledAt = now
+	l.expectedEnds = nil
 }
 
-// room is how many loads may begin now. More of them beside each other than the store loads at full speed would not end
-// sooner, and the first would end later.
-func (p *loadPace) room(engine *route.Engine, now time.Time) int {
-	p.fill(engine, now)
-	return max(0, min(int(p.tokens), engine.LoadsAtOnce-p.inProgress(now)))
+// available returns the number of loads that may start now. More concurrent loads than the store executes at full speed would
+// not finish sooner as a whole, and the first would finish later.
+func (l *loadLimiter) available(engine *route.Engine, now time.Time) int {
+	l.refill(engine, now)
+	return max(0, min(int(l.tokens), engine.LoadsAtOnce-l.inProgress(now)))
 }
 
-// earlyRoom is the same before callers come, when the rate does not count.
-func (p *loadPace) earlyRoom(engine *route.Engine, now time.Time) int {
-	return max(0, engine.LoadsAtOnce+earlyLoads-p.inProgress(now))
+// availableBeforeTraffic is like available, but for the time before the first request, when the rate limit does not apply.
+func (l *loadLimiter) availableBeforeTraffic(engine *route.Engine, now time.Time) int {
+	return max(0, engine.LoadsAtOnce+extraLoadsBeforeTraffic-l.inProgress(now))
 }
 
-func (p *loadPace) fill(engine *route.Engine, now time.Time) {
-	p.tokens = min(paceBurst, p.tokens+now.Sub(p.filled).Seconds()*engine.LoadsPerSecond*paceShare)
-	p.filled = now
+func (l *loadLimiter) refill(engine *route.Engine, now time.Time) {
+	l.tokens = min(loadBurst, l.tokens+now.Sub(l.refilledAt).Seconds()*engine.LoadsPerSecond*loadRateShare)
+	l.refilledAt = now
 }
 
-// take notes n loads that end at a time. Those before callers come do not draw on the rate.
-func (p *loadPace) take(n int, end time.Time, early bool) {
-	if !early {
-		p.tokens -= float64(n)
+// reserve records n loads that end at the given time. Loads before the first request do not count towards the rate.
+func (l *loadLimiter) reserve(n int, end time.Time, beforeTraffic bool) {
+	if !beforeTraffic {
+		l.tokens -= float64(n)
 	}
 	for range n {
-		p.ends = append(p.ends, end)
+		l.expectedEnds = append(l.expectedEnds, end)
 	}
 }
 
-// giveBack takes back a load that did not begin.
-func (p *loadPace) giveBack(end time.Time) {
-	if i := slices.Index(p.ends, end); i >= 0 {
-		p.ends = slices.Delete(p.ends, i, i+1)
+// release removes a load that did not start.
+func (l *loadLimiter) release(end time.Time) {
+	if i := slices.Index(l.expectedEnds, end); i >= 0 {
+		l.expectedEnds = slices.Delete(l.expectedEnds, i, i+1)
 	}
 }
 
-func (p *loadPace) inProgress(now time.Time) int {
-	live := p.ends[:0]
-	for _, end := range p.ends {
+func (l *loadLimiter) inProgress(now time.Time) int {
+	running := l.expectedEnds[:0]
+	for _, end := range l.expectedEnds {
 		if end.After(now) {
-			live = append(live, end)
+			running = append(running, end)
 		}
 	}
-	p.ends = live
-	return len(live)
+	l.expectedEnds = running
+	return len(running)
 }
--- a/entry/grouping/schedules_test.go
+++ b/entry/grouping/schedules_test.go
@@ -15,7 +15,8 @@
 	"github.com/skylarkpond/skylarkpond/platform/standin/replica"
 )
 
-// schedules is how many random schedules run; more by hand, with GROUPING_SCHEDULES and GROUPING_SEED.
+// schedules returns the number of random schedules to run and the first seed. GROUPING_SCHEDULES and GROUPING_SEED override
+// the defaults for manual runs.
 func schedules() (count int, seed uint64) {
 	count, seed = 3, 1
 	if n, err := strconv.Atoi(os.Getenv("GROUPING_SCHEDULES")); err == nil {
@@ -27,24 +28,24 @@
 	return count, seed
 }
 
-var _ = Describe("Two controllers that both believe themselves in charge", func() {
-	// One entry stood still and woke, or can't reach the platform; both give orders, some of which are carried out late, while members die,
-	// fall silent and come back. However they interleave, no VM may be taken out of a group that serves, and no group may serve
-	// that was never whole.
-	It("break no rule, whatever the schedule", func() {
+var _ = Describe("Two controllers that both consider themselves the leader", func() {
+	// One entry was paused and resumed, or can't reach the platform. Both issue orders, some of which are executed late, while
+	// members fail, stop answering and return. No interleaving may remove a VM from a group that is serving, or let a group
+	// serve that was never complete.
+	It("violate no invariant under any schedule", func() {
 		count, seed := schedules()
 		for i := range count {
 			r := rand.New(rand.NewPCG(seed+uint64(i), 5))
 			By(fmt.Sprint("seed ", seed+uint64(i)))
-			c := newCell(8)
-			controls := []*control{c.control(10), c.control(20)}
+			f := newFixture(8)
+			controllers := []*testController{f.startController(10), f.startController(20)}
 			for range 14 {
 				time.Sleep(time.Duration(50+r.IntN(250)) * time.Millisecond)
-				vm := c.vms[r.IntN(len(c.vms))]
+				vm := f.vms[r.IntN(len(f.vms))]
 				switch r.IntN(9) {
 				case 0:
 					vm.Die()
-					c.add("large")
+					f.addVM("large")
 				case 1:
 					vm.Set(replica.Faults{LateOrders: time.Duration(200+r.IntN(900)) * time.Millisecond})
 				case 2:
@@ -52,25 +53,25 @@
 				case 3:
 					vm.Set(replica.Faults{Unregistered: true})
 				case 4:
-					for _, other := range c.vms {
+					for _, other := range f.vms {
 						other.Set(replica.Faults{})
 					}
 				case 5:
-					controls[r.IntN(2)].held.Store(r.IntN(2) == 0)
+					controllers[r.IntN(2)].leader.Store(r.IntN(2) == 0)
 				case 6:
-					c.add("small")
+					f.addVM("small")
 				case 8:
-					c.outage(r)
+					f.outage(r)
 				case 7:
-					for _, head := range c.heads() {
-						controls[r.IntN(2)].Suspect(context.Background(), head.Group.GroupKey)
+					for _, head := range f.heads() {
+						controllers[r.IntN(2)].Suspect(context.Background(), head.Group.GroupKey)
 					}
 				}
 			}
-			for _, k := range controls {
-				k.stop()
+			for _, controller := range controllers {
+				controller.stop()
 			}
-			Expect(strings.Join(c.world.Broken(), "\n")).To(BeEmpty(), fmt.Sprint("seed ", seed+uint64(i)))
+			Expect(strings.Join(f.world.Broken(), "\n")).To(BeEmpty(), fmt.Sprint("seed ", seed+uint64(i)))
 		}
 	})
 })
--- a/entry/grouping/suspect.go
+++ b/entry/grouping/suspect.go
@@ -7,9 +7,9 @@
 	"github.com/skylarkpond/skylarkpond/backend"
 )
 
-// Suspect looks into a group whose head keeps silent: a group that has lost a member goes on accepting, and nothing moves in it for
-// seconds. The members are asked side by side; one that does not answer makes the group be dissolved, long before its
-// registration lapses. It returns at once.
+// Suspect checks a group whose head sends nothing. A group that lost a member continues to accept requests, but makes no
+// progress for seconds. Suspect probes the members concurrently; if one does not answer, the group is dissolved long before
+// that member's registration lapses. It returns immediately.
 func (c *Controller) Suspect(ctx context.Context, key backend.GroupKey) {
 	c.mu.Lock()
 	started := c.checking[key]
@@ -19,35 +19,35 @@
 		return
 	}
 	c.running.Go(func() {
-		c.check(ctx, key)
+		c.checkGroup(ctx, key)
 		c.mu.Lock()
 		delete(c.checking, key)
 		c.mu.Unlock()
 	})
 }
 
-func (c *Controller) check(ctx context.Context, key backend.GroupKey) {
-	members := c.membersOf(key)
-	answers := make(chan error, len(members))
+func (c *Controller) checkGroup(ctx context.Context, key backend.GroupKey) {
+	members := c.listedMembers(key)
+	results := make(chan error, len(members))
 	for _, member := range members {
 		go func() {
-			_, err := c.ask(ctx, member)
-			answers <- err
+			_, err := c.checkedReport(ctx, member)
+			results <- err
 		}()
 	}
 	for range members {
-		if err := <-answers; err != nil {
+		if err := <-results; err != nil {
 			c.deps.OnEvent(Event{Kind: GroupSuspected, Group: key, Detail: err.Error()})
 			c.Wake()
 			return
 		}
 	}
-	if head, ok := headOf(key.Name); ok {
+	if head, ok := headFromName(key.Name); ok {
 		c.deps.ClearSuspicion(head.ID)
 	}
 }
 
-func (c *Controller) membersOf(key backend.GroupKey) []*backend.Server {
+func (c *Controller) listedMembers(key backend.GroupKey) []*backend.Server {
 	var members []*backend.Server
 	for _, server := range c.deps.Listing().Servers {
 		if server.Group.GroupKey == key {
@@ -57,67 +57,71 @@
 	return members
 }
 
-// darkAgain is how often a VM that did not answer is asked again.
-const darkAgain = time.Second
+// unresponsivePollInterval is the interval between polls of the VMs that did not answer.
+const unresponsivePollInterval = time.Second
 
-// askDark asks the VMs that did not answer, so that one that was slow or cut off for a moment is soon of use again.
-func (c *Controller) askDark(ctx context.Context) {
+// pollUnresponsive polls the VMs that did not answer, so that a VM that was slow or disconnected for a moment becomes usable
+// again soon.
+func (c *Controller) pollUnresponsive(ctx context.Context) {
 	c.mu.Lock()
-	due := time.Since(c.askedDark) >= darkAgain
-	var dark []backend.ID
-	for id, until := range c.dark {
+	due := time.Since(c.unresponsivePolledAt) >= unresponsivePollInterval
+	var unresponsive []backend.ID
+	for id, until := range c.unresponsiveUntil {
 		if time.Now().After(until) {
-			delete(c.dark, id)
+			delete(c.unresponsiveUntil, id)
 			continue
 		}
-		dark = append(dark, id)
+		unresponsive = append(unresponsive, id)
 	}
 	if due {
-		c.askedDark = time.Now()
+		c.unresponsivePolledAt = time.Now()
 	}
 	c.mu.Unlock()
 	if !due {
 		return
 	}
-	for _, id := range dark {
+	for _, id := range unresponsive {
 		if server := c.deps.Listing().Servers[id]; server != nil {
-			c.running.Go(func() { c.askAgain(ctx, server) })
+			c.running.Go(func() { c.pollVM(ctx, server) })
 		}
 	}
 }
 
-func (c *Controller) askAgain(ctx context.Context, server *backend.Server) {
-	if _, err := c.engines.reportOnce(ctx, server); err != nil {
-		return // it stays left out
+func (c *Controller) pollVM(ctx context.Context, server *backend.Server) {
+	if _, err := c.client.reportOnce(ctx, server); err != nil {
+		return // the VM remains excluded
 	}
 	c.mu.Lock()
-	delete(c.dark, server.ID)
+	delete(c.unresponsiveUntil, server.ID)
 	c.mu.Unlock()
 	c.deps.OnEvent(Event{Kind: MemberResponsive, VM: server.ID})
 }
 
-// Closed says that a group is listed as open although it is being dissolved, or is known to have lost a member.
+// Closed reports whether a group that is listed as open is being dissolved or is known to have lost a member.
 func (c *Controller) Closed(key backend.GroupKey) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, over := c.closed[key]; over || c.dissolving[key] {
+	if _, dissolved := c.dissolvedAt[key]; dissolved || c.dissolving[key] {
 		return true
 	}
-	// This is asked for every group several times a second: the dark VMs are few, the listed ones are many.
+	// This method is called for every group several times per second. Few VMs are unresponsive and many are listed, so it
+	// iterates over the former.
 	listing := c.deps.Listing()
-	for id := range c.dark {
+	for id := range c.unresponsiveUntil {
 		server := listing.Servers[id]
-		if server != nil && server.Group.GroupKey == key && c.isDark(id, time.Now()) {
+		if server != nil && server.Group.GroupKey == key && c.isUnresponsive(id, time.Now()) {
 			return true
 		}
 	}
 	return false
 }
 
-// isDark says whether a VM is left out because it did not answer. It is called under the lock.
-func (c *Controller) isDark(id backend.ID, now time.Time) bool { return now.Before(c.dark[id]) }
+// isUnresponsive reports whether a VM is excluded because it did not answer. It must be called with c.mu held.
+func (c *Controller) isUnresponsive(id backend.ID, now time.Time) bool {
+	return now.Before(c.unresponsiveUntil[id])
+}
 
-// Look asks a server for the leader, which can't reach it.
+// Report returns a server's state. Entries use it to answer a leader that can't reach the server itself.
 func (c *Controller) Report(ctx context.Context, server *backend.Server) (backend.Report, error) {
-	return c.engines.reportOnce(ctx, server)
+	return c.client.reportOnce(ctx, server)
 }
--- a/entry/grouping/view.go
+++ b/entry/grouping/view.go
@@ -11,35 +11,35 @@
 	policy "github.com/skylarkpond/skylarkpond/policy/grouping"
 )
 
-// view is what one round sees of a service.
+// view is the state of one service during one reconciliation.
 type view struct {
 	input   policy.Input
 	servers map[backend.ID]*backend.Server
-	// whole are the heads of groups that serve.
-	whole []*backend.Server
-	// closing are the VMs of groups that are being dissolved.
-	closing map[backend.ID]bool
-	// broken are groups that serve and are not whole.
-	broken []brokenGroup
+	// completeHeads are the heads of the groups that are serving with all their members.
+	completeHeads []*backend.Server
+	// dissolving are the VMs of groups that are being dissolved.
+	dissolving map[backend.ID]bool
+	// incomplete are the groups that are serving although they are incomplete.
+	incomplete []incompleteGroup
 }
 
-// brokenGroup is a group whose head may serve although a member is missing or leaving.
-type brokenGroup struct {
+// incompleteGroup is a group whose head may be serving although a member is missing or leaving.
+type incompleteGroup struct {
 	key  backend.GroupKey
 	head *backend.Server
-	// cancel says that a member is gone, so that nothing in progress can end.
+	// cancel reports that a member is gone, so that no request in progress can complete.
 	cancel bool
 	reason string
 }
 
-// look sorts the VMs: those in whole groups, those that tasks work on, and those that are free.
-func (c *Controller) look(ctx context.Context, service route.Service, servers []*backend.Server) *view {
+// observe divides the VMs into those in serving groups, those that a task is working on, and those that are free.
+func (c *Controller) observe(ctx context.Context, service route.Service, servers []*backend.Server) *view {
 	engine := service.Engine
 	models := c.policyModels(service)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	v := &view{servers: make(map[backend.ID]*backend.Server, len(servers)), closing: make(map[backend.ID]bool)}
+	v := &view{servers: make(map[backend.ID]*backend.Server, len(servers)), dissolving: make(map[backend.ID]bool)}
 	members := make(map[backend.GroupKey][]*backend.Server)
 	for _, server := range servers {
 		v.servers[server.ID] = server
@@ -48,52 +48,53 @@
 			members[server.Group.GroupKey] = append(members[server.Group.GroupKey], server)
 		}
 	}
-	c.forget(now, c.deps.Listing().Servers)
-	taken := c.sortGroups(ctx, engine, members, v, now)
+	c.prune(now, c.deps.Listing().Servers)
+	assigned := c.classifyGroups(ctx, engine, members, v, now)
 	v.input.Models = models
-	v.input.Domains = c.domains(servers, taken, v.closing, now)
+	v.input.Domains = c.domains(servers, assigned, v.dissolving, now)
 	return v
 }
 
-// sortGroups returns the VMs in groups that serve, with their models, and adds those that are not whole to v.
-func (c *Controller) sortGroups(
+// classifyGroups returns the VMs of groups that are opened, serving or being dissolved: the heads of complete groups with the
+// group's model, all others with an empty string. It adds the complete and the incomplete groups to v.
+func (c *Controller) classifyGroups(
 	ctx context.Context, engine *route.Engine, members map[backend.GroupKey][]*backend.Server, v *view, now time.Time,
 ) map[backend.ID]string {
-	taken := make(map[backend.ID]string)
+	assigned := make(map[backend.ID]string)
 	for _, group := range c.opened {
 		for _, member := range group.members {
-			taken[member.ID] = ""
+			assigned[member.ID] = ""
 		}
 	}
 	for key, list := range members {
 		if c.dissolving[key] {
-			// The task that dissolves it has orders under way to the head.
+			// The task that dissolves the group is sending orders to its head.
 			for _, member := range list {
-				taken[member.ID] = ""
-				v.closing[member.ID] = true
+				assigned[member.ID] = ""
+				v.dissolving[member.ID] = true
 			}
 			continue
 		}
-		head := headAmong(list)
-		if _, over := c.closed[key]; over || head == nil || !(head.Group.State.Serving() || c.justOpened(key)) {
+		head := findHead(list)
+		if _, dissolved := c.dissolvedAt[key]; dissolved || head == nil || !(head.Group.State.Serving() || c.openedHere(key)) {
 			continue
 		}
 		model := head.Model
 		for _, member := range list {
-			taken[member.ID] = ""
+			assigned[member.ID] = ""
 		}
-		if reason, cancel := c.gap(ctx, engine, key, list, model, now); reason != "" {
-			v.broken = append(v.broken, brokenGroup{key: key, head: head, cancel: cancel, reason: reason})
+		if reason, cancel := c.incompleteReason(ctx, engine, key, list, model, now); reason != "" {
+			v.incomplete = append(v.incomplete, incompleteGroup{key: key, head: head, cancel: cancel, reason: reason})
 			continue
 		}
-		c.remember(engine, key, model, list, now)
-		v.whole = append(v.whole, head)
-		taken[head.ID] = model
+		c.recordComplete(engine, key, model, list, now)
+		v.completeHeads = append(v.completeHeads, head)
+		assigned[head.ID] = model
 	}
-	return taken
+	return assigned
 }
 
-func headAmong(members []*backend.Server) *backend.Server {
+func findHead(members []*backend.Server) *backend.Server {
 	for _, member := range members {
 		if member.Group.Rank == 0 {
 			return member
@@ -102,23 +103,24 @@
 	return nil
 }
 
-func (c *Controller) justOpened(key backend.GroupKey) bool {
+func (c *Controller) openedHere(key backend.GroupKey) bool {
 	_, ok := c.opened[key]
 	return ok
 }
 
-// gap says what keeps a serving group from being whole, and whether its work can't end.
-func (c *Controller) gap(
+// incompleteReason returns the reason why a serving group is incomplete, or an empty string. cancel reports that its requests
+// can't complete.
+func (c *Controller) incompleteReason(
 	ctx context.Context, engine *route.Engine, key backend.GroupKey, members []*backend.Server, model string, now time.Time,
 ) (reason string, cancel bool) {
-	delete(c.vouched, key)
+	delete(c.responsiveUnregistered, key)
 	if known, ok := engine.Model(model); ok && len(members) < known.Size {
-		if reason := c.unlistedGap(ctx, key, members, now); reason != "" {
+		if reason := c.missingMember(ctx, key, members, now); reason != "" {
 			return reason, true
 		}
 	}
 	for _, member := range members {
-		if c.isDark(member.ID, now) {
+		if c.isUnresponsive(member.ID, now) {
 			return "member " + string(member.ID) + " does not answer", true
 		}
 	}
@@ -130,9 +132,9 @@
 	return "", false
 }
 
-// domains lists the free VMs and counts the groups.
+// domains returns the fabric domains with their free VMs and the number of groups per model.
 func (c *Controller) domains(
-	servers []*backend.Server, taken map[backend.ID]string, closing map[backend.ID]bool, now time.Time,
+	servers []*backend.Server, assigned map[backend.ID]string, dissolving map[backend.ID]bool, now time.Time,
 ) []policy.Domain {
 	byName := make(map[string]*policy.Domain)
 	for _, server := range servers {
@@ -146,25 +148,25 @@
 			continue
 		}
 		domain.Total++
-		if closing[server.ID] {
+		if dissolving[server.ID] {
 			domain.DissolvingVMs++
 		}
-		if model, busy := taken[server.ID]; busy {
+		if model, inGroup := assigned[server.ID]; inGroup {
 			if model != "" {
 				domain.Groups[model]++
 			}
 			continue
 		}
-		if model, forming := c.tasks[server.ID]; forming {
+		if model, forming := c.forming[server.ID]; forming {
 			if model != "" {
 				domain.Groups[model]++
 			}
 			continue
 		}
-		if c.isDark(server.ID, now) || now.Before(c.resting[server.ID]) {
+		if c.isUnresponsive(server.ID, now) || now.Before(c.backoffUntil[server.ID]) {
 			continue
 		}
-		domain.Free = append(domain.Free, c.free(server))
+		domain.Free = append(domain.Free, c.freeVM(server))
 	}
 	sorted := make([]policy.Domain, 0, len(byName))
 	for _, name := range slices.Sorted(maps.Keys(byName)) {
@@ -173,19 +175,19 @@
 	return sorted
 }
 
-func (c *Controller) free(server *backend.Server) policy.VM {
+func (c *Controller) freeVM(server *backend.Server) policy.VM {
 	vm := policy.VM{ID: string(server.ID), Loaded: c.loadedModel(server)}
-	_, vm.WarmFailed = c.cold[server.ID]
+	_, vm.WarmFailed = c.warmRetryAt[server.ID]
 	if len(server.Staged) > 0 {
 		vm.Staged = server.Staged[len(server.Staged)-1]
 	}
-	if order, ok := c.staging[server.ID]; ok {
-		vm.Staging = order.model
+	if load, ok := c.staging[server.ID]; ok {
+		vm.Staging = load.model
 	}
 	return vm
 }
 
-// loadedModel is the model of a VM's last group. Its registration names it only while it is in a group.
+// loadedModel returns the model of a VM's last group. The registration contains it only while the VM is in a group.
 func (c *Controller) loadedModel(server *backend.Server) string {
 	if last, ok := c.lastModels[server.ID]; ok && server.Model == "" && last.born == server.Born {
 		return last.model
@@ -193,34 +195,34 @@
 	return server.Model
 }
 
-// noteModel is called under the lock.
+// noteModel must be called with c.mu held.
 func (c *Controller) noteModel(server *backend.Server) {
 	if server.Model != "" {
-		c.lastModels[server.ID] = lastModel{model: server.Model, born: server.Born}
+		c.lastModels[server.ID] = groupModel{model: server.Model, born: server.Born}
 	}
 }
 
-// forget drops what is over.
-func (c *Controller) forget(now time.Time, servers map[backend.ID]*backend.Server) {
+// prune removes outdated entries. It must be called with c.mu held.
+func (c *Controller) prune(now time.Time, servers map[backend.ID]*backend.Server) {
 	for key, group := range c.opened {
-		if listed(servers, group.members, key) {
+		if openingListed(servers, group.members, key) {
 			delete(c.opened, key)
 		}
 	}
-	for id, at := range c.unreached {
-		if now.Sub(at) > unreachedFor {
-			delete(c.unreached, id)
+	for id, at := range c.unreachableAt {
+		if now.Sub(at) > unreachableTTL {
+			delete(c.unreachableAt, id)
 		}
 	}
-	for key, at := range c.closed {
-		if now.Sub(at) > closedFor {
-			delete(c.closed, key)
+	for key, at := range c.dissolvedAt {
+		if now.Sub(at) > dissolvedTTL {
+			delete(c.dissolvedAt, key)
 		}
 	}
-	c.forgetAbsent(now)
-	for id, until := range c.resting {
+	c.pruneComplete(now)
+	for id, until := range c.backoffUntil {
 		if now.After(until) {
-			delete(c.resting, id)
+			delete(c.backoffUntil, id)
 		}
 	}
 	for id := range c.lastModels {
@@ -228,34 +230,34 @@
 			delete(c.lastModels, id)
 		}
 	}
-	for id, until := range c.cold {
+	for id, until := range c.warmRetryAt {
 		if now.After(until) {
-			delete(c.cold, id)
+			delete(c.warmRetryAt, id)
 		}
 	}
-	for id, order := range c.staging {
-		if now.After(order.until) || order.over(servers[id]) {
+	for id, load := range c.staging {
+		if now.After(load.until) || load.finished(servers[id]) {
 			delete(c.staging, id)
 		}
 	}
 }
 
-// over says whether a registration shows that the load has ended. One that has lapsed shows nothing.
-func (s staging) over(server *backend.Server) bool {
+// finished reports whether a registration shows that the load has ended. A missing registration shows nothing.
+func (l pendingLoad) finished(server *backend.Server) bool {
 	if server == nil {
 		return false
 	}
-	staged := server.HasStaged(s.model) || (s.model == unknownModel && len(server.Staged) > 0)
-	return staged || server.Born != s.born
+	staged := server.HasStaged(l.model) || (l.model == unknownModel && len(server.Staged) > 0)
+	return staged || server.Born != l.born
 }
 
-// closedFor is how long a group that was dissolved may still be listed as open. A group that was not dissolved after all is
-// seen again after that.
-const closedFor = 5 * time.Second
+// dissolvedTTL is how long a dissolved group may still be listed as open. If the group was not dissolved after all, it is
+// processed again after that.
+const dissolvedTTL = 5 * time.Second
 
-// listed says whether the registrations tell of a group that was opened: its head is listed as serving, or one of its members is gone or
-// in another life.
-func listed(servers map[backend.ID]*backend.Server, members []*backend.Server, key backend.GroupKey) bool {
+// openingListed reports whether the registrations reflect the opening of a group: its head is listed as serving, or one of its
+// members is gone or was restarted.
+func openingListed(servers map[backend.ID]*backend.Server, members []*backend.Server, key backend.GroupKey) bool {
 	for _, member := range members {
 		server := servers[member.ID]
 		if server == nil || server.Born != member.Born {
@@ -266,28 +268,29 @@
 	return head.Group.GroupKey == key && head.Group.State.Serving()
 }
 
-// Bounds of the measured demand beside what the configuration says: a model that nobody asks for at the moment keeps some groups.
+// Bounds of the measured demand relative to the configured share. The minimum keeps some groups of a model that currently
+// receives no requests.
 const (
-	leastDemand = 0.4
-	mostDemand  = 2.5
+	minDemandFactor = 0.4
+	maxDemandFactor = 2.5
 )
 
-// policyModels takes the share of each model from its demand, once that is known for all, and from the configuration before.
+// policyModels derives each model's share from the measured demand, or from the configuration until the demand is known.
 func (c *Controller) policyModels(service route.Service) []policy.Model {
 	models := make([]policy.Model, 0, len(service.Engine.Models))
-	demands := make([]float64, 0, len(service.Engine.Models))
-	sum := 0.0
+	demandVMs := make([]float64, 0, len(service.Engine.Models))
+	totalVMs := 0.0
 	for _, model := range service.Engine.Models {
-		wanted := c.deps.DemandGroups(service.Name, model.Name)
-		models = append(models, policy.Model{Name: model.Name, Size: model.Size, Share: model.Share, LoadTime: model.Load, DemandGroups: wanted})
-		vms := wanted * float64(model.Size)
-		demands = append(demands, vms)
-		sum += vms
+		demand := c.deps.DemandGroups(service.Name, model.Name)
+		models = append(models, policy.Model{Name: model.Name, Size: model.Size, Share: model.Share, LoadTime: model.Load, DemandGroups: demand})
+		modelVMs := demand * float64(model.Size)
+		demandVMs = append(demandVMs, modelVMs)
+		totalVMs += modelVMs
 	}
 	for i := range models {
-		if sum > 0 && models[i].Share > 0 {
-			measured := demands[i] / sum
-			models[i].Share = min(max(measured, leastDemand*models[i].Share), mostDemand*models[i].Share)
+		if totalVMs > 0 && models[i].Share > 0 {
+			measuredShare := demandVMs[i] / totalVMs
+			models[i].Share = min(max(measuredShare, minDemandFactor*models[i].Share), maxDemandFactor*models[i].Share)
 		}
 	}
 	return models
--- a/entry/grouping/vouch.go
+++ b/entry/grouping/vouch.go
@@ -9,53 +9,55 @@
 	"github.com/skylarkpond/skylarkpond/contract/route"
 )
 
-// This file asks members whose registration has ended. A VM that is cut off from the platform alone goes on working in its group; were the
-// registration believed, a cut of some VMs would close a group for each of them and break off the streams there.
+// This file probes group members whose registration has ended. A VM that is disconnected only from the platform continues to
+// work in its group. If a missing registration counted as a loss, a disconnection of several VMs would close a group for each
+// of them and abort its streams.
 
 const (
-	// absentEvery is how often a member without a registration is asked.
-	absentEvery = 500 * time.Millisecond
-	// absentGrace is how long its last answer counts, and how long the first is waited for. It is above the time of two tries.
-	absentGrace = 1300 * time.Millisecond
+	// unregisteredPollInterval is the interval between probes of a member without a registration.
+	unregisteredPollInterval = 500 * time.Millisecond
+	// unregisteredGrace is how long an answer remains valid, and how long the first answer is awaited. It is longer than two
+	// attempts take.
+	unregisteredGrace = 1300 * time.Millisecond
 )
 
-// wholeGroup is a group that was seen whole.
-type wholeGroup struct {
-	members []*backend.Server
-	seen    time.Time
+// completeGroup is a group that was seen with all its members.
+type completeGroup struct {
+	members  []*backend.Server
+	lastSeen time.Time
 }
 
-// absentee is a member without a registration.
-type absentee struct {
-	asking bool
-	// next is when it is asked again, until is how long it counts as present.
-	next, until time.Time
+// unregisteredMember is the state of a group member that has no registration.
+type unregisteredMember struct {
+	polling bool
+	// nextPoll is when the member is probed next, presentUntil is when it ceases to count as present.
+	nextPoll, presentUntil time.Time
 }
 
-// unlistedGap says what is missing from a group of which not all members are listed: nothing as long as the others answer for themselves.
-// It is called under the lock.
-func (c *Controller) unlistedGap(ctx context.Context, key backend.GroupKey, listed []*backend.Server, now time.Time) string {
-	group, known := c.whole[key]
+// missingMember describes a loss in a group of which not all members are listed. It returns an empty string as long as the
+// unlisted members answer probes. It must be called with c.mu held.
+func (c *Controller) missingMember(ctx context.Context, key backend.GroupKey, listed []*backend.Server, now time.Time) string {
+	group, known := c.complete[key]
 	if !known {
 		if c.deps.RegistrationsReliable() {
 			return "a member's registration is gone"
 		}
 		return ""
 	}
-	missing := group.without(listed)
+	missing := group.missingFrom(listed)
 	for _, member := range missing {
-		if !c.stillAnswers(ctx, member, key, now) {
+		if !c.answeredRecently(ctx, member, key, now) {
 			return "member " + string(member.ID) + " is not registered and does not answer"
 		}
 	}
-	group.seen = now
-	c.whole[key] = group
-	c.vouched[key] = len(missing)
+	group.lastSeen = now
+	c.complete[key] = group
+	c.responsiveUnregistered[key] = len(missing)
 	return ""
 }
 
-// without returns the members that are not among the listed ones.
-func (g wholeGroup) without(listed []*backend.Server) []*backend.Server {
+// missingFrom returns the members that are not in listed.
+func (g completeGroup) missingFrom(listed []*backend.Server) []*backend.Server {
 	var missing []*backend.Server
 	for _, member := range g.members {
 		if !slices.ContainsFunc(listed, func(server *backend.Server) bool { return server.ID == member.ID }) {
@@ -65,59 +67,60 @@
 	return missing
 }
 
-// stillAnswers says whether a member without a registration answered lately, and asks it from time to time. It is called under the lock.
-func (c *Controller) stillAnswers(ctx context.Context, member *backend.Server, key backend.GroupKey, now time.Time) bool {
-	a := c.absentees[member.ID]
-	if a == nil {
-		a = &absentee{until: now.Add(absentGrace)}
-		c.absentees[member.ID] = a
+// answeredRecently reports whether a member without a registration answered recently, and probes it periodically. It must be
+// called with c.mu held.
+func (c *Controller) answeredRecently(ctx context.Context, member *backend.Server, key backend.GroupKey, now time.Time) bool {
+	state := c.unregistered[member.ID]
+	if state == nil {
+		state = &unregisteredMember{presentUntil: now.Add(unregisteredGrace)}
+		c.unregistered[member.ID] = state
 	}
-	if !a.asking && now.After(a.next) {
-		a.asking = true
-		a.next = now.Add(absentEvery)
-		c.running.Go(func() { c.askAbsent(ctx, member, key, a) })
+	if !state.polling && now.After(state.nextPoll) {
+		state.polling = true
+		state.nextPoll = now.Add(unregisteredPollInterval)
+		c.running.Go(func() { c.pollUnregistered(ctx, member, key, state) })
 	}
-	return now.Before(a.until)
+	return now.Before(state.presentUntil)
 }
 
-func (c *Controller) askAbsent(ctx context.Context, member *backend.Server, key backend.GroupKey, a *absentee) {
-	report, err := c.engines.reportOnce(ctx, member)
+func (c *Controller) pollUnregistered(ctx context.Context, member *backend.Server, key backend.GroupKey, state *unregisteredMember) {
+	report, err := c.client.reportOnce(ctx, member)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a.asking = false
+	state.polling = false
 	if err == nil && report.Group.GroupKey == key {
-		a.until = time.Now().Add(absentGrace)
+		state.presentUntil = time.Now().Add(unregisteredGrace)
 		return
 	}
-	a.until = time.Time{}
+	state.presentUntil = time.Time{}
 	c.Wake()
 }
 
-// remember notes the members of a group that is whole. It is called under the lock.
-func (c *Controller) remember(engine *route.Engine, key backend.GroupKey, model string, members []*backend.Server, now time.Time) {
+// recordComplete records the members of a group if all of them are listed. It must be called with c.mu held.
+func (c *Controller) recordComplete(engine *route.Engine, key backend.GroupKey, model string, members []*backend.Server, now time.Time) {
 	if known, ok := engine.Model(model); ok && len(members) == known.Size {
-		c.whole[key] = wholeGroup{members: members, seen: now}
+		c.complete[key] = completeGroup{members: members, lastSeen: now}
 	}
 }
 
-// forgetAbsent drops what was not of use lately. It is called under the lock.
-func (c *Controller) forgetAbsent(now time.Time) {
-	for key, group := range c.whole {
-		if now.Sub(group.seen) > closedFor {
-			delete(c.whole, key)
-			delete(c.vouched, key)
+// pruneComplete removes groups and unregistered members that were not seen recently. It must be called with c.mu held.
+func (c *Controller) pruneComplete(now time.Time) {
+	for key, group := range c.complete {
+		if now.Sub(group.lastSeen) > dissolvedTTL {
+			delete(c.complete, key)
+			delete(c.responsiveUnregistered, key)
 		}
 	}
-	for id, absentee := range c.absentees {
-		if now.Sub(absentee.next) > closedFor {
-			delete(c.absentees, id)
+	for id, state := range c.unregistered {
+		if now.Sub(state.nextPoll) > dissolvedTTL {
+			delete(c.unregistered, id)
 		}
 	}
 }
 
-// Vouched is how many members of a group are not registered and answer for themselves.
+// ResponsiveUnregistered returns the number of members of a group that are not registered but answer probes.
 func (c *Controller) ResponsiveUnregistered(key backend.GroupKey) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.vouched[key]
+	return c.responsiveUnregistered[key]
 }
