--- a/entry/grouping/cell_test.go
+++ b/entry/grouping/cell_test.go
@@ -103,12 +103,10 @@
 	stop              context.CancelFunc
 }
 
-func (f *fixture) startController(epoch uint64) *testController {
-	return f.startControllerWith(f.catalog, epoch)
-}
+func (f *fixture) startController(epoch uint64) *testController { return f.startWith(f.catalog, epoch) }
 
-// startControllerWith starts a controller that uses the given catalog, as a separate process would.
-func (f *fixture) startControllerWith(listings *catalog.Catalog, epoch uint64) *testController {
+// startWith starts a controller that uses the given catalog, as a separate process would.
+func (f *fixture) startWith(listings *catalog.Catalog, epoch uint64) *testController {
 	controller := &testController{}
 	controller.leader.Store(true)
 	controller.Controller = grouping.New(grouping.Deps{
--- a/entry/grouping/dark.go
+++ b/entry/grouping/dark.go
@@ -22,8 +22,8 @@
 		return
 	}
 	c.mu.Lock()
-	_, known := c.unresponsiveUntil[server.ID]
-	c.unresponsiveUntil[server.ID] = time.Now().Add(unresponsiveTimeout)
+	_, known := c.silent[server.ID]
+	c.silent[server.ID] = time.Now().Add(unresponsiveTimeout)
 	c.mu.Unlock()
 	if !known {
 		c.deps.OnEvent(Event{Kind: MemberUnresponsive, VM: server.ID, Detail: err.Error()})
--- a/entry/grouping/fleet.go
+++ b/entry/grouping/fleet.go
@@ -23,7 +23,7 @@
 	if due {
 		c.fleetReportedAt[service.Name] = time.Now()
 	}
-	unresponsive := len(c.unresponsiveUntil)
+	unresponsive := len(c.silent)
 	c.mu.Unlock()
 	if !due {
 		return
--- a/entry/grouping/grouping.go
+++ b/entry/grouping/grouping.go
@@ -124,8 +124,8 @@
 	lastModels map[backend.ID]groupModel
 	// warmRetryAt contains the spares whose warming failed, with the time until which they are left alone.
 	warmRetryAt map[backend.ID]time.Time
-	// unresponsiveUntil contains the VMs that did not answer, with the time until which they are excluded.
-	unresponsiveUntil map[backend.ID]time.Time
+	// silent contains the VMs that did not answer, with the time until which they are excluded.
+	silent map[backend.ID]time.Time
 	// unreachableAt contains the heads that no peer could reach, with the time when the peers were asked.
 	unreachableAt map[backend.ID]time.Time
 	// staging contains the loads that were ordered.
@@ -178,7 +178,7 @@
 		checking: make(map[backend.GroupKey]bool),
 		opened:   make(map[backend.GroupKey]openedGroup), dissolvedAt: make(map[backend.GroupKey]time.Time),
 		backoffUntil: make(map[backend.ID]time.Time), warmRetryAt: make(map[backend.ID]time.Time),
-		lastModels: make(map[backend.ID]groupModel), unresponsiveUntil: make(map[backend.ID]time.Time),
+		lastModels: make(map[backend.ID]groupModel), silent: make(map[backend.ID]time.Time),
 		domainSilentAt:  make(map[domain.FabricDomain]time.Time),
 		fleetReportedAt: make(map[string]time.Time), listedCounts: make(map[string]listedCount),
 		complete: make(map[backend.GroupKey]completeGroup), responsiveUnregistered: make(map[backend.GroupKey]int),
--- a/entry/grouping/suspect.go
+++ b/entry/grouping/suspect.go
@@ -66,9 +66,9 @@
 	c.mu.Lock()
 	due := time.Since(c.unresponsivePolledAt) >= unresponsivePollInterval
 	var unresponsive []backend.ID
-	for id, until := range c.unresponsiveUntil {
+	for id, until := range c.silent {
 		if time.Now().After(until) {
-			delete(c.unresponsiveUntil, id)
+			delete(c.silent, id)
 			continue
 		}
 		unresponsive = append(unresponsive, id)
@@ -92,7 +92,7 @@
 		return // the VM remains excluded
 	}
 	c.mu.Lock()
-	delete(c.unresponsiveUntil, server.ID)
+	delete(c.silent, server.ID)
 	c.mu.Unlock()
 	c.deps.OnEvent(Event{Kind: MemberResponsive, VM: server.ID})
 }
@@ -107,19 +107,17 @@
 	// This method is called for every group several times per second. Few VMs are unresponsive and many are listed, so it
 	// iterates over the former.
 	listing := c.deps.Listing()
-	for id := range c.unresponsiveUntil {
+	for id := range c.silent {
 		server := listing.Servers[id]
-		if server != nil && server.Group.GroupKey == key && c.isUnresponsive(id, time.Now()) {
+		if server != nil && server.Group.GroupKey == key && c.isSilent(id, time.Now()) {
 			return true
 		}
 	}
 	return false
 }
 
-// isUnresponsive reports whether a VM is excluded because it did not answer. It must be called with c.mu held.
-func (c *Controller) isUnresponsive(id backend.ID, now time.Time) bool {
-	return now.Before(c.unresponsiveUntil[id])
-}
+// isSilent reports whether a VM is excluded because it did not answer. It must be called with c.mu held.
+func (c *Controller) isSilent(id backend.ID, now time.Time) bool { return now.Before(c.silent[id]) }
 
 // Report returns a server's state. Entries use it to answer a leader that can't reach the server itself.
 func (c *Controller) Report(ctx context.Context, server *backend.Server) (backend.Report, error) {
--- a/entry/grouping/view.go
+++ b/entry/grouping/view.go
@@ -120,7 +120,7 @@
 		}
 	}
 	for _, member := range members {
-		if c.isUnresponsive(member.ID, now) {
+		if c.isSilent(member.ID, now) {
 			return "member " + string(member.ID) + " does not answer", true
 		}
 	}
@@ -163,7 +163,7 @@
 			}
 			continue
 		}
-		if c.isUnresponsive(server.ID, now) || now.Before(c.backoffUntil[server.ID]) {
+		if c.isSilent(server.ID, now) || now.Before(c.backoffUntil[server.ID]) {
 			continue
 		}
 		domain.Free = append(domain.Free, c.freeVM(server))
