--- a/entry/gateway/assemble.go
+++ b/entry/gateway/assemble.go
@@ -65,10 +65,10 @@
 
 func provideCatalog(s *shell, client *store.Client) *catalog.Catalog {
 	return catalog.New(catalog.Deps{
-		Store: client, Fed: s.following.linked, Leads: func() bool { return s.parts.lease.Held() },
-		News: func(news catalog.News) { s.parts.leader.Broadcast(news) },
-		Lost: s.platformLost, Regained: s.platformRegained, Unreadable: s.unreadable, Config: s.configInForce,
-		ServerLeaves: s.serverLeaves,
+		Store: client, FedByLeader: s.following.linked, IsLeader: func() bool { return s.parts.lease.Held() },
+		OnNews: func(news catalog.News) { s.parts.leader.Broadcast(news) },
+		OnPlatformLost: s.platformLost, OnPlatformRegained: s.platformRegained, OnUnreadable: s.unreadable, OnConfig: s.configInForce,
+		OnServerLeaving: s.serverLeaves,
 	})
 }
 
@@ -90,20 +90,20 @@
 
 func provideController(s *shell, pool *upstream.Pool, known *catalog.Catalog, charge *lease.Lease) *grouping.Controller {
 	return grouping.New(grouping.Deps{
-		Pool: pool, Table: known.Table, Listing: known.Listing, Settled: known.Settled,
-		Held: s.mayOrder, Epoch: charge.Version,
-		Reached: s.reached, Answers: s.answers, Sound: func(head backend.ID) { s.parts.leader.ClearSuspicion(head) },
-		Demand: func(service, model string) float64 { return s.parts.leader.GroupsNeeded(service, model) },
-		Early:  s.early, Event: s.groupEvent,
+		Pool: pool, Table: known.Table, Listing: known.Listing, RegistrationsReliable: known.RegistrationsReliable,
+		IsLeader: s.mayOrder, Epoch: charge.Version,
+		PeersSeeServing: s.reached, PeersReach: s.answers, ClearSuspicion: func(head backend.ID) { s.parts.leader.ClearSuspicion(head) },
+		DemandGroups: func(service, model string) float64 { return s.parts.leader.GroupsNeeded(service, model) },
+		BeforeTraffic:  s.early, OnEvent: s.groupEvent,
 	})
 }
 
 func provideLeader(s *shell, known *catalog.Catalog, charge *lease.Lease, controller *grouping.Controller) *leader.Leader {
 	return leader.New(leader.Deps{
 		IsLeader: charge.IsLeader, ChangesSince: known.NewsSince, Listing: known.Listing, ListAge: known.ServersAge, Table: known.Table, Dissolving: controller.Closed,
-		UnregisteredMembers: controller.Vouched,
+		UnregisteredMembers: controller.ResponsiveUnregistered,
 		Suspect:             func(key backend.GroupKey) { controller.Suspect(context.Background(), key) },
-		ReportDemand:        s.demand, Config: known.Config, OfferConfig: known.TakeConfig, LeaseVersion: charge.Version, Ages: known.Ages, ReportQuarantine: s.heldBack,
+		ReportDemand:        s.demand, Config: known.Config, OfferConfig: known.UpdateConfig, LeaseVersion: charge.Version, Ages: known.Ages, ReportQuarantine: s.heldBack,
 	})
 }
 
@@ -139,9 +139,9 @@
 // connect ties the parts together that tell each other of changes.
 func (g *Gateway) connect() {
 	g.shell.parts = &g.parts
-	g.catalog.Follow(store.KindEntry, catalog.EntriesPace, func(update catalog.Update) { g.roster.Apply(update.Objects()) })
-	g.catalog.OnServers(g.controller.Wake)
-	g.catalog.OnServers(g.leader.RefreshGroups)
+	g.catalog.Follow(store.KindEntry, catalog.EntriesWatchPolicy, func(update catalog.Update) { g.roster.Apply(update.Objects()) })
+	g.catalog.OnServersChange(g.controller.Wake)
+	g.catalog.OnServersChange(g.leader.RefreshGroups)
 	g.gauges()
 }
 
