--- a/entry/adapters.go
+++ b/entry/adapters.go
@@ -72,25 +72,25 @@
 // reports is the controller's view of what homes say of groups.
 type reports struct{ table *fleet.Table }
 
-// InProgress implements controller.GroupLoad.
+// InProgress implements controller.GroupReports.
 func (r reports) InProgress(id vm.GroupID) (int, bool) {
 	status, ok := r.status(id)
 	return status.Remaining, ok && status.Drained
 }
 
-// Whole implements controller.GroupLoad.
+// Whole implements controller.GroupReports.
 func (r reports) Whole(id vm.GroupID) (whole, known bool) {
 	status, ok := r.status(id)
 	return status.Whole, ok
 }
 
-// NotWhole implements controller.GroupLoad.
+// NotWhole implements controller.GroupReports.
 func (r reports) NotWhole(id vm.GroupID) bool {
 	status, ok := r.status(id)
 	return ok && !status.Whole
 }
 
-// TokenGap implements controller.GroupLoad.
+// TokenGap implements controller.GroupReports.
 func (r reports) TokenGap(id vm.GroupID) time.Duration {
 	status, _ := r.status(id)
 	return status.Load.TokenGap
--- a/entry/controller/apply.go
+++ b/entry/controller/apply.go
@@ -149,7 +149,7 @@
 	}
 	next.Aside = append(next.Aside, vm.Aside{
 		VM: vm.Name(step.VM), BootID: w.states[vm.Name(step.VM)].state.BootID,
-		Reason: step.Reason, Until: w.c.Now().Add(AsideFor).UnixMilli(),
+		Reason: step.Reason, Until: w.c.Now().Add(AsideDuration).UnixMilli(),
 	})
 }
 
--- a/entry/controller/controller.go
+++ b/entry/controller/controller.go
@@ -7,7 +7,7 @@
 // an answer to an order proves nothing.
 //
 // Ownership is computed from the live entries and made safe by the placement object: whoever takes over
-// raises its epoch, and the write of one who was replaced fails. An owner acts only within ActWithin of
+// raises its epoch, and the write of one who was replaced fails. An owner acts only within MaxPlacementAge of
 // its last confirmed read or write of the object, checked at each action by the monotonic clock, so that
 // a process that wakes from a pause looks first.
 package controller
@@ -32,25 +32,25 @@
 
 // Times.
 const (
-	// Interval is the pause between two rounds over a domain. With the list read each round, a VM that the
+	// RoundInterval is the pause between two rounds over a domain. With the list read each round, a VM that the
 	// list calls leaving is noticed within it, which leaves two of the three seconds to spread the news.
-	Interval = time.Second
-	// ActWithin is how long a confirmed read or write of the placement allows to act. It bounds how long a
+	RoundInterval = time.Second
+	// MaxPlacementAge is how long a confirmed read or write of the placement allows to act. It bounds how long a
 	// controller that was replaced without noticing goes on; a round takes far less.
-	ActWithin = 2 * time.Second
+	MaxPlacementAge = 2 * time.Second
 	// WriteTimeout bounds how long a write whose answer was lost is settled; then the next round reads.
 	WriteTimeout = 2 * time.Second
 	// OrderDeadline is how long after its sending an order may still be carried out.
 	OrderDeadline = 2 * time.Second
 	// OrderTimeout bounds the wait for the answer to an order.
 	OrderTimeout = time.Second
-	// AsideFor is how long a straggler is kept out of groups, unless it restarts.
-	AsideFor = time.Hour
-	// RivalPause is how long an entry waits before it takes a domain back. Two entries with different views of
+	// AsideDuration is how long a straggler is kept out of groups, unless it restarts.
+	AsideDuration = time.Hour
+	// ReclaimDelay is how long an entry waits before it takes a domain back. Two entries with different views of
 	// who is live, as when the network between them is cut, would otherwise take it from each other each
 	// round, which is a write a second for each domain; and since whoever takes over watches anew, neither
 	// would ever replace a silent member. It is twice forming.SilenceGrace, so that each turn is long enough for that.
-	RivalPause = 2 * forming.SilenceGrace
+	ReclaimDelay = 2 * forming.SilenceGrace
 )
 
 // workers bounds the domains worked on at a time, and probers the probes and orders under way per domain.
@@ -59,8 +59,8 @@
 	probers = 16
 )
 
-// Owners tells which entries are live.
-type Owners interface {
+// Membership tells which entries are live.
+type Membership interface {
 	// Self is the own name, Live the names of the live entries that are not leaving, own included.
 	Self() string
 	Live() []string
@@ -71,8 +71,8 @@
 	Placements() []platform.Object
 }
 
-// GroupLoad is what homes report of groups.
-type GroupLoad interface {
+// GroupReports is what homes report of groups.
+type GroupReports interface {
 	// InProgress counts the requests at work on a group, at all entries. Known is true only if the home has
 	// seen the group draining and takes no more: a count from before says nothing.
 	InProgress(group vm.GroupID) (n int, known bool)
@@ -86,20 +86,20 @@
 
 // Deps are what a Controller works with.
 type Deps struct {
-	Store      platform.Store
-	Engines    engine.Client
-	Owners     Owners
-	Placements Placements
-	Loads      GroupLoad
+	Store        platform.Store
+	Engines      engine.Client
+	Membership   Membership
+	Placements   Placements
+	GroupReports GroupReports
 	// Settings returns the snapshot in force, or nil before the first.
 	Settings    func() *settings.Snapshot
 	Incarnation string
 	Recorder    *timeline.Recorder
 	Metrics     metrics.Registry
 	Log         logrus.FieldLogger
-	// Took is called with each placement that was written or read, so that the mirror need not wait for its
+	// OnPlacement is called with each placement that was written or read, so that the mirror need not wait for its
 	// watch; nil: nobody is told.
-	Took func(platform.Object)
+	OnPlacement func(platform.Object)
 	// Now reads the monotonic clock, and NewID makes ids that are never given twice; nil: the usual ones.
 	Now   func() time.Time
 	NewID func() string
@@ -124,8 +124,8 @@
 	if d.NewID == nil {
 		d.NewID = rand.Text
 	}
-	if d.Took == nil {
-		d.Took = func(platform.Object) {}
+	if d.OnPlacement == nil {
+		d.OnPlacement = func(platform.Object) {}
 	}
 	return &Controller{Deps: d, start: d.Now(), domains: make(map[domain.FabricDomain]*work)}
 }
@@ -143,7 +143,7 @@
 	}
 	defer pool.Wait()
 	defer close(jobs)
-	ticker := time.NewTicker(Interval)
+	ticker := time.NewTicker(RoundInterval)
 	defer ticker.Stop()
 	for {
 		c.Discover(ctx)
@@ -184,7 +184,7 @@
 }
 
 func (c *Controller) owns(fabric domain.FabricDomain) bool {
-	return domain.Owner("controller/"+string(fabric), c.Owners.Live()) == c.Owners.Self()
+	return domain.Owner("controller/"+string(fabric), c.Membership.Live()) == c.Membership.Self()
 }
 
 // begin hands out the domain's work to one round at a time; nil if a round is under way.
--- a/entry/controller/controller_test.go
+++ b/entry/controller/controller_test.go
@@ -25,7 +25,7 @@
 func rounds(w *world, c *controller.Controller, count int) {
 	for range count {
 		_ = c.Reconcile(context.Background(), fabric)
-		w.advance(controller.Interval)
+		w.advance(controller.RoundInterval)
 	}
 }
 
@@ -78,7 +78,7 @@
 		c := w.entry("a")
 		rounds(w, c, 3)
 		w.engine("v1").silent = true
-		rounds(w, c, int(forming.SilenceGrace/controller.Interval)+4)
+		rounds(w, c, int(forming.SilenceGrace/controller.RoundInterval)+4)
 		Expect(groups(w)).To(Equal([]string{"serving: v2 v3"}))
 	})
 
@@ -163,9 +163,9 @@
 		c, rival := w.entry(first, second), w.entry(second)
 		rounds(w, c, 1)
 		rounds(w, rival, 1)
-		Expect(c.Reconcile(context.Background(), fabric)).To(MatchError(controller.ErrRival))
+		Expect(c.Reconcile(context.Background(), fabric)).To(MatchError(controller.ErrTakenOver))
 		Expect(w.placement().Controller).To(Equal(second))
-		rounds(w, c, int(controller.RivalPause/controller.Interval)+1)
+		rounds(w, c, int(controller.ReclaimDelay/controller.RoundInterval)+1)
 		Expect(w.placement().Controller).To(Equal(first))
 	})
 })
--- a/entry/controller/cost_test.go
+++ b/entry/controller/cost_test.go
@@ -57,15 +57,15 @@
 		counter := func(name string) time.Duration {
 			return time.Duration(metrics.GetOrRegisterCounter(name, w.metrics).Count()) * time.Millisecond
 		}
-		down, stranded := counter(controller.MetricDowntime+"chat"), counter(controller.MetricStranded)
+		down, stranded := counter(controller.MetricGroupDowntime+"chat"), counter(controller.MetricStrandedTime)
 		rounds(w, c, 10)
-		Expect(counter(controller.MetricDowntime + "chat")).To(Equal(down))
-		Expect(counter(controller.MetricStranded) - stranded).To(Equal(10 * 8 * controller.Interval))
+		Expect(counter(controller.MetricGroupDowntime + "chat")).To(Equal(down))
+		Expect(counter(controller.MetricStrandedTime) - stranded).To(Equal(10 * 8 * controller.RoundInterval))
 
 		w.engine("v1").silent = true
-		down = counter(controller.MetricDowntime + "chat")
-		rounds(w, c, int(forming.SilenceGrace/controller.Interval)-1)
-		Expect(counter(controller.MetricDowntime+"chat") - down).To(Equal(forming.SilenceGrace - controller.Interval))
+		down = counter(controller.MetricGroupDowntime + "chat")
+		rounds(w, c, int(forming.SilenceGrace/controller.RoundInterval)-1)
+		Expect(counter(controller.MetricGroupDowntime+"chat") - down).To(Equal(forming.SilenceGrace - controller.RoundInterval))
 		Expect(c.Status()[0].Down).To(Equal(map[string]int{"chat": 1}))
 	})
 
@@ -84,8 +84,8 @@
 			})
 			return names
 		}
-		Expect(gauges()).To(ConsistOf(controller.MetricDown+"chat."+fabric, controller.MetricStrandedNow+fabric))
-		d.Owners.(*owners).live = nil
+		Expect(gauges()).To(ConsistOf(controller.MetricGroupsDown+"chat."+fabric, controller.MetricStrandedAccelerators+fabric))
+		d.Membership.(*owners).live = nil
 		rounds(w, c, 1)
 		Expect(gauges()).To(BeEmpty())
 	})
@@ -96,7 +96,7 @@
 		c := w.entry("a")
 		rounds(w, c, 3)
 		w.set(platform.KindVMs, vm.List{})
-		rounds(w, c, int(forming.UnlistedGrace/controller.Interval)+5)
+		rounds(w, c, int(forming.UnlistedGrace/controller.RoundInterval)+5)
 		Expect(groups(w)).To(Equal([]string{"serving: v1 v2"}))
 		Expect(c.Status()[0].Problem).To(ContainSubstring("lists no VMs"))
 	})
--- a/entry/controller/discover.go
+++ b/entry/controller/discover.go
@@ -11,15 +11,15 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// DiscoverEvery is how many rounds pass between two looks for new fabric domains. They come with new
+// DiscoverEveryRounds is how many rounds pass between two looks for new fabric domains. They come with new
 // racks, so half a minute is soon enough; the list of all VMs is the largest read there is.
-const DiscoverEvery = 30
+const DiscoverEveryRounds = 30
 
 // Discover looks for fabric domains that have no placement yet, and creates an empty one for each. One
 // entry does it for all, so that the list of all VMs is read once, not by every entry; the placement
 // objects, which all entries mirror, then name the domains.
 func (c *Controller) Discover(ctx context.Context) {
-	if domain.Owner("controller/discover", c.Owners.Live()) != c.Owners.Self() || !c.discoverNow() {
+	if domain.Owner("controller/discover", c.Membership.Live()) != c.Membership.Self() || !c.discoverNow() {
 		return
 	}
 	changes, err := c.Store.List(ctx, platform.KindVMs)
@@ -42,7 +42,7 @@
 func (c *Controller) discoverNow() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	due := c.rounds%DiscoverEvery == 0
+	due := c.rounds%DiscoverEveryRounds == 0
 	c.rounds++
 	return due
 }
@@ -61,7 +61,7 @@
 	}
 	version, err := c.Store.Put(ctx, platform.KindPlacement, name, 0, value)
 	if err == nil {
-		c.Took(platform.Object{Kind: platform.KindPlacement, Name: name, Version: version, Value: value})
+		c.OnPlacement(platform.Object{Kind: platform.KindPlacement, Name: name, Version: version, Value: value})
 		return
 	}
 	if !eris.Is(err, platform.ErrConflict) {
--- a/entry/controller/fakes_test.go
+++ b/entry/controller/fakes_test.go
@@ -300,7 +300,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return controller.Deps{
-		Store: w, Engines: w, Owners: &owners{self: name, live: append(others, name)}, Placements: w, Loads: w,
+		Store: w, Engines: w, Membership: &owners{self: name, live: append(others, name)}, Placements: w, GroupReports: w,
 		Settings: func() *settings.Snapshot {
 			w.mu.Lock()
 			defer w.mu.Unlock()
--- a/entry/controller/measure.go
+++ b/entry/controller/measure.go
@@ -14,19 +14,19 @@
 
 // Names of the metrics. Those of services end in the service's name.
 const (
-	// MetricDowntime counts milliseconds in which a wanted group did not serve.
-	MetricDowntime = "controller.group_downtime_ms."
-	// MetricDown is how many wanted groups do not serve now.
-	MetricDown = "controller.groups_down."
-	// MetricStranded counts accelerator-milliseconds live but in no serving group.
-	MetricStranded = "controller.stranded_accelerator_ms"
-	// MetricStrandedNow is how many accelerators that are, now, by fabric domain.
-	MetricStrandedNow = "controller.stranded_accelerators."
+	// MetricGroupDowntime counts milliseconds in which a wanted group did not serve.
+	MetricGroupDowntime = "controller.group_downtime_ms."
+	// MetricGroupsDown is how many wanted groups do not serve now.
+	MetricGroupsDown = "controller.groups_down."
+	// MetricStrandedTime counts accelerator-milliseconds live but in no serving group.
+	MetricStrandedTime = "controller.stranded_accelerator_ms"
+	// MetricStrandedAccelerators is how many accelerators that are, now, by fabric domain.
+	MetricStrandedAccelerators = "controller.stranded_accelerators."
 )
 
 // maxMeasured bounds the time that one measurement accounts for: over a longer gap (a pause, a takeover)
 // nothing was seen, and the controller in between accounts for it.
-const maxMeasured = 5 * Interval
+const maxMeasured = 5 * RoundInterval
 
 // measure books the two measures since the last round.
 func (w *work) measure() {
@@ -37,12 +37,12 @@
 	}
 	w.measured = now
 	for name, down := range w.plan.DownGroups {
-		w.count(MetricDowntime+name, since*time.Duration(down))
+		w.count(MetricGroupDowntime+name, since*time.Duration(down))
 	}
-	w.count(MetricStranded, since*time.Duration(w.plan.StrandedAccelerators))
-	gauges := map[string]int{MetricStrandedNow + string(w.fabric): w.plan.StrandedAccelerators}
+	w.count(MetricStrandedTime, since*time.Duration(w.plan.StrandedAccelerators))
+	gauges := map[string]int{MetricStrandedAccelerators + string(w.fabric): w.plan.StrandedAccelerators}
 	for name := range w.plan.Targets {
-		gauges[MetricDown+name+"."+string(w.fabric)] = w.plan.DownGroups[name]
+		gauges[MetricGroupsDown+name+"."+string(w.fabric)] = w.plan.DownGroups[name]
 	}
 	w.showGauges(gauges)
 	w.recordMeasures()
--- a/entry/controller/property_test.go
+++ b/entry/controller/property_test.go
@@ -201,7 +201,7 @@
 }
 
 func (a *actor) checkOrder(to vm.Name, order engine.Order) {
-	if age := time.Since(a.confirmed); age > controller.ActWithin {
+	if age := time.Since(a.confirmed); age > controller.MaxPlacementAge {
 		a.breaks("%s sends an order %v after its last confirmed read or write", a.name, age)
 	}
 	a.checkDrained(to, order)
@@ -284,11 +284,11 @@
 		s.release(s.gateOf(""), int(m.Target), m.Fate)
 	case 4, 5, 6:
 		s.run(a)
-		time.Sleep(controller.Interval)
+		time.Sleep(controller.RoundInterval)
 	case 7:
 		s.land(int(m.Target))
 	case 8:
-		pauses := []time.Duration{100 * time.Millisecond, controller.ActWithin, 15 * time.Second, time.Hour}
+		pauses := []time.Duration{100 * time.Millisecond, controller.MaxPlacementAge, 15 * time.Second, time.Hour}
 		time.Sleep(pauses[int(m.Target)%len(pauses)])
 	case 9, 10:
 		s.disturb(int(m.Target), m.Fate)
@@ -423,7 +423,7 @@
 func (s *schedule) comeToRest(last *actor) {
 	for range 40 {
 		s.run(last)
-		time.Sleep(controller.Interval)
+		time.Sleep(controller.RoundInterval)
 	}
 	s.checkRest()
 }
--- a/entry/controller/split_test.go
+++ b/entry/controller/split_test.go
@@ -25,17 +25,17 @@
 			for range count {
 				_ = left.Reconcile(context.Background(), fabric)
 				_ = right.Reconcile(context.Background(), fabric)
-				w.advance(controller.Interval)
+				w.advance(controller.RoundInterval)
 			}
 		}
 		both(5)
 		Expect(groups(w)).To(Equal([]string{"serving: v1 v2"}))
 		before := w.placement().Epoch
 		w.engine("v1").silent = true
-		pause := int(controller.RivalPause / controller.Interval)
+		pause := int(controller.ReclaimDelay / controller.RoundInterval)
 		both(4 * pause)
 		Expect(groups(w)).To(Equal([]string{"serving: v2 v3"}))
 		Expect(w.placement().Epoch - before).To(BeNumerically("<=", 4))
-		Expect(controller.RivalPause).To(BeNumerically(">", forming.SilenceGrace))
+		Expect(controller.ReclaimDelay).To(BeNumerically(">", forming.SilenceGrace))
 	})
 })
--- a/entry/controller/view.go
+++ b/entry/controller/view.go
@@ -178,12 +178,12 @@
 	group := forming.Group{
 		ID: string(g.ID), Service: g.Service, Version: versionOf(g.Model, g.ModelVersion),
 		Size: len(g.Members), State: forming.State(g.State), Epoch: g.Epoch, NotWhole: g.NotWhole,
-		TokenGap: w.c.Loads.TokenGap(g.ID),
+		TokenGap: w.c.GroupReports.TokenGap(g.ID),
 	}
-	whole, known := w.c.Loads.Whole(g.ID)
+	whole, known := w.c.GroupReports.Whole(g.ID)
 	group.HomeWhole = whole && known
-	group.HomeNotWhole = w.c.Loads.NotWhole(g.ID)
-	group.InProgress, group.HomeReported = w.c.Loads.InProgress(g.ID)
+	group.HomeNotWhole = w.c.GroupReports.NotWhole(g.ID)
+	group.InProgress, group.HomeReported = w.c.GroupReports.InProgress(g.ID)
 	if g.State != vm.Serving && g.State != vm.Draining {
 		group.InProgress, group.HomeReported = 0, true
 	}
--- a/entry/controller/work.go
+++ b/entry/controller/work.go
@@ -17,9 +17,9 @@
 
 // ErrNotOwner and its kin say why a round ended early.
 var (
-	ErrNotOwner = eris.New("fabric domain is owned by another entry")
-	ErrRival    = eris.New("another entry took the fabric domain over")
-	ErrOutdated = eris.New("placement changed since it was read")
+	ErrNotOwner  = eris.New("fabric domain is owned by another entry")
+	ErrTakenOver = eris.New("another entry took the fabric domain over")
+	ErrOutdated  = eris.New("placement changed since it was read")
 	// ErrNoSettings: without settings nothing is known to be wanted, and nothing to be unwanted either.
 	ErrNoSettings = eris.New("no settings known yet")
 	// ErrEmptyList: the list of VMs names none, while members of groups answer. It is not believed, or a
@@ -119,16 +119,16 @@
 		if w.rivalSeen.IsZero() {
 			w.rivalSeen = w.c.Now()
 		}
-		if w.c.Now().Sub(w.rivalSeen) < RivalPause {
+		if w.c.Now().Sub(w.rivalSeen) < ReclaimDelay {
 			w.placement = nil
-			return eris.Wrap(ErrRival, string(w.fabric))
+			return eris.Wrap(ErrTakenOver, string(w.fabric))
 		}
 	}
 	return w.takeOver(ctx)
 }
 
 func (w *work) isOurs() bool {
-	return w.placement.Controller == w.c.Owners.Self() && w.placement.Incarnation == w.c.Incarnation
+	return w.placement.Controller == w.c.Membership.Self() && w.placement.Incarnation == w.c.Incarnation
 }
 
 // wasOurs says that this entry held the domain, and has thought without a break that it owns it. Whoever
@@ -170,7 +170,7 @@
 		if err := json.Unmarshal(object.Value, placement); err != nil {
 			return eris.Wrap(err, "placement")
 		}
-		w.c.Took(object)
+		w.c.OnPlacement(object)
 	}
 	w.adopt(placement, object.Version, begun)
 	return nil
@@ -183,7 +183,7 @@
 }
 
 // fresh returns nil if the entry may act on the placement that it holds: it owns the domain, and the
-// placement was confirmed within ActWithin, by reading it again where need be.
+// placement was confirmed within MaxPlacementAge, by reading it again where need be.
 //
 // What goes wrong without it: a process that was paused for a minute goes on with the orders of a
 // placement that its successor has long replaced. Engines that ignore fencing numbers would obey.
@@ -204,12 +204,12 @@
 	return nil
 }
 
-func (w *work) mayAct() bool { return w.c.Now().Sub(w.confirmed) < ActWithin }
+func (w *work) mayAct() bool { return w.c.Now().Sub(w.confirmed) < MaxPlacementAge }
 
 // put writes a placement and adopts it once the write is confirmed. After any failure the placement is
 // unknown: the next round reads it.
 func (w *work) put(ctx context.Context, next *vm.Placement) error {
-	next.Controller = w.c.Owners.Self()
+	next.Controller = w.c.Membership.Self()
 	next.Incarnation = w.c.Incarnation
 	next.Nonce = w.c.NewID()
 	if err := next.Check(); err != nil {
@@ -228,7 +228,7 @@
 		return err
 	}
 	w.adopt(next, version, begun)
-	w.c.Took(platform.Object{Kind: platform.KindPlacement, Name: string(w.fabric), Version: version, Value: value})
+	w.c.OnPlacement(platform.Object{Kind: platform.KindPlacement, Name: string(w.fabric), Version: version, Value: value})
 	w.record(timeline.Event{Kind: timeline.PlacementWritten, Version: uint64(version)})
 	return nil
 }
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -206,9 +206,9 @@
 	inForce *settingsInForce, recorder *timeline.Recorder, measures *measures, log *logrus.Entry, follower *mirror.Follower,
 ) *controller.Controller {
 	return controller.New(controller.Deps{
-		Store: reach.Watched(store), Engines: engines, Owners: reaching{owners, reach}, Placements: placements{m}, Loads: reports{table},
+		Store: reach.Watched(store), Engines: engines, Membership: reaching{owners, reach}, Placements: placements{m}, GroupReports: reports{table},
 		Settings: snapshots{inForce}.Snapshot, Incarnation: self.entry.Incarnation, Recorder: recorder,
-		Metrics: measures.registry, Log: log, Took: follower.Took,
+		Metrics: measures.registry, Log: log, OnPlacement: follower.Took,
 	})
 }
 
--- a/test/groups_judge_test.go
+++ b/test/groups_judge_test.go
@@ -26,7 +26,7 @@
 	detectionBound = vm.FreshnessBound + engine.ProbeTimeout + busyMachine
 	// lateOrderBound: an order may still be carried out for so long after the placement that it names was
 	// replaced.
-	lateOrderBound = controller.ActWithin + controller.OrderDeadline + busyMachine
+	lateOrderBound = controller.MaxPlacementAge + controller.OrderDeadline + busyMachine
 )
 
 // evidence is what the platform and the engines wrote down, all by one clock.
