--- a/entry/controller/apply.go
+++ b/entry/controller/apply.go
@@ -13,34 +13,34 @@
 
 // write writes the placement that the plan makes, if it differs from the one that stands. It is the only
 // change that a plan makes before its write is confirmed.
-func (w *work) write(ctx context.Context, view *forming.View) error {
-	next := w.next()
+func (r *domainReconciler) writePlan(ctx context.Context, view *forming.View) error {
+	next := r.nextPlacement()
 	if next == nil {
 		return nil
 	}
-	if err := w.fresh(ctx); err != nil {
+	if err := r.ensureFresh(ctx); err != nil {
 		return err
 	}
-	before := w.placement
-	if err := w.put(ctx, next); err != nil {
+	before := r.placement
+	if err := r.writePlacement(ctx, next); err != nil {
 		return err
 	}
-	w.noteLoads(view)
-	w.recordStates(before)
+	r.recordLoadStarts(view)
+	r.recordStateChanges(before)
 	return nil
 }
 
 // next returns the placement after the plan's steps, or nil if nothing changes.
-func (w *work) next() *vm.Placement {
-	next := w.placement.Clone()
-	next.Fence = max(next.Fence, w.highestFence())
-	changed := next.Fence != w.placement.Fence
-	for _, step := range w.plan.Steps {
-		if w.apply(next, step) {
+func (r *domainReconciler) nextPlacement() *vm.Placement {
+	next := r.placement.Clone()
+	next.Fence = max(next.Fence, r.highestFence())
+	changed := next.Fence != r.placement.Fence
+	for _, step := range r.plan.Steps {
+		if r.applyStep(next, step) {
 			changed = true
 		}
 	}
-	if w.report(next) || w.dropAside(next) {
+	if r.updateReport(next) || r.pruneAside(next) {
 		changed = true
 	}
 	if !changed {
@@ -51,20 +51,20 @@
 
 // highestFence is the highest fencing number that an engine of the domain says it has seen. It is above
 // the placement's own only if the platform was set back to an older state.
-func (w *work) highestFence() uint64 {
+func (r *domainReconciler) highestFence() uint64 {
 	highest := uint64(0)
-	for _, answer := range w.states {
-		if answer.ok {
-			highest = max(highest, answer.state.Fence)
+	for _, result := range r.probeResults {
+		if result.responded {
+			highest = max(highest, result.state.Fence)
 		}
 	}
 	return highest
 }
 
 // apply changes next by one step and returns whether anything changed.
-func (w *work) apply(next *vm.Placement, step forming.Step) bool {
+func (r *domainReconciler) applyStep(next *vm.Placement, step forming.Step) bool {
 	if step.Kind == forming.StepForm {
-		return w.applyForm(next, step)
+		return r.applyForm(next, step)
 	}
 	group := next.Group(vm.GroupID(step.Group))
 	if group == nil {
@@ -72,14 +72,14 @@
 	}
 	switch step.Kind {
 	case forming.StepLoad:
-		return w.applyLoad(next, group, step)
+		return r.applyLoad(next, group, step)
 	case forming.StepServe:
-		w.enter(group, vm.Serving, step.Reason)
+		r.setGroupState(group, vm.Serving, step.Reason)
 	case forming.StepDrain:
 		next.Fence++
 		group.Fence = next.Fence
-		w.enter(group, vm.Draining, step.Reason)
-		w.setAside(next, step)
+		r.setGroupState(group, vm.Draining, step.Reason)
+		r.setAside(next, step)
 	case forming.StepDissolve:
 		next.Fence++
 		next.Groups = slices.DeleteFunc(next.Groups, func(g vm.Group) bool { return g.ID == group.ID })
@@ -92,21 +92,21 @@
 	return true
 }
 
-func (w *work) enter(group *vm.Group, state vm.GroupState, reason string) {
+func (r *domainReconciler) setGroupState(group *vm.Group, state vm.GroupState, reason string) {
 	group.State = state
 	group.Reason = reason
-	group.Since = w.c.Now().UnixMilli()
+	group.Since = r.c.Now().UnixMilli()
 }
 
-func (w *work) applyForm(next *vm.Placement, step forming.Step) bool {
+func (r *domainReconciler) applyForm(next *vm.Placement, step forming.Step) bool {
 	model, version, _ := strings.Cut(step.Version, versionSeparator)
 	group := vm.Group{
-		ID:      vm.GroupID(step.Service + "-" + strings.ToLower(w.c.NewID())),
+		ID:      vm.GroupID(step.Service + "-" + strings.ToLower(r.c.NewID())),
 		Service: step.Service, Model: model, ModelVersion: version,
 	}
-	w.enter(&group, vm.Forming, step.Reason)
+	r.setGroupState(&group, vm.Forming, step.Reason)
 	for _, name := range step.Members {
-		listed, ok := w.listedVM(vm.Name(name))
+		listed, ok := r.listedVM(vm.Name(name))
 		if !ok {
 			return false
 		}
@@ -120,106 +120,106 @@
 
 // applyLoad names the boots that are to load. The epoch and the fencing number make answers to earlier
 // orders tell apart.
-func (w *work) applyLoad(next *vm.Placement, group *vm.Group, step forming.Step) bool {
+func (r *domainReconciler) applyLoad(next *vm.Placement, group *vm.Group, step forming.Step) bool {
 	for i := range group.Members {
-		answer := w.states[group.Members[i].VM]
-		if !answer.ok {
+		result := r.probeResults[group.Members[i].VM]
+		if !result.responded {
 			return false
 		}
-		group.Members[i].BootID = answer.state.BootID
+		group.Members[i].BootID = result.state.BootID
 	}
 	next.Fence++
 	group.Fence = next.Fence
 	group.Epoch = next.Epoch
-	w.enter(group, vm.Loading, step.Reason)
+	r.setGroupState(group, vm.Loading, step.Reason)
 	return true
 }
 
-func (w *work) listedVM(name vm.Name) (vm.VM, bool) {
-	i := slices.IndexFunc(w.list.VMs, func(v vm.VM) bool { return v.Name == name })
+func (r *domainReconciler) listedVM(name vm.Name) (vm.VM, bool) {
+	i := slices.IndexFunc(r.vmList.VMs, func(v vm.VM) bool { return v.Name == name })
 	if i < 0 {
 		return vm.VM{}, false
 	}
-	return w.list.VMs[i], true
+	return r.vmList.VMs[i], true
 }
 
-func (w *work) setAside(next *vm.Placement, step forming.Step) {
+func (r *domainReconciler) setAside(next *vm.Placement, step forming.Step) {
 	if step.VM == "" {
 		return
 	}
 	next.Aside = append(next.Aside, vm.Aside{
-		VM: vm.Name(step.VM), BootID: w.states[vm.Name(step.VM)].state.BootID,
-		Reason: step.Reason, Until: w.c.Now().Add(AsideDuration).UnixMilli(),
+		VM: vm.Name(step.VM), BootID: r.probeResults[vm.Name(step.VM)].state.BootID,
+		Reason: step.Reason, Until: r.c.Now().Add(AsideDuration).UnixMilli(),
 	})
 }
 
 // dropAside forgets VMs whose time aside is over, or that restarted or are no longer listed.
-func (w *work) dropAside(next *vm.Placement) bool {
+func (r *domainReconciler) pruneAside(next *vm.Placement) bool {
 	before := len(next.Aside)
 	next.Aside = slices.DeleteFunc(next.Aside, func(a vm.Aside) bool {
-		_, listed := w.listedVM(a.VM)
-		answer := w.states[a.VM]
-		return !listed || w.asideOver(a) || (answer.ok && answer.state.BootID != a.BootID)
+		_, listed := r.listedVM(a.VM)
+		result := r.probeResults[a.VM]
+		return !listed || r.asideExpired(a) || (result.responded && result.state.BootID != a.BootID)
 	})
 	return len(next.Aside) != before
 }
 
 // report writes what the other controllers need to know, and returns whether it changed.
-func (w *work) report(next *vm.Placement) bool {
+func (r *domainReconciler) updateReport(next *vm.Placement) bool {
 	count, accelerators := 0, 0
-	for _, n := range w.plan.Live {
+	for _, n := range r.plan.Live {
 		count += n
 	}
-	for _, v := range w.list.VMs {
-		if !v.Leaving && w.states[v.Name].ok {
+	for _, v := range r.vmList.VMs {
+		if !v.Leaving && r.probeResults[v.Name].responded {
 			accelerators += v.Accelerators
 		}
 	}
 	position := next.Position
-	if len(w.list.VMs) > 0 {
-		position = w.list.VMs[0].Position
-		position.FabricDomain = w.fabric
+	if len(r.vmList.VMs) > 0 {
+		position = r.vmList.VMs[0].Position
+		position.FabricDomain = r.fabric
 	}
-	if maps.Equal(next.LiveByService, w.plan.Live) && next.Position == position {
+	if maps.Equal(next.LiveByService, r.plan.Live) && next.Position == position {
 		return false
 	}
 	next.LiveVMs = count
 	next.LiveAccelerators = accelerators
-	next.LiveByService = w.plan.Live
+	next.LiveByService = r.plan.Live
 	next.Position = position
 	return true
 }
 
 // noteLoads books the loads of the plan that was written.
-func (w *work) noteLoads(view *forming.View) {
-	for _, step := range w.plan.Steps {
+func (r *domainReconciler) recordLoadStarts(view *forming.View) {
+	for _, step := range r.plan.Steps {
 		if step.Kind != forming.StepLoad {
 			continue
 		}
 		for _, s := range view.Services {
 			if s.Name == step.Service {
-				w.pacer.Started(w.now(), s, view.WaitingDomains())
+				r.pacer.Started(r.now(), s, view.WaitingDomains())
 			}
 		}
 	}
 }
 
 // recordStates tells the time line which groups changed their state.
-func (w *work) recordStates(before *vm.Placement) {
-	for _, g := range w.placement.Groups {
+func (r *domainReconciler) recordStateChanges(before *vm.Placement) {
+	for _, g := range r.placement.Groups {
 		if old := before.Group(g.ID); old == nil || old.State != g.State {
-			w.recordState(g, string(g.State)+": "+g.Reason)
+			r.recordState(g, string(g.State)+": "+g.Reason)
 		}
 	}
 	for _, g := range before.Groups {
-		if w.placement.Group(g.ID) == nil {
-			w.recordState(g, "dissolved: "+w.dissolvedBecause(g.ID))
+		if r.placement.Group(g.ID) == nil {
+			r.recordState(g, "dissolved: "+r.dissolveReason(g.ID))
 		}
 	}
 }
 
-func (w *work) dissolvedBecause(id vm.GroupID) string {
-	for _, step := range w.plan.Steps {
+func (r *domainReconciler) dissolveReason(id vm.GroupID) string {
+	for _, step := range r.plan.Steps {
 		if step.Group == string(id) && step.Kind == forming.StepDissolve {
 			return step.Reason
 		}
@@ -227,6 +227,6 @@
 	return ""
 }
 
-func (w *work) recordState(g vm.Group, detail string) {
-	w.record(timeline.Event{Kind: timeline.GroupState, Group: string(g.ID), Service: g.Service, Detail: detail})
+func (r *domainReconciler) recordState(g vm.Group, detail string) {
+	r.record(timeline.Event{Kind: timeline.GroupState, Group: string(g.ID), Service: g.Service, Detail: detail})
 }
--- a/entry/controller/controller.go
+++ b/entry/controller/controller.go
@@ -55,8 +55,8 @@
 
 // workers bounds the domains worked on at a time, and probers the probes and orders under way per domain.
 const (
-	workers = 4
-	probers = 16
+	maxConcurrentDomains = 4
+	maxConcurrentCalls   = 16
 )
 
 // Membership tells which entries are live.
@@ -108,12 +108,12 @@
 // Controller works on the fabric domains that this entry owns. It is safe for concurrent use.
 type Controller struct {
 	Deps
-	start time.Time
+	startedAt time.Time
 
-	mu      sync.Mutex // guards what follows; a leaf lock: not held over I/O
-	domains map[domain.FabricDomain]*work
+	mu          sync.Mutex // guards what follows; a leaf lock: not held over I/O
+	reconcilers map[domain.FabricDomain]*domainReconciler
 	// rounds counts those in which this entry was to discover domains.
-	rounds int
+	discoveryRounds int
 }
 
 // New returns a controller; Run makes it work.
@@ -127,14 +127,14 @@
 	if d.OnPlacement == nil {
 		d.OnPlacement = func(platform.Object) {}
 	}
-	return &Controller{Deps: d, start: d.Now(), domains: make(map[domain.FabricDomain]*work)}
+	return &Controller{Deps: d, startedAt: d.Now(), reconcilers: make(map[domain.FabricDomain]*domainReconciler)}
 }
 
 // Run works until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	jobs := make(chan domain.FabricDomain)
 	var pool sync.WaitGroup
-	for range workers {
+	for range maxConcurrentDomains {
 		pool.Go(func() {
 			for fabric := range jobs {
 				_ = c.Reconcile(ctx, fabric) // Status shows why a round ended early
@@ -147,7 +147,7 @@
 	defer ticker.Stop()
 	for {
 		c.Discover(ctx)
-		for _, fabric := range c.candidates() {
+		for _, fabric := range c.domainsToReconcile() {
 			select {
 			case jobs <- fabric:
 			case <-ctx.Done():
@@ -163,7 +163,7 @@
 }
 
 // candidates are the domains that this entry owns, or worked on until now.
-func (c *Controller) candidates() []domain.FabricDomain {
+func (c *Controller) domainsToReconcile() []domain.FabricDomain {
 	var found []domain.FabricDomain
 	seen := make(map[domain.FabricDomain]bool)
 	for _, object := range c.Placements.Placements() {
@@ -175,7 +175,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for fabric := range c.domains {
+	for fabric := range c.reconcilers {
 		if !seen[fabric] {
 			found = append(found, fabric)
 		}
@@ -188,32 +188,32 @@
 }
 
 // begin hands out the domain's work to one round at a time; nil if a round is under way.
-func (c *Controller) begin(fabric domain.FabricDomain) *work {
+func (c *Controller) acquire(fabric domain.FabricDomain) *domainReconciler {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.domains[fabric]
-	if w == nil {
-		w = newWork(c, fabric)
-		c.domains[fabric] = w
+	r := c.reconcilers[fabric]
+	if r == nil {
+		r = newDomainReconciler(c, fabric)
+		c.reconcilers[fabric] = r
 	}
-	if w.busy {
+	if r.inRound {
 		return nil
 	}
-	w.busy = true
-	return w
+	r.inRound = true
+	return r
 }
 
 // end gives the work back, with its status for Status, and drops it if the domain is not owned any more.
-func (c *Controller) end(w *work, keep bool) {
-	if !keep {
-		w.showGauges(nil)
+func (c *Controller) release(r *domainReconciler, owned bool) {
+	if !owned {
+		r.setGauges(nil)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w.busy = false
-	w.status = w.newStatus()
-	if !keep {
-		delete(c.domains, w.fabric)
+	r.inRound = false
+	r.status = r.newStatus()
+	if !owned {
+		delete(c.reconcilers, r.fabric)
 	}
 }
 
@@ -234,9 +234,9 @@
 func (c *Controller) Status() []Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	found := make([]Status, 0, len(c.domains))
-	for _, w := range c.domains {
-		found = append(found, w.status)
+	found := make([]Status, 0, len(c.reconcilers))
+	for _, r := range c.reconcilers {
+		found = append(found, r.status)
 	}
 	return found
 }
--- a/entry/controller/discover.go
+++ b/entry/controller/discover.go
@@ -19,12 +19,12 @@
 // entry does it for all, so that the list of all VMs is read once, not by every entry; the placement
 // objects, which all entries mirror, then name the domains.
 func (c *Controller) Discover(ctx context.Context) {
-	if domain.Owner("controller/discover", c.Membership.Live()) != c.Membership.Self() || !c.discoverNow() {
+	if domain.Owner("controller/discover", c.Membership.Live()) != c.Membership.Self() || !c.discoveryDue() {
 		return
 	}
 	changes, err := c.Store.List(ctx, platform.KindVMs)
 	if err != nil {
-		c.discoverAgain()
+		c.retryDiscovery()
 		c.Log.WithError(err).Warn("can't list the VMs to look for new fabric domains")
 		return
 	}
@@ -34,27 +34,27 @@
 	}
 	for _, object := range changes.Objects {
 		if !known[object.Name] {
-			c.create(ctx, object.Name)
+			c.createPlacement(ctx, object.Name)
 		}
 	}
 }
 
-func (c *Controller) discoverNow() bool {
+func (c *Controller) discoveryDue() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	due := c.rounds%DiscoverEveryRounds == 0
-	c.rounds++
+	due := c.discoveryRounds%DiscoverEveryRounds == 0
+	c.discoveryRounds++
 	return due
 }
 
-func (c *Controller) discoverAgain() {
+func (c *Controller) retryDiscovery() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rounds = 0
+	c.discoveryRounds = 0
 }
 
 // create writes an empty placement that nobody holds. It exists already if another entry was faster.
-func (c *Controller) create(ctx context.Context, name string) {
+func (c *Controller) createPlacement(ctx context.Context, name string) {
 	value, err := json.Marshal(vm.Placement{Nonce: c.NewID()})
 	if err != nil {
 		return
@@ -65,7 +65,7 @@
 		return
 	}
 	if !eris.Is(err, platform.ErrConflict) {
-		c.discoverAgain()
+		c.retryDiscovery()
 		c.Log.WithError(err).WithField("domain", name).Warn("can't create the placement of a new fabric domain")
 	}
 }
--- a/entry/controller/measure.go
+++ b/entry/controller/measure.go
@@ -26,82 +26,82 @@
 
 // maxMeasured bounds the time that one measurement accounts for: over a longer gap (a pause, a takeover)
 // nothing was seen, and the controller in between accounts for it.
-const maxMeasured = 5 * RoundInterval
+const maxMeasuredGap = 5 * RoundInterval
 
 // measure books the two measures since the last round.
-func (w *work) measure() {
-	now := w.c.Now()
-	since := min(now.Sub(w.measured), maxMeasured)
-	if w.measured.IsZero() {
+func (r *domainReconciler) updateMetrics() {
+	now := r.c.Now()
+	since := min(now.Sub(r.measuredAt), maxMeasuredGap)
+	if r.measuredAt.IsZero() {
 		since = 0
 	}
-	w.measured = now
-	for name, down := range w.plan.DownGroups {
-		w.count(MetricGroupDowntime+name, since*time.Duration(down))
+	r.measuredAt = now
+	for name, down := range r.plan.DownGroups {
+		r.addToCounter(MetricGroupDowntime+name, since*time.Duration(down))
 	}
-	w.count(MetricStrandedTime, since*time.Duration(w.plan.StrandedAccelerators))
-	gauges := map[string]int{MetricStrandedAccelerators + string(w.fabric): w.plan.StrandedAccelerators}
-	for name := range w.plan.Targets {
-		gauges[MetricGroupsDown+name+"."+string(w.fabric)] = w.plan.DownGroups[name]
+	r.addToCounter(MetricStrandedTime, since*time.Duration(r.plan.StrandedAccelerators))
+	gauges := map[string]int{MetricStrandedAccelerators + string(r.fabric): r.plan.StrandedAccelerators}
+	for name := range r.plan.Targets {
+		gauges[MetricGroupsDown+name+"."+string(r.fabric)] = r.plan.DownGroups[name]
 	}
-	w.showGauges(gauges)
-	w.recordMeasures()
+	r.setGauges(gauges)
+	r.recordMetricsChange()
 }
 
-func (w *work) count(name string, d time.Duration) {
-	metrics.GetOrRegisterCounter(name, w.c.Metrics).Inc(d.Milliseconds())
+func (r *domainReconciler) addToCounter(name string, d time.Duration) {
+	metrics.GetOrRegisterCounter(name, r.c.Metrics).Inc(d.Milliseconds())
 }
 
 // showGauges replaces the domain's gauges. One that stayed behind, of a service that is gone or at an entry that
 // lost the domain, would keep its last value, and an alarm on it would never end.
-func (w *work) showGauges(gauges map[string]int) {
-	for name := range w.gauges {
-		if _, kept := gauges[name]; !kept {
-			w.c.Metrics.Unregister(name)
+func (r *domainReconciler) setGauges(gauges map[string]int) {
+	for name := range r.gauges {
+		if _, keep := gauges[name]; !keep {
+			r.c.Metrics.Unregister(name)
 		}
 	}
 	for name, value := range gauges {
-		metrics.GetOrRegisterGauge(name, w.c.Metrics).Update(int64(value))
+		metrics.GetOrRegisterGauge(name, r.c.Metrics).Update(int64(value))
 	}
-	w.gauges = gauges
+	r.gauges = gauges
 }
 
 // recordMeasures tells the time line when a measure changes.
-func (w *work) recordMeasures() {
-	parts := make([]string, 0, len(w.plan.DownGroups)+1)
-	for _, name := range slices.Sorted(maps.Keys(w.plan.DownGroups)) {
-		parts = append(parts, fmt.Sprintf("%s down %d", name, w.plan.DownGroups[name]))
+func (r *domainReconciler) recordMetricsChange() {
+	parts := make([]string, 0, len(r.plan.DownGroups)+1)
+	for _, name := range slices.Sorted(maps.Keys(r.plan.DownGroups)) {
+		parts = append(parts, fmt.Sprintf("%s down %d", name, r.plan.DownGroups[name]))
 	}
-	parts = append(parts, fmt.Sprintf("stranded accelerators %d", w.plan.StrandedAccelerators))
+	parts = append(parts, fmt.Sprintf("stranded accelerators %d", r.plan.StrandedAccelerators))
 	detail := strings.Join(parts, ", ")
-	if detail != w.lastMeasured {
-		w.record(timeline.Event{Kind: timeline.DomainMeasured, Detail: detail})
-		w.lastMeasured = detail
+	if detail != r.lastRecordedDetail {
+		r.record(timeline.Event{Kind: timeline.DomainMeasured, Detail: detail})
+		r.lastRecordedDetail = detail
 	}
 }
 
 // newStatus is what Status shows of the round that ended.
-func (w *work) newStatus() Status {
+func (r *domainReconciler) newStatus() Status {
 	status := Status{
-		Domain: w.fabric, Targets: w.plan.Targets, Down: w.plan.DownGroups, Stranded: w.plan.StrandedAccelerators, Held: w.held(),
+		Domain: r.fabric, Targets: r.plan.Targets, Down: r.plan.DownGroups, Stranded: r.plan.StrandedAccelerators, Held: r.blockedReasons(),
 	}
-	if w.placement != nil {
-		status.Epoch = w.placement.Epoch
+	if r.placement != nil {
+		status.Epoch = r.placement.Epoch
 	}
-	if w.problem != nil {
-		status.Problem = w.problem.Error()
+	if r.roundErr != nil {
+		status.Problem = r.roundErr.Error()
 	}
 	return status
 }
 
 // held is why something wanted is not done, by service.
-func (w *work) held() map[string]string {
-	held := make(map[string]string)
-	for name, count := range w.plan.Unplaced {
+func (r *domainReconciler) blockedReasons() map[string]string {
+	reasons := make(map[string]string)
+	for name, count := range r.plan.Unplaced {
 		if count > 0 {
-			held[name] = fmt.Sprintf("no fabric domain has room for %d more", count)
+			reasons[name] = fmt.Sprintf("no fabric domain has room for %d more", count)
 		}
 	}
-	maps.Copy(held, w.plan.BlockedReasons)
-	return held
+	maps.Copy(reasons, r.plan.BlockedReasons)
+	return reasons
 }
--- a/entry/controller/view.go
+++ b/entry/controller/view.go
@@ -16,45 +16,45 @@
 )
 
 // probeAll asks every listed VM and every member how it is.
-func (w *work) probeAll(ctx context.Context) {
-	addresses := w.addresses()
+func (r *domainReconciler) probeAll(ctx context.Context) {
+	addresses := r.addresses()
 	var mu sync.Mutex // guards states
-	states := make(map[vm.Name]probed, len(addresses))
-	each(slices.Collect(maps.Keys(addresses)), func(name vm.Name) {
-		answer := w.probe(ctx, name, addresses[name])
+	results := make(map[vm.Name]probeResult, len(addresses))
+	forEachConcurrently(slices.Collect(maps.Keys(addresses)), func(name vm.Name) {
+		result := r.probe(ctx, name, addresses[name])
 		mu.Lock()
 		defer mu.Unlock()
-		states[name] = answer
+		results[name] = result
 	})
-	w.states = states
+	r.probeResults = results
 }
 
-func (w *work) addresses() map[vm.Name]string {
+func (r *domainReconciler) addresses() map[vm.Name]string {
 	addresses := make(map[vm.Name]string)
-	for _, group := range w.placement.Groups {
+	for _, group := range r.placement.Groups {
 		for _, member := range group.Members {
 			addresses[member.VM] = member.Address
 		}
 	}
-	for _, listed := range w.list.VMs {
+	for _, listed := range r.vmList.VMs {
 		addresses[listed.Name] = listed.Address
 	}
 	return addresses
 }
 
 // probe returns an answer that names the VM that was asked: an address may have been given to another.
-func (w *work) probe(ctx context.Context, name vm.Name, address string) probed {
+func (r *domainReconciler) probe(ctx context.Context, name vm.Name, address string) probeResult {
 	ctx, cancel := context.WithTimeout(ctx, engine.ProbeTimeout)
 	defer cancel()
-	state, err := w.c.Engines.Probe(ctx, address)
-	return probed{ok: err == nil && state.VM == name, state: state}
+	state, err := r.c.Engines.Probe(ctx, address)
+	return probeResult{responded: err == nil && state.VM == name, state: state}
 }
 
 // each calls f for every item, by a few workers, and waits for all.
-func each[T any](items []T, f func(T)) {
+func forEachConcurrently[T any](items []T, f func(T)) {
 	jobs := make(chan T)
 	var pool sync.WaitGroup
-	for range min(probers, len(items)) {
+	for range min(maxConcurrentCalls, len(items)) {
 		pool.Go(func() {
 			for item := range jobs {
 				f(item)
@@ -68,34 +68,34 @@
 	pool.Wait()
 }
 
-func (w *work) now() time.Duration { return w.c.Now().Sub(w.c.start) }
+func (r *domainReconciler) now() time.Duration { return r.c.Now().Sub(r.c.startedAt) }
 
 // view puts together what the decision sees.
-func (w *work) view() forming.View {
+func (r *domainReconciler) buildView() forming.View {
 	view := forming.View{
-		Domain:      string(w.fabric),
-		Services:    w.services(),
-		VMs:         w.viewVMs(),
-		Groups:      w.viewGroups(w.placement),
-		Others:      w.others(),
-		LoadAllowed: w.pacer.Allowed(w.now()),
-	}
-	w.tracker.Observe(w.now(), &view)
+		Domain:      string(r.fabric),
+		Services:    r.viewServices(),
+		VMs:         r.viewVMs(),
+		Groups:      r.viewGroups(r.placement),
+		Others:      r.viewOtherDomains(),
+		LoadAllowed: r.pacer.Allowed(r.now()),
+	}
+	r.tracker.Observe(r.now(), &view)
 	return view
 }
 
-func (w *work) place() domain.Place {
-	if len(w.list.VMs) > 0 {
-		return w.list.VMs[0].Position.Place
+func (r *domainReconciler) place() domain.Place {
+	if len(r.vmList.VMs) > 0 {
+		return r.vmList.VMs[0].Position.Place
 	}
-	return w.placement.Position.Place
+	return r.placement.Position.Place
 }
 
-func (w *work) services() []forming.Service {
-	snapshot := w.c.Settings()
+func (r *domainReconciler) viewServices() []forming.Service {
+	snapshot := r.c.Settings()
 	var services []forming.Service
 	for _, name := range slices.Sorted(maps.Keys(snapshot.Services)) {
-		if s := snapshot.Services[name]; s.Place == w.place() {
+		if s := snapshot.Services[name]; s.Place == r.place() {
 			services = append(services, viewService(s))
 		}
 	}
@@ -115,21 +115,21 @@
 
 func versionOf(model, version string) string { return model + versionSeparator + version }
 
-func (w *work) viewVMs() []forming.VM {
-	aside := make(map[vm.Name]vm.Aside, len(w.placement.Aside))
-	for _, a := range w.placement.Aside {
+func (r *domainReconciler) viewVMs() []forming.VM {
+	aside := make(map[vm.Name]vm.Aside, len(r.placement.Aside))
+	for _, a := range r.placement.Aside {
 		aside[a.VM] = a
 	}
 	seen := make(map[vm.Name]bool)
 	var found []forming.VM
-	for _, listed := range w.list.VMs {
+	for _, listed := range r.vmList.VMs {
 		seen[listed.Name] = true
-		found = append(found, w.viewVM(listed, aside[listed.Name]))
+		found = append(found, r.viewVM(listed, aside[listed.Name]))
 	}
-	for _, group := range w.placement.Groups {
+	for _, group := range r.placement.Groups {
 		for _, member := range group.Members {
 			if !seen[member.VM] {
-				v := w.viewVM(vm.VM{Name: member.VM, Accelerators: member.Accelerators}, vm.Aside{})
+				v := r.viewVM(vm.VM{Name: member.VM, Accelerators: member.Accelerators}, vm.Aside{})
 				v.Listed = false
 				found = append(found, v)
 			}
@@ -138,19 +138,19 @@
 	return found
 }
 
-func (w *work) viewVM(listed vm.VM, aside vm.Aside) forming.VM {
-	answer := w.states[listed.Name]
-	state := answer.state
+func (r *domainReconciler) viewVM(listed vm.VM, aside vm.Aside) forming.VM {
+	result := r.probeResults[listed.Name]
+	state := result.state
 	v := forming.VM{
 		Name: string(listed.Name), Accelerators: listed.Accelerators, DedicatedTo: listed.Service, Listed: true,
-		Leaving: listed.Leaving, Responding: answer.ok,
+		Leaving: listed.Leaving, Responding: result.responded,
 	}
-	if !answer.ok {
-		v.Aside = aside.VM != "" && !w.asideOver(aside)
+	if !result.responded {
+		v.Aside = aside.VM != "" && !r.asideExpired(aside)
 		return v
 	}
 	v.Leaving = v.Leaving || state.Leaving
-	v.Aside = aside.VM != "" && aside.BootID == state.BootID && !w.asideOver(aside)
+	v.Aside = aside.VM != "" && aside.BootID == state.BootID && !r.asideExpired(aside)
 	v.BootID = string(state.BootID)
 	v.Group = string(state.Group)
 	v.Epoch = state.Epoch
@@ -160,12 +160,12 @@
 	return v
 }
 
-func (w *work) asideOver(a vm.Aside) bool { return w.c.Now().UnixMilli() >= a.Until }
+func (r *domainReconciler) asideExpired(a vm.Aside) bool { return r.c.Now().UnixMilli() >= a.Until }
 
-func (w *work) viewGroups(placement *vm.Placement) []forming.Group {
+func (r *domainReconciler) viewGroups(placement *vm.Placement) []forming.Group {
 	found := make([]forming.Group, 0, len(placement.Groups))
 	for _, g := range placement.Groups {
-		group := w.viewGroup(g)
+		group := r.viewGroup(g)
 		for _, m := range g.Members {
 			group.Members = append(group.Members, forming.Member{VM: string(m.VM), BootID: string(m.BootID)})
 		}
@@ -174,16 +174,16 @@
 	return found
 }
 
-func (w *work) viewGroup(g vm.Group) forming.Group {
+func (r *domainReconciler) viewGroup(g vm.Group) forming.Group {
 	group := forming.Group{
 		ID: string(g.ID), Service: g.Service, Version: versionOf(g.Model, g.ModelVersion),
 		Size: len(g.Members), State: forming.State(g.State), Epoch: g.Epoch, NotWhole: g.NotWhole,
-		TokenGap: w.c.GroupReports.TokenGap(g.ID),
+		TokenGap: r.c.GroupReports.TokenGap(g.ID),
 	}
-	whole, known := w.c.GroupReports.Whole(g.ID)
+	whole, known := r.c.GroupReports.Whole(g.ID)
 	group.HomeWhole = whole && known
-	group.HomeNotWhole = w.c.GroupReports.NotWhole(g.ID)
-	group.InProgress, group.HomeReported = w.c.GroupReports.InProgress(g.ID)
+	group.HomeNotWhole = r.c.GroupReports.NotWhole(g.ID)
+	group.InProgress, group.HomeReported = r.c.GroupReports.InProgress(g.ID)
 	if g.State != vm.Serving && g.State != vm.Draining {
 		group.InProgress, group.HomeReported = 0, true
 	}
@@ -191,19 +191,19 @@
 }
 
 // others returns what the other fabric domains of the place report.
-func (w *work) others() []forming.Domain {
+func (r *domainReconciler) viewOtherDomains() []forming.Domain {
 	var found []forming.Domain
-	for _, object := range w.c.Placements.Placements() {
-		if object.Name == string(w.fabric) {
+	for _, object := range r.c.Placements.Placements() {
+		if object.Name == string(r.fabric) {
 			continue
 		}
 		placement := vm.Placement{}
-		if err := json.Unmarshal(object.Value, &placement); err != nil || placement.Position.Place != w.place() {
+		if err := json.Unmarshal(object.Value, &placement); err != nil || placement.Position.Place != r.place() {
 			continue
 		}
 		d := forming.Domain{Name: object.Name, Live: placement.LiveByService}
 		for _, g := range placement.Groups {
-			d.Groups = append(d.Groups, w.viewGroup(g))
+			d.Groups = append(d.Groups, r.viewGroup(g))
 		}
 		found = append(found, d)
 	}
--- a/entry/controller/work.go
+++ b/entry/controller/work.go
@@ -29,139 +29,139 @@
 
 // work is what one entry knows of one fabric domain. busy and status are guarded by Controller.mu; the
 // rest belongs to the round under way.
-type work struct {
-	c      *Controller
-	fabric domain.FabricDomain
-	busy   bool
-	status Status
+type domainReconciler struct {
+	c       *Controller
+	fabric  domain.FabricDomain
+	inRound bool
+	status  Status
 
-	tracker *forming.Tracker
-	pacer   forming.Pacer
-	plan    forming.Plan
-	problem error
+	tracker  *forming.Tracker
+	pacer    forming.Pacer
+	plan     forming.Plan
+	roundErr error
 
-	list   vm.List
-	listed bool
-	states map[vm.Name]probed
+	vmList       vm.List
+	vmListKnown  bool
+	probeResults map[vm.Name]probeResult
 
 	placement *vm.Placement
 	version   platform.Version
 	// confirmed is when the last read or write of the placement that was confirmed was begun.
-	confirmed time.Time
+	confirmedAt time.Time
 	// rivalSeen is when another entry was seen to have taken the domain.
-	rivalSeen time.Time
+	takenOverAt time.Time
 
-	measured     time.Time
-	gauges       map[string]int
-	lastMeasured string
+	measuredAt         time.Time
+	gauges             map[string]int
+	lastRecordedDetail string
 }
 
 // probed is a probe answer.
-type probed struct {
-	ok    bool
-	state engine.State
+type probeResult struct {
+	responded bool
+	state     engine.State
 }
 
-func newWork(c *Controller, fabric domain.FabricDomain) *work {
-	return &work{c: c, fabric: fabric, tracker: forming.NewTracker()}
+func newDomainReconciler(c *Controller, fabric domain.FabricDomain) *domainReconciler {
+	return &domainReconciler{c: c, fabric: fabric, tracker: forming.NewTracker()}
 }
 
 // Reconcile does one round over a domain: it looks, decides, writes, and orders. It returns why the
 // round ended early, or nil. What is left undone is done by a later round.
 func (c *Controller) Reconcile(ctx context.Context, fabric domain.FabricDomain) error {
-	w := c.begin(fabric)
-	if w == nil {
+	r := c.acquire(fabric)
+	if r == nil {
 		return nil
 	}
-	err := w.round(ctx)
-	w.problem = err
-	c.end(w, !eris.Is(err, ErrNotOwner))
+	err := r.round(ctx)
+	r.roundErr = err
+	c.release(r, !eris.Is(err, ErrNotOwner))
 	return err // not w.problem: from end on, w is the next round's
 }
 
-func (w *work) round(ctx context.Context) error {
-	if !w.c.owns(w.fabric) {
+func (r *domainReconciler) round(ctx context.Context) error {
+	if !r.c.owns(r.fabric) {
 		return ErrNotOwner
 	}
-	if w.c.Settings() == nil {
+	if r.c.Settings() == nil {
 		return ErrNoSettings
 	}
-	if err := w.hold(ctx); err != nil {
+	if err := r.ensureOwnership(ctx); err != nil {
 		return err
 	}
-	if err := w.readList(ctx); err != nil {
+	if err := r.readVMList(ctx); err != nil {
 		return err
 	}
-	w.probeAll(ctx)
-	if len(w.list.VMs) == 0 && w.anyAnswers() {
-		return eris.Wrap(ErrEmptyList, string(w.fabric))
+	r.probeAll(ctx)
+	if len(r.vmList.VMs) == 0 && r.anyMemberResponds() {
+		return eris.Wrap(ErrEmptyList, string(r.fabric))
 	}
-	view := w.view()
-	w.plan = forming.Decide(view)
-	w.measure()
-	if err := w.write(ctx, &view); err != nil {
+	view := r.buildView()
+	r.plan = forming.Decide(view)
+	r.updateMetrics()
+	if err := r.writePlan(ctx, &view); err != nil {
 		return err
 	}
-	return w.order(ctx)
+	return r.sendOrders(ctx)
 }
 
 // hold makes sure that the placement is known and is this entry's, and takes it over if it is not.
-func (w *work) hold(ctx context.Context) error {
-	if w.placement == nil || w.mirrorIsAhead() {
-		if err := w.read(ctx); err != nil {
+func (r *domainReconciler) ensureOwnership(ctx context.Context) error {
+	if r.placement == nil || r.mirrorIsAhead() {
+		if err := r.readPlacement(ctx); err != nil {
 			return err
 		}
 	}
-	if w.isOurs() {
+	if r.ownsPlacement() {
 		return nil
 	}
-	if w.wasOurs() {
-		if w.rivalSeen.IsZero() {
-			w.rivalSeen = w.c.Now()
+	if r.ownedBefore() {
+		if r.takenOverAt.IsZero() {
+			r.takenOverAt = r.c.Now()
 		}
-		if w.c.Now().Sub(w.rivalSeen) < ReclaimDelay {
-			w.placement = nil
-			return eris.Wrap(ErrTakenOver, string(w.fabric))
+		if r.c.Now().Sub(r.takenOverAt) < ReclaimDelay {
+			r.placement = nil
+			return eris.Wrap(ErrTakenOver, string(r.fabric))
 		}
 	}
-	return w.takeOver(ctx)
+	return r.takeOver(ctx)
 }
 
-func (w *work) isOurs() bool {
-	return w.placement.Controller == w.c.Membership.Self() && w.placement.Incarnation == w.c.Incarnation
+func (r *domainReconciler) ownsPlacement() bool {
+	return r.placement.Controller == r.c.Membership.Self() && r.placement.Incarnation == r.c.Incarnation
 }
 
 // wasOurs says that this entry held the domain, and has thought without a break that it owns it. Whoever
 // took it since thinks the same of itself, whether or not it is held dead here. A domain that this entry
 // did not hold is taken at once.
-func (w *work) wasOurs() bool { return w.plan.Targets != nil }
+func (r *domainReconciler) ownedBefore() bool { return r.plan.Targets != nil }
 
-func (w *work) takeOver(ctx context.Context) error {
-	next := w.placement.Clone()
+func (r *domainReconciler) takeOver(ctx context.Context) error {
+	next := r.placement.Clone()
 	next.Epoch++
-	if err := w.put(ctx, next); err != nil {
+	if err := r.writePlacement(ctx, next); err != nil {
 		return err
 	}
-	w.rivalSeen = time.Time{}
-	w.tracker = forming.NewTracker()
-	w.pacer = forming.Pacer{}
-	w.record(timeline.Event{Kind: timeline.DomainTaken, Version: next.Epoch})
+	r.takenOverAt = time.Time{}
+	r.tracker = forming.NewTracker()
+	r.pacer = forming.Pacer{}
+	r.record(timeline.Event{Kind: timeline.DomainTaken, Version: next.Epoch})
 	return nil
 }
 
-func (w *work) mirrorIsAhead() bool {
-	for _, object := range w.c.Placements.Placements() {
-		if object.Name == string(w.fabric) {
-			return object.Version > w.version
+func (r *domainReconciler) mirrorIsAhead() bool {
+	for _, object := range r.c.Placements.Placements() {
+		if object.Name == string(r.fabric) {
+			return object.Version > r.version
 		}
 	}
 	return false
 }
 
 // read reads the placement. One that does not exist yet is version 0 and empty.
-func (w *work) read(ctx context.Context) error {
-	begun := w.c.Now()
-	object, err := w.c.Store.Get(ctx, platform.KindPlacement, string(w.fabric))
+func (r *domainReconciler) readPlacement(ctx context.Context) error {
+	startedAt := r.c.Now()
+	object, err := r.c.Store.Get(ctx, platform.KindPlacement, string(r.fabric))
 	if err != nil && !eris.Is(err, platform.ErrNotFound) {
 		return err
 	}
@@ -170,16 +170,16 @@
 		if err := json.Unmarshal(object.Value, placement); err != nil {
 			return eris.Wrap(err, "placement")
 		}
-		w.c.OnPlacement(object)
+		r.c.OnPlacement(object)
 	}
-	w.adopt(placement, object.Version, begun)
+	r.setPlacement(placement, object.Version, startedAt)
 	return nil
 }
 
-func (w *work) adopt(placement *vm.Placement, version platform.Version, begun time.Time) {
-	w.placement = placement
-	w.version = version
-	w.confirmed = begun
+func (r *domainReconciler) setPlacement(placement *vm.Placement, version platform.Version, startedAt time.Time) {
+	r.placement = placement
+	r.version = version
+	r.confirmedAt = startedAt
 }
 
 // fresh returns nil if the entry may act on the placement that it holds: it owns the domain, and the
@@ -187,31 +187,33 @@
 //
 // What goes wrong without it: a process that was paused for a minute goes on with the orders of a
 // placement that its successor has long replaced. Engines that ignore fencing numbers would obey.
-func (w *work) fresh(ctx context.Context) error {
-	if !w.c.owns(w.fabric) {
+func (r *domainReconciler) ensureFresh(ctx context.Context) error {
+	if !r.c.owns(r.fabric) {
 		return ErrNotOwner
 	}
-	if w.mayAct() {
+	if r.placementFresh() {
 		return nil
 	}
-	version := w.version
-	if err := w.read(ctx); err != nil {
+	version := r.version
+	if err := r.readPlacement(ctx); err != nil {
 		return err
 	}
-	if w.version != version {
-		return eris.Wrap(ErrOutdated, string(w.fabric))
+	if r.version != version {
+		return eris.Wrap(ErrOutdated, string(r.fabric))
 	}
 	return nil
 }
 
-func (w *work) mayAct() bool { return w.c.Now().Sub(w.confirmed) < MaxPlacementAge }
+func (r *domainReconciler) placementFresh() bool {
+	return r.c.Now().Sub(r.confirmedAt) < MaxPlacementAge
+}
 
 // put writes a placement and adopts it once the write is confirmed. After any failure the placement is
 // unknown: the next round reads it.
-func (w *work) put(ctx context.Context, next *vm.Placement) error {
-	next.Controller = w.c.Membership.Self()
-	next.Incarnation = w.c.Incarnation
-	next.Nonce = w.c.NewID()
+func (r *domainReconciler) writePlacement(ctx context.Context, next *vm.Placement) error {
+	next.Controller = r.c.Membership.Self()
+	next.Incarnation = r.c.Incarnation
+	next.Nonce = r.c.NewID()
 	if err := next.Check(); err != nil {
 		return err
 	}
@@ -219,31 +221,31 @@
 	if err != nil {
 		return eris.Wrap(err, "placement")
 	}
-	begun := w.c.Now()
+	startedAt := r.c.Now()
 	ctx, cancel := context.WithTimeout(ctx, WriteTimeout)
 	defer cancel()
-	version, err := platform.PutConfirmed(ctx, w.c.Store, platform.KindPlacement, string(w.fabric), w.version, value, next.Nonce)
+	version, err := platform.PutConfirmed(ctx, r.c.Store, platform.KindPlacement, string(r.fabric), r.version, value, next.Nonce)
 	if err != nil {
-		w.placement = nil
+		r.placement = nil
 		return err
 	}
-	w.adopt(next, version, begun)
-	w.c.OnPlacement(platform.Object{Kind: platform.KindPlacement, Name: string(w.fabric), Version: version, Value: value})
-	w.record(timeline.Event{Kind: timeline.PlacementWritten, Version: uint64(version)})
+	r.setPlacement(next, version, startedAt)
+	r.c.OnPlacement(platform.Object{Kind: platform.KindPlacement, Name: string(r.fabric), Version: version, Value: value})
+	r.record(timeline.Event{Kind: timeline.PlacementWritten, Version: uint64(version)})
 	return nil
 }
 
 // readList reads the VMs of the domain. During an outage of the platform the last list stands: nothing
 // can be written then anyway.
-func (w *work) readList(ctx context.Context) error {
-	object, err := w.c.Store.Get(ctx, platform.KindVMs, string(w.fabric))
+func (r *domainReconciler) readVMList(ctx context.Context) error {
+	object, err := r.c.Store.Get(ctx, platform.KindVMs, string(r.fabric))
 	if eris.Is(err, platform.ErrNotFound) {
-		w.list = vm.List{}
-		w.listed = true
+		r.vmList = vm.List{}
+		r.vmListKnown = true
 		return nil
 	}
 	if err != nil {
-		if w.listed {
+		if r.vmListKnown {
 			return nil
 		}
 		return err
@@ -252,21 +254,21 @@
 	if err := json.Unmarshal(object.Value, &list); err != nil {
 		return eris.Wrap(err, "vms")
 	}
-	w.list = list
-	w.listed = true
+	r.vmList = list
+	r.vmListKnown = true
 	return nil
 }
 
-func (w *work) anyAnswers() bool {
-	for _, answer := range w.states {
-		if answer.ok {
+func (r *domainReconciler) anyMemberResponds() bool {
+	for _, result := range r.probeResults {
+		if result.responded {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *work) record(e timeline.Event) {
-	e.Domain = string(w.fabric)
-	w.c.Recorder.Record(e)
+func (r *domainReconciler) record(e timeline.Event) {
+	e.Domain = string(r.fabric)
+	r.c.Recorder.Record(e)
 }
