--- a/entry/controller/apply.go
+++ b/entry/controller/apply.go
@@ -11,8 +11,8 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// write writes the placement that the plan makes, if it differs from the one that stands. It is the only
-// change that a plan makes before its write is confirmed.
+// writePlan writes the placement that results from the plan, if it differs from the current one. Nothing else of
+// the plan takes effect before that write is confirmed.
 func (r *domainReconciler) writePlan(ctx context.Context, view *forming.View) error {
 	next := r.nextPlacement()
 	if next == nil {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// next returns the placement after the plan's steps, or nil if nothing changes.
+// nextPlacement returns the placement that results from the plan's steps, or nil if nothing changes.
 func (r *domainReconciler) nextPlacement() *vm.Placement {
 	next := r.placement.Clone()
 	next.Fence = max(next.Fence, r.highestFence())
@@ -49,8 +49,8 @@
 	return next
 }
 
-// highestFence is the highest fencing number that an engine of the domain says it has seen. It is above
-// the placement's own only if the platform was set back to an older state.
+// highestFence returns the highest fencing number that any engine of the domain reports. It is higher than the
+// placement's own only if the platform was restored to an older state.
 func (r *domainReconciler) highestFence() uint64 {
 	highest := uint64(0)
 	for _, result := range r.probeResults {
@@ -61,7 +61,7 @@
 	return highest
 }
 
-// apply changes next by one step and returns whether anything changed.
+// applyStep applies one step of the plan to next and returns whether anything changed.
 func (r *domainReconciler) applyStep(next *vm.Placement, step forming.Step) bool {
 	if step.Kind == forming.StepForm {
 		return r.applyForm(next, step)
@@ -118,8 +118,8 @@
 	return true
 }
 
-// applyLoad names the boots that are to load. The epoch and the fencing number make answers to earlier
-// orders tell apart.
+// applyLoad records the boot id of each member that is to load. The new epoch and fencing number distinguish
+// replies to this order from replies to earlier ones.
 func (r *domainReconciler) applyLoad(next *vm.Placement, group *vm.Group, step forming.Step) bool {
 	for i := range group.Members {
 		result := r.probeResults[group.Members[i].VM]
@@ -153,7 +153,8 @@
 	})
 }
 
-// dropAside forgets VMs whose time aside is over, or that restarted or are no longer listed.
+// pruneAside removes from the aside list the VMs whose time is over, that restarted, or that are no longer
+// listed. It returns whether it removed any.
 func (r *domainReconciler) pruneAside(next *vm.Placement) bool {
 	before := len(next.Aside)
 	next.Aside = slices.DeleteFunc(next.Aside, func(a vm.Aside) bool {
@@ -164,7 +165,7 @@
 	return len(next.Aside) != before
 }
 
-// report writes what the other controllers need to know, and returns whether it changed.
+// updateReport sets the fields of the placement that the other controllers read and returns whether they changed.
 func (r *domainReconciler) updateReport(next *vm.Placement) bool {
 	count, accelerators := 0, 0
 	for _, n := range r.plan.Live {
@@ -190,7 +191,7 @@
 	return true
 }
 
-// noteLoads books the loads of the plan that was written.
+// recordLoadStarts counts the loads of the written plan against the pacing limit.
 func (r *domainReconciler) recordLoadStarts(view *forming.View) {
 	for _, step := range r.plan.Steps {
 		if step.Kind != forming.StepLoad {
@@ -204,7 +205,7 @@
 	}
 }
 
-// recordStates tells the time line which groups changed their state.
+// recordStateChanges records a time line event for each group whose state changed.
 func (r *domainReconciler) recordStateChanges(before *vm.Placement) {
 	for _, g := range r.placement.Groups {
 		if old := before.Group(g.ID); old == nil || old.State != g.State {
--- a/entry/controller/controller.go
+++ b/entry/controller/controller.go
@@ -1,15 +1,16 @@
-// Package controller is the role that forms, loads, drains and dissolves the groups of the fabric domains
-// that this entry owns.
+// Package controller reconciles the fabric domains that this entry owns: it forms, loads, drains and
+// dissolves their groups.
 //
-// The flow of one round over a domain: probe its VMs -> build a forming.View -> forming.Decide -> write the
-// changed placement in one conditional write -> once that is confirmed, send the orders that it names.
-// What the orders came to shows in the next round's probes: some engines ignore fencing numbers, so that
-// an answer to an order proves nothing.
+// One round over a domain probes its VMs, builds a forming.View, calls forming.Decide, and stores the changed
+// placement in one conditional write. Once that write is confirmed, the round sends the orders that the
+// placement calls for. The next round's probes show whether an order took effect. The reply to an order is
+// not proof of that, because some engines ignore fencing numbers.
 //
-// Ownership is computed from the live entries and made safe by the placement object: whoever takes over
-// raises its epoch, and the write of one who was replaced fails. An owner acts only within MaxPlacementAge of
-// its last confirmed read or write of the object, checked at each action by the monotonic clock, so that
-// a process that wakes from a pause looks first.
+// Ownership is computed from the set of live entries. The placement object makes it safe: an entry that
+// takes a domain over increments the placement's epoch, and later conditional writes by the previous owner
+// fail. An owner acts only within MaxPlacementAge of its last confirmed read or write of the placement. The
+// monotonic clock is checked before each action, so a process that resumes after a pause reads the placement
+// again before it acts.
 package controller
 
 import (
@@ -30,93 +31,103 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// Times.
+// Intervals and time limits.
 const (
-	// RoundInterval is the pause between two rounds over a domain. With the list read each round, a VM that the
-	// list calls leaving is noticed within it, which leaves two of the three seconds to spread the news.
+	// RoundInterval is the pause between two rounds over a domain. The VM list is read each round, so a VM that
+	// the list reports as leaving is noticed within one interval. That leaves two of the three seconds allowed
+	// for spreading the news to all entries.
 	RoundInterval = time.Second
-	// MaxPlacementAge is how long a confirmed read or write of the placement allows to act. It bounds how long a
-	// controller that was replaced without noticing goes on; a round takes far less.
+	// MaxPlacementAge is how long after the start of a confirmed read or write of the placement the controller
+	// may act on it. It bounds how long a controller keeps acting after it was replaced without noticing. A
+	// round takes far less.
 	MaxPlacementAge = 2 * time.Second
-	// WriteTimeout bounds how long a write whose answer was lost is settled; then the next round reads.
+	// WriteTimeout bounds a placement write, including the reads that find out whether a write without a reply
+	// took effect. After it, the next round reads the placement again.
 	WriteTimeout = 2 * time.Second
-	// OrderDeadline is how long after its sending an order may still be carried out.
+	// OrderDeadline is how long after it was sent an order may still be carried out.
 	OrderDeadline = 2 * time.Second
-	// OrderTimeout bounds the wait for the answer to an order.
+	// OrderTimeout bounds the wait for the reply to an order.
 	OrderTimeout = time.Second
-	// AsideDuration is how long a straggler is kept out of groups, unless it restarts.
+	// AsideDuration is how long a straggler is excluded from groups, unless it restarts earlier.
 	AsideDuration = time.Hour
-	// ReclaimDelay is how long an entry waits before it takes a domain back. Two entries with different views of
-	// who is live, as when the network between them is cut, would otherwise take it from each other each
-	// round, which is a write a second for each domain; and since whoever takes over watches anew, neither
-	// would ever replace a silent member. It is twice forming.SilenceGrace, so that each turn is long enough for that.
+	// ReclaimDelay is how long an entry waits before it takes a domain back from another entry. Entries that
+	// disagree on which entries are live, for example in a network partition, would otherwise take the domain
+	// from each other in every round. That costs one write per second and domain, and since a takeover restarts
+	// the observation of members, neither entry would ever replace a silent member. ReclaimDelay is twice
+	// forming.SilenceGrace so that each entry owns the domain long enough to replace one.
 	ReclaimDelay = 2 * forming.SilenceGrace
 )
 
-// workers bounds the domains worked on at a time, and probers the probes and orders under way per domain.
+// Concurrency limits: domains reconciled at a time, and probes or orders in flight per domain.
 const (
 	maxConcurrentDomains = 4
 	maxConcurrentCalls   = 16
 )
 
-// Membership tells which entries are live.
+// Membership reports which entries are live.
 type Membership interface {
-	// Self is the own name, Live the names of the live entries that are not leaving, own included.
+	// Self returns the name of this entry.
 	Self() string
+	// Live returns the names of the live entries that are not leaving, including this one.
 	Live() []string
 }
 
-// Placements are the mirrored placement objects: which fabric domains exist, and what others report.
+// Placements gives access to the mirrored placement objects. They name the existing fabric domains and hold the
+// reports of the other controllers.
 type Placements interface {
 	Placements() []platform.Object
 }
 
-// GroupReports is what homes report of groups.
+// GroupReports gives access to the homes' reports on their groups.
 type GroupReports interface {
-	// InProgress counts the requests at work on a group, at all entries. Known is true only if the home has
-	// seen the group draining and takes no more: a count from before says nothing.
+	// InProgress returns the number of requests in progress on a group, over all entries. known is true only if
+	// the home has seen that the group is draining and accepts no more requests. A count from before that
+	// moment can still rise, so it is no proof that the group is idle.
 	InProgress(group vm.GroupID) (n int, known bool)
-	// Whole says what the home last said of the group, if it said so within some seconds.
+	// Whole returns whether the home last reported the group as whole. known is false if there is no report from
+	// the last few seconds.
 	Whole(group vm.GroupID) (whole, known bool)
-	// NotWhole says that the home said a moment ago that it gives the group no work, since it is not whole.
+	// NotWhole returns whether the home recently reported that it sends the group no requests because the group
+	// is not whole.
 	NotWhole(group vm.GroupID) bool
-	// TokenGap is the time between tokens that the home measures; 0 if unknown.
+	// TokenGap returns the time between tokens that the home measures, or 0 if it is unknown.
 	TokenGap(group vm.GroupID) time.Duration
 }
 
-// Deps are what a Controller works with.
+// Deps holds the dependencies of a Controller.
 type Deps struct {
 	Store        platform.Store
 	Engines      engine.Client
 	Membership   Membership
 	Placements   Placements
 	GroupReports GroupReports
-	// Settings returns the snapshot in force, or nil before the first.
+	// Settings returns the snapshot in force, or nil before there is one.
 	Settings    func() *settings.Snapshot
 	Incarnation string
 	Recorder    *timeline.Recorder
 	Metrics     metrics.Registry
 	Log         logrus.FieldLogger
-	// OnPlacement is called with each placement that was written or read, so that the mirror need not wait for its
-	// watch; nil: nobody is told.
+	// OnPlacement, if not nil, is called with each placement that was written or read, so that the mirror need
+	// not wait for its watch.
 	OnPlacement func(platform.Object)
-	// Now reads the monotonic clock, and NewID makes ids that are never given twice; nil: the usual ones.
-	Now   func() time.Time
+	// Now returns the current time with a monotonic reading. The default is time.Now.
+	Now func() time.Time
+	// NewID returns an id that is never returned twice. The default is rand.Text.
 	NewID func() string
 }
 
-// Controller works on the fabric domains that this entry owns. It is safe for concurrent use.
+// Controller reconciles the fabric domains that this entry owns. It is safe for concurrent use.
 type Controller struct {
 	Deps
 	startedAt time.Time
 
-	mu          sync.Mutex // guards what follows; a leaf lock: not held over I/O
+	mu          sync.Mutex // guards the fields below; a leaf lock, not held during I/O
 	reconcilers map[domain.FabricDomain]*domainReconciler
-	// rounds counts those in which this entry was to discover domains.
+	// discoveryRounds counts the rounds in which this entry was responsible for discovering domains.
 	discoveryRounds int
 }
 
-// New returns a controller; Run makes it work.
+// New returns a Controller. Run starts it.
 func New(d Deps) *Controller {
 	if d.Now == nil {
 		d.Now = time.Now
@@ -130,14 +141,14 @@
 	return &Controller{Deps: d, startedAt: d.Now(), reconcilers: make(map[domain.FabricDomain]*domainReconciler)}
 }
 
-// Run works until ctx ends.
+// Run discovers and reconciles fabric domains until ctx is done.
 func (c *Controller) Run(ctx context.Context) {
 	jobs := make(chan domain.FabricDomain)
 	var pool sync.WaitGroup
 	for range maxConcurrentDomains {
 		pool.Go(func() {
 			for fabric := range jobs {
-				_ = c.Reconcile(ctx, fabric) // Status shows why a round ended early
+				_ = c.Reconcile(ctx, fabric) // Status reports the error
 			}
 		})
 	}
@@ -162,7 +173,7 @@
 	}
 }
 
-// candidates are the domains that this entry owns, or worked on until now.
+// domainsToReconcile returns the domains that this entry owns and those of which it still holds state.
 func (c *Controller) domainsToReconcile() []domain.FabricDomain {
 	var found []domain.FabricDomain
 	seen := make(map[domain.FabricDomain]bool)
@@ -187,7 +198,7 @@
 	return domain.Owner("controller/"+string(fabric), c.Membership.Live()) == c.Membership.Self()
 }
 
-// begin hands out the domain's work to one round at a time; nil if a round is under way.
+// acquire returns the domain's reconciler for the exclusive use of one round, or nil if a round is in progress.
 func (c *Controller) acquire(fabric domain.FabricDomain) *domainReconciler {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -203,7 +214,8 @@
 	return r
 }
 
-// end gives the work back, with its status for Status, and drops it if the domain is not owned any more.
+// release ends the round and publishes the domain's status. It drops the reconciler if the entry does not own
+// the domain any more.
 func (c *Controller) release(r *domainReconciler, owned bool) {
 	if !owned {
 		r.setGauges(nil)
@@ -217,20 +229,20 @@
 	}
 }
 
-// Status is what an operator sees of a domain that this entry controls.
+// Status describes a domain that this entry controls, for operators.
 type Status struct {
 	Domain   domain.FabricDomain `json:"domain"`
 	Epoch    uint64              `json:"epoch"`
 	Targets  map[string]int      `json:"targets"`
 	Down     map[string]int      `json:"down"`
 	Stranded int                 `json:"stranded_accelerators"`
-	// Held says, by service, why something wanted is not done.
+	// Held holds, by service, the reason why a wanted change is not made.
 	Held map[string]string `json:"held,omitempty"`
-	// Problem is what the last round failed with.
+	// Problem is the error of the last round.
 	Problem string `json:"problem,omitempty"`
 }
 
-// Status returns the domains that this entry controls.
+// Status returns the status of each domain that this entry controls.
 func (c *Controller) Status() []Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/entry/controller/discover.go
+++ b/entry/controller/discover.go
@@ -11,13 +11,13 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// DiscoverEveryRounds is how many rounds pass between two looks for new fabric domains. They come with new
-// racks, so half a minute is soon enough; the list of all VMs is the largest read there is.
+// DiscoverEveryRounds is the number of rounds between two searches for new fabric domains. New domains come with
+// new racks, so half a minute is soon enough, and the list of all VMs is the largest read of all.
 const DiscoverEveryRounds = 30
 
-// Discover looks for fabric domains that have no placement yet, and creates an empty one for each. One
-// entry does it for all, so that the list of all VMs is read once, not by every entry; the placement
-// objects, which all entries mirror, then name the domains.
+// Discover creates an empty placement for each fabric domain that has none. One entry does this for all, so that
+// not every entry reads the list of all VMs. The others learn of the domains from the placement objects,
+// which every entry mirrors.
 func (c *Controller) Discover(ctx context.Context) {
 	if domain.Owner("controller/discover", c.Membership.Live()) != c.Membership.Self() || !c.discoveryDue() {
 		return
@@ -53,7 +53,7 @@
 	c.discoveryRounds = 0
 }
 
-// create writes an empty placement that nobody holds. It exists already if another entry was faster.
+// createPlacement writes an empty placement without an owner. A conflict means that another entry was faster.
 func (c *Controller) createPlacement(ctx context.Context, name string) {
 	value, err := json.Marshal(vm.Placement{Nonce: c.NewID()})
 	if err != nil {
--- a/entry/controller/measure.go
+++ b/entry/controller/measure.go
@@ -12,23 +12,25 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// Names of the metrics. Those of services end in the service's name.
+// Names of the metrics. The name of a metric that ends in a dot is followed by the service, the fabric domain, or
+// both.
 const (
-	// MetricGroupDowntime counts milliseconds in which a wanted group did not serve.
+	// MetricGroupDowntime counts, by service, the milliseconds in which a wanted group did not serve.
 	MetricGroupDowntime = "controller.group_downtime_ms."
-	// MetricGroupsDown is how many wanted groups do not serve now.
+	// MetricGroupsDown is the current number of wanted groups that do not serve, by service and fabric domain.
 	MetricGroupsDown = "controller.groups_down."
-	// MetricStrandedTime counts accelerator-milliseconds live but in no serving group.
+	// MetricStrandedTime counts the accelerator-milliseconds of accelerators that are live but in no serving group.
 	MetricStrandedTime = "controller.stranded_accelerator_ms"
-	// MetricStrandedAccelerators is how many accelerators that are, now, by fabric domain.
+	// MetricStrandedAccelerators is the current number of such accelerators, by fabric domain.
 	MetricStrandedAccelerators = "controller.stranded_accelerators."
 )
 
-// maxMeasured bounds the time that one measurement accounts for: over a longer gap (a pause, a takeover)
-// nothing was seen, and the controller in between accounts for it.
+// maxMeasuredGap bounds the time that one measurement accounts for. In a longer gap, caused by a pause or a
+// takeover, this entry observed nothing, and the controller that owned the domain meanwhile accounts for it.
 const maxMeasuredGap = 5 * RoundInterval
 
-// measure books the two measures since the last round.
+// updateMetrics adds the time since the last round to the downtime and stranded-time counters, and updates the
+// gauges.
 func (r *domainReconciler) updateMetrics() {
 	now := r.c.Now()
 	since := min(now.Sub(r.measuredAt), maxMeasuredGap)
@@ -52,8 +54,8 @@
 	metrics.GetOrRegisterCounter(name, r.c.Metrics).Inc(d.Milliseconds())
 }
 
-// showGauges replaces the domain's gauges. One that stayed behind, of a service that is gone or at an entry that
-// lost the domain, would keep its last value, and an alarm on it would never end.
+// setGauges replaces the domain's gauges. A gauge that remained after its service was removed, or after the entry
+// lost the domain, would keep its last value, and an alert on it would never resolve.
 func (r *domainReconciler) setGauges(gauges map[string]int) {
 	for name := range r.gauges {
 		if _, keep := gauges[name]; !keep {
@@ -66,7 +68,7 @@
 	r.gauges = gauges
 }
 
-// recordMeasures tells the time line when a measure changes.
+// recordMetricsChange records a time line event when the down groups or the stranded accelerators change.
 func (r *domainReconciler) recordMetricsChange() {
 	parts := make([]string, 0, len(r.plan.DownGroups)+1)
 	for _, name := range slices.Sorted(maps.Keys(r.plan.DownGroups)) {
@@ -80,7 +82,7 @@
 	}
 }
 
-// newStatus is what Status shows of the round that ended.
+// newStatus returns the domain's status after the round that just ended.
 func (r *domainReconciler) newStatus() Status {
 	status := Status{
 		Domain: r.fabric, Targets: r.plan.Targets, Down: r.plan.DownGroups, Stranded: r.plan.StrandedAccelerators, Held: r.blockedReasons(),
@@ -94,7 +96,7 @@
 	return status
 }
 
-// held is why something wanted is not done, by service.
+// blockedReasons returns, by service, the reason why a wanted change is not made.
 func (r *domainReconciler) blockedReasons() map[string]string {
 	reasons := make(map[string]string)
 	for name, count := range r.plan.Unplaced {
--- a/entry/controller/orders.go
+++ b/entry/controller/orders.go
@@ -13,15 +13,15 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// sending is one order to one VM.
+// pendingOrder is an order to be sent to one VM.
 type pendingOrder struct {
 	target  vm.Name
 	address string
 	order   engine.Order
 }
 
-// order sends what the confirmed placement calls for. Orders are idempotent: one that was lost is sent
-// again by the next round, since the probe does not show what it asks for.
+// sendOrders sends the orders that the confirmed placement calls for. Orders are idempotent. If one is lost, the
+// probes of the next round do not show its effect, and that round sends it again.
 func (r *domainReconciler) sendOrders(ctx context.Context) error {
 	orders := append(r.loadOrders(), r.releaseOrders()...)
 	orders = append(orders, r.orphanReleaseOrders()...)
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// loadOrders go to members of loading groups that have not taken theirs.
+// loadOrders returns the orders to members of loading groups that have not yet followed theirs.
 func (r *domainReconciler) loadOrders() []pendingOrder {
 	var orders []pendingOrder
 	for _, g := range r.placement.Groups {
@@ -64,7 +64,7 @@
 	return state.Group == g.ID && state.Epoch == g.Epoch
 }
 
-// releaseOrders go to members of drained groups that still have the group's state.
+// releaseOrders returns the orders to members of drained groups that still report being in the group.
 func (r *domainReconciler) releaseOrders() []pendingOrder {
 	var orders []pendingOrder
 	for _, step := range r.plan.Steps {
@@ -81,8 +81,8 @@
 	return orders
 }
 
-// strayOrders go to VMs that are in no group of the placement but say they are in one: survivors of a
-// group that was dissolved, or VMs that obeyed a late order of an earlier controller.
+// orphanReleaseOrders returns the orders to VMs that are in no group of the placement but report being in one:
+// survivors of a dissolved group, or VMs that obeyed a late order of an earlier controller.
 func (r *domainReconciler) orphanReleaseOrders() []pendingOrder {
 	grouped := make(map[vm.Name]bool)
 	for _, g := range r.placement.Groups {
@@ -111,7 +111,7 @@
 	return fmt.Sprintf("%s-%d-%s", kind, fence, to)
 }
 
-// send sends one order, unless the placement was confirmed too long ago meanwhile.
+// sendOrder sends one order, unless the entry has lost the domain or the placement is no longer fresh.
 func (r *domainReconciler) sendOrder(ctx context.Context, pending pendingOrder) {
 	if !r.placementFresh() || !r.c.owns(r.fabric) {
 		return
--- a/entry/controller/view.go
+++ b/entry/controller/view.go
@@ -15,10 +15,10 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// probeAll asks every listed VM and every member how it is.
+// probeAll probes every listed VM and every member of a group.
 func (r *domainReconciler) probeAll(ctx context.Context) {
 	addresses := r.addresses()
-	var mu sync.Mutex // guards states
+	var mu sync.Mutex // guards results
 	results := make(map[vm.Name]probeResult, len(addresses))
 	forEachConcurrently(slices.Collect(maps.Keys(addresses)), func(name vm.Name) {
 		result := r.probe(ctx, name, addresses[name])
@@ -42,7 +42,8 @@
 	return addresses
 }
 
-// probe returns an answer that names the VM that was asked: an address may have been given to another.
+// probe probes a VM. A response counts only if it names that VM, because the address may have been reassigned to
+// another one.
 func (r *domainReconciler) probe(ctx context.Context, name vm.Name, address string) probeResult {
 	ctx, cancel := context.WithTimeout(ctx, engine.ProbeTimeout)
 	defer cancel()
@@ -50,7 +51,7 @@
 	return probeResult{responded: err == nil && state.VM == name, state: state}
 }
 
-// each calls f for every item, by a few workers, and waits for all.
+// forEachConcurrently calls f for each item, up to maxConcurrentCalls at a time, and waits for all calls.
 func forEachConcurrently[T any](items []T, f func(T)) {
 	jobs := make(chan T)
 	var pool sync.WaitGroup
@@ -70,7 +71,7 @@
 
 func (r *domainReconciler) now() time.Duration { return r.c.Now().Sub(r.c.startedAt) }
 
-// view puts together what the decision sees.
+// buildView returns the input of forming.Decide.
 func (r *domainReconciler) buildView() forming.View {
 	view := forming.View{
 		Domain:      string(r.fabric),
@@ -110,7 +111,7 @@
 	}
 }
 
-// versionSeparator can't be part of a model's name.
+// versionSeparator separates a model's name from its version; it can't be part of the name.
 const versionSeparator = "\x00"
 
 func versionOf(model, version string) string { return model + versionSeparator + version }
@@ -190,7 +191,7 @@
 	return group
 }
 
-// others returns what the other fabric domains of the place report.
+// viewOtherDomains returns the reports of the other fabric domains in the same place.
 func (r *domainReconciler) viewOtherDomains() []forming.Domain {
 	var found []forming.Domain
 	for _, object := range r.c.Placements.Placements() {
--- a/entry/controller/work.go
+++ b/entry/controller/work.go
@@ -15,20 +15,20 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// ErrNotOwner and its kin say why a round ended early.
+// Errors that end a round early.
 var (
 	ErrNotOwner  = eris.New("fabric domain is owned by another entry")
 	ErrTakenOver = eris.New("another entry took the fabric domain over")
 	ErrOutdated  = eris.New("placement changed since it was read")
-	// ErrNoSettings: without settings nothing is known to be wanted, and nothing to be unwanted either.
+	// ErrNoSettings means that no settings are known, so neither wanted nor unwanted groups can be determined.
 	ErrNoSettings = eris.New("no settings known yet")
-	// ErrEmptyList: the list of VMs names none, while members of groups answer. It is not believed, or a
-	// fault of the platform would drain every replica.
+	// ErrEmptyList means that the VM list is empty although members of groups respond. Such a list is ignored,
+	// because a fault of the platform would otherwise drain every replica.
 	ErrEmptyList = eris.New("the platform lists no VMs, but members answer")
 )
 
-// work is what one entry knows of one fabric domain. busy and status are guarded by Controller.mu; the
-// rest belongs to the round under way.
+// domainReconciler holds an entry's state of one fabric domain. Controller.mu guards inRound and status; the
+// round in progress owns the other fields.
 type domainReconciler struct {
 	c       *Controller
 	fabric  domain.FabricDomain
@@ -46,9 +46,9 @@
 
 	placement *vm.Placement
 	version   platform.Version
-	// confirmed is when the last read or write of the placement that was confirmed was begun.
+	// confirmedAt is when the last confirmed read or write of the placement was started.
 	confirmedAt time.Time
-	// rivalSeen is when another entry was seen to have taken the domain.
+	// takenOverAt is when this entry noticed that another one had taken the domain over.
 	takenOverAt time.Time
 
 	measuredAt         time.Time
@@ -56,7 +56,7 @@
 	lastRecordedDetail string
 }
 
-// probed is a probe answer.
+// probeResult is the outcome of probing one VM.
 type probeResult struct {
 	responded bool
 	state     engine.State
@@ -66,8 +66,9 @@
 	return &domainReconciler{c: c, fabric: fabric, tracker: forming.NewTracker()}
 }
 
-// Reconcile does one round over a domain: it looks, decides, writes, and orders. It returns why the
-// round ended early, or nil. What is left undone is done by a later round.
+// Reconcile does one round over a domain: it probes the VMs, decides, writes the placement and sends orders. It
+// returns the error that ended the round early, or nil, also if another round over the domain is in progress.
+// A later round does what is left.
 func (c *Controller) Reconcile(ctx context.Context, fabric domain.FabricDomain) error {
 	r := c.acquire(fabric)
 	if r == nil {
@@ -76,7 +77,7 @@
 	err := r.round(ctx)
 	r.roundErr = err
 	c.release(r, !eris.Is(err, ErrNotOwner))
-	return err // not w.problem: from end on, w is the next round's
+	return err // not r.roundErr: after release, r belongs to the next round
 }
 
 func (r *domainReconciler) round(ctx context.Context) error {
@@ -105,7 +106,8 @@
 	return r.sendOrders(ctx)
 }
 
-// hold makes sure that the placement is known and is this entry's, and takes it over if it is not.
+// ensureOwnership reads the placement if necessary and takes the domain over if this entry does not hold it. It
+// returns ErrTakenOver if another entry took the domain from this one less than ReclaimDelay ago.
 func (r *domainReconciler) ensureOwnership(ctx context.Context) error {
 	if r.placement == nil || r.mirrorIsAhead() {
 		if err := r.readPlacement(ctx); err != nil {
@@ -131,9 +133,9 @@
 	return r.placement.Controller == r.c.Membership.Self() && r.placement.Incarnation == r.c.Incarnation
 }
 
-// wasOurs says that this entry held the domain, and has thought without a break that it owns it. Whoever
-// took it since thinks the same of itself, whether or not it is held dead here. A domain that this entry
-// did not hold is taken at once.
+// ownedBefore returns whether this entry has held the domain and considered itself the owner ever since. In that
+// case the entry that took the domain over considers itself the owner too, whether or not it is live in this
+// entry's view. A domain that this entry did not hold before is taken over at once.
 func (r *domainReconciler) ownedBefore() bool { return r.plan.Targets != nil }
 
 func (r *domainReconciler) takeOver(ctx context.Context) error {
@@ -158,7 +160,7 @@
 	return false
 }
 
-// read reads the placement. One that does not exist yet is version 0 and empty.
+// readPlacement reads the placement. A placement that does not exist yet is empty and has version 0.
 func (r *domainReconciler) readPlacement(ctx context.Context) error {
 	startedAt := r.c.Now()
 	object, err := r.c.Store.Get(ctx, platform.KindPlacement, string(r.fabric))
@@ -182,11 +184,11 @@
 	r.confirmedAt = startedAt
 }
 
-// fresh returns nil if the entry may act on the placement that it holds: it owns the domain, and the
-// placement was confirmed within MaxPlacementAge, by reading it again where need be.
+// ensureFresh returns nil if the entry may act on the placement that it holds: it owns the domain, and the
+// placement was confirmed within MaxPlacementAge. An older placement is read again and must be unchanged.
 //
-// What goes wrong without it: a process that was paused for a minute goes on with the orders of a
-// placement that its successor has long replaced. Engines that ignore fencing numbers would obey.
+// Without this check, a process that was paused for a minute would go on to send the orders of a placement
+// that its successor replaced long ago, and engines that ignore fencing numbers would obey them.
 func (r *domainReconciler) ensureFresh(ctx context.Context) error {
 	if !r.c.owns(r.fabric) {
 		return ErrNotOwner
@@ -208,8 +210,8 @@
 	return r.c.Now().Sub(r.confirmedAt) < MaxPlacementAge
 }
 
-// put writes a placement and adopts it once the write is confirmed. After any failure the placement is
-// unknown: the next round reads it.
+// writePlacement writes a placement and makes it the current one once the write is confirmed. After a failure
+// the stored placement is unknown, and the next round reads it.
 func (r *domainReconciler) writePlacement(ctx context.Context, next *vm.Placement) error {
 	next.Controller = r.c.Membership.Self()
 	next.Incarnation = r.c.Incarnation
@@ -235,8 +237,8 @@
 	return nil
 }
 
-// readList reads the VMs of the domain. During an outage of the platform the last list stands: nothing
-// can be written then anyway.
+// readVMList reads the list of the domain's VMs. During an outage of the platform the last list stays in use;
+// no placement can be written then anyway.
 func (r *domainReconciler) readVMList(ctx context.Context) error {
 	object, err := r.c.Store.Get(ctx, platform.KindVMs, string(r.fabric))
 	if eris.Is(err, platform.ErrNotFound) {
