--- a/entry/controller/apply.go
+++ b/entry/controller/apply.go
@@ -13,7 +13,7 @@
 
 // writePlan writes the placement that results from the plan, if it differs from the current one. Nothing else of
 // the plan takes effect before that write is confirmed.
-func (r *domainReconciler) writePlan(ctx context.Context, view *forming.View) error {
+func (r *reconciler) writePlan(ctx context.Context, view *forming.View) error {
 	next := r.nextPlacement()
 	if next == nil {
 		return nil
@@ -31,7 +31,7 @@
 }
 
 // nextPlacement returns the placement that results from the plan's steps, or nil if nothing changes.
-func (r *domainReconciler) nextPlacement() *vm.Placement {
+func (r *reconciler) nextPlacement() *vm.Placement {
 	next := r.placement.Clone()
 	next.Fence = max(next.Fence, r.highestFence())
 	changed := next.Fence != r.placement.Fence
@@ -51,7 +51,7 @@
 
 // highestFence returns the highest fencing number that any engine of the domain reports. It is higher than the
 // placement's own only if the platform was restored to an older state.
-func (r *domainReconciler) highestFence() uint64 {
+func (r *reconciler) highestFence() uint64 {
 	highest := uint64(0)
 	for _, result := range r.probeResults {
 		if result.responded {
@@ -62,7 +62,7 @@
 }
 
 // applyStep applies one step of the plan to next and returns whether anything changed.
-func (r *domainReconciler) applyStep(next *vm.Placement, step forming.Step) bool {
+func (r *reconciler) applyStep(next *vm.Placement, step forming.Step) bool {
 	if step.Kind == forming.StepForm {
 		return r.applyForm(next, step)
 	}
@@ -92,13 +92,13 @@
 	return true
 }
 
-func (r *domainReconciler) setGroupState(group *vm.Group, state vm.GroupState, reason string) {
+func (r *reconciler) setGroupState(group *vm.Group, state vm.GroupState, reason string) {
 	group.State = state
 	group.Reason = reason
 	group.Since = r.c.Now().UnixMilli()
 }
 
-func (r *domainReconciler) applyForm(next *vm.Placement, step forming.Step) bool {
+func (r *reconciler) applyForm(next *vm.Placement, step forming.Step) bool {
 	model, version, _ := strings.Cut(step.Version, versionSeparator)
 	group := vm.Group{
 		ID:      vm.GroupID(step.Service + "-" + strings.ToLower(r.c.NewID())),
@@ -120,7 +120,7 @@
 
 // applyLoad records the boot id of each member that is to load. The new epoch and fencing number distinguish
 // replies to this order from replies to earlier ones.
-func (r *domainReconciler) applyLoad(next *vm.Placement, group *vm.Group, step forming.Step) bool {
+func (r *reconciler) applyLoad(next *vm.Placement, group *vm.Group, step forming.Step) bool {
 	for i := range group.Members {
 		result := r.probeResults[group.Members[i].VM]
 		if !result.responded {
@@ -135,7 +135,7 @@
 	return true
 }
 
-func (r *domainReconciler) listedVM(name vm.Name) (vm.VM, bool) {
+func (r *reconciler) listedVM(name vm.Name) (vm.VM, bool) {
 	i := slices.IndexFunc(r.vmList.VMs, func(v vm.VM) bool { return v.Name == name })
 	if i < 0 {
 		return vm.VM{}, false
@@ -143,7 +143,7 @@
 	return r.vmList.VMs[i], true
 }
 
-func (r *domainReconciler) setAside(next *vm.Placement, step forming.Step) {
+func (r *reconciler) setAside(next *vm.Placement, step forming.Step) {
 	if step.VM == "" {
 		return
 	}
@@ -155,7 +155,7 @@
 
 // pruneAside removes from the aside list the VMs whose time is over, that restarted, or that are no longer
 // listed. It returns whether it removed any.
-func (r *domainReconciler) pruneAside(next *vm.Placement) bool {
+func (r *reconciler) pruneAside(next *vm.Placement) bool {
 	before := len(next.Aside)
 	next.Aside = slices.DeleteFunc(next.Aside, func(a vm.Aside) bool {
 		_, listed := r.listedVM(a.VM)
@@ -166,7 +166,7 @@
 }
 
 // updateReport sets the fields of the placement that the other controllers read and returns whether they changed.
-func (r *domainReconciler) updateReport(next *vm.Placement) bool {
+func (r *reconciler) updateReport(next *vm.Placement) bool {
 	count, accelerators := 0, 0
 	for _, n := range r.plan.Live {
 		count += n
@@ -192,7 +192,7 @@
 }
 
 // recordLoadStarts counts the loads of the written plan against the pacing limit.
-func (r *domainReconciler) recordLoadStarts(view *forming.View) {
+func (r *reconciler) recordLoadStarts(view *forming.View) {
 	for _, step := range r.plan.Steps {
 		if step.Kind != forming.StepLoad {
 			continue
@@ -206,7 +206,7 @@
 }
 
 // recordStateChanges records a time line event for each group whose state changed.
-func (r *domainReconciler) recordStateChanges(before *vm.Placement) {
+func (r *reconciler) recordStateChanges(before *vm.Placement) {
 	for _, g := range r.placement.Groups {
 		if old := before.Group(g.ID); old == nil || old.State != g.State {
 			r.recordState(g, string(g.State)+": "+g.Reason)
@@ -219,7 +219,7 @@
 	}
 }
 
-func (r *domainReconciler) dissolveReason(id vm.GroupID) string {
+func (r *reconciler) dissolveReason(id vm.GroupID) string {
 	for _, step := range r.plan.Steps {
 		if step.Group == string(id) && step.Kind == forming.StepDissolve {
 			return step.Reason
@@ -228,6 +228,6 @@
 	return ""
 }
 
-func (r *domainReconciler) recordState(g vm.Group, detail string) {
+func (r *reconciler) recordState(g vm.Group, detail string) {
 	r.record(timeline.Event{Kind: timeline.GroupState, Group: string(g.ID), Service: g.Service, Detail: detail})
 }
--- a/entry/controller/controller.go
+++ b/entry/controller/controller.go
@@ -122,7 +122,7 @@
 	startedAt time.Time
 
 	mu          sync.Mutex // guards the fields below; a leaf lock, not held during I/O
-	reconcilers map[domain.FabricDomain]*domainReconciler
+	reconcilers map[domain.FabricDomain]*reconciler
 	// discoveryRounds counts the rounds in which this entry was responsible for discovering domains.
 	discoveryRounds int
 }
@@ -138,7 +138,7 @@
 	if d.OnPlacement == nil {
 		d.OnPlacement = func(platform.Object) {}
 	}
-	return &Controller{Deps: d, startedAt: d.Now(), reconcilers: make(map[domain.FabricDomain]*domainReconciler)}
+	return &Controller{Deps: d, startedAt: d.Now(), reconcilers: make(map[domain.FabricDomain]*reconciler)}
 }
 
 // Run discovers and reconciles fabric domains until ctx is done.
@@ -199,12 +199,12 @@
 }
 
 // acquire returns the domain's reconciler for the exclusive use of one round, or nil if a round is in progress.
-func (c *Controller) acquire(fabric domain.FabricDomain) *domainReconciler {
+func (c *Controller) acquire(fabric domain.FabricDomain) *reconciler {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.reconcilers[fabric]
 	if r == nil {
-		r = newDomainReconciler(c, fabric)
+		r = newReconciler(c, fabric)
 		c.reconcilers[fabric] = r
 	}
 	if r.inRound {
@@ -216,7 +216,7 @@
 
 // release ends the round and publishes the domain's status. It drops the reconciler if the entry does not own
 // the domain any more.
-func (c *Controller) release(r *domainReconciler, owned bool) {
+func (c *Controller) release(r *reconciler, owned bool) {
 	if !owned {
 		r.setGauges(nil)
 	}
--- a/entry/controller/measure.go
+++ b/entry/controller/measure.go
@@ -31,7 +31,7 @@
 
 // updateMetrics adds the time since the last round to the downtime and stranded-time counters, and updates the
 // gauges.
-func (r *domainReconciler) updateMetrics() {
+func (r *reconciler) updateMetrics() {
 	now := r.c.Now()
 	since := min(now.Sub(r.measuredAt), maxMeasuredGap)
 	if r.measuredAt.IsZero() {
@@ -50,13 +50,13 @@
 	r.recordMetricsChange()
 }
 
-func (r *domainReconciler) addToCounter(name string, d time.Duration) {
+func (r *reconciler) addToCounter(name string, d time.Duration) {
 	metrics.GetOrRegisterCounter(name, r.c.Metrics).Inc(d.Milliseconds())
 }
 
 // setGauges replaces the domain's gauges. A gauge that remained after its service was removed, or after the entry
 // lost the domain, would keep its last value, and an alert on it would never resolve.
-func (r *domainReconciler) setGauges(gauges map[string]int) {
+func (r *reconciler) setGauges(gauges map[string]int) {
 	for name := range r.gauges {
 		if _, keep := gauges[name]; !keep {
 			r.c.Metrics.Unregister(name)
@@ -69,7 +69,7 @@
 }
 
 // recordMetricsChange records a time line event when the down groups or the stranded accelerators change.
-func (r *domainReconciler) recordMetricsChange() {
+func (r *reconciler) recordMetricsChange() {
 	parts := make([]string, 0, len(r.plan.DownGroups)+1)
 	for _, name := range slices.Sorted(maps.Keys(r.plan.DownGroups)) {
 		parts = append(parts, fmt.Sprintf("%s down %d", name, r.plan.DownGroups[name]))
@@ -83,7 +83,7 @@
 }
 
 // newStatus returns the domain's status after the round that just ended.
-func (r *domainReconciler) newStatus() Status {
+func (r *reconciler) newStatus() Status {
 	status := Status{
 		Domain: r.fabric, Targets: r.plan.Targets, Down: r.plan.DownGroups, Stranded: r.plan.StrandedAccelerators, Held: r.blockedReasons(),
 	}
@@ -97,7 +97,7 @@
 }
 
 // blockedReasons returns, by service, the reason why a wanted change is not made.
-func (r *domainReconciler) blockedReasons() map[string]string {
+func (r *reconciler) blockedReasons() map[string]string {
 	reasons := make(map[string]string)
 	for name, count := range r.plan.Unplaced {
 		if count > 0 {
--- a/entry/controller/orders.go
+++ b/entry/controller/orders.go
@@ -22,7 +22,7 @@
 
 // sendOrders sends the orders that the confirmed placement calls for. Orders are idempotent. If one is lost, the
 // probes of the next round do not show its effect, and that round sends it again.
-func (r *domainReconciler) sendOrders(ctx context.Context) error {
+func (r *reconciler) sendOrders(ctx context.Context) error {
 	orders := append(r.loadOrders(), r.releaseOrders()...)
 	orders = append(orders, r.orphanReleaseOrders()...)
 	if len(orders) == 0 {
@@ -36,7 +36,7 @@
 }
 
 // loadOrders returns the orders to members of loading groups that have not yet followed theirs.
-func (r *domainReconciler) loadOrders() []pendingOrder {
+func (r *reconciler) loadOrders() []pendingOrder {
 	var orders []pendingOrder
 	for _, g := range r.placement.Groups {
 		if g.State != vm.Loading {
@@ -65,7 +65,7 @@
 }
 
 // releaseOrders returns the orders to members of drained groups that still report being in the group.
-func (r *domainReconciler) releaseOrders() []pendingOrder {
+func (r *reconciler) releaseOrders() []pendingOrder {
 	var orders []pendingOrder
 	for _, step := range r.plan.Steps {
 		g := r.placement.Group(vm.GroupID(step.Group))
@@ -83,7 +83,7 @@
 
 // orphanReleaseOrders returns the orders to VMs that are in no group of the placement but report being in one:
 // survivors of a dissolved group, or VMs that obeyed a late order of an earlier controller.
-func (r *domainReconciler) orphanReleaseOrders() []pendingOrder {
+func (r *reconciler) orphanReleaseOrders() []pendingOrder {
 	grouped := make(map[vm.Name]bool)
 	for _, g := range r.placement.Groups {
 		for _, m := range g.Members {
@@ -112,7 +112,7 @@
 }
 
 // sendOrder sends one order, unless the entry has lost the domain or the placement is no longer fresh.
-func (r *domainReconciler) sendOrder(ctx context.Context, pending pendingOrder) {
+func (r *reconciler) sendOrder(ctx context.Context, pending pendingOrder) {
 	if !r.placementFresh() || !r.c.owns(r.fabric) {
 		return
 	}
--- a/entry/controller/view.go
+++ b/entry/controller/view.go
@@ -16,7 +16,7 @@
 )
 
 // probeAll probes every listed VM and every member of a group.
-func (r *domainReconciler) probeAll(ctx context.Context) {
+func (r *reconciler) probeAll(ctx context.Context) {
 	addresses := r.addresses()
 	var mu sync.Mutex // guards results
 	results := make(map[vm.Name]probeResult, len(addresses))
@@ -29,7 +29,7 @@
 	r.probeResults = results
 }
 
-func (r *domainReconciler) addresses() map[vm.Name]string {
+func (r *reconciler) addresses() map[vm.Name]string {
 	addresses := make(map[vm.Name]string)
 	for _, group := range r.placement.Groups {
 		for _, member := range group.Members {
@@ -44,7 +44,7 @@
 
 // probe probes a VM. A response counts only if it names that VM, because the address may have been reassigned to
 // another one.
-func (r *domainReconciler) probe(ctx context.Context, name vm.Name, address string) probeResult {
+func (r *reconciler) probe(ctx context.Context, name vm.Name, address string) probeResult {
 	ctx, cancel := context.WithTimeout(ctx, engine.ProbeTimeout)
 	defer cancel()
 	state, err := r.c.Engines.Probe(ctx, address)
@@ -69,10 +69,10 @@
 	pool.Wait()
 }
 
-func (r *domainReconciler) now() time.Duration { return r.c.Now().Sub(r.c.startedAt) }
+func (r *reconciler) now() time.Duration { return r.c.Now().Sub(r.c.startedAt) }
 
 // buildView returns the input of forming.Decide.
-func (r *domainReconciler) buildView() forming.View {
+func (r *reconciler) buildView() forming.View {
 	view := forming.View{
 		Domain:      string(r.fabric),
 		Services:    r.viewServices(),
@@ -85,14 +85,14 @@
 	return view
 }
 
-func (r *domainReconciler) place() domain.Place {
+func (r *reconciler) place() domain.Place {
 	if len(r.vmList.VMs) > 0 {
 		return r.vmList.VMs[0].Position.Place
 	}
 	return r.placement.Position.Place
 }
 
-func (r *domainReconciler) viewServices() []forming.Service {
+func (r *reconciler) viewServices() []forming.Service {
 	snapshot := r.c.Settings()
 	var services []forming.Service
 	for _, name := range slices.Sorted(maps.Keys(snapshot.Services)) {
@@ -116,7 +116,7 @@
 
 func versionOf(model, version string) string { return model + versionSeparator + version }
 
-func (r *domainReconciler) viewVMs() []forming.VM {
+func (r *reconciler) viewVMs() []forming.VM {
 	aside := make(map[vm.Name]vm.Aside, len(r.placement.Aside))
 	for _, a := range r.placement.Aside {
 		aside[a.VM] = a
@@ -139,7 +139,7 @@
 	return found
 }
 
-func (r *domainReconciler) viewVM(listed vm.VM, aside vm.Aside) forming.VM {
+func (r *reconciler) viewVM(listed vm.VM, aside vm.Aside) forming.VM {
 	result := r.probeResults[listed.Name]
 	state := result.state
 	v := forming.VM{
@@ -161,9 +161,9 @@
 	return v
 }
 
-func (r *domainReconciler) asideExpired(a vm.Aside) bool { return r.c.Now().UnixMilli() >= a.Until }
+func (r *reconciler) asideExpired(a vm.Aside) bool { return r.c.Now().UnixMilli() >= a.Until }
 
-func (r *domainReconciler) viewGroups(placement *vm.Placement) []forming.Group {
+func (r *reconciler) viewGroups(placement *vm.Placement) []forming.Group {
 	found := make([]forming.Group, 0, len(placement.Groups))
 	for _, g := range placement.Groups {
 		group := r.viewGroup(g)
@@ -175,7 +175,7 @@
 	return found
 }
 
-func (r *domainReconciler) viewGroup(g vm.Group) forming.Group {
+func (r *reconciler) viewGroup(g vm.Group) forming.Group {
 	group := forming.Group{
 		ID: string(g.ID), Service: g.Service, Version: versionOf(g.Model, g.ModelVersion),
 		Size: len(g.Members), State: forming.State(g.State), Epoch: g.Epoch, NotWhole: g.NotWhole,
@@ -192,7 +192,7 @@
 }
 
 // viewOtherDomains returns the reports of the other fabric domains in the same place.
-func (r *domainReconciler) viewOtherDomains() []forming.Domain {
+func (r *reconciler) viewOtherDomains() []forming.Domain {
 	var found []forming.Domain
 	for _, object := range r.c.Placements.Placements() {
 		if object.Name == string(r.fabric) {
--- a/entry/controller/work.go
+++ b/entry/controller/work.go
@@ -27,9 +27,9 @@
 	ErrEmptyList = eris.New("the platform lists no VMs, but members answer")
 )
 
-// domainReconciler holds an entry's state of one fabric domain. Controller.mu guards inRound and status; the
+// reconciler holds an entry's state of one fabric domain. Controller.mu guards inRound and status; the
 // round in progress owns the other fields.
-type domainReconciler struct {
+type reconciler struct {
 	c       *Controller
 	fabric  domain.FabricDomain
 	inRound bool
@@ -62,8 +62,8 @@
 	state     engine.State
 }
 
-func newDomainReconciler(c *Controller, fabric domain.FabricDomain) *domainReconciler {
-	return &domainReconciler{c: c, fabric: fabric, tracker: forming.NewTracker()}
+func newReconciler(c *Controller, fabric domain.FabricDomain) *reconciler {
+	return &reconciler{c: c, fabric: fabric, tracker: forming.NewTracker()}
 }
 
 // Reconcile does one round over a domain: it probes the VMs, decides, writes the placement and sends orders. It
@@ -80,7 +80,7 @@
 	return err // not r.roundErr: after release, r belongs to the next round
 }
 
-func (r *domainReconciler) round(ctx context.Context) error {
+func (r *reconciler) round(ctx context.Context) error {
 	if !r.c.owns(r.fabric) {
 		return ErrNotOwner
 	}
@@ -108,7 +108,7 @@
 
 // ensureOwnership reads the placement if necessary and takes the domain over if this entry does not hold it. It
 // returns ErrTakenOver if another entry took the domain from this one less than ReclaimDelay ago.
-func (r *domainReconciler) ensureOwnership(ctx context.Context) error {
+func (r *reconciler) ensureOwnership(ctx context.Context) error {
 	if r.placement == nil || r.mirrorIsAhead() {
 		if err := r.readPlacement(ctx); err != nil {
 			return err
@@ -129,16 +129,16 @@
 	return r.takeOver(ctx)
 }
 
-func (r *domainReconciler) ownsPlacement() bool {
+func (r *reconciler) ownsPlacement() bool {
 	return r.placement.Controller == r.c.Membership.Self() && r.placement.Incarnation == r.c.Incarnation
 }
 
 // ownedBefore returns whether this entry has held the domain and considered itself the owner ever since. In that
 // case the entry that took the domain over considers itself the owner too, whether or not it is live in this
 // entry's view. A domain that this entry did not hold before is taken over at once.
-func (r *domainReconciler) ownedBefore() bool { return r.plan.Targets != nil }
+func (r *reconciler) ownedBefore() bool { return r.plan.Targets != nil }
 
-func (r *domainReconciler) takeOver(ctx context.Context) error {
+func (r *reconciler) takeOver(ctx context.Context) error {
 	next := r.placement.Clone()
 	next.Epoch++
 	if err := r.writePlacement(ctx, next); err != nil {
@@ -151,7 +151,7 @@
 	return nil
 }
 
-func (r *domainReconciler) mirrorIsAhead() bool {
+func (r *reconciler) mirrorIsAhead() bool {
 	for _, object := range r.c.Placements.Placements() {
 		if object.Name == string(r.fabric) {
 			return object.Version > r.version
@@ -161,7 +161,7 @@
 }
 
 // readPlacement reads the placement. A placement that does not exist yet is empty and has version 0.
-func (r *domainReconciler) readPlacement(ctx context.Context) error {
+func (r *reconciler) readPlacement(ctx context.Context) error {
 	startedAt := r.c.Now()
 	object, err := r.c.Store.Get(ctx, platform.KindPlacement, string(r.fabric))
 	if err != nil && !eris.Is(err, platform.ErrNotFound) {
@@ -178,7 +178,7 @@
 	return nil
 }
 
-func (r *domainReconciler) setPlacement(placement *vm.Placement, version platform.Version, startedAt time.Time) {
+func (r *reconciler) setPlacement(placement *vm.Placement, version platform.Version, startedAt time.Time) {
 	r.placement = placement
 	r.version = version
 	r.confirmedAt = startedAt
@@ -189,7 +189,7 @@
 //
 // Without this check, a process that was paused for a minute would go on to send the orders of a placement
 // that its successor replaced long ago, and engines that ignore fencing numbers would obey them.
-func (r *domainReconciler) ensureFresh(ctx context.Context) error {
+func (r *reconciler) ensureFresh(ctx context.Context) error {
 	if !r.c.owns(r.fabric) {
 		return ErrNotOwner
 	}
@@ -206,13 +206,11 @@
 	return nil
 }
 
-func (r *domainReconciler) placementFresh() bool {
-	return r.c.Now().Sub(r.confirmedAt) < MaxPlacementAge
-}
+func (r *reconciler) placementFresh() bool { return r.c.Now().Sub(r.confirmedAt) < MaxPlacementAge }
 
 // writePlacement writes a placement and makes it the current one once the write is confirmed. After a failure
 // the stored placement is unknown, and the next round reads it.
-func (r *domainReconciler) writePlacement(ctx context.Context, next *vm.Placement) error {
+func (r *reconciler) writePlacement(ctx context.Context, next *vm.Placement) error {
 	next.Controller = r.c.Membership.Self()
 	next.Incarnation = r.c.Incarnation
 	next.Nonce = r.c.NewID()
@@ -239,7 +237,7 @@
 
 // readVMList reads the list of the domain's VMs. During an outage of the platform the last list stays in use;
 // no placement can be written then anyway.
-func (r *domainReconciler) readVMList(ctx context.Context) error {
+func (r *reconciler) readVMList(ctx context.Context) error {
 	object, err := r.c.Store.Get(ctx, platform.KindVMs, string(r.fabric))
 	if eris.Is(err, platform.ErrNotFound) {
 		r.vmList = vm.List{}
@@ -261,7 +259,7 @@
 	return nil
 }
 
-func (r *domainReconciler) anyMemberResponds() bool {
+func (r *reconciler) anyMemberResponds() bool {
 	for _, result := range r.probeResults {
 		if result.responded {
 			return true
@@ -270,7 +268,7 @@
 	return false
 }
 
-func (r *domainReconciler) record(e timeline.Event) {
+func (r *reconciler) record(e timeline.Event) {
 	e.Domain = string(r.fabric)
 	r.c.Recorder.Record(e)
 }
