--- a/entry/controller/concurrent_test.go
+++ b/entry/controller/concurrent_test.go
@@ -8,19 +8,19 @@
 	. "github.com/onsi/gomega"
 )
 
-// tries is enough for some hundred rounds: a try while a round is under way does nothing.
-const tries = 20_000
+// reconcileCalls results in some hundred rounds, because a call during a round returns at once.
+const reconcileCalls = 20_000
 
 var _ = Describe("Rounds over one domain", func() {
-	// A round that takes long is still under way when the next is due, in another worker. Only the race
-	// detector notices when one reads what belongs to the other.
-	It("exclude each other, up to what they return", func() {
+	// A slow round is still in progress when another worker starts the next one. Only the race detector notices if
+	// one of them reads data that belongs to the other.
+	It("exclude each other, including their return values", func() {
 		w := newWorld(3)
 		c := w.entry("a")
 		var group sync.WaitGroup
 		for range 4 {
 			group.Go(func() {
-				for range tries {
+				for range reconcileCalls {
 					_ = c.Reconcile(context.Background(), fabric)
 				}
 			})
--- a/entry/controller/controller_test.go
+++ b/entry/controller/controller_test.go
@@ -21,7 +21,7 @@
 	RunSpecs(t, "controller")
 }
 
-// rounds lets c do rounds, a second apart.
+// rounds runs count rounds of c, one RoundInterval apart.
 func rounds(w *world, c *controller.Controller, count int) {
 	for range count {
 		_ = c.Reconcile(context.Background(), fabric)
@@ -29,7 +29,7 @@
 	}
 }
 
-// groups writes each group as "state: members".
+// groups formats each group as "state: members".
 func groups(w *world) []string {
 	p := w.placement()
 	lines := make([]string, 0, len(p.Groups))
@@ -72,7 +72,7 @@
 		Expect(w.version).To(Equal(written))
 	})
 
-	// A VM dies. Its group answers no request any more; the free VM beside it can make it whole.
+	// A VM dies, and its group can't answer requests any more. A free VM can take its place.
 	It("replaces a dead member by a free VM", func() {
 		w := newWorld(3)
 		c := w.entry("a")
@@ -82,9 +82,9 @@
 		Expect(groups(w)).To(Equal([]string{"serving: v2 v3"}))
 	})
 
-	// A member is killed and started under the same address within a probe interval. It answers as if
-	// nothing had happened, but has nothing loaded.
-	It("orders a group anew whose member restarted", func() {
+	// A member is killed and started again at the same address within a probe interval. It responds as before but has
+	// nothing loaded.
+	It("loads a new group when a member restarted", func() {
 		w := newWorld(2)
 		c := w.entry("a")
 		rounds(w, c, 3)
@@ -96,32 +96,33 @@
 		Expect(w.placement().Groups[0].ID).NotTo(Equal(first))
 	})
 
-	// The platform announces that it takes a VM away, while requests are in progress on its group. They
-	// must finish; then the VM is let go.
+	// The platform announces that it takes a VM away while requests are in progress on its group. They must finish
+	// before the VM is released.
 	It("drains the group of a leaving member and frees it only once nothing is in progress", func() {
 		w := newWorld(4)
 		c := w.entry("a")
 		rounds(w, c, 3)
 		id := w.placement().Groups[0].ID
-		w.busy[id] = 1
-		w.list(func(v *vm.VM) { v.Leaving = v.Name == "v1" })
+		w.inProgress[id] = 1
+		w.changeVMs(func(v *vm.VM) { v.Leaving = v.Name == "v1" })
 		rounds(w, c, 5)
 		Expect(groups(w)[0]).To(Equal("draining: v1 v2"))
 		Expect(w.engine("v1").state.Group).To(Equal(id))
-		w.busy[id] = 0
+		w.inProgress[id] = 0
 		rounds(w, c, 5)
 		Expect(groups(w)).To(Equal([]string{"serving: v3 v4"}))
 		Expect(w.engine("v1").state.Group).To(BeEmpty())
 	})
 
-	// A controller writes that a group loads and freezes before it sends the orders. Another entry takes the
-	// domain over and gives the VMs to another group. When the first wakes, it must look before it sends.
-	It("sends no order on old knowledge after it slept", func() {
+	// A controller writes that a group loads and pauses before it sends the orders. Another entry takes the domain over
+	// and uses the VMs for another group. When the first controller resumes, it must read the placement before
+	// it sends.
+	It("sends no order based on a stale placement after a pause", func() {
 		w := newWorld(2)
 		old := w.entry("a")
 		rounds(w, old, 1)
-		w.answered = func() {
-			w.answered = nil
+		w.afterWrite = func() {
+			w.afterWrite = nil
 			w.advance(time.Hour)
 			rounds(w, w.entry("b"), 1)
 			w.orders = nil
@@ -131,15 +132,15 @@
 		Expect(w.orders).To(BeEmpty())
 	})
 
-	// An order of a controller that was replaced long ago arrives at last, at a member of a group that serves. An
-	// engine that checks fencing numbers refuses it. One that does not obeys, and its group is dead: nothing
-	// but asking it shows that.
-	DescribeTable("finds a late order of an older controller", func(checks bool) {
+	// An order of a controller that was replaced long ago arrives at a member of a serving group. An engine that checks
+	// fencing numbers refuses it. An engine that does not check them obeys, which breaks its group, and only a
+	// probe shows that.
+	DescribeTable("handles a late order of an earlier controller", func(checks bool) {
 		w := newWorld(2)
 		c := w.entry("a")
 		rounds(w, c, 3)
 		first := w.placement().Groups[0].ID
-		w.engine("v2").checks = checks
+		w.engine("v2").checksFence = checks
 		_, err := w.Order(context.Background(), "addr-v2", engine.Order{
 			Kind: engine.OrderLoad, Group: "older", BootID: "boot-v2", Fence: 0, Epoch: 0,
 		})
@@ -150,11 +151,11 @@
 		Expect(w.engine("v2").state.Group).To(Equal(w.placement().Groups[0].ID))
 	},
 		Entry("refused by an engine that checks", true),
-		Entry("read back from one that does not", false),
+		Entry("detected by probing one that does not", false),
 	)
 
-	// Two entries disagree on which entries are live, and both think they own the domain. Each take-over is a
-	// write, and the groups that load wait for whoever holds the domain.
+	// Two entries disagree on which entries are live, and both consider themselves owners of the domain. Each takeover
+	// is a write and interrupts the groups that are loading.
 	It("does not take a domain back at once from another live entry", func() {
 		w := newWorld(2)
 		names := []string{"a", "b"}
--- a/entry/controller/cost_test.go
+++ b/entry/controller/cost_test.go
@@ -13,10 +13,10 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// The platform takes several hundred writes a second for everything. A regression here shows first as
-// throttled claims of requests that may not be repeated.
+// The platform accepts several hundred writes per second in total. A regression here shows first as throttled claims
+// of non-repeatable requests.
 var _ = Describe("Platform calls", func() {
-	// calls counts the writes and the reads of the placement that a change takes until all is quiet.
+	// calls returns the number of writes and of placement reads until the domain is stable after a change.
 	calls := func(w *world, c *controller.Controller, change func()) (writes, reads int) {
 		before := len(w.history)
 		w.gets[platform.KindPlacement] = 0
@@ -42,7 +42,7 @@
 		Expect(reads).To(Equal(1))
 
 		writes, reads = calls(w, c, func() {
-			w.list(func(v *vm.VM) { v.Leaving = v.Name == "v2" })
+			w.changeVMs(func(v *vm.VM) { v.Leaving = v.Name == "v2" })
 		})
 		Expect(writes).To(Equal(1+2), "the list itself; drain, dissolve")
 		Expect(reads).To(Equal(2))
@@ -69,9 +69,9 @@
 		Expect(c.Status()[0].Down).To(Equal(map[string]int{"chat": 1}))
 	})
 
-	// An entry loses a domain while a replica is missing there. The gauge of the missing replica would stay with
-	// it at 1, and whoever has an alarm on it would be called for a replica that serves.
-	It("go from the gauges of an entry with the domain", func() {
+	// An entry loses a domain while a replica is missing there. If the gauge of the missing replica stayed at 1, an alert
+	// on it would page an operator about a replica that serves again.
+	It("remove their gauges when the entry loses the domain", func() {
 		w := newWorld(2)
 		d := w.deps("a")
 		c := controller.New(d)
@@ -90,12 +90,12 @@
 		Expect(gauges()).To(BeEmpty())
 	})
 
-	// The platform answers with an empty list. Taken at its word, it would drain every replica.
-	It("does not believe an empty list while members answer", func() {
+	// The platform returns an empty VM list. A controller that trusted it would drain every replica.
+	It("ignores an empty list while members respond", func() {
 		w := newWorld(2)
 		c := w.entry("a")
 		rounds(w, c, 3)
-		w.set(platform.KindVMs, vm.List{})
+		w.mustSet(platform.KindVMs, vm.List{})
 		rounds(w, c, int(forming.UnlistedGrace/controller.RoundInterval)+5)
 		Expect(groups(w)).To(Equal([]string{"serving: v1 v2"}))
 		Expect(c.Status()[0].Problem).To(ContainSubstring("lists no VMs"))
--- a/entry/controller/fakes_test.go
+++ b/entry/controller/fakes_test.go
@@ -25,25 +25,26 @@
 
 const fabric = "fab-1"
 
-// world is one fabric domain with its platform, engines and clock. Its mutex guards everything.
+// world simulates one fabric domain with its platform, engines, homes and clock. mu guards its fields.
 type world struct {
-	mu       sync.Mutex
-	time     time.Time
-	clock    func() time.Time // if set, it is used in place of time
-	ids      int
-	version  platform.Version
-	objects  map[string]platform.Object
-	history  []platform.Object
-	gets     map[platform.Kind]int
-	engines  map[string]*fakeEngine
-	orders   []sentOrder
-	services map[string]settings.Service
-	whole    map[vm.GroupID]bool
-	busy     map[vm.GroupID]int
-	// homesSilent says that no home reports.
+	mu   sync.Mutex
+	time time.Time
+	// clock, if set, is used in place of time.
+	clock      func() time.Time
+	ids        int
+	version    platform.Version
+	objects    map[string]platform.Object
+	history    []platform.Object
+	gets       map[platform.Kind]int
+	engines    map[string]*fakeEngine
+	orders     []sentOrder
+	services   map[string]settings.Service
+	whole      map[vm.GroupID]bool
+	inProgress map[vm.GroupID]int
+	// homesSilent means that no home reports.
 	homesSilent bool
-	// answered, if set, is called without the lock after each write.
-	answered func()
+	// afterWrite, if set, is called after each write, without mu held.
+	afterWrite func()
 	// loadTime is how long an engine takes to load.
 	loadTime time.Duration
 	metrics  metrics.Registry
@@ -55,19 +56,19 @@
 }
 
 type fakeEngine struct {
-	state  engine.State
-	silent bool
-	checks bool
-	// readyIn holds the groups in which it said that it was ready.
+	state       engine.State
+	silent      bool
+	checksFence bool
+	// readyIn holds the groups in which the engine reported that it was ready.
 	readyIn map[vm.GroupID]bool
-	// loaded is when the load that was ordered last is done.
-	loaded time.Time
+	// loadedAt is when the most recently ordered load completes.
+	loadedAt time.Time
 }
 
 func newWorld(vms int) *world {
 	w := &world{
 		time: time.Unix(1_700_000_000, 0), objects: map[string]platform.Object{}, engines: map[string]*fakeEngine{},
-		services: map[string]settings.Service{}, metrics: metrics.NewRegistry(), gets: map[platform.Kind]int{}, whole: map[vm.GroupID]bool{}, busy: map[vm.GroupID]int{},
+		services: map[string]settings.Service{}, metrics: metrics.NewRegistry(), gets: map[platform.Kind]int{}, whole: map[vm.GroupID]bool{}, inProgress: map[vm.GroupID]int{},
 	}
 	list := vm.List{}
 	for i := range vms {
@@ -77,11 +78,11 @@
 			Position: domain.Position{Place: "pampa", FailureDomain: "fd-1", FabricDomain: fabric},
 		})
 		w.engines["addr-"+string(name)] = &fakeEngine{
-			state: engine.State{VM: name, BootID: vm.BootID("boot-" + name)}, checks: true, readyIn: map[vm.GroupID]bool{},
+			state: engine.State{VM: name, BootID: vm.BootID("boot-" + name)}, checksFence: true, readyIn: map[vm.GroupID]bool{},
 		}
 	}
-	w.set(platform.KindVMs, list)
-	w.set(platform.KindPlacement, vm.Placement{})
+	w.mustSet(platform.KindVMs, list)
+	w.mustSet(platform.KindPlacement, vm.Placement{})
 	w.services["chat"] = settings.Service{
 		Name: "chat", Place: "pampa", Kind: settings.Language, Model: "m", ModelVersion: "1", GroupSize: 2, Replicas: 1,
 		DrainTimeout: time.Minute, ChecksFence: true,
@@ -89,30 +90,30 @@
 	return w
 }
 
-// set writes an object of the fabric domain unconditionally.
-func (w *world) set(kind platform.Kind, value any) {
+// mustSet writes an object of the fabric domain unconditionally.
+func (w *world) mustSet(kind platform.Kind, value any) {
 	raw, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
 	}
 	w.version++
-	w.store(platform.Object{Kind: kind, Name: fabric, Version: w.version, Value: raw})
+	w.record(platform.Object{Kind: kind, Name: fabric, Version: w.version, Value: raw})
 }
 
-// store must be called with mu held, or before the world is shared.
-func (w *world) store(object platform.Object) {
+// record stores an object and appends it to the history. mu must be held unless the world is not shared yet.
+func (w *world) record(object platform.Object) {
 	w.objects[string(object.Kind)+"/"+object.Name] = object
 	w.history = append(w.history, object)
 }
 
-func (w *world) list(change func(v *vm.VM)) {
+func (w *world) changeVMs(change func(v *vm.VM)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	list := decode[vm.List](w.objects["vms/"+fabric])
 	for i := range list.VMs {
 		change(&list.VMs[i])
 	}
-	w.set(platform.KindVMs, list)
+	w.mustSet(platform.KindVMs, list)
 }
 
 func (w *world) placement() vm.Placement {
@@ -153,7 +154,7 @@
 	return value
 }
 
-// Get returns an object of the in-memory platform.
+// Get implements platform.Store.
 func (w *world) Get(_ context.Context, kind platform.Kind, name string) (platform.Object, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -165,28 +166,28 @@
 	return object, nil
 }
 
-// Put makes a conditional write, and calls answered once it is done.
+// Put implements platform.Store. It calls afterWrite after the write.
 func (w *world) Put(_ context.Context, kind platform.Kind, name string, version platform.Version, value json.RawMessage) (platform.Version, error) {
-	if w.answered != nil {
-		defer w.answered()
+	if w.afterWrite != nil {
+		defer w.afterWrite()
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.apply(platform.Object{Kind: kind, Name: name, Version: version, Value: value})
+	return w.putLocked(platform.Object{Kind: kind, Name: name, Version: version, Value: value})
 }
 
-// apply must be called with mu held. The object's version is the one that it replaces.
-func (w *world) apply(object platform.Object) (platform.Version, error) {
+// putLocked makes a conditional write; object.Version is the version that it replaces. mu must be held.
+func (w *world) putLocked(object platform.Object) (platform.Version, error) {
 	if w.objects[string(object.Kind)+"/"+object.Name].Version != object.Version {
 		return 0, platform.ErrConflict
 	}
 	w.version++
 	object.Version = w.version
-	w.store(object)
+	w.record(object)
 	return w.version, nil
 }
 
-// List is not used with faults.
+// List implements platform.Store.
 func (w *world) List(_ context.Context, kind platform.Kind) (platform.Changes, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -199,28 +200,28 @@
 	return changes, nil
 }
 
-// Delete is not used.
+// Delete implements platform.Store. It is not used.
 func (w *world) Delete(context.Context, platform.Kind, string, platform.Version) error { return nil }
 
-// Watch is not used.
+// Watch implements platform.Store. It is not used.
 func (w *world) Watch(context.Context, platform.Kind, platform.Version) (platform.Changes, error) {
 	return platform.Changes{}, nil
 }
 
-// Placements is a mirror without lag.
+// Placements implements controller.Placements as a mirror without lag.
 func (w *world) Placements() []platform.Object {
 	changes, _ := w.List(context.Background(), platform.KindPlacement)
 	return changes.Objects
 }
 
-// InProgress and its kin are the reports of a home that knows all.
+// InProgress implements controller.GroupReports.
 func (w *world) InProgress(group vm.GroupID) (int, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.homesSilent {
 		return 0, false
 	}
-	return w.busy[group], true
+	return w.inProgress[group], true
 }
 
 func (w *world) Whole(group vm.GroupID) (bool, bool) {
@@ -231,7 +232,7 @@
 
 func (w *world) TokenGap(vm.GroupID) time.Duration { return 0 }
 
-// Probe asks an engine.
+// Probe implements engine.Client.
 func (w *world) Probe(_ context.Context, address string) (engine.State, error) {
 	now := w.now()
 	w.mu.Lock()
@@ -240,31 +241,31 @@
 	if e == nil || e.silent {
 		return engine.State{}, engine.ErrNotSent
 	}
-	if e.state.Group != "" && !now.Before(e.loaded) {
+	if e.state.Group != "" && !now.Before(e.loadedAt) {
 		e.state.Ready = true
 		e.readyIn[e.state.Group] = true
 	}
 	return e.state, nil
 }
 
-// Order gives an order to an engine.
+// Order implements engine.Client.
 func (w *world) Order(_ context.Context, address string, order engine.Order) (engine.State, error) {
 	now := w.now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e := w.engines[address]
-	e.loaded = now.Add(w.loadTime)
+	e.loadedAt = now.Add(w.loadTime)
 	w.orders = append(w.orders, sentOrder{order: order, to: e.state.VM})
-	return e.take(order)
+	return e.execute(order)
 }
 
-func (e *fakeEngine) take(order engine.Order) (engine.State, error) {
+func (e *fakeEngine) execute(order engine.Order) (engine.State, error) {
 	switch {
 	case e.silent:
 		return engine.State{}, engine.ErrBroken
 	case order.BootID != e.state.BootID:
 		return e.state, engine.ErrOtherBoot
-	case e.checks && order.Fence < e.state.Fence:
+	case e.checksFence && order.Fence < e.state.Fence:
 		return e.state, engine.ErrStaleFence
 	}
 	e.state.Group, e.state.Epoch, e.state.Fence = order.Group, order.Epoch, order.Fence
@@ -282,7 +283,7 @@
 
 func (w *world) Cancel(context.Context, string, string) error { panic("a controller cancels nothing") }
 
-// owners is one entry's view of who is live.
+// owners implements controller.Membership: one entry's view of which entries are live.
 type owners struct {
 	self string
 	live []string
@@ -291,7 +292,7 @@
 func (o *owners) Self() string   { return o.self }
 func (o *owners) Live() []string { return o.live }
 
-// entry returns a controller in an entry that sees only itself as live unless others are named.
+// entry returns the controller of an entry that sees itself and the named others as live.
 func (w *world) entry(name string, others ...string) *controller.Controller {
 	return controller.New(w.deps(name, others...))
 }
--- a/entry/controller/property_judge_test.go
+++ b/entry/controller/property_judge_test.go
@@ -7,12 +7,12 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// checkRest checks that after all of it what is wanted serves, and nothing else is held by any engine.
-func (s *schedule) checkRest() {
+// checkConverged checks that the wanted groups serve and that no engine is in any other group.
+func (s *schedule) checkConverged() {
 	p := s.placement()
 	wanted := min(s.services["chat"].Replicas, len(s.engines)/s.services["chat"].GroupSize)
 	if len(p.Groups) != wanted {
-		s.breaks("at rest: %d groups, not %d: %+v", len(p.Groups), wanted, p.Groups)
+		s.reportViolation("after convergence: %d groups, not %d: %+v", len(p.Groups), wanted, p.Groups)
 	}
 	held := make(map[vm.Name]bool)
 	for _, g := range p.Groups {
@@ -20,18 +20,18 @@
 			held[m.VM] = true
 			state := s.engine(string(m.VM)).state
 			if g.State != vm.Serving || state.Group != g.ID || state.Epoch != g.Epoch || state.BootID != m.BootID {
-				s.breaks("at rest: member %+v of %+v", state, g)
+				s.reportViolation("after convergence: member %+v of %+v", state, g)
 			}
 		}
 	}
 	for _, e := range s.engines {
 		if !held[e.state.VM] && e.state.Group != "" {
-			s.breaks("at rest: free VM %+v", e.state)
+			s.reportViolation("after convergence: free VM %+v", e.state)
 		}
 	}
 }
 
-// checkHistory checks the placements one after the other, without the code that wrote them.
+// checkHistory checks the sequence of stored placements without using the code that wrote them.
 func (s *schedule) checkHistory() {
 	before := vm.Placement{}
 	gone := make(map[vm.GroupID]bool)
@@ -39,18 +39,18 @@
 		p := decode[vm.Placement](object)
 		s.checkVMs(p)
 		if p.Epoch < before.Epoch || p.Fence < before.Fence {
-			s.breaks("epoch or fence went down at version %d", object.Version)
+			s.reportViolation("epoch or fence went down at version %d", object.Version)
 		}
 		if p.Controller != before.Controller && p.Epoch == before.Epoch {
-			s.breaks("%s wrote at the epoch of %s", p.Controller, before.Controller)
+			s.reportViolation("%s wrote at the epoch of %s", p.Controller, before.Controller)
 		}
 		for _, g := range p.Groups {
 			if gone[g.ID] {
-				s.breaks("group %s came back", g.ID)
+				s.reportViolation("group %s came back", g.ID)
 			}
 			old := before.Group(g.ID)
-			if !follows(old, g.State) {
-				s.breaks("group %s: %v to %s", g.ID, old, g.State)
+			if !validTransition(old, g.State) {
+				s.reportViolation("group %s: %v to %s", g.ID, old, g.State)
 			}
 			if old != nil && old.State == vm.Loading && g.State == vm.Serving {
 				s.checkLoaded(g)
@@ -63,11 +63,11 @@
 	}
 }
 
-// checkLoaded checks that each member of a group that is to serve had said that it was ready in it.
+// checkLoaded checks that each member of a group that starts to serve had reported that it was ready in it.
 func (s *schedule) checkLoaded(g vm.Group) {
 	for _, m := range g.Members {
 		if !s.engine(string(m.VM)).readyIn[g.ID] {
-			s.breaks("group %s serves, but %s was never ready in it", g.ID, m.VM)
+			s.reportViolation("group %s serves, but %s was never ready in it", g.ID, m.VM)
 		}
 	}
 }
@@ -77,24 +77,24 @@
 	for _, g := range p.Groups {
 		for _, m := range g.Members {
 			if other, ok := group[m.VM]; ok {
-				s.breaks("VM %s in groups %s and %s", m.VM, other, g.ID)
+				s.reportViolation("VM %s in groups %s and %s", m.VM, other, g.ID)
 			}
 			group[m.VM] = g.ID
 		}
 	}
 }
 
-func follows(old *vm.Group, state vm.GroupState) bool {
+func validTransition(old *vm.Group, state vm.GroupState) bool {
 	if old == nil {
 		return state == vm.Forming
 	}
-	life := []vm.GroupState{vm.Forming, vm.Loading, vm.Serving, vm.Draining}
-	step := slices.Index(life, state) - slices.Index(life, old.State)
+	order := []vm.GroupState{vm.Forming, vm.Loading, vm.Serving, vm.Draining}
+	step := slices.Index(order, state) - slices.Index(order, old.State)
 	return step == 0 || step == 1
 }
 
-// checkOrders checks that orders with one fencing number ask one thing of a VM. Otherwise an engine that
-// checks fencing numbers could not tell which of two is the later one.
+// checkOrders checks that all orders to a VM with the same fencing number ask for the same thing. Otherwise an
+// engine that checks fencing numbers could not tell which of two orders is the later one.
 func (s *schedule) checkOrders() {
 	type key struct {
 		to    vm.Name
@@ -104,7 +104,7 @@
 	for _, o := range s.orders {
 		k := key{o.to, o.order.Fence}
 		if other, ok := first[k]; ok && (other.Kind != o.order.Kind || other.Group != o.order.Group) {
-			s.breaks("orders %+v and %+v to %s", other, o.order, o.to)
+			s.reportViolation("orders %+v and %+v to %s", other, o.order, o.to)
 		}
 		first[k] = o.order
 	}
--- a/entry/controller/property_test.go
+++ b/entry/controller/property_test.go
@@ -20,59 +20,59 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// move is one decision of the schedule. What it does to which call or VM depends on what is there.
+// move is one decision of the schedule. Its effect on a call or a VM depends on the current state.
 type move struct {
-	Action, Target, Fate uint8
+	Action, Target, Outcome uint8
 }
 
-// minMoves keeps schedules long: rapid draws slices that are little longer than their least length. A
-// move that shrinks to 0 is none.
+// minMoves keeps schedules long: rapid draws slices that are little longer than their minimum length. Shrinking
+// turns single moves into no-ops instead.
 const minMoves = 120
 
-// noMove is above the actions that schedule.move knows.
+// noMove is above the actions that schedule.perform knows.
 const noMove = 11
 
-// The fates of a call.
+// Outcomes of a call.
 const (
-	fateDone     = iota
-	fateLost     // takes effect, the answer is lost
-	fateLate     // takes effect when a later move says so, the answer is lost
-	fateVanished // takes no effect, and the answer is lost
-	fateRefused  // takes no effect, and says so
-	fates
+	outcomeDone    = iota
+	outcomeLost    // takes effect, but the reply is lost
+	outcomeLate    // takes effect when a later move applies it; the reply is lost
+	outcomeDropped // takes no effect, and no reply arrives
+	outcomeRefused // takes no effect, and the reply says so
+	outcomeCount
 )
 
-// gate is a call that waits for the schedule to let it through.
-type gate struct {
-	name string
-	fate chan uint8
+// blockedCall is a call that waits until the schedule decides its outcome.
+type blockedCall struct {
+	name    string
+	outcome chan uint8
 }
 
-// schedule interleaves several controllers that all think they own the fabric domain.
+// schedule interleaves several controllers that all consider themselves owners of the fabric domain.
 type schedule struct {
 	*world
 	actors []*actor
 
-	gmu   sync.Mutex // guards gates, late and broken
-	gates []*gate
-	late  []func()
-	// broken holds the invariants that were seen broken.
-	broken []string
+	callsMu     sync.Mutex // guards blocked, lateEffects, violations and actor.idle
+	blocked     []*blockedCall
+	lateEffects []func()
+	// violations holds the invariants that were found violated.
+	violations []string
 }
 
-// actor is one controller and its links, each call of which waits at a gate. A call that is not let
-// through for long is a process that is paused.
+// actor is one controller with its links. Each call over a link blocks until the schedule decides its outcome;
+// a call that stays blocked for long stands for a paused process.
 type actor struct {
 	*schedule
-	name   string
-	c      *controller.Controller
-	idle   bool
-	behind int // how many versions its mirror lags
-	// confirmed is when the last answered read or write of the placement was begun.
-	confirmed time.Time
+	name       string
+	controller *controller.Controller
+	idle       bool
+	mirrorLag  int // versions by which the mirror lags
+	// confirmedAt is when the last successful read or write of the placement was started.
+	confirmedAt time.Time
 }
 
-func newSchedule(controllers, vms, replicas int, checks bool) *schedule {
+func newSchedule(controllers, vms, replicas int, checksFence bool) *schedule {
 	s := &schedule{world: newWorld(vms)}
 	s.clock = time.Now
 	s.loadTime = 3 * time.Second
@@ -80,7 +80,7 @@
 	chat.Replicas = replicas
 	s.services["chat"] = chat
 	for _, e := range s.engines {
-		e.checks = checks
+		e.checksFence = checksFence
 	}
 	for i := range controllers {
 		s.add(fmt.Sprintf("entry-%d", i+1))
@@ -92,67 +92,67 @@
 	a := &actor{schedule: s, name: name, idle: true}
 	deps := s.deps(name)
 	deps.Store, deps.Engines, deps.Placements, deps.Now = a, a, a, time.Now
-	a.c = controller.New(deps)
+	a.controller = controller.New(deps)
 	s.actors = append(s.actors, a)
 	return a
 }
 
-func (s *schedule) breaks(format string, args ...any) {
-	s.gmu.Lock()
-	defer s.gmu.Unlock()
-	s.broken = append(s.broken, fmt.Sprintf(format, args...))
+func (s *schedule) reportViolation(format string, args ...any) {
+	s.callsMu.Lock()
+	defer s.callsMu.Unlock()
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// wait blocks the caller until the schedule decides the call's fate.
-func (a *actor) wait(call string) uint8 {
-	g := &gate{name: a.name + " " + call, fate: make(chan uint8)}
-	a.gmu.Lock()
-	a.gates = append(a.gates, g)
-	slices.SortFunc(a.gates, func(x, y *gate) int { return strings.Compare(x.name, y.name) })
-	a.gmu.Unlock()
-	return <-g.fate
+// awaitOutcome blocks the caller until the schedule decides the call's outcome.
+func (a *actor) awaitOutcome(operation string) uint8 {
+	call := &blockedCall{name: a.name + " " + operation, outcome: make(chan uint8)}
+	a.callsMu.Lock()
+	a.blocked = append(a.blocked, call)
+	slices.SortFunc(a.blocked, func(x, y *blockedCall) int { return strings.Compare(x.name, y.name) })
+	a.callsMu.Unlock()
+	return <-call.outcome
 }
 
-// meet carries out effect as the fate says. Its error, if not nil, is that of an answer that was lost.
-func (a *actor) meet(fate uint8, effect func(), lost, refused error) error {
-	switch fate {
-	case fateLost:
+// applyOutcome carries out effect as the outcome says. It returns nil only if the reply arrives.
+func (a *actor) applyOutcome(outcome uint8, effect func(), lost, refused error) error {
+	switch outcome {
+	case outcomeLost:
 		effect()
 		return lost
-	case fateLate:
-		a.gmu.Lock()
-		a.late = append(a.late, effect)
-		a.gmu.Unlock()
+	case outcomeLate:
+		a.callsMu.Lock()
+		a.lateEffects = append(a.lateEffects, effect)
+		a.callsMu.Unlock()
 		return lost
-	case fateVanished:
+	case outcomeDropped:
 		return lost
-	case fateRefused:
+	case outcomeRefused:
 		return refused
 	}
 	effect()
 	return nil
 }
 
-// Get reads an object. With a fate other than done, what it reads is an older version of it.
+// Get reads an object. With outcomeLost or outcomeLate, a read of the placement returns the previous version.
 func (a *actor) Get(ctx context.Context, kind platform.Kind, name string) (platform.Object, error) {
 	if kind != platform.KindPlacement {
 		return a.world.Get(ctx, kind, name)
 	}
 	begun := time.Now()
-	switch a.wait("get") {
-	case fateVanished, fateRefused:
+	switch a.awaitOutcome("get") {
+	case outcomeDropped, outcomeRefused:
 		return platform.Object{}, platform.ErrUnavailable
-	case fateDone:
-		a.confirmed = begun
+	case outcomeDone:
+		a.confirmedAt = begun
 		return a.world.Get(ctx, kind, name)
 	default:
-		a.confirmed = begun
-		return a.older(1), nil
+		a.confirmedAt = begun
+		return a.placementBefore(1), nil
 	}
 }
 
-// older returns the placement as it was some versions ago.
-func (a *actor) older(versions int) platform.Object {
+// placementBefore returns the placement as it was the given number of versions ago.
+func (a *actor) placementBefore(versions int) platform.Object {
 	history := a.placements()
 	return history[max(0, len(history)-1-versions)]
 }
@@ -169,59 +169,61 @@
 	return found
 }
 
-// Put writes an object.
+// Put makes a conditional write.
 func (a *actor) Put(ctx context.Context, kind platform.Kind, name string, version platform.Version, value json.RawMessage) (platform.Version, error) {
 	begun := time.Now()
 	var written platform.Version
 	var err error
 	effect := func() { written, err = a.world.Put(context.WithoutCancel(ctx), kind, name, version, value) }
-	if unsure := a.meet(a.wait("put"), effect, platform.ErrUnconfirmed, platform.ErrUnavailable); unsure != nil {
-		return 0, unsure
+	if lostErr := a.applyOutcome(a.awaitOutcome("put"), effect, platform.ErrUnconfirmed, platform.ErrUnavailable); lostErr != nil {
+		return 0, lostErr
 	}
 	if err == nil {
-		a.confirmed = begun
+		a.confirmedAt = begun
 	}
 	return written, err
 }
 
-// Placements is the mirror of an entry, which may lag.
-func (a *actor) Placements() []platform.Object { return []platform.Object{a.older(a.behind)} }
+// Placements returns an entry's mirror, which may lag.
+func (a *actor) Placements() []platform.Object {
+	return []platform.Object{a.placementBefore(a.mirrorLag)}
+}
 
-// Order gives an order to an engine. It is checked when the controller decides to send it: what happens
-// to a process between that and the wire is what fencing numbers and read-back are for.
+// Order sends an order to an engine. The order is checked when the controller decides to send it: a delay of the
+// process between that moment and the network is what fencing numbers and the next probe protect against.
 func (a *actor) Order(_ context.Context, address string, order engine.Order) (engine.State, error) {
 	a.checkOrder(vm.Name(strings.TrimPrefix(address, "addr-")), order)
 	var state engine.State
 	var err error
 	effect := func() { state, err = a.world.Order(context.Background(), address, order) }
-	if unsure := a.meet(a.wait("order "+address), effect, engine.ErrBroken, engine.ErrNotSent); unsure != nil {
-		return engine.State{}, unsure
+	if lostErr := a.applyOutcome(a.awaitOutcome("order "+address), effect, engine.ErrBroken, engine.ErrNotSent); lostErr != nil {
+		return engine.State{}, lostErr
 	}
 	return state, err
 }
 
 func (a *actor) checkOrder(to vm.Name, order engine.Order) {
-	if age := time.Since(a.confirmed); age > controller.MaxPlacementAge {
-		a.breaks("%s sends an order %v after its last confirmed read or write", a.name, age)
+	if age := time.Since(a.confirmedAt); age > controller.MaxPlacementAge {
+		a.reportViolation("%s sends an order %v after its last confirmed read or write", a.name, age)
 	}
 	a.checkDrained(to, order)
 	for _, object := range a.placements() {
-		if names(decode[vm.Placement](object), to, order) {
+		if callsFor(decode[vm.Placement](object), to, order) {
 			return
 		}
 	}
-	a.breaks("%s sends %s to %s with fence %d, which no placement in the history names", a.name, order.Kind, to, order.Fence)
+	a.reportViolation("%s sends %s to %s with fence %d, which no placement in the history calls for", a.name, order.Kind, to, order.Fence)
 }
 
-// intact says whether every member still runs the boot that was ordered into the group.
-func (a *actor) intact(g vm.Group) bool {
+// allBootsRunning returns whether every member still runs the boot that was ordered into the group.
+func (a *actor) allBootsRunning(g vm.Group) bool {
 	return !slices.ContainsFunc(g.Members, func(m vm.Member) bool {
 		return a.engine(string(m.VM)).state.BootID != m.BootID
 	})
 }
 
-// checkDrained checks that no member of a draining group is released while requests are in progress. On a
-// group of which a member has started again none are: they broke off with the boot that is gone.
+// checkDrained checks that no member of a draining group is released while requests are in progress. A group with
+// a restarted member has none: they broke off when the member's previous boot ended.
 func (a *actor) checkDrained(to vm.Name, order engine.Order) {
 	for _, g := range a.placement().Groups {
 		member := slices.ContainsFunc(g.Members, func(m vm.Member) bool { return m.VM == to })
@@ -229,14 +231,14 @@
 			continue
 		}
 		drained := time.Since(time.UnixMilli(g.Since)) >= a.services["chat"].DrainTimeout
-		if !drained && a.busy[g.ID] > 0 && a.intact(g) {
-			a.breaks("%s releases %s, on which a request is in progress", a.name, to)
+		if !drained && a.inProgress[g.ID] > 0 && a.allBootsRunning(g) {
+			a.reportViolation("%s releases %s, on which a request is in progress", a.name, to)
 		}
 	}
 }
 
-// names says that the placement calls for the order.
-func names(p vm.Placement, to vm.Name, order engine.Order) bool {
+// callsFor returns whether the placement calls for the order.
+func callsFor(p vm.Placement, to vm.Name, order engine.Order) bool {
 	var holder *vm.Group
 	for i := range p.Groups {
 		if slices.ContainsFunc(p.Groups[i].Members, func(m vm.Member) bool { return m.VM == to }) {
@@ -253,88 +255,88 @@
 		holder.Fence == order.Fence && holder.Epoch == order.Epoch
 }
 
-// play carries the moves out. Then all faults end, and a new controller brings the domain to rest; then
-// whatever is still under way from before takes effect, and it must come to rest again.
-func (s *schedule) play(moves []move) {
+// run performs the moves. Then it ends all faults and checks that a new controller makes the domain converge.
+// Finally the calls that are still blocked and the late effects take place, and the domain must converge again.
+func (s *schedule) run(moves []move) {
 	for _, m := range moves {
 		synctest.Wait()
-		s.move(m)
+		s.perform(m)
 	}
 	synctest.Wait()
 	s.endFaults()
 	last := s.add("entry-last")
-	s.comeToRest(last)
+	s.checkConvergence(last)
 	for _, a := range s.actors {
 		if !a.idle {
-			s.run(a)
+			s.runRound(a)
 		}
 	}
-	for _, effect := range s.late {
+	for _, effect := range s.lateEffects {
 		effect()
 	}
-	s.comeToRest(last)
+	s.checkConvergence(last)
 }
 
-func (s *schedule) move(m move) {
+func (s *schedule) perform(m move) {
 	a := s.actors[int(m.Target)%len(s.actors)]
 	switch m.Action {
 	case 0:
-		s.start(a)
+		s.startRound(a)
 	case 1, 2, 3:
-		s.release(s.gateOf(""), int(m.Target), m.Fate)
+		s.unblock(s.blockedCalls(""), int(m.Target), m.Outcome)
 	case 4, 5, 6:
-		s.run(a)
+		s.runRound(a)
 		time.Sleep(controller.RoundInterval)
 	case 7:
-		s.land(int(m.Target))
+		s.applyLateEffect(int(m.Target))
 	case 8:
 		pauses := []time.Duration{100 * time.Millisecond, controller.MaxPlacementAge, 15 * time.Second, time.Hour}
 		time.Sleep(pauses[int(m.Target)%len(pauses)])
 	case 9, 10:
-		s.disturb(int(m.Target), m.Fate)
+		s.injectFault(int(m.Target), m.Outcome)
 	}
 }
 
-// run lets a controller do a whole round without a fault.
-func (s *schedule) run(a *actor) {
-	s.start(a)
+// runRound lets a controller complete a round without faults.
+func (s *schedule) runRound(a *actor) {
+	s.startRound(a)
 	for {
 		synctest.Wait()
-		s.gmu.Lock()
+		s.callsMu.Lock()
 		idle := a.idle
-		s.gmu.Unlock()
+		s.callsMu.Unlock()
 		if idle {
 			return
 		}
-		if waiting := s.gateOf(a.name + " "); len(waiting) > 0 {
-			s.release(waiting, 0, fateDone)
+		if waiting := s.blockedCalls(a.name + " "); len(waiting) > 0 {
+			s.unblock(waiting, 0, outcomeDone)
 			continue
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-func (s *schedule) start(a *actor) {
-	s.gmu.Lock()
-	defer s.gmu.Unlock()
+func (s *schedule) startRound(a *actor) {
+	s.callsMu.Lock()
+	defer s.callsMu.Unlock()
 	if !a.idle {
 		return
 	}
 	a.idle = false
 	go func() {
-		_ = a.c.Reconcile(context.Background(), fabric)
-		s.gmu.Lock()
-		defer s.gmu.Unlock()
+		_ = a.controller.Reconcile(context.Background(), fabric)
+		s.callsMu.Lock()
+		defer s.callsMu.Unlock()
 		a.idle = true
 	}()
 }
 
-// gateOf returns the waiting calls whose name starts so.
-func (s *schedule) gateOf(prefix string) []*gate {
-	s.gmu.Lock()
-	defer s.gmu.Unlock()
-	var found []*gate
-	for _, g := range s.gates {
+// blockedCalls returns the blocked calls whose name has the prefix.
+func (s *schedule) blockedCalls(prefix string) []*blockedCall {
+	s.callsMu.Lock()
+	defer s.callsMu.Unlock()
+	var found []*blockedCall
+	for _, g := range s.blocked {
 		if strings.HasPrefix(g.name, prefix) {
 			found = append(found, g)
 		}
@@ -342,33 +344,34 @@
 	return found
 }
 
-// release lets one of the waiting calls through. Half of the fates are done.
-func (s *schedule) release(waiting []*gate, target int, fate uint8) {
+// unblock decides the outcome of one of the waiting calls. Drawn outcomes of outcomeCount and above, which are half
+// of them, count as outcomeDone.
+func (s *schedule) unblock(waiting []*blockedCall, target int, outcome uint8) {
 	if len(waiting) == 0 {
 		return
 	}
-	g := waiting[target%len(waiting)]
-	s.gmu.Lock()
-	s.gates = slices.DeleteFunc(s.gates, func(other *gate) bool { return other == g })
-	s.gmu.Unlock()
-	if fate >= fates {
-		fate = fateDone
+	call := waiting[target%len(waiting)]
+	s.callsMu.Lock()
+	s.blocked = slices.DeleteFunc(s.blocked, func(other *blockedCall) bool { return other == call })
+	s.callsMu.Unlock()
+	if outcome >= outcomeCount {
+		outcome = outcomeDone
 	}
-	g.fate <- fate
+	call.outcome <- outcome
 }
 
-func (s *schedule) land(target int) {
-	if len(s.late) == 0 {
+func (s *schedule) applyLateEffect(target int) {
+	if len(s.lateEffects) == 0 {
 		return
 	}
-	i := target % len(s.late)
-	effect := s.late[i]
-	s.late = slices.Delete(s.late, i, i+1)
+	i := target % len(s.lateEffects)
+	effect := s.lateEffects[i]
+	s.lateEffects = slices.Delete(s.lateEffects, i, i+1)
 	effect()
 }
 
-// disturb changes a VM or a mirror.
-func (s *schedule) disturb(target int, kind uint8) {
+// injectFault changes the state of a VM, of a mirror, or of the homes.
+func (s *schedule) injectFault(target int, kind uint8) {
 	name := fmt.Sprintf("v%d", target%len(s.engines)+1)
 	e := s.engine(name)
 	switch kind % 6 {
@@ -377,27 +380,27 @@
 	case 1:
 		e.restart()
 	case 2:
-		s.list(func(v *vm.VM) {
+		s.changeVMs(func(v *vm.VM) {
 			if string(v.Name) == name {
 				v.Leaving = !v.Leaving
 			}
 		})
 	case 3:
 		a := s.actors[target%len(s.actors)]
-		a.behind = (a.behind + 1) % 3
+		a.mirrorLag = (a.mirrorLag + 1) % 3
 	case 4:
-		s.work(target)
+		s.changeLoad(target)
 	case 5:
 		s.homesSilent = !s.homesSilent
 	}
 }
 
-// work gives a serving group requests, or ends those of any group.
-func (s *schedule) work(target int) {
+// changeLoad ends the requests of all groups and may start one on each serving group.
+func (s *schedule) changeLoad(target int) {
 	for _, g := range s.placement().Groups {
-		s.busy[g.ID] = 0
+		s.inProgress[g.ID] = 0
 		if g.State == vm.Serving {
-			s.busy[g.ID] = target % 2
+			s.inProgress[g.ID] = target % 2
 		}
 	}
 }
@@ -411,27 +414,27 @@
 	for _, e := range s.engines {
 		e.silent = false
 	}
-	s.list(func(v *vm.VM) { v.Leaving = false })
-	clear(s.busy)
+	s.changeVMs(func(v *vm.VM) { v.Leaving = false })
+	clear(s.inProgress)
 	s.homesSilent = false
 	for _, a := range s.actors {
-		a.behind = 0
+		a.mirrorLag = 0
 	}
 }
 
-// comeToRest lets one controller work alone, and checks what comes of it.
-func (s *schedule) comeToRest(last *actor) {
+// checkConvergence lets one controller run alone for 40 rounds and checks the result.
+func (s *schedule) checkConvergence(last *actor) {
 	for range 40 {
-		s.run(last)
+		s.runRound(last)
 		time.Sleep(controller.RoundInterval)
 	}
-	s.checkRest()
+	s.checkConverged()
 }
 
-// Several entries think that they own a fabric domain, because membership has not settled. They freeze at
-// any call and wake much later; the platform loses answers, makes writes late, and answers reads from an
-// old copy; orders are lost or arrive late; VMs die, restart and leave meanwhile. A user would notice a
-// VM torn between two groups: each loads its part, neither ever answers.
+// Several entries consider themselves owners of a fabric domain because membership has not settled. They pause at
+// any call and resume much later. The platform loses replies, applies writes late, and answers reads with an old
+// version. Orders are lost or arrive late, while VMs die, restart and leave. The failure to prevent is a VM
+// that is claimed by two groups: each of them loads its part, and neither ever answers.
 func TestInterleavedControllers(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("engines check fences %v", checks), func(t *testing.T) {
@@ -443,20 +446,20 @@
 				var s *schedule
 				synctest.Test(t, func(*testing.T) {
 					s = newSchedule(controllers, vms, replicas, checks)
-					s.play(moves)
+					s.run(moves)
 				})
 				s.checkHistory()
 				s.checkOrders()
-				if len(s.broken) > 0 {
-					rt.Fatalf("%s", strings.Join(s.broken, "\n"))
+				if len(s.violations) > 0 {
+					rt.Fatalf("%s", strings.Join(s.violations, "\n"))
 				}
 			})
 		})
 	}
 }
 
-// drawMove spreads what rapid draws, which is mostly small numbers, evenly over the moves. A drawn 0,
-// towards which rapid shrinks, is no move.
+// drawMove spreads the values that rapid draws, which are mostly small numbers, evenly over the moves. A drawn 0,
+// towards which rapid shrinks, is a move without effect.
 func drawMove(rt *rapid.T) move {
 	drawn := rapid.Uint64().Draw(rt, "move")
 	if drawn == 0 {
@@ -464,8 +467,8 @@
 	}
 	random := rand.New(rand.NewPCG(drawn, 0))
 	return move{
-		Action: uint8(random.IntN(noMove)),
-		Target: uint8(random.IntN(20)),
-		Fate:   uint8(random.IntN(2 * fates)),
+		Action:  uint8(random.IntN(noMove)),
+		Target:  uint8(random.IntN(20)),
+		Outcome: uint8(random.IntN(2 * outcomeCount)),
 	}
 }
--- a/entry/controller/seed_test.go
+++ b/entry/controller/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// CI plays the same inputs on each run; -rapid.seed plays others.
+// CI uses the same inputs in each run; set -rapid.seed to try others.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/entry/controller/split_test.go
+++ b/entry/controller/split_test.go
@@ -11,14 +11,14 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// NotWhole is never said by the home of a world.
+// NotWhole implements controller.GroupReports. The home of a world never reports a group as not whole.
 func (w *world) NotWhole(vm.GroupID) bool { return false }
 
-var _ = Describe("Two controllers that hold each other dead", func() {
-	// The network between two halves of the entries is cut, and both reach the platform. If each took the
-	// domain back as soon as it saw the other's write, both would write every round, and none would watch a
+var _ = Describe("Two controllers that consider each other dead", func() {
+	// A network partition separates two halves of the entries, and both reach the platform. If each took the domain
+	// back as soon as it saw the other's write, both would write in every round, and neither would observe a
 	// silent member for long enough to replace it.
-	It("take turns that are long enough to mend a group, and write little", func() {
+	It("alternate slowly enough to replace a member, and write little", func() {
 		w := newWorld(3)
 		left, right := w.entry("left"), w.entry("right")
 		both := func(count int) {
