--- a/entry/controller/property_test.go
+++ b/entry/controller/property_test.go
@@ -53,7 +53,7 @@
 	*world
 	actors []*actor
 
-	callsMu     sync.Mutex // guards blocked, lateEffects, violations and actor.idle
+	callsMu     sync.Mutex // guards blocked, lateEffects and violations
 	blocked     []*blockedCall
 	lateEffects []func()
 	// violations holds the invariants that were found violated.
@@ -147,12 +147,12 @@
 		return a.world.Get(ctx, kind, name)
 	default:
 		a.confirmedAt = begun
-		return a.placementBefore(1), nil
+		return a.oldPlacement(1), nil
 	}
 }
 
-// placementBefore returns the placement as it was the given number of versions ago.
-func (a *actor) placementBefore(versions int) platform.Object {
+// oldPlacement returns the placement as it was the given number of versions ago.
+func (a *actor) oldPlacement(versions int) platform.Object {
 	history := a.placements()
 	return history[max(0, len(history)-1-versions)]
 }
@@ -185,9 +185,7 @@
 }
 
 // Placements returns an entry's mirror, which may lag.
-func (a *actor) Placements() []platform.Object {
-	return []platform.Object{a.placementBefore(a.mirrorLag)}
-}
+func (a *actor) Placements() []platform.Object { return []platform.Object{a.oldPlacement(a.mirrorLag)} }
 
 // Order sends an order to an engine. The order is checked when the controller decides to send it: a delay of the
 // process between that moment and the network is what fencing numbers and the next probe protect against.
