--- a/entry/entry.go
+++ b/entry/entry.go
@@ -231,7 +231,7 @@
 func (e *Entry) watchMembers(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.Pause(ctx, membersCheck)
-		e.router.SetFronts(len(e.members.Live()))
+		e.router.SetFrontCount(len(e.members.Live()))
 		if e.members.Superseded() {
 			return ErrSuperseded
 		}
--- a/entry/routing/routing.go
+++ b/entry/routing/routing.go
@@ -73,8 +73,8 @@
 	return s
 }
 
-// SetFronts tells how many fronts share the load.
-func (r *Router) SetFronts(count int) {
+// SetFrontCount tells how many fronts share the load.
+func (r *Router) SetFrontCount(count int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if count == r.fronts || count < 1 {
