--- a/entry/routing/routing.go
+++ b/entry/routing/routing.go
@@ -1,8 +1,8 @@
 // Package routing runs the decisions of policy/balance and policy/retry at a front: which group a request
-// goes to, and whether it may be tried again.
+// goes to, and whether it may be retried.
 //
-// The flow: the table of groups tells of each change -> Put takes it into the balance.Table of the
-// group's service -> Choose decides on what is there, at no cost but the decision's own.
+// Put copies each change in the table of groups into the balance.Table of the group's service. Choose decides on
+// that state alone, so it costs no more than the decision itself.
 package routing
 
 import (
@@ -22,44 +22,46 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// noGroupRetryAfter is when a caller comes back that found no group: about the time in which a home takes
-// over or a group is found whole again.
+// noGroupRetryAfter is the Retry-After for a request that found no group. It is about the time in which a home
+// takes over or a group is found to be whole again.
 const noGroupRetryAfter = time.Second
 
-// unheardSince is above every ramp of a new group.
-const unheardSince = time.Hour
+// unreportedServingTime is the serving time assumed for a group without a report from a home. It is above the
+// ramp-up time of any new group.
+const unreportedServingTime = time.Hour
 
 // Router implements front.Chooser and front.RetryBudget. It is safe for concurrent use.
 type Router struct {
-	start         time.Time
+	startedAt     time.Time
 	failureDomain domain.FailureDomain
 	registry      metrics.Registry
 
-	mu       sync.Mutex // guards what follows; a leaf lock
+	mu       sync.Mutex // guards the fields below; a leaf lock
 	random   *rand.Rand
 	services map[string]*service
-	// serviceOf finds the table of a group that is gone.
-	serviceOf map[vm.GroupID]string
-	fronts    int
+	// serviceOf maps a group to its service. Remove uses it to find the table of a group.
+	serviceOf  map[vm.GroupID]string
+	frontCount int
 }
 
+// service holds the balancing state and the retry budget of one service.
 type service struct {
 	table  *balance.Table
 	budget *retry.Budget
 }
 
-// New returns a router of a front in the given failure domain.
+// New returns a Router for a front in the given failure domain.
 func New(failureDomain domain.FailureDomain, registry metrics.Registry) *Router {
 	return &Router{
-		start: time.Now(), failureDomain: failureDomain, registry: registry,
+		startedAt: time.Now(), failureDomain: failureDomain, registry: registry,
 		random:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		services: make(map[string]*service), serviceOf: make(map[vm.GroupID]string), fronts: 1,
+		services: make(map[string]*service), serviceOf: make(map[vm.GroupID]string), frontCount: 1,
 	}
 }
 
-func (r *Router) now() time.Duration { return time.Since(r.start) }
+func (r *Router) now() time.Duration { return time.Since(r.startedAt) }
 
-// service must be called with mu held.
+// service returns the state of a service and creates it if necessary. mu must be held.
 func (r *Router) service(name string) *service {
 	s := r.services[name]
 	if s == nil {
@@ -67,26 +69,26 @@
 			table:  balance.NewTable(balance.DefaultConfig(), string(r.failureDomain)),
 			budget: retry.NewBudget(retry.DefaultConfig(), r.now()),
 		}
-		s.table.SetFrontCount(r.fronts)
+		s.table.SetFrontCount(r.frontCount)
 		r.services[name] = s
 	}
 	return s
 }
 
-// SetFrontCount tells how many fronts share the load.
+// SetFrontCount sets the number of fronts that share the load.
 func (r *Router) SetFrontCount(count int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if count == r.fronts || count < 1 {
+	if count == r.frontCount || count < 1 {
 		return
 	}
-	r.fronts = count
+	r.frontCount = count
 	for _, s := range r.services {
 		s.table.SetFrontCount(count)
 	}
 }
 
-// ApplySettings takes the objectives of the services in force.
+// ApplySettings takes over the latency objectives of the services from the settings in force.
 func (r *Router) ApplySettings(snapshot *settings.Snapshot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,26 +100,26 @@
 	}
 }
 
-// Put takes in what is known of a group now.
+// Put updates the state of a group.
 func (r *Router) Put(c fleet.Candidate) {
 	now := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.serviceOf[c.Group.ID] = c.Group.Service
-	// A group of which no home was heard yet was most likely there before this entry: it gets no ramp.
-	since := unheardSince
+	// A group without a report from any home most likely served before this entry started, so it gets no ramp-up.
+	servingFor := unreportedServingTime
 	if !c.ServingSince.IsZero() {
-		since = time.Since(c.ServingSince)
+		servingFor = time.Since(c.ServingSince)
 	}
 	r.service(c.Group.Service).table.Put(now, balance.Candidate{
 		ID: string(c.Group.ID), Ready: c.Group.State == vm.Serving && c.MayServe(),
 		InFlight: c.Status.Load.InFlight, Queued: c.Status.Load.Queued, Limit: c.Status.Load.Limit,
 		FirstToken: c.Status.Load.FirstToken, TokenGap: c.Status.Load.TokenGap,
-		FailureDomain: string(c.Position.FailureDomain), ServingFor: since, ReportID: c.Report,
+		FailureDomain: string(c.Position.FailureDomain), ServingFor: servingFor, ReportID: c.Report,
 	})
 }
 
-// Remove forgets a group.
+// Remove removes a group.
 func (r *Router) Remove(id vm.GroupID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -145,11 +147,11 @@
 		return front.Choice{}, contract.Later(contract.CodeNoGroup, "no group of the service can take the request", noGroupRetryAfter)
 	}
 	table.Begin(choice.ID)
-	done := func(bool) { r.end(ask.Service.Name, choice.ID) }
+	done := func(bool) { r.finish(ask.Service.Name, choice.ID) }
 	return front.Choice{Group: vm.GroupID(choice.ID), Done: done}, nil
 }
 
-func (r *Router) end(service, id string) {
+func (r *Router) finish(service, id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.service(service).table.End(id)
@@ -163,8 +165,8 @@
 	r.service(service).budget.FirstTry(now)
 }
 
-// Retry implements front.RetryBudget. That the request may be tried again without harm was decided by the
-// outcome machine; here it counts as not run.
+// Retry implements front.RetryBudget. The outcome machine has already decided that the request can be retried
+// safely, so it counts as not run here.
 func (r *Router) Retry(service settings.Service, tries int, left time.Duration) (time.Duration, bool) {
 	now := r.now()
 	try := retry.Try{Result: retry.NotRun, Number: tries, TimeLeft: left}
