--- a/entry/front/fakes_test.go
+++ b/entry/front/fakes_test.go
@@ -217,8 +217,8 @@
 
 func (f *fleet) guard() *guard.Guard {
 	return guard.New(guard.Deps{
-		Store: platform.NewClient(f.server.URL), Taker: noTaker{}, Engines: f.backend, Metrics: metrics.NewRegistry(),
-		Recorder: timeline.NewRecorder("guard", nil, time.Now), Clock: time.Now, Nonce: rand.Text,
+		Store: platform.NewClient(f.server.URL), Publisher: noTaker{}, Engines: f.backend, Metrics: metrics.NewRegistry(),
+		Recorder: timeline.NewRecorder("guard", nil, time.Now), Clock: time.Now, NewNonce: rand.Text,
 	})
 }
 
--- a/entry/guard/guard.go
+++ b/entry/guard/guard.go
@@ -34,8 +34,8 @@
 	writeTimeout = time.Second
 )
 
-// Taker spreads an object that this entry wrote.
-type Taker interface {
+// ObjectPublisher spreads an object that this entry wrote.
+type ObjectPublisher interface {
 	Took(object platform.Object)
 }
 
@@ -43,12 +43,12 @@
 type Deps struct {
 	Self     string
 	Store    platform.Store
-	Taker    Taker
+	Publisher    ObjectPublisher
 	Engines  engine.Client
 	Recorder *timeline.Recorder
 	Metrics  metrics.Registry
 	Clock    func() time.Time
-	Nonce    func() string
+	NewNonce    func() string
 }
 
 // Guard is safe for concurrent use.
@@ -81,22 +81,22 @@
 	return r
 }
 
-// Subject is a request that is about to be sent to a group.
-type Subject struct {
+// Request is a request that is about to be sent to a group.
+type Request struct {
 	RequestID   string
 	Service     string
 	Group       vm.Group
 	Fingerprint string
 	// Timeout is how long the request may take from now.
 	Timeout time.Duration
-	// Crash names the crash that an earlier try of the request ended in; empty if there was none. It makes
+	// CrashID names the crash that an earlier try of the request ended in; empty if there was none. It makes
 	// a suspect of it here, even if the news of the crash has not arrived.
-	Crash string
+	CrashID string
 }
 
-// Enter lets the request pass or says why not. Whoever passes calls Done.
-func (g *Guard) Enter(ctx context.Context, s Subject) (*Pass, *contract.Problem) {
-	pass := &Pass{guard: g, subject: s}
+// Admit lets the request pass or says why not. Whoever passes calls Done.
+func (g *Guard) Admit(ctx context.Context, s Request) (*Permit, *contract.Problem) {
+	pass := &Permit{guard: g, subject: s}
 	verdict := g.enter(pass)
 	if verdict == quarantine.OnTrial {
 		verdict = g.claim(ctx, pass)
@@ -122,14 +122,14 @@
 }
 
 // enter counts the request as running and returns its verdict.
-func (g *Guard) enter(p *Pass) quarantine.Verdict {
+func (g *Guard) enter(p *Permit) quarantine.Verdict {
 	now := g.deps.Clock()
 	s := p.subject
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.register(s.Service)
-	if s.Crash != "" {
-		r.RecordCrash(now, s.Crash, "", []string{s.Fingerprint})
+	if s.CrashID != "" {
+		r.RecordCrash(now, s.CrashID, "", []string{s.Fingerprint})
 	}
 	requests := g.running[s.Group.ID]
 	if requests == nil {
@@ -142,7 +142,7 @@
 
 // claim enters the trial into the platform's object. Without a confirmed write the suspect waits: another
 // home may have it on trial.
-func (g *Guard) claim(ctx context.Context, p *Pass) quarantine.Verdict {
+func (g *Guard) claim(ctx context.Context, p *Permit) quarantine.Verdict {
 	s := p.subject
 	trial := quarantine.Trial{Group: string(s.Group.ID), Home: g.deps.Self}
 	verdict := quarantine.Waits
@@ -158,7 +158,7 @@
 }
 
 // othersRunning returns the fingerprints at work on the group, but for the request's own.
-func (g *Guard) othersRunning(s Subject) []string {
+func (g *Guard) othersRunning(s Request) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var others []string
@@ -206,7 +206,7 @@
 	if !change(next) {
 		return nil
 	}
-	value, nonce, err := encode(next, g.deps.Nonce)
+	value, nonce, err := encode(next, g.deps.NewNonce)
 	if err != nil {
 		return err
 	}
@@ -215,7 +215,7 @@
 		return err
 	}
 	g.adopt(service, next)
-	g.deps.Taker.Took(platform.Object{Kind: platform.KindQuarantine, Name: service, Version: version, Value: value})
+	g.deps.Publisher.Took(platform.Object{Kind: platform.KindQuarantine, Name: service, Version: version, Value: value})
 	return nil
 }
 
@@ -240,8 +240,8 @@
 	g.register(service).Merge(g.deps.Clock(), r)
 }
 
-// Take takes in an object of kind "quarantine" from the mirror.
-func (g *Guard) Take(object platform.Object) {
+// ApplyObject takes in an object of kind "quarantine" from the mirror.
+func (g *Guard) ApplyObject(object platform.Object) {
 	read, err := decode(g.config, object)
 	if err != nil {
 		return
--- a/entry/guard/pass.go
+++ b/entry/guard/pass.go
@@ -7,17 +7,17 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// Pass is a request's leave to run on a group. Only the request's own goroutine uses it.
-type Pass struct {
+// Permit is a request's leave to run on a group. Only the request's own goroutine uses it.
+type Permit struct {
 	guard   *Guard
-	subject Subject
+	subject Request
 	onTrial bool
 	// over says that the request finished or crashed, so that Done need not release a trial.
 	over bool
 }
 
 // Finished says that the request ran to its end: if it was a suspect, that clears it.
-func (p *Pass) Finished(ctx context.Context) {
+func (p *Permit) Finished(ctx context.Context) {
 	p.over = true
 	s := p.subject
 	if !p.guard.known(s) {
@@ -29,7 +29,7 @@
 }
 
 // known says whether anything is held against the request here; most have nothing, and cost no call.
-func (g *Guard) known(s Subject) bool {
+func (g *Guard) known(s Request) bool {
 	now := g.deps.Clock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -37,10 +37,10 @@
 	return r.Len() > 0 && r.Clone().RecordFinish(now, s.Fingerprint, string(s.Group.ID))
 }
 
-// Broke says that the answer broke off. If a member's process is gone, every request at work on the group is
+// ResponseBroke says that the answer broke off. If a member's process is gone, every request at work on the group is
 // a suspect from now on, and the crash's name is returned; it goes with the request to its next try. A
 // member that does not answer at all may be cut off or frozen: nobody is suspected for that.
-func (p *Pass) Broke(ctx context.Context) (crash string) {
+func (p *Permit) ResponseBroke(ctx context.Context) (crash string) {
 	s := p.subject
 	boot, why := p.guard.goneBoot(ctx, s.Group)
 	if boot == "" {
@@ -55,7 +55,7 @@
 }
 
 // Done ends the pass.
-func (p *Pass) Done(ctx context.Context) {
+func (p *Permit) Done(ctx context.Context) {
 	p.leave()
 	if !p.onTrial || p.over {
 		return
@@ -67,7 +67,7 @@
 	})
 }
 
-func (p *Pass) leave() {
+func (p *Permit) leave() {
 	g := p.guard
 	s := p.subject
 	g.mu.Lock()
@@ -79,7 +79,7 @@
 }
 
 // crashed keeps the crash here at once, then writes it, so that other entries hold the suspects back too.
-func (g *Guard) crashed(ctx context.Context, s Subject, crash string) {
+func (g *Guard) crashed(ctx context.Context, s Request, crash string) {
 	running := append(g.fingerprints(s.Group.ID), s.Fingerprint)
 	now := g.deps.Clock()
 	g.mu.Lock()
@@ -106,7 +106,7 @@
 	g.unsaved[service] = true
 }
 
-func (g *Guard) record(kind timeline.Kind, s Subject, detail string) {
+func (g *Guard) record(kind timeline.Kind, s Request, detail string) {
 	g.deps.Recorder.Record(timeline.Event{
 		Kind: kind, Request: s.RequestID, Service: s.Service, Group: string(s.Group.ID), Detail: detail,
 	})
--- a/entry/home/home.go
+++ b/entry/home/home.go
@@ -68,8 +68,8 @@
 
 // Guard holds requests back that crash backend servers.
 type Guard interface {
-	// Enter says whether the request may go to the group now. It is called right before the claim.
-	Enter(ctx context.Context, s guard.Subject) (*guard.Pass, *contract.Problem)
+	// Admit says whether the request may go to the group now. It is called right before the claim.
+	Admit(ctx context.Context, s guard.Request) (*guard.Permit, *contract.Problem)
 }
 
 // Deps is what a home needs.
--- a/entry/home/run.go
+++ b/entry/home/run.go
@@ -19,7 +19,7 @@
 	service settings.Service
 	group   vm.Group
 	turn    Turn
-	pass    *guard.Pass
+	pass    *guard.Permit
 	claim   attempt.Result
 	// givenUp says that nothing was or will be sent under claim; frontGone that the front was gone before it was told.
 	givenUp, frontGone bool
@@ -82,7 +82,7 @@
 		p = gone()
 	}
 	if p == nil {
-		r.pass, p = r.home.deps.Guard.Enter(ctx, r.subject(ctx))
+		r.pass, p = r.home.deps.Guard.Admit(ctx, r.subject(ctx))
 	}
 	if p != nil {
 		r.refuse(p)
@@ -123,10 +123,10 @@
 	r.complete(ctx)
 }
 
-func (r *run) subject(ctx context.Context) guard.Subject {
-	return guard.Subject{
+func (r *run) subject(ctx context.Context) guard.Request {
+	return guard.Request{
 		RequestID: r.d.RequestID, Service: r.d.Service, Group: r.group, Fingerprint: r.d.Fingerprint,
-		Timeout: r.left(ctx), Crash: r.d.Crash,
+		Timeout: r.left(ctx), CrashID: r.d.Crash,
 	}
 }
 
@@ -262,7 +262,7 @@
 // broken tells the front that the answer broke off. Whether a backend server crashed is found out first: a
 // retry must not outrun the news.
 func (r *run) broken(ctx context.Context, p *contract.Problem) {
-	crash := r.pass.Broke(ctx)
+	crash := r.pass.ResponseBroke(ctx)
 	r.frame(contract.Frame{Kind: contract.FrameBroken, Problem: p, Crash: crash})
 }
 
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -101,8 +101,8 @@
 	measures *measures,
 ) *guard.Guard {
 	return guard.New(guard.Deps{
-		Self: config.Name, Store: store, Taker: follower, Engines: engines, Recorder: recorder,
-		Metrics: measures.registry, Clock: time.Now, Nonce: uuid.NewString,
+		Self: config.Name, Store: store, Publisher: follower, Engines: engines, Recorder: recorder,
+		Metrics: measures.registry, Clock: time.Now, NewNonce: uuid.NewString,
 	})
 }
 
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -141,7 +141,7 @@
 	e.mirror.OnChange(platform.KindSettings, e.inForce.take)
 	e.mirror.OnChange(platform.KindEntry, e.takeEntry)
 	e.mirror.OnChange(platform.KindPlacement, e.takePlacement)
-	e.mirror.OnChange(platform.KindQuarantine, e.guard.Take)
+	e.mirror.OnChange(platform.KindQuarantine, e.guard.ApplyObject)
 	e.mirror.OnChange(platform.KindSettings, func(platform.Object) { e.router.ApplySettings(e.inForce.Snapshot()) })
 	e.dispatcher.table.OnChange(e.router.Put, e.router.Remove)
 	e.members.Handle(reportTopic, e.takeReport)
