--- a/entry/providers.go
+++ b/entry/providers.go
@@ -101,8 +101,8 @@
 	measures *measures,
 ) *guard.Guard {
 	return guard.New(guard.Deps{
-		Self: config.Name, Store: store, Taker: follower, Engines: engines, Recorder: recorder,
-		Metrics: measures.registry, Clock: time.Now, Nonce: uuid.NewString,
+		Self: config.Name, Store: store, Publisher: follower, Engines: engines, Recorder: recorder,
+		Metrics: measures.registry, Clock: time.Now, NewNonce: uuid.NewString,
 	})
 }
 
@@ -206,9 +206,9 @@
 	inForce *settingsInForce, recorder *timeline.Recorder, measures *measures, log *logrus.Entry, follower *mirror.Follower,
 ) *controller.Controller {
 	return controller.New(controller.Deps{
-		Store: reach.Watched(store), Engines: engines, Owners: reaching{owners, reach}, Placements: placements{m}, Loads: reports{table},
+		Store: reach.Watched(store), Engines: engines, Membership: reaching{owners, reach}, Placements: placements{m}, GroupReports: reports{table},
 		Settings: snapshots{inForce}.Snapshot, Incarnation: self.entry.Incarnation, Recorder: recorder,
-		Metrics: measures.registry, Log: log, Took: follower.Took,
+		Metrics: measures.registry, Log: log, OnPlacement: follower.Took,
 	})
 }
 
