--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -86,7 +86,7 @@
 	return g.load()
 }
 
-func (a *Admission) gate(item home.Item) *gate {
+func (a *Admission) gate(item home.AdmissionRequest) *gate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	g := a.gates[item.Group]
@@ -98,11 +98,11 @@
 }
 
 // Enter implements home.Admission.
-func (a *Admission) Enter(ctx context.Context, item home.Item) (home.Turn, *contract.Problem) {
+func (a *Admission) Enter(ctx context.Context, item home.AdmissionRequest) (home.Permit, *contract.Problem) {
 	g := a.gate(item)
 	t := &turn{
 		admission: a, gate: g, id: strconv.FormatUint(a.ids.Add(1), 10),
-		plain: item.Service.Kind == settings.Plain, prompt: item.Prompt,
+		plain: item.Service.Kind == settings.Plain, prompt: item.PromptTokens,
 	}
 	verdict := g.offer(a.now(), item, t)
 	switch verdict.Decision {
@@ -116,7 +116,7 @@
 
 // wait returns once it is the request's turn, or its time is over. A turn that comes at the same moment
 // as the end of the wait is taken: the check before the send sees whether it is still worth it.
-func (a *Admission) wait(ctx context.Context, item home.Item, t *turn) (home.Turn, *contract.Problem) {
+func (a *Admission) wait(ctx context.Context, item home.AdmissionRequest, t *turn) (home.Permit, *contract.Problem) {
 	timer := time.NewTimer(item.Service.QueueTimeout)
 	defer timer.Stop()
 	select {
@@ -181,7 +181,7 @@
 	g.limit = limit.New(config)
 }
 
-func (g *gate) offer(now time.Duration, item home.Item, t *turn) fairqueue.Verdict {
+func (g *gate) offer(now time.Duration, item home.AdmissionRequest, t *turn) fairqueue.Verdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.used = now
@@ -203,14 +203,14 @@
 // refuse every request, and never learn how long they take.
 const leastAnswer = 16
 
-func queued(now time.Duration, item home.Item, id string) fairqueue.Item {
+func queued(now time.Duration, item home.AdmissionRequest, id string) fairqueue.Item {
 	q := fairqueue.Item{
 		ID: id, Team: item.Team.Name, Share: item.Team.Share, Priority: item.Priority, Work: fairqueue.PlainWork,
 		Deadline: now + item.Timeout, Jitter: rand.Float64(),
 	}
 	if item.Service.Kind == settings.Language {
-		q.Work = item.Work
-		q.MinWork = item.Prompt + min(leastAnswer, item.Work-item.Prompt)
+		q.Work = item.EstimatedTokens
+		q.MinWork = item.PromptTokens + min(leastAnswer, item.EstimatedTokens-item.PromptTokens)
 	}
 	return q
 }
@@ -274,7 +274,7 @@
 	return true
 }
 
-func (g *gate) overloaded(now time.Duration, item home.Item, id string) *contract.Problem {
+func (g *gate) overloaded(now time.Duration, item home.AdmissionRequest, id string) *contract.Problem {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	retry := g.queue.RetryAfter(now, queued(now, item, id))
--- a/entry/admission/admission_test.go
+++ b/entry/admission/admission_test.go
@@ -18,9 +18,9 @@
 	RunSpecs(t, "Admission")
 }
 
-func ask(team string, timeout time.Duration) home.Item {
-	return home.Item{
-		Group: "g", Team: settings.Team{Name: team, Share: 1}, Work: 10, Timeout: timeout,
+func ask(team string, timeout time.Duration) home.AdmissionRequest {
+	return home.AdmissionRequest{
+		Group: "g", Team: settings.Team{Name: team, Share: 1}, EstimatedTokens: 10, Timeout: timeout,
 		Service: settings.Service{
 			Kind: settings.Language, MaxConcurrency: 1, QueueTimeout: time.Minute,
 			FirstToken: time.Second, TokenGap: time.Second,
@@ -32,7 +32,7 @@
 	var a *Admission
 	BeforeEach(func() { a = New() })
 
-	enter := func(ctx context.Context, item home.Item) home.Turn {
+	enter := func(ctx context.Context, item home.AdmissionRequest) home.Permit {
 		GinkgoHelper()
 		turn, problem := a.Enter(ctx, item)
 		Expect(problem).To(BeNil())
@@ -41,7 +41,7 @@
 
 	It("gives the place to the next one as soon as it is free", func() {
 		first := enter(context.Background(), ask("a", time.Minute))
-		entered := make(chan home.Turn)
+		entered := make(chan home.Permit)
 		go func() {
 			turn, _ := a.Enter(context.Background(), ask("b", time.Minute))
 			entered <- turn
@@ -49,7 +49,7 @@
 		Eventually(func() int { return a.Load("g").Queued }).Should(Equal(1))
 		Consistently(entered, "100ms").ShouldNot(Receive())
 		first.Done()
-		var second home.Turn
+		var second home.Permit
 		Eventually(entered).Should(Receive(&second))
 		second.Done()
 		Expect(a.Load("g").InFlight).To(BeZero())
--- a/entry/admission/turn.go
+++ b/entry/admission/turn.go
@@ -35,7 +35,7 @@
 	t.running = running
 }
 
-// FirstToken implements home.Turn. The place that it frees for another request to start in is used at once.
+// FirstToken implements home.Permit. The place that it frees for another request to start in is used at once.
 func (t *turn) FirstToken() {
 	now := t.admission.now()
 	t.last = now
@@ -47,7 +47,7 @@
 	t.gate.pump(now)
 }
 
-// Token implements home.Turn.
+// Token implements home.Permit.
 func (t *turn) Token(count int) {
 	now := t.admission.now()
 	first := t.tokens == 0
@@ -58,7 +58,7 @@
 	t.last = now
 }
 
-// Done implements home.Turn. It may be called twice.
+// Done implements home.Permit. It may be called twice.
 func (t *turn) Done() {
 	if t.done {
 		return
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -173,7 +173,7 @@
 			}()
 		},
 		InProgress: func() int {
-			return int(e.dispatcher.serving.Load()) + e.dispatcher.home.Releasing() + max(e.gate.InProgress(), unfinished(closed))
+			return int(e.dispatcher.serving.Load()) + e.dispatcher.home.PendingReleases() + max(e.gate.InProgress(), unfinished(closed))
 		},
 		Entered: e.recordPhase,
 	}
--- a/entry/front/fakes_test.go
+++ b/entry/front/fakes_test.go
@@ -377,7 +377,7 @@
 // openDoor is an Admission that lets everything in.
 type openDoor struct{}
 
-func (openDoor) Enter(context.Context, home.Item) (home.Turn, *contract.Problem) {
+func (openDoor) Enter(context.Context, home.AdmissionRequest) (home.Permit, *contract.Problem) {
 	return openTurn{}, nil
 }
 
--- a/entry/front/links_test.go
+++ b/entry/front/links_test.go
@@ -38,7 +38,7 @@
 	if silent {
 		return outcome.HolderSilent
 	}
-	return f.homes[id].Holds(claim.RequestID, claim.Nonce)
+	return f.homes[id].ClaimStatus(claim.RequestID, claim.Nonce)
 }
 
 func (f *fleet) wake() {
--- a/entry/holder.go
+++ b/entry/holder.go
@@ -75,7 +75,7 @@
 	if question.Incarnation != d.life {
 		return outcome.HolderSilent
 	}
-	return d.home.Holds(question.RequestID, question.Nonce)
+	return d.home.ClaimStatus(question.RequestID, question.Nonce)
 }
 
 // registerHolder answers the questions of other entries' fronts.
--- a/entry/home/home.go
+++ b/entry/home/home.go
@@ -35,23 +35,23 @@
 	Whole(id vm.GroupID) (ok bool, reason string)
 }
 
-// Item is a request in front of the queue.
-type Item struct {
+// AdmissionRequest is a request in front of the queue.
+type AdmissionRequest struct {
 	Service settings.Service
 	Team    settings.Team
 	Group   vm.GroupID
 	// Timeout is how long the request may take in all, from now.
 	Timeout  time.Duration
 	Priority int
-	// Work is the estimated work in tokens.
-	Work int
-	// Prompt is the part of Work that the prompt is; the rest is a bound on the answer.
-	Prompt int
+	// EstimatedTokens is the estimated work in tokens.
+	EstimatedTokens int
+	// PromptTokens is the part of Work that the prompt is; the rest is a bound on the answer.
+	PromptTokens int
 }
 
-// Turn is a request's place at work. Its owner reports what it sees, and calls Done at the end; more calls
+// Permit is a request's place at work. Its owner reports what it sees, and calls Done at the end; more calls
 // of Done do nothing.
-type Turn interface {
+type Permit interface {
 	// FirstToken and Token report the arrival of the first and of each later event, for the limit.
 	FirstToken()
 	Token(count int)
@@ -61,7 +61,7 @@
 // Admission decides what is let in, what waits, and for how long.
 type Admission interface {
 	// Enter waits for a turn, or says at once why there is none.
-	Enter(ctx context.Context, item Item) (Turn, *contract.Problem)
+	Enter(ctx context.Context, item AdmissionRequest) (Permit, *contract.Problem)
 	// Load returns the load of a group at this home.
 	Load(id vm.GroupID) contract.GroupLoad
 }
@@ -107,13 +107,13 @@
 	return &Home{deps: deps, work: newTable()}
 }
 
-// Holds says what became of a claim of this home, given the request's id and the claim's nonce.
-func (h *Home) Holds(requestID, nonce string) outcome.HolderAnswer {
+// ClaimStatus says what became of a claim of this home, given the request's id and the claim's nonce.
+func (h *Home) ClaimStatus(requestID, nonce string) outcome.HolderAnswer {
 	return h.work.answer(requestID, nonce)
 }
 
-// Releasing counts the claims that were given up and may stand still. A planned stop waits for them.
-func (h *Home) Releasing() int { return int(h.releasing.Load()) }
+// PendingReleases counts the claims that were given up and may stand still. A planned stop waits for them.
+func (h *Home) PendingReleases() int { return int(h.releasing.Load()) }
 
 // Dispatch handles one dispatch and sends its frames. It returns when the work is over. When ctx is over
 // or send fails the front is gone: what it asked for is cancelled, unless it was claimed.
--- a/entry/home/home_test.go
+++ b/entry/home/home_test.go
@@ -40,7 +40,7 @@
 
 func (s *scene) Whole(vm.GroupID) (bool, string) { return s.whole, "a member is silent" }
 
-func (s *scene) Enter(context.Context, Item) (Turn, *contract.Problem) {
+func (s *scene) Enter(context.Context, AdmissionRequest) (Permit, *contract.Problem) {
 	s.wait(s)
 	return place{}, nil
 }
--- a/entry/home/run.go
+++ b/entry/home/run.go
@@ -18,7 +18,7 @@
 	d       contract.Dispatch
 	service settings.Service
 	group   vm.Group
-	turn    Turn
+	turn    Permit
 	pass    *guard.Pass
 	claim   attempt.Result
 	// givenUp says that nothing was or will be sent under claim; frontGone that the front was gone before it was told.
@@ -179,14 +179,14 @@
 // noGroupRetryAfter is about the time in which a home takes over or a group is found whole again.
 const noGroupRetryAfter = time.Second
 
-func (r *run) item(ctx context.Context) Item {
+func (r *run) item(ctx context.Context) AdmissionRequest {
 	team, ok := r.home.deps.Settings().Teams[r.d.Team]
 	if !ok {
 		team = settings.Team{Name: r.d.Team, Share: 1}
 	}
-	return Item{
+	return AdmissionRequest{
 		Service: r.service, Team: team, Group: r.d.Group, Timeout: r.left(ctx),
-		Priority: r.d.Priority, Work: r.d.EstimatedTokens, Prompt: r.d.PromptTokens,
+		Priority: r.d.Priority, EstimatedTokens: r.d.EstimatedTokens, PromptTokens: r.d.PromptTokens,
 	}
 }
 
