--- a/entry/home/home.go
+++ b/entry/home/home.go
@@ -1,8 +1,10 @@
-// Package home is the part of an entry that owns groups: it takes the dispatches of fronts, queues them,
-// claims those that may not be repeated, and sends each to the head of its group, once.
+// Package home implements the role of an entry that owns groups, called the home of those groups. It receives
+// dispatches from fronts, queues them, claims those that may run at most once, and sends each of them once to the
+// head of its group.
 //
-// Two entries may believe for a while that they own the same group. Nothing here depends on there being
-// one: the claim is decided by the platform, the group's members by the placement and the probes.
+// Two entries may temporarily both believe that they are the home of the same group. Correctness does not depend
+// on there being only one: the platform decides which of them gets the claim, and the members of the group are
+// determined by the placement and the probes.
 package home
 
 import (
@@ -23,58 +25,62 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// Groups knows the placements, and which groups are this entry's.
+// Groups looks up placements and tells which groups this entry is the home of.
 type Groups interface {
-	// Lookup returns the group as last placed, and whether this entry is its home.
+	// Lookup returns the group as last placed, and whether this entry is its home. ok is false if the group is not
+	// placed.
 	Lookup(id vm.GroupID) (group vm.Group, home bool, ok bool)
 }
 
-// Presence knows whether a group is whole: every member answered a probe lately, with the right boot id,
+// Presence reports whether a group is whole: every member answered a probe recently with the expected boot ID,
 // group and epoch.
 type Presence interface {
+	// Whole reports whether the group is whole and, if it is not, the reason.
 	Whole(id vm.GroupID) (ok bool, reason string)
 }
 
-// AdmissionRequest is a request in front of the queue.
+// AdmissionRequest describes a request that asks to be admitted to a group.
 type AdmissionRequest struct {
 	Service settings.Service
 	Team    settings.Team
 	Group   vm.GroupID
-	// Timeout is how long the request may take in all, from now.
+	// Timeout is the total time that the request may still take, including the time in the queue.
 	Timeout  time.Duration
 	Priority int
-	// EstimatedTokens is the estimated work in tokens.
+	// EstimatedTokens is the estimated work: the prompt and the answer, in tokens.
 	EstimatedTokens int
-	// PromptTokens is the part of Work that the prompt is; the rest is a bound on the answer.
+	// PromptTokens is the prompt's part of EstimatedTokens. The rest is an upper bound on the answer.
 	PromptTokens int
 }
 
-// Permit is a request's place at work. Its owner reports what it sees, and calls Done at the end; more calls
-// of Done do nothing.
+// Permit is the admission of one request to a group. Its owner reports the progress of the answer and calls Done
+// at the end. Further calls of Done have no effect.
 type Permit interface {
-	// FirstToken and Token report the arrival of the first and of each later event, for the limit.
+	// FirstToken reports the first event of the answer. The latencies that FirstToken and Token report drive the
+	// concurrency limit.
 	FirstToken()
+	// Token reports the tokens of each event, including the first.
 	Token(count int)
 	Done()
 }
 
-// Admission decides what is let in, what waits, and for how long.
+// Admission decides which requests are admitted, which wait, and for how long.
 type Admission interface {
-	// Enter waits for a turn, or says at once why there is none.
-	Enter(ctx context.Context, item AdmissionRequest) (Permit, *contract.Problem)
+	// Enter waits for a permit. It returns a Problem as soon as the request cannot be admitted.
+	Enter(ctx context.Context, request AdmissionRequest) (Permit, *contract.Problem)
 	// Load returns the load of a group at this home.
 	Load(id vm.GroupID) contract.GroupLoad
 }
 
-// Guard holds requests back that crash backend servers.
+// Guard holds back requests that have crashed backend servers.
 type Guard interface {
-	// Enter says whether the request may go to the group now. It is called right before the claim.
+	// Enter reports whether the request may go to the group now. It is called right before the claim.
 	Enter(ctx context.Context, s guard.Subject) (*guard.Pass, *contract.Problem)
 }
 
-// Deps is what a home needs.
+// Deps holds the dependencies of a Home.
 type Deps struct {
-	// Self and Incarnation name this life of this entry in claims.
+	// Self and Incarnation identify this entry and its current process lifetime in claims.
 	Self        string
 	Incarnation string
 	Groups      Groups
@@ -87,43 +93,44 @@
 	Recorder    *timeline.Recorder
 	Metrics     metrics.Registry
 	Log         logrus.FieldLogger
-	// Clock is time.Now if nil.
+	// Clock defaults to time.Now.
 	Clock func() time.Time
 }
 
-// Home takes dispatches. It is safe for concurrent use.
+// Home handles the dispatches to the groups of this entry. It is safe for concurrent use.
 type Home struct {
-	deps Deps
-	work *table
-	// releasing counts the goroutines of releases.
-	releasing atomic.Int64
+	deps   Deps
+	claims *claimTable
+	// pendingReleases counts the goroutines that release claims.
+	pendingReleases atomic.Int64
 }
 
-// New returns a home.
+// New returns a Home.
 func New(deps Deps) *Home {
 	if deps.Clock == nil {
 		deps.Clock = time.Now
 	}
-	return &Home{deps: deps, work: newTable()}
+	return &Home{deps: deps, claims: newClaimTable()}
 }
 
-// ClaimStatus says what became of a claim of this home, given the request's id and the claim's nonce.
+// ClaimStatus returns what became of a claim of this home, given the request ID and the nonce of the claim.
 func (h *Home) ClaimStatus(requestID, nonce string) outcome.HolderAnswer {
-	return h.work.answer(requestID, nonce)
+	return h.claims.status(requestID, nonce)
 }
 
-// PendingReleases counts the claims that were given up and may stand still. A planned stop waits for them.
-func (h *Home) PendingReleases() int { return int(h.releasing.Load()) }
+// PendingReleases returns the number of abandoned claims that may not have been released yet. A planned stop waits
+// until it is zero.
+func (h *Home) PendingReleases() int { return int(h.pendingReleases.Load()) }
 
-// Dispatch handles one dispatch and sends its frames. It returns when the work is over. When ctx is over
-// or send fails the front is gone: what it asked for is cancelled, unless it was claimed.
+// Dispatch handles one dispatch, passes its frames to send, and returns when the work is done. If ctx ends or send
+// fails, the front is gone: the request is cancelled unless it was claimed.
 func (h *Home) Dispatch(ctx context.Context, d contract.Dispatch, send func(contract.Frame) error) error {
 	h.deps.Recorder.Observe(d.HLCTime)
 	run := newRun(ctx, h, d, send)
 	ctx, cancel := context.WithTimeout(ctx, d.Timeout)
 	defer cancel()
-	run.do(ctx)
-	if run.givenUp {
+	run.execute(ctx)
+	if run.claimAbandoned {
 		run.startRelease()
 	}
 	return run.sendErr
--- a/entry/home/home_test.go
+++ b/entry/home/home_test.go
@@ -23,52 +23,53 @@
 	RunSpecs(t, "home")
 }
 
-// scene is a home whose world changes while a request waits in its queue.
-type scene struct {
+// fakeEnvironment implements the dependencies of a Home. Its wait function changes the state while a request waits
+// in the queue.
+type fakeEnvironment struct {
 	engine.Client
-	state vm.GroupState
-	homed bool
-	whole bool
-	now   time.Time
-	wait  func(s *scene)
-	sends int
+	state  vm.GroupState
+	isHome bool
+	whole  bool
+	now    time.Time
+	wait   func(s *fakeEnvironment)
+	sends  int
 }
 
-func (s *scene) Lookup(id vm.GroupID) (vm.Group, bool, bool) {
-	return vm.Group{ID: id, Service: "chat", State: s.state, Members: []vm.Member{{}}}, s.homed, true
+func (s *fakeEnvironment) Lookup(id vm.GroupID) (vm.Group, bool, bool) {
+	return vm.Group{ID: id, Service: "chat", State: s.state, Members: []vm.Member{{}}}, s.isHome, true
 }
 
-func (s *scene) Whole(vm.GroupID) (bool, string) { return s.whole, "a member is silent" }
+func (s *fakeEnvironment) Whole(vm.GroupID) (bool, string) { return s.whole, "a member is silent" }
 
-func (s *scene) Enter(context.Context, AdmissionRequest) (Permit, *contract.Problem) {
+func (s *fakeEnvironment) Enter(context.Context, AdmissionRequest) (Permit, *contract.Problem) {
 	s.wait(s)
-	return place{}, nil
+	return fakePermit{}, nil
 }
 
-func (s *scene) Complete(context.Context, engine.Send, []byte) (engine.Stream, error) {
+func (s *fakeEnvironment) Complete(context.Context, engine.Send, []byte) (engine.Stream, error) {
 	s.sends++
 	return nil, engine.ErrNotSent
 }
 
-func (s *scene) Load(vm.GroupID) contract.GroupLoad { return contract.GroupLoad{} }
+func (s *fakeEnvironment) Load(vm.GroupID) contract.GroupLoad { return contract.GroupLoad{} }
 
-// openGuard knows no suspects and holds nothing back.
+// openGuard returns a guard that knows no suspects and holds nothing back.
 func openGuard() *guard.Guard {
 	return guard.New(guard.Deps{Metrics: metrics.NewRegistry(), Recorder: timeline.NewRecorder("g", nil, time.Now), Clock: time.Now})
 }
 
-type place struct{}
+type fakePermit struct{}
 
-func (place) FirstToken() {}
-func (place) Token(int)   {}
-func (place) Done()       {}
+func (fakePermit) FirstToken() {}
+func (fakePermit) Token(int)   {}
+func (fakePermit) Done()       {}
 
-// A request waits in the queue, and meanwhile its group loses a member, is drained, or gets another home; or
-// the home's VM is paused for longer than the caller waits. Sent all the same, it would meet a broken replica,
-// be cut by a planned stop, or run after its caller was told that it can't.
+// While a request waits in the queue, its group loses a member, is drained, or gets another home, or the VM of
+// this home is paused for longer than the caller waits. If the request were sent anyway, it would reach a broken
+// replica, be cut off by a planned stop, or run after its caller was told that it would not.
 var _ = DescribeTable("what changed while a request waited",
-	func(wait func(s *scene), sends int, code contract.Code) {
-		s := &scene{state: vm.Serving, homed: true, whole: true, now: time.Now(), wait: wait}
+	func(wait func(s *fakeEnvironment), sends int, code contract.Code) {
+		s := &fakeEnvironment{state: vm.Serving, isHome: true, whole: true, now: time.Now(), wait: wait}
 		log, _ := logtest.NewNullLogger()
 		h := New(Deps{
 			Metrics: metrics.NewRegistry(), Log: log,
@@ -94,9 +95,9 @@
 			Expect(f.Seq).To(BeEquivalentTo(i))
 		}
 	},
-	Entry("nothing", func(*scene) {}, 1, contract.CodeBackendRefused),
-	Entry("a member", func(s *scene) { s.whole = false }, 0, contract.CodeNoGroup),
-	Entry("the group's state", func(s *scene) { s.state = vm.Draining }, 0, contract.CodeNoGroup),
-	Entry("its home", func(s *scene) { s.homed = false }, 0, contract.CodeNotHome),
-	Entry("the time", func(s *scene) { s.now = s.now.Add(time.Hour) }, 0, contract.CodeDeadline),
+	Entry("nothing", func(*fakeEnvironment) {}, 1, contract.CodeBackendRefused),
+	Entry("a member", func(s *fakeEnvironment) { s.whole = false }, 0, contract.CodeNoGroup),
+	Entry("the group's state", func(s *fakeEnvironment) { s.state = vm.Draining }, 0, contract.CodeNoGroup),
+	Entry("its home", func(s *fakeEnvironment) { s.isHome = false }, 0, contract.CodeNotHome),
+	Entry("the time", func(s *fakeEnvironment) { s.now = s.now.Add(time.Hour) }, 0, contract.CodeDeadline),
 )
--- a/entry/home/keep.go
+++ b/entry/home/keep.go
@@ -12,39 +12,41 @@
 )
 
 const (
-	// keepTimeout bounds the wait of a finished answer for the platform.
-	keepTimeout = time.Second
-	// keepAgainFor and keepAgainPause are of the tries behind the end: outages are often over in seconds,
-	// and every answer kept is one caller less who can only be told unknown.
-	keepAgainFor   = 30 * time.Second
-	keepAgainPause = time.Second
-	// maxUnkept bounds the answers that wait, so that a long outage holds 16 MB at most.
-	maxUnkept = 256
+	// storeTimeout bounds the time that a finished answer waits for the platform before the last frame is sent.
+	storeTimeout = time.Second
+	// storeRetryWindow and storeRetryInterval control the retries after the last frame. Outages often end within
+	// seconds, and each answer that is stored is one caller less that can only be told that the outcome is
+	// unknown.
+	storeRetryWindow   = 30 * time.Second
+	storeRetryInterval = time.Second
+	// maxUnstoredAnswers bounds the answers held in memory for these retries to 16 MB during a long outage.
+	maxUnstoredAnswers = 256
 )
 
-// finish keeps the answer of a request that may not be repeated, and sends the last frames.
+// finish stores the answer of a request that may run at most once and sends the last frames.
 //
-// The home keeps it, not the front: it holds the claim and the whole answer even when the front is gone.
-// And before the end is sent, so that a caller that was answered and asks again finds the answer. If it
-// can't be kept in time, the caller still gets it at once, and the home goes on trying; a repeated key is
-// told in-progress meanwhile, and unknown if that fails.
+// The home stores the answer rather than the front, because it holds the claim and has the complete answer even if
+// the front is gone. It does so before the last frame, so that a caller that has received its answer and asks
+// again finds it. If the answer can't be stored in time, the caller still gets it at once and the home keeps
+// retrying. Meanwhile a retry with the same key is told in-progress, and unknown if storing fails for good.
 func (r *run) finish(ctx context.Context, last ...contract.Frame) {
-	kept := !r.d.AtMostOnce || r.keep(ctx)
+	stored := !r.d.AtMostOnce || r.storeAnswer(ctx)
 	for _, f := range last {
-		r.frame(f)
+		r.sendFrame(f)
 	}
-	r.turn.Done()
+	r.permit.Done()
 	r.pass.Finished(ctx)
-	if !kept && r.home.work.wait() {
-		defer r.home.work.waited()
-		r.keepAgain(ctx)
+	if !stored && r.home.claims.reserveUnstored() {
+		defer r.home.claims.releaseUnstored()
+		r.retryStore(ctx)
 	}
 }
 
-func (r *run) keepAgain(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), keepAgainFor)
+// retryStore retries to store the answer until storeRetryWindow is over.
+func (r *run) retryStore(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeRetryWindow)
 	defer cancel()
-	ticker := time.NewTicker(keepAgainPause)
+	ticker := time.NewTicker(storeRetryInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -52,33 +54,34 @@
 			return
 		case <-ticker.C:
 		}
-		if r.keep(ctx) {
+		if r.storeAnswer(ctx) {
 			return
 		}
 	}
 }
 
-// keep tries once to put the answer in place of the claim. Found says that an earlier try got through.
-func (r *run) keep(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), keepTimeout)
+// storeAnswer tries once to replace the claim by the answer. The verdict Found means that an earlier try
+// succeeded.
+func (r *run) storeAnswer(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeTimeout)
 	defer cancel()
-	answer := r.kept.stored(r.d.Plain != nil)
-	result := r.home.deps.Attempts.Complete(ctx, r.wish().ID, r.claim, answer, attempt.Retention(r.service))
+	answer := r.answer.stored(r.d.Plain != nil)
+	result := r.home.deps.Attempts.Complete(ctx, r.writeRequest().ID, r.claim, answer, attempt.Retention(r.service))
 	return result.Verdict == attempt.Confirmed || result.Verdict == attempt.Found
 }
 
-// keeper gathers the answer of a request that may not be repeated, up to MaxStoredAnswer.
-type keeper struct {
-	answer contract.StoredAnswer
-	text   engine.Event
+// answerRecorder collects the answer of a request that may run at most once, up to MaxStoredAnswer bytes.
+type answerRecorder struct {
+	answer     contract.StoredAnswer
+	completion engine.Event
 }
 
-func (k *keeper) head(status int, header http.Header) {
+func (k *answerRecorder) recordHead(status int, header http.Header) {
 	k.answer.Status = status
 	k.answer.Header = header
 }
 
-func (k *keeper) chunk(data []byte) {
+func (k *answerRecorder) recordChunk(data []byte) {
 	if k.answer.TooLarge || len(k.answer.Body)+len(data) > contract.MaxStoredAnswer {
 		k.answer.TooLarge = true
 		k.answer.Body = nil
@@ -87,25 +90,26 @@
 	k.answer.Body = append(k.answer.Body, data...)
 }
 
-func (k *keeper) event(e engine.Event) {
-	if len(k.text.Text)+len(e.Text) > contract.MaxStoredAnswer {
+func (k *answerRecorder) recordEvent(e engine.Event) {
+	if len(k.completion.Text)+len(e.Text) > contract.MaxStoredAnswer {
 		k.answer.TooLarge = true
-		k.text.Text = ""
+		k.completion.Text = ""
 		return
 	}
-	k.text.RequestID = e.RequestID
-	k.text.Text += e.Text
-	k.text.Tokens += e.Tokens
-	k.text.Final = e.Final
-	k.text.FinishReason = e.FinishReason
+	k.completion.RequestID = e.RequestID
+	k.completion.Text += e.Text
+	k.completion.Tokens += e.Tokens
+	k.completion.Final = e.Final
+	k.completion.FinishReason = e.FinishReason
 }
 
-// stored is the answer as kept. A completion is kept as one event that holds all of its text.
-func (k *keeper) stored(plain bool) contract.StoredAnswer {
+// stored returns the answer in the form in which it is stored. A completion is stored as one event with its entire
+// text.
+func (k *answerRecorder) stored(plain bool) contract.StoredAnswer {
 	if plain || k.answer.TooLarge {
 		return k.answer
 	}
-	body, err := json.Marshal(k.text)
+	body, err := json.Marshal(k.completion)
 	if err != nil {
 		return contract.StoredAnswer{Status: http.StatusOK, TooLarge: true}
 	}
--- a/entry/home/lines.go
+++ b/entry/home/lines.go
@@ -11,12 +11,12 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// Messages of log lines.
+// Log messages.
 const (
-	lineClaimUnconfirmed = "claim not confirmed"
-	lineClaimGivenUp     = "request given up unsent after its claim"
-	lineReleased         = "claim released"
-	lineNotReleased      = "claim could not be released"
+	msgClaimUnconfirmed = "claim not confirmed"
+	msgClaimAbandoned   = "claim abandoned: request refused before it was sent"
+	msgClaimReleased    = "claim released"
+	msgClaimNotReleased = "claim could not be released"
 )
 
 func (r *run) log() logrus.FieldLogger {
@@ -33,39 +33,40 @@
 	return fmt.Sprintf("%d in flight, limit %d, %d queued", load.InFlight, load.Limit, load.Queued)
 }
 
-// noteClaim reports the result of a claim: "home.claim.<verdict>" counts them.
-func (r *run) noteClaim(result attempt.Result) {
+// reportClaim reports the result of a claim and counts it in the metric "home.claim.<verdict>".
+func (r *run) reportClaim(result attempt.Result) {
 	r.home.count("home.claim." + result.Verdict.String())
 	if result.Verdict == attempt.Confirmed {
 		r.record(timeline.RequestClaimed, "")
 		return
 	}
 	r.record(timeline.ClaimUnconfirmed, result.Verdict.String())
-	r.log().WithFields(logrus.Fields{"verdict": result.Verdict.String(), "state": result.Record.State}).Warn(lineClaimUnconfirmed)
+	r.log().WithFields(logrus.Fields{"verdict": result.Verdict.String(), "state": result.Record.State}).Warn(msgClaimUnconfirmed)
 }
 
-// noteRefusal reports that the request is given up unsent.
-func (r *run) noteRefusal(p *contract.Problem) {
+// reportRefusal reports that the request is refused without having been sent, and whether a claim is abandoned
+// with it.
+func (r *run) reportRefusal(p *contract.Problem) {
 	if r.claim.Verdict == 0 {
 		r.record(timeline.RequestRefused, string(p.Code))
 		return
 	}
 	r.home.count("home.claim-given-up")
 	r.record(timeline.RequestRefused, string(p.Code)+", claim given up")
-	r.log().WithFields(logrus.Fields{"code": p.Code, "reason": p.Message, "front_gone": r.frontGone}).Info(lineClaimGivenUp)
+	r.log().WithFields(logrus.Fields{"code": p.Code, "reason": p.Message, "front_gone": r.frontGone}).Info(msgClaimAbandoned)
 }
 
-// noteRelease reports the result of a release: "home.release.<verdict>" counts them; found: the front replaced the
-// claim.
-func (r *run) noteRelease(result attempt.Result) {
+// reportRelease reports the result of a release and counts it in the metric "home.release.<verdict>". The verdict
+// "found" means that the front has replaced the claim already.
+func (r *run) reportRelease(result attempt.Result) {
 	verdict := result.Verdict.String()
 	r.home.count("home.release." + verdict)
 	switch {
 	case result.Verdict == attempt.Confirmed:
 		r.record(timeline.ClaimReleased, "")
-		r.log().Info(lineReleased)
+		r.log().Info(msgClaimReleased)
 	case !result.Verdict.Settled():
 		r.record(timeline.ReleaseUnconfirmed, verdict)
-		r.log().WithField("verdict", verdict).Warn(lineNotReleased)
+		r.log().WithField("verdict", verdict).Warn(msgClaimNotReleased)
 	}
 }
--- a/entry/home/release.go
+++ b/entry/home/release.go
@@ -9,49 +9,52 @@
 )
 
 const (
-	// frontReplaces is how long the front, if it is there, has to replace a claim that it was told is given up.
-	frontReplaces = time.Second
-	// releaseFor and releasePause are of the tries to release a claim. Outages are often over in seconds.
-	releaseFor   = 30 * time.Second
-	releasePause = time.Second
-	// maxReleasing bounds the releases under way. Beyond it a claim is only remembered as given up.
-	maxReleasing = 4096
+	// frontReplaceWindow is the time that a front, if still present, has to replace a claim that it was told is
+	// abandoned.
+	frontReplaceWindow = time.Second
+	// releaseRetryWindow and releaseRetryInterval control the retries of a release. Outages often end within
+	// seconds.
+	releaseRetryWindow   = 30 * time.Second
+	releaseRetryInterval = time.Second
+	// maxConcurrentReleases bounds the releases in progress. Beyond it, a claim is only remembered as abandoned.
+	maxConcurrentReleases = 4096
 )
 
-// startRelease releases the claim behind the dispatch, whose place and stream are given back at once.
+// startRelease releases the claim in the background, so that the dispatch gives its permit and its stream back at
+// once.
 func (r *run) startRelease() {
-	if r.home.releasing.Add(1) > maxReleasing {
-		r.home.releasing.Add(-1)
-		r.noteRelease(attempt.Result{Verdict: attempt.NotWritten})
+	if r.home.pendingReleases.Add(1) > maxConcurrentReleases {
+		r.home.pendingReleases.Add(-1)
+		r.reportRelease(attempt.Result{Verdict: attempt.NotWritten})
 		return
 	}
-	r.d.Body, r.d.Plain = nil, nil // not held for as long as the release takes
+	r.d.Body, r.d.Plain = nil, nil // do not keep them in memory for the duration of the release
 	go func() {
-		defer r.home.releasing.Add(-1)
+		defer r.home.pendingReleases.Add(-1)
 		r.releaseClaim()
 	}()
 }
 
-// releaseClaim sees to it that a claim that was given up does not stand, whether or not the front heard of it. What
-// is written to a link that is cut, or to a front that is frozen, looks sent. A claim that nobody replaces would
-// leave its caller with an unknown outcome for as long as the record is kept.
+// releaseClaim makes sure that an abandoned claim does not remain, whether or not the front received the refusal:
+// a write to a link that is cut, or to a front that is frozen, appears to succeed. A claim that nobody replaces
+// would leave its caller with an unknown outcome for as long as the record is kept.
 func (r *run) releaseClaim() {
-	ctx := context.WithoutCancel(r.front)
+	ctx := context.WithoutCancel(r.frontCtx)
 	if !r.frontGone && r.sendErr == nil {
-		wait.Pause(ctx, frontReplaces)
+		wait.Pause(ctx, frontReplaceWindow)
 	}
-	ctx, cancel := context.WithTimeout(ctx, releaseFor)
+	ctx, cancel := context.WithTimeout(ctx, releaseRetryWindow)
 	defer cancel()
-	for !r.release(ctx) && ctx.Err() == nil {
-		wait.Pause(ctx, releasePause)
+	for !r.tryRelease(ctx) && ctx.Err() == nil {
+		wait.Pause(ctx, releaseRetryInterval)
 	}
 }
 
-// release tries once, and reports whether the claim no longer stands.
-func (r *run) release(ctx context.Context) bool {
+// tryRelease tries once to release the claim, and reports whether it no longer exists.
+func (r *run) tryRelease(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	result := r.home.deps.Attempts.Release(ctx, r.wish(), r.claim)
-	r.noteRelease(result)
+	result := r.home.deps.Attempts.Release(ctx, r.writeRequest(), r.claim)
+	r.reportRelease(result)
 	return result.Verdict.Settled()
 }
--- a/entry/home/run.go
+++ b/entry/home/run.go
@@ -12,74 +12,77 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// run is one dispatch under way. Only the goroutine of its Dispatch uses it.
+// run is the state of one dispatch in progress. It is used only by the goroutine of its Dispatch call.
 type run struct {
 	home    *Home
 	d       contract.Dispatch
 	service settings.Service
 	group   vm.Group
-	turn    Permit
+	permit  Permit
 	pass    *guard.Pass
 	claim   attempt.Result
-	// givenUp says that nothing was or will be sent under claim; frontGone that the front was gone before it was told.
-	givenUp, frontGone bool
-	seq                uint64
-	send               func(contract.Frame) error
-	sendErr            error
-	kept               keeper
-	arrived            time.Time
-	// front ends when the front closes the dispatch, or can't be heard any more.
-	front context.Context
+	// claimAbandoned is set once nothing was or will be sent under claim. frontGone is set if the front was gone
+	// before it could be told about the refusal.
+	claimAbandoned, frontGone bool
+	seq                       uint64
+	send                      func(contract.Frame) error
+	sendErr                   error
+	answer                    answerRecorder
+	receivedAt                time.Time
+	// frontCtx ends when the front closes the dispatch or can no longer be reached.
+	frontCtx context.Context
 }
 
 func newRun(front context.Context, h *Home, d contract.Dispatch, send func(contract.Frame) error) *run {
-	return &run{home: h, d: d, send: send, front: front, arrived: h.deps.Clock()}
+	return &run{home: h, d: d, send: send, frontCtx: front, receivedAt: h.deps.Clock()}
 }
 
-// do takes the dispatch through its steps. Each step that fails has told the front, and ends it.
-func (r *run) do(ctx context.Context) {
-	if !r.enter(ctx) {
+// execute runs the steps of the dispatch. A step that fails reports the failure to the front and ends the
+// dispatch.
+func (r *run) execute(ctx context.Context) {
+	if !r.awaitPermit(ctx) {
 		return
 	}
-	defer r.turn.Done()
-	if !r.clear(ctx) {
+	defer r.permit.Done()
+	if !r.recheck(ctx) {
 		return
 	}
 	defer r.pass.Done(ctx)
-	ctx, end, ok := r.claimed(ctx)
+	ctx, end, ok := r.acquireClaim(ctx)
 	defer end()
 	if !ok {
 		return
 	}
-	r.dispatch(ctx)
+	r.forward(ctx)
 }
 
-// enter waits for the request's turn at the group.
-func (r *run) enter(ctx context.Context) bool {
+// awaitPermit waits until the request is admitted to the group.
+func (r *run) awaitPermit(ctx context.Context) bool {
 	if p := r.check(); p != nil {
 		r.refuse(p)
 		return false
 	}
 	load := r.home.deps.Admission.Load(r.d.Group)
-	if !r.frame(contract.Frame{Kind: contract.FrameQueued, Load: &load}) {
+	if !r.sendFrame(contract.Frame{Kind: contract.FrameQueued, Load: &load}) {
 		return false
 	}
 	r.record(timeline.RequestQueued, describeLoad(load))
-	turn, p := r.home.deps.Admission.Enter(ctx, r.item(ctx))
+	turn, p := r.home.deps.Admission.Enter(ctx, r.admissionRequest(ctx))
 	if p != nil {
 		r.refuse(p)
 		return false
 	}
-	r.turn = turn
+	r.permit = turn
 	return true
 }
 
-// clear asks whether it may still go, right before the claim: what waited too long, lost its group meanwhile,
-// or is held back as a suspect should cost no claim.
-func (r *run) clear(ctx context.Context) bool {
+// recheck repeats the checks after the wait in the queue, right before the claim, and asks the guard. A request
+// whose deadline has passed, whose group is no longer available, or which is held back as a suspect must not cost
+// a claim.
+func (r *run) recheck(ctx context.Context) bool {
 	p := r.check()
 	if ctx.Err() != nil {
-		p = gone()
+		p = deadlineExceeded()
 	}
 	if p == nil {
 		r.pass, p = r.home.deps.Guard.Enter(ctx, r.subject(ctx))
@@ -91,69 +94,71 @@
 	return true
 }
 
-// claimed takes the right to send a request that may not be repeated. The context that it returns is the
-// one to work under until end is called.
-func (r *run) claimed(ctx context.Context) (work context.Context, end func(), ok bool) {
+// acquireClaim claims a request that may run at most once. It returns the context to work under until end is
+// called.
+func (r *run) acquireClaim(ctx context.Context) (work context.Context, end func(), ok bool) {
 	if !r.d.AtMostOnce {
 		return ctx, func() {}, true
 	}
-	r.home.work.add(r.d.RequestID)
-	remove := func() { r.home.work.remove(r.d.RequestID) }
-	if !r.claimRight(ctx) {
+	r.home.claims.add(r.d.RequestID)
+	remove := func() { r.home.claims.remove(r.d.RequestID) }
+	if !r.writeClaim(ctx) {
 		return ctx, remove, false
 	}
 	work, cancel := r.detach(ctx)
 	return work, func() { cancel(); remove() }, true
 }
 
-// dispatch sends the request. The claim took time: between this check and the send lies no wait.
-func (r *run) dispatch(ctx context.Context) {
+// forward sends the request to the backend server. It checks the group once more because the claim took time;
+// nothing between this check and the send waits.
+func (r *run) forward(ctx context.Context) {
 	if p := r.check(); p != nil {
 		r.refuse(p)
 		return
 	}
-	if !r.frame(contract.Frame{Kind: contract.FrameSent}) && !r.d.AtMostOnce {
+	if !r.sendFrame(contract.Frame{Kind: contract.FrameSent}) && !r.d.AtMostOnce {
 		return
 	}
 	r.record(timeline.RequestSent, "")
 	if r.d.Plain != nil {
-		r.call(ctx)
+		r.callPlain(ctx)
 		return
 	}
-	r.complete(ctx)
+	r.streamCompletion(ctx)
 }
 
 func (r *run) subject(ctx context.Context) guard.Subject {
 	return guard.Subject{
 		RequestID: r.d.RequestID, Service: r.d.Service, Group: r.group, Fingerprint: r.d.Fingerprint,
-		Timeout: r.left(ctx), Crash: r.d.CrashID,
+		Timeout: r.remaining(ctx), Crash: r.d.CrashID,
 	}
 }
 
-// detach makes the work of a claimed request the key's, no longer that of the front which asked: a
-// booking that was begun is finished, and its answer kept, though its front died or its caller left, so
-// that a repeated key finds it.
+// detach returns a context for the work on a claimed request that is independent of the front that asked for it. A
+// booking that has begun is finished and its answer stored even if the front fails or the caller disconnects, so
+// that a retry with the same key finds the answer.
 func (r *run) detach(ctx context.Context) (context.Context, context.CancelFunc) {
-	timeout := max(r.left(ctx), r.service.MaxRequestTimeout)
+	timeout := max(r.remaining(ctx), r.service.MaxRequestTimeout)
 	return context.WithTimeout(context.WithoutCancel(ctx), timeout)
 }
 
-// late says that the caller's time is over.
+// expired reports whether the request's time is over.
 //
-// What goes wrong without it: this process, or its whole VM, is paused for longer than attempt records are
-// kept. The seal that made its front tell not-run has been purged when it wakes; its claim would go
-// through. Records are kept for longer than any caller's time (attempt.Retention), so a request that is
-// dropped here can't be sealed and purged unnoticed. Both clocks are asked: a paused VM's monotonic clock
-// stands still, and its wall clock is set right when it wakes.
-func (r *run) late() bool {
+// It guards against a pause of this process or of its whole VM that is longer than the retention of attempt
+// records. By the time the process resumes, the seal that allowed the front to answer not-run has been purged, so
+// a claim would succeed and the request would run after all. Records are kept for longer than the timeout of any
+// request (attempt.Retention), so a request that is not expired cannot have been sealed and its seal purged. Both
+// clocks are compared: the monotonic clock of a paused VM stands still, and its wall clock is corrected when it
+// resumes.
+func (r *run) expired() bool {
 	now := r.home.deps.Clock()
-	return now.Sub(r.arrived) >= r.d.Timeout || now.Round(0).Sub(r.arrived.Round(0)) >= r.d.Timeout
+	return now.Sub(r.receivedAt) >= r.d.Timeout || now.Round(0).Sub(r.receivedAt.Round(0)) >= r.d.Timeout
 }
 
-// check says why the dispatch can't go to its group now, or nil.
+// check returns why the dispatch can't go to its group now, or nil. On success it updates group and service.
 func (r *run) check() *contract.Problem {
-	if r.late() {
-		return gone()
+	if r.expired() {
+		return deadlineExceeded()
 	}
 	group, home, ok := r.home.deps.Groups.Lookup(r.d.Group)
 	switch {
@@ -176,21 +181,22 @@
 	return nil
 }
 
-// noGroupRetryAfter is about the time in which a home takes over or a group is found whole again.
+// noGroupRetryAfter is roughly the time until another entry takes over as the home, or until a group is found
+// whole again.
 const noGroupRetryAfter = time.Second
 
-func (r *run) item(ctx context.Context) AdmissionRequest {
+func (r *run) admissionRequest(ctx context.Context) AdmissionRequest {
 	team, ok := r.home.deps.Settings().Teams[r.d.Team]
 	if !ok {
 		team = settings.Team{Name: r.d.Team, Share: 1}
 	}
 	return AdmissionRequest{
-		Service: r.service, Team: team, Group: r.d.Group, Timeout: r.left(ctx),
+		Service: r.service, Team: team, Group: r.d.Group, Timeout: r.remaining(ctx),
 		Priority: r.d.Priority, EstimatedTokens: r.d.EstimatedTokens, PromptTokens: r.d.PromptTokens,
 	}
 }
 
-func (r *run) left(ctx context.Context) time.Duration {
+func (r *run) remaining(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return r.d.Timeout
@@ -198,78 +204,79 @@
 	return time.Until(deadline)
 }
 
-// claimTimeout bounds the wait of a claim for the platform, which answers in milliseconds or is out. The
-// request holds a place at the group meanwhile.
+// claimTimeout bounds a claim. The platform answers within milliseconds or is unavailable, and the request holds a
+// permit of the group meanwhile.
 const claimTimeout = time.Second
 
-func (r *run) wish() attempt.WriteRequest {
+func (r *run) writeRequest() attempt.WriteRequest {
 	return attempt.WriteRequest{
 		ID: attempt.ID{Team: r.d.Team, Key: r.d.IdempotencyKey}, Number: r.d.AttemptNumber, Fingerprint: r.d.Fingerprint,
 		RequestID: r.d.RequestID, Retention: attempt.Retention(r.service),
 	}
 }
 
-// claimRight takes the right to send. Without it the front is told what stands instead.
-func (r *run) claimRight(ctx context.Context) bool {
-	w := r.wish()
+// writeClaim writes the claim, which is the right to send the request. If that fails, it reports to the front the
+// record that exists instead, or that the platform is unavailable.
+func (r *run) writeClaim(ctx context.Context) bool {
+	w := r.writeRequest()
 	w.AbandonedClaims = r.d.AbandonedClaims
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	result := r.home.deps.Attempts.Claim(ctx, w, r.home.deps.Self, r.home.deps.Incarnation)
-	r.noteClaim(result)
+	r.reportClaim(result)
 	switch result.Verdict {
 	case attempt.Confirmed:
 		r.claim = result
-		r.frame(contract.Frame{Kind: contract.FrameClaimed, RecordVersion: uint64(result.Version)})
+		r.sendFrame(contract.Frame{Kind: contract.FrameClaimed, RecordVersion: uint64(result.Version)})
 		return true
 	case attempt.Found, attempt.KeyReused:
-		r.frame(contract.Frame{Kind: contract.FrameRecordExists, Record: &result.Record, RecordVersion: uint64(result.Version)})
+		r.sendFrame(contract.Frame{Kind: contract.FrameRecordExists, Record: &result.Record, RecordVersion: uint64(result.Version)})
 	case attempt.Indeterminate:
 		r.claim = result
-		r.refuse(platformOut())
+		r.refuse(platformUnavailable())
 	default:
-		r.refuse(platformOut())
+		r.refuse(platformUnavailable())
 	}
 	return false
 }
 
-func platformOut() *contract.Problem {
+func platformUnavailable() *contract.Problem {
 	return contract.NewRetryLater(contract.CodePlatformUnavailable, "the platform could not confirm the right to run the request", platformRetryAfter)
 }
 
-// platformRetryAfter keeps callers from adding to an outage.
+// platformRetryAfter is long enough that retries by callers do not add load during a platform outage.
 const platformRetryAfter = 5 * time.Second
 
-func gone() *contract.Problem {
+func deadlineExceeded() *contract.Problem {
 	return contract.NewRetryLater(contract.CodeDeadline, "the request's time was over, or its caller gone, before it was sent", time.Second)
 }
 
-// refuse gives the request up unsent, and renounces a claim that was or may have been made. The front may
-// replace the claim by that of another home.
+// refuse ends the request without sending it and abandons a claim that was or may have been made. The front may
+// then replace that claim by a claim of another home.
 func (r *run) refuse(p *contract.Problem) {
-	r.frontGone = r.front.Err() != nil
-	r.noteRefusal(p)
+	r.frontGone = r.frontCtx.Err() != nil
+	r.reportRefusal(p)
 	f := contract.Frame{Kind: contract.FrameRefused, Problem: p}
 	if r.claim.Verdict != 0 {
 		claim := r.claim.Record
 		f.Record = &claim
-		r.givenUp = true
-		r.home.work.giveUp(claim.Nonce)
+		r.claimAbandoned = true
+		r.home.claims.abandon(claim.Nonce)
 	}
-	r.frame(f)
+	r.sendFrame(f)
 }
 
-// broken tells the front that the answer broke off. Whether a backend server crashed is found out first: a
-// retry must not outrun the news.
-func (r *run) broken(ctx context.Context, p *contract.Problem) {
+// reportBroken tells the front that the answer ended early. It first determines whether a backend server crashed,
+// so that a retry does not overtake the crash report.
+func (r *run) reportBroken(ctx context.Context, p *contract.Problem) {
 	crash := r.pass.Broke(ctx)
-	r.frame(contract.Frame{Kind: contract.FrameBroken, Problem: p, CrashID: crash})
+	r.sendFrame(contract.Frame{Kind: contract.FrameBroken, Problem: p, CrashID: crash})
 }
 
-// frame sends one frame; false: the front is gone. The last one of a dispatch carries the load, as the first one does;
-// those between would only repeat it. Once a frame could not be sent, none is: the front
-// must not see what came behind a gap as if it were whole.
-func (r *run) frame(f contract.Frame) bool {
+// sendFrame sends one frame and returns false if the front is gone. Only the first and the last frame of a
+// dispatch carry the load of the group; the frames between would only repeat it. After a frame could not be sent,
+// no later one is sent: the front must not take an answer with a gap for a complete one.
+func (r *run) sendFrame(f contract.Frame) bool {
 	if r.sendErr != nil {
 		return false
 	}
--- a/entry/home/table.go
+++ b/entry/home/table.go
@@ -6,43 +6,46 @@
 	"github.com/skylarkpond/skylarkpond/contract/outcome"
 )
 
-// maxGivenUp bounds the claims that are remembered as given up, of some 150 bytes each.
-const maxGivenUp = 8192
+// maxAbandonedClaims bounds the abandoned claims that are remembered, which take about 150 bytes each.
+const maxAbandonedClaims = 8192
 
-// table holds the requests under a claim of this home.
-type table struct {
-	mu      sync.Mutex // guards what follows; a leaf lock: nothing is locked while it is held
+// claimTable tracks the requests that this home works on under a claim, and the claims that it abandoned.
+type claimTable struct {
+	mu      sync.Mutex // guards the fields below; a leaf lock: no other lock is taken while it is held
+	// working counts the dispatches in progress by request ID.
 	working map[string]int
-	// givenUp holds the nonces of claims under which nothing was or will be sent, givenUpOrder the same in the
-	// order of time: the oldest one makes room.
-	givenUp      map[string]bool
-	givenUpOrder []string
-	// unkept counts the answers that wait for the platform.
-	unkept int
+	// abandoned holds the nonces of claims under which nothing was or will be sent. abandonedOrder holds the same
+	// nonces, oldest first, for eviction.
+	abandoned      map[string]bool
+	abandonedOrder []string
+	// unstoredAnswers counts the finished answers that are still to be stored on the platform.
+	unstoredAnswers int
 }
 
-func newTable() *table {
-	return &table{working: make(map[string]int), givenUp: make(map[string]bool)}
+func newClaimTable() *claimTable {
+	return &claimTable{working: make(map[string]int), abandoned: make(map[string]bool)}
 }
 
-// giveUp remembers the nonce of a claim under which nothing was or will be sent.
-func (t *table) giveUp(nonce string) {
+// abandon records that nothing was or will be sent under the claim with this nonce. If the table is full, it
+// evicts the oldest claim.
+func (t *claimTable) abandon(nonce string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.givenUpOrder) >= maxGivenUp {
-		delete(t.givenUp, t.givenUpOrder[0])
-		t.givenUpOrder = t.givenUpOrder[1:]
+	if len(t.abandonedOrder) >= maxAbandonedClaims {
+		delete(t.abandoned, t.abandonedOrder[0])
+		t.abandonedOrder = t.abandonedOrder[1:]
 	}
-	t.givenUp[nonce] = true
-	t.givenUpOrder = append(t.givenUpOrder, nonce)
+	t.abandoned[nonce] = true
+	t.abandonedOrder = append(t.abandonedOrder, nonce)
 }
 
-// answer says what became of a claim. A request that is given up counts as working for a moment longer.
-func (t *table) answer(requestID, nonce string) outcome.HolderAnswer {
+// status returns what became of a claim. The abandoned claims are checked first, because an abandoned request
+// stays in working a moment longer.
+func (t *claimTable) status(requestID, nonce string) outcome.HolderAnswer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
-	case t.givenUp[nonce]:
+	case t.abandoned[nonce]:
 		return outcome.HolderGaveUp
 	case t.working[requestID] > 0:
 		return outcome.HolderWorking
@@ -51,13 +54,13 @@
 	}
 }
 
-func (t *table) add(requestID string) {
+func (t *claimTable) add(requestID string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.working[requestID]++
 }
 
-func (t *table) remove(requestID string) {
+func (t *claimTable) remove(requestID string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.working[requestID]--
@@ -66,19 +69,20 @@
 	}
 }
 
-// wait counts one more answer that waits, if there is room.
-func (t *table) wait() bool {
+// reserveUnstored counts one more answer that is still to be stored. It returns false if there are
+// maxUnstoredAnswers already.
+func (t *claimTable) reserveUnstored() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.unkept >= maxUnkept {
+	if t.unstoredAnswers >= maxUnstoredAnswers {
 		return false
 	}
-	t.unkept++
+	t.unstoredAnswers++
 	return true
 }
 
-func (t *table) waited() {
+func (t *claimTable) releaseUnstored() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.unkept--
+	t.unstoredAnswers--
 }
