--- a/entry/home/table.go
+++ b/entry/home/table.go
@@ -11,7 +11,7 @@
 
 // claimTable tracks the requests that this home works on under a claim, and the claims that it abandoned.
 type claimTable struct {
-	mu      sync.Mutex // guards the fields below; a leaf lock: no other lock is taken while it is held
+	mu sync.Mutex // guards the fields below; a leaf lock: no other lock is taken while it is held
 	// working counts the dispatches in progress by request ID.
 	working map[string]int
 	// abandoned holds the nonces of claims under which nothing was or will be sent. abandonedOrder holds the same
