--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -34,7 +34,7 @@
 }
 
 // Dispatch implements front.Dispatcher.
-func (d *dispatcher) Dispatch(ctx context.Context, request contract.Dispatch) (front.Frames, error) {
+func (d *dispatcher) Dispatch(ctx context.Context, request contract.Dispatch) (front.FrameStream, error) {
 	owner := d.table.HomeOf(request.Group)
 	request.HLCTime = d.recorder.Now()
 	d.recorder.Record(timeline.Event{
@@ -57,21 +57,21 @@
 	return d.observed(request, &remoteFrames{receiver: receiver}), nil
 }
 
-func (d *dispatcher) observed(request contract.Dispatch, frames front.Frames) front.Frames {
-	return &observedFrames{Frames: frames, request: request, table: d.table, recorder: d.recorder}
+func (d *dispatcher) observed(request contract.Dispatch, frames front.FrameStream) front.FrameStream {
+	return &observedFrames{FrameStream: frames, request: request, table: d.table, recorder: d.recorder}
 }
 
 // observedFrames takes what frames tell beside the answer: the group's load and the sender's time.
 type observedFrames struct {
-	front.Frames
+	front.FrameStream
 	request  contract.Dispatch
 	table    *fleet.Table
 	recorder *timeline.Recorder
 }
 
-// Next implements front.Frames.
+// Next implements front.FrameStream.
 func (o *observedFrames) Next() (contract.Frame, error) {
-	frame, err := o.Frames.Next()
+	frame, err := o.FrameStream.Next()
 	if err != nil {
 		return frame, err
 	}
@@ -87,14 +87,14 @@
 // remoteFrames are the frames of a home in another process.
 type remoteFrames struct{ receiver *peer.Receiver }
 
-// Next implements front.Frames.
+// Next implements front.FrameStream.
 func (r *remoteFrames) Next() (contract.Frame, error) {
 	var frame contract.Frame
 	err := r.receiver.Next(&frame)
 	return frame, err
 }
 
-// Close implements front.Frames.
+// Close implements front.FrameStream.
 func (r *remoteFrames) Close() { r.receiver.Close() }
 
 // localFrames are the frames of the own home role. A slow caller holds the home up after localBacklog
@@ -107,7 +107,7 @@
 
 const localBacklog = 64
 
-func (d *dispatcher) local(ctx context.Context, request contract.Dispatch) front.Frames {
+func (d *dispatcher) local(ctx context.Context, request contract.Dispatch) front.FrameStream {
 	ctx, cancel := context.WithCancel(ctx)
 	l := &localFrames{ctx: ctx, cancel: cancel, frames: make(chan contract.Frame, localBacklog)}
 	d.serving.Add(1)
@@ -128,7 +128,7 @@
 	}
 }
 
-// Next implements front.Frames.
+// Next implements front.FrameStream.
 func (l *localFrames) Next() (contract.Frame, error) {
 	select {
 	case frame, ok := <-l.frames:
@@ -141,7 +141,7 @@
 	}
 }
 
-// Close implements front.Frames.
+// Close implements front.FrameStream.
 func (l *localFrames) Close() { l.cancel() }
 
 // liveAddress returns where a live entry takes calls from other entries.
--- a/entry/front/drive.go
+++ b/entry/front/drive.go
@@ -67,7 +67,7 @@
 	if p != nil {
 		action = d.machine.Refuse(p)
 	} else {
-		d.front.deps.Retries.First(d.q.service.Name)
+		d.front.deps.Retries.RecordFirstTry(d.q.service.Name)
 		action = d.machine.Start()
 	}
 	for {
@@ -144,7 +144,7 @@
 	if left <= 0 {
 		return d.machine.NoDispatch(outcome.TooLate())
 	}
-	choice, p := d.front.deps.Chooser.Choose(Ask{Service: service, Prefix: d.q.prefix, Work: d.q.work, Tried: d.tried})
+	choice, p := d.front.deps.Chooser.Choose(GroupQuery{Service: service, PrefixHash: d.q.prefix, EstimatedTokens: d.q.work, Tried: d.tried})
 	if p != nil {
 		return d.machine.NoDispatch(p)
 	}
@@ -164,7 +164,7 @@
 	if len(d.tried) == 0 {
 		return true
 	}
-	wait, ok := d.front.deps.Retries.Retry(d.q.service, len(d.tried), left)
+	wait, ok := d.front.deps.Retries.AllowRetry(d.q.service, len(d.tried), left)
 	if !ok {
 		return false
 	}
@@ -255,7 +255,7 @@
 func (d *drive) askHolder(ctx context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	answer := d.front.deps.Holders.Ask(ctx, claim)
+	answer := d.front.deps.Holders.ClaimStatus(ctx, claim)
 	d.noteHolder(claim, answer)
 	return answer
 }
--- a/entry/front/fakes_test.go
+++ b/entry/front/fakes_test.go
@@ -264,7 +264,7 @@
 }
 
 // Choose takes the first group of the service that was not tried.
-func (f *fleet) Choose(ask front.Ask) (front.Choice, *contract.Problem) {
+func (f *fleet) Choose(ask front.GroupQuery) (front.Choice, *contract.Problem) {
 	for _, id := range f.groups {
 		if strings.HasPrefix(string(id), ask.Service.Name) && !slices.Contains(ask.Tried, id) {
 			return front.Choice{Group: id}, nil
@@ -368,9 +368,9 @@
 // tenRetries is a RetryBudget of ten retries without a pause.
 type tenRetries struct{ used atomic.Int64 }
 
-func (b *tenRetries) First(string) {}
+func (b *tenRetries) RecordFirstTry(string) {}
 
-func (b *tenRetries) Retry(settings.Service, int, time.Duration) (time.Duration, bool) {
+func (b *tenRetries) AllowRetry(settings.Service, int, time.Duration) (time.Duration, bool) {
 	return 0, b.used.Add(1) <= 10
 }
 
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -27,8 +27,8 @@
 // it may have.
 var ErrNotSent = eris.New("home not reached")
 
-// Frames are the frames of one dispatch.
-type Frames interface {
+// FrameStream are the frames of one dispatch.
+type FrameStream interface {
 	// Next returns the next frame, or an error when the home can no longer be heard. After io.EOF, too,
 	// nothing more comes; whether the answer was whole is for the caller to see.
 	Next() (contract.Frame, error)
@@ -38,21 +38,21 @@
 
 // Dispatcher sends to the home of d.Group.
 type Dispatcher interface {
-	Dispatch(ctx context.Context, d contract.Dispatch) (Frames, error)
+	Dispatch(ctx context.Context, d contract.Dispatch) (FrameStream, error)
 }
 
-// Holders asks the holder of a claim.
-type Holders interface {
-	// Ask asks that life of that entry what became of the claim.
-	Ask(ctx context.Context, claim contract.AttemptRecord) outcome.HolderAnswer
+// ClaimHolders asks the holder of a claim.
+type ClaimHolders interface {
+	// ClaimStatus asks that life of that entry what became of the claim.
+	ClaimStatus(ctx context.Context, claim contract.AttemptRecord) outcome.HolderAnswer
 }
 
-// Ask is what the choice of a group goes by.
-type Ask struct {
+// GroupQuery is what the choice of a group goes by.
+type GroupQuery struct {
 	Service settings.Service
-	// Prefix is the hash of the prompt's prefix, 0 if it has none.
-	Prefix uint64
-	Work   int
+	// PrefixHash is the hash of the prompt's prefix, 0 if it has none.
+	PrefixHash      uint64
+	EstimatedTokens int
 	// Tried are the groups that had this request already.
 	Tried []vm.GroupID
 }
@@ -66,16 +66,16 @@
 
 // Chooser chooses the group of a dispatch, or says why there is none.
 type Chooser interface {
-	Choose(ask Ask) (Choice, *contract.Problem)
+	Choose(ask GroupQuery) (Choice, *contract.Problem)
 }
 
 // RetryBudget bounds tries after the first to a share of first tries.
 type RetryBudget interface {
-	// First counts a first try.
-	First(service string)
-	// Retry says whether a request may be tried once more after tries so far, and how long to wait before,
+	// RecordFirstTry counts a first try.
+	RecordFirstTry(service string)
+	// AllowRetry says whether a request may be tried once more after tries so far, and how long to wait before,
 	// with left of its time.
-	Retry(service settings.Service, tries int, left time.Duration) (wait time.Duration, ok bool)
+	AllowRetry(service settings.Service, tries int, left time.Duration) (wait time.Duration, ok bool)
 }
 
 // Deps is what a front needs.
@@ -84,7 +84,7 @@
 	Self       string
 	Settings   func() *settings.Snapshot
 	Dispatcher Dispatcher
-	Holders    Holders
+	Holders    ClaimHolders
 	Chooser    Chooser
 	Retries    RetryBudget
 	Attempts   *attempt.Records
--- a/entry/front/links_test.go
+++ b/entry/front/links_test.go
@@ -29,8 +29,8 @@
 	unheard          // the home sends into a dead connection, which looks sent; the front hears no more
 )
 
-// Ask asks the home, unless it is frozen or can't be reached.
-func (f *fleet) Ask(_ context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
+// ClaimStatus asks the home, unless it is frozen or can't be reached.
+func (f *fleet) ClaimStatus(_ context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
 	id := vm.GroupID(strings.TrimPrefix(claim.Home, "home-"))
 	f.mu.Lock()
 	silent := f.fault[id].what == freeze || f.silent
@@ -81,7 +81,7 @@
 
 func (l *frames) Close() { l.cancel() }
 
-func (f *fleet) Dispatch(ctx context.Context, d contract.Dispatch) (front.Frames, error) {
+func (f *fleet) Dispatch(ctx context.Context, d contract.Dispatch) (front.FrameStream, error) {
 	f.mu.Lock()
 	fault := f.fault[d.Group]
 	f.mu.Unlock()
--- a/entry/holder.go
+++ b/entry/holder.go
@@ -24,9 +24,9 @@
 	Nonce string `cbor:"3,keyasint,omitempty"`
 }
 
-// Ask implements front.Holders. No answer counts as silent: the caller is then told unknown, which is true whatever
-// the holder does.
-func (d *dispatcher) Ask(ctx context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
+// ClaimStatus implements front.ClaimHolders. No answer counts as silent: the caller is then told unknown, which is
+// true whatever the holder does.
+func (d *dispatcher) ClaimStatus(ctx context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
 	question := holderQuestion{Incarnation: claim.Incarnation, RequestID: claim.RequestID, Nonce: claim.Nonce}
 	if claim.Home == d.self {
 		return d.answer(question)
--- a/entry/routing/routing.go
+++ b/entry/routing/routing.go
@@ -130,9 +130,9 @@
 }
 
 // Choose implements front.Chooser.
-func (r *Router) Choose(ask front.Ask) (front.Choice, *contract.Problem) {
+func (r *Router) Choose(ask front.GroupQuery) (front.Choice, *contract.Problem) {
 	now := r.now()
-	request := balance.Request{Prefix: ask.Prefix}
+	request := balance.Request{Prefix: ask.PrefixHash}
 	for _, tried := range ask.Tried {
 		request.Tried = append(request.Tried, string(tried))
 	}
@@ -155,17 +155,17 @@
 	r.service(service).table.End(id)
 }
 
-// First implements front.RetryBudget.
-func (r *Router) First(service string) {
+// RecordFirstTry implements front.RetryBudget.
+func (r *Router) RecordFirstTry(service string) {
 	now := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.service(service).budget.FirstTry(now)
 }
 
-// Retry implements front.RetryBudget. That the request may be tried again without harm was decided by the
+// AllowRetry implements front.RetryBudget. That the request may be tried again without harm was decided by the
 // outcome machine; here it counts as not run.
-func (r *Router) Retry(service settings.Service, tries int, left time.Duration) (time.Duration, bool) {
+func (r *Router) AllowRetry(service settings.Service, tries int, left time.Duration) (time.Duration, bool) {
 	now := r.now()
 	try := retry.Try{Result: retry.NotRun, Number: tries, TimeLeft: left}
 	if service.Kind == settings.Language {
