--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -88,7 +88,7 @@
 	return g.load()
 }
 
-func (a *Admission) group(item home.Item) *group {
+func (a *Admission) group(item home.AdmissionRequest) *group {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	g := a.groups[item.Group]
@@ -100,11 +100,11 @@
 }
 
 // Enter implements home.Admission.
-func (a *Admission) Enter(ctx context.Context, item home.Item) (home.Turn, *contract.Problem) {
+func (a *Admission) Enter(ctx context.Context, item home.AdmissionRequest) (home.Permit, *contract.Problem) {
 	g := a.group(item)
 	t := &turn{
 		admission: a, group: g, id: strconv.FormatUint(a.ids.Add(1), 10),
-		plain: item.Service.Kind == settings.Plain, promptTokens: item.Prompt,
+		plain: item.Service.Kind == settings.Plain, promptTokens: item.PromptTokens,
 	}
 	verdict := g.offer(a.now(), item, t)
 	switch verdict.Decision {
@@ -119,7 +119,7 @@
 // wait waits until the request is admitted or expires, its context ends, or the queue timeout passes. If the request is
 // admitted at the same moment as the wait ends, the turn is used: a check before the request is sent determines whether
 // it can still be answered in time.
-func (a *Admission) wait(ctx context.Context, item home.Item, t *turn) (home.Turn, *contract.Problem) {
+func (a *Admission) wait(ctx context.Context, item home.AdmissionRequest, t *turn) (home.Permit, *contract.Problem) {
 	timer := time.NewTimer(item.Service.QueueTimeout)
 	defer timer.Stop()
 	select {
@@ -185,7 +185,7 @@
 	g.limit = limit.New(config)
 }
 
-func (g *group) offer(now time.Duration, item home.Item, t *turn) fairqueue.Verdict {
+func (g *group) offer(now time.Duration, item home.AdmissionRequest, t *turn) fairqueue.Verdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.lastUsed = now
@@ -207,14 +207,14 @@
 // all state a high maximum refuse every request, and never learn how long requests take.
 const minAnswerTokens = 16
 
-func queueItem(now time.Duration, item home.Item, id string) fairqueue.Item {
+func queueItem(now time.Duration, item home.AdmissionRequest, id string) fairqueue.Item {
 	q := fairqueue.Item{
 		ID: id, Team: item.Team.Name, Share: item.Team.Share, Priority: item.Priority, Work: fairqueue.PlainWork,
 		Deadline: now + item.Timeout, Jitter: rand.Float64(),
 	}
 	if item.Service.Kind == settings.Language {
-		q.Work = item.Work
-		q.MinWork = item.Prompt + min(minAnswerTokens, item.Work-item.Prompt)
+		q.Work = item.EstimatedTokens
+		q.MinWork = item.PromptTokens + min(minAnswerTokens, item.EstimatedTokens-item.PromptTokens)
 	}
 	return q
 }
@@ -279,7 +279,7 @@
 	return true
 }
 
-func (g *group) overloaded(now time.Duration, item home.Item, id string) *contract.Problem {
+func (g *group) overloaded(now time.Duration, item home.AdmissionRequest, id string) *contract.Problem {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	retry := g.queue.RetryAfter(now, queueItem(now, item, id))
--- a/entry/admission/turn.go
+++ b/entry/admission/turn.go
@@ -35,7 +35,7 @@
 	t.runningAtStart = running
 }
 
-// FirstToken implements home.Turn. A request that has its first token no longer counts as starting, so that another one
+// FirstToken implements home.Permit. A request that has its first token no longer counts as starting, so that another one
 // may start.
 func (t *turn) FirstToken() {
 	now := t.admission.now()
@@ -48,7 +48,7 @@
 	t.group.admit(now)
 }
 
-// Token implements home.Turn.
+// Token implements home.Permit.
 func (t *turn) Token(count int) {
 	now := t.admission.now()
 	first := t.tokens == 0
@@ -59,7 +59,7 @@
 	t.lastToken = now
 }
 
-// Done implements home.Turn. Further calls have no effect.
+// Done implements home.Permit. Further calls have no effect.
 func (t *turn) Done() {
 	if t.done {
 		return
--- a/entry/gateway/assemble.go
+++ b/entry/gateway/assemble.go
@@ -66,7 +66,7 @@
 func provideCatalog(s *shell, client *store.Client) *catalog.Catalog {
 	return catalog.New(catalog.Deps{
 		Store: client, FedByLeader: s.following.linked, IsLeader: func() bool { return s.parts.lease.Held() },
-		OnNews: func(news catalog.News) { s.parts.leader.Broadcast(news) },
+		OnNews:         func(news catalog.News) { s.parts.leader.Broadcast(news) },
 		OnPlatformLost: s.platformLost, OnPlatformRegained: s.platformRegained, OnUnreadable: s.unreadable, OnConfig: s.configInForce,
 		OnServerLeaving: s.serverLeaves,
 	})
@@ -93,8 +93,8 @@
 		Pool: pool, Table: known.Table, Listing: known.Listing, RegistrationsReliable: known.RegistrationsReliable,
 		IsLeader: s.mayOrder, Epoch: charge.Version,
 		PeersSeeServing: s.reached, PeersReach: s.answers, ClearSuspicion: func(head backend.ID) { s.parts.leader.ClearSuspicion(head) },
-		DemandGroups: func(service, model string) float64 { return s.parts.leader.GroupsNeeded(service, model) },
-		BeforeTraffic:  s.early, OnEvent: s.groupEvent,
+		DemandGroups:  func(service, model string) float64 { return s.parts.leader.GroupsNeeded(service, model) },
+		BeforeTraffic: s.early, OnEvent: s.groupEvent,
 	})
 }
 
--- a/entry/guard/guard.go
+++ b/entry/guard/guard.go
@@ -41,14 +41,14 @@
 
 // Deps are what a Guard works with.
 type Deps struct {
-	Self     string
-	Store    platform.Store
-	Publisher    ObjectPublisher
-	Engines  engine.Client
-	Recorder *timeline.Recorder
-	Metrics  metrics.Registry
-	Clock    func() time.Time
-	NewNonce    func() string
+	Self      string
+	Store     platform.Store
+	Publisher ObjectPublisher
+	Engines   engine.Client
+	Recorder  *timeline.Recorder
+	Metrics   metrics.Registry
+	Clock     func() time.Time
+	NewNonce  func() string
 }
 
 // Guard is safe for concurrent use.
