--- a/entry/grouping/grouping.go
+++ b/entry/grouping/grouping.go
@@ -30,7 +30,7 @@
 	Listing func() *backend.Listing
 	// RegistrationsReliable reports whether a missing registration means that its server is gone.
 	RegistrationsReliable func() bool
-	// IsLeader reports whether this entry is the leader.
+	// IsLeader reports whether this entry acts as the leader and may issue orders.
 	IsLeader func() bool
 	// Epoch returns a number that no earlier holder of the lease had.
 	Epoch func() uint64
