--- a/entry/guard/guard.go
+++ b/entry/guard/guard.go
@@ -1,11 +1,14 @@
-// Package guard runs policy/quarantine at a home: it keeps a request that crashes backend servers from
-// taking down one group after the other, whichever entry its caller sends it through.
+// Package guard applies policy/quarantine at a home. It keeps a request that crashes backend servers from
+// taking down one group after another, whichever entry its caller sends it through.
 //
-// The flow: Enter, right before the send, looks the request's fingerprint up -> free ones pass at the cost
-// of a map look-up; a suspect passes only once its trial is written to the platform -> when an answer
-// breaks off, Broke probes the group's members; a process that is gone, or another boot, is a crash ->
-// the crash is written to quarantine/<service> before the front hears of the break, so that no retry
-// outruns it -> a request that finishes clears itself.
+// Admit looks up the request's fingerprint right before the request is sent. A request that is not under
+// suspicion passes at the cost of a map lookup. A suspect passes only after its trial is written to the
+// platform.
+//
+// When a response breaks off, ResponseBroke probes the members of the group. A member whose process is gone,
+// or that runs another boot, has crashed. The crash is written to the object quarantine/<service> before the
+// front is told that the response broke off, so that no retry overtakes it. A request that finishes is cleared
+// of suspicion.
 package guard
 
 import (
@@ -25,53 +28,53 @@
 )
 
 const (
-	// waitsRetryAfter is when a suspect comes back that found another one on trial: a trial lasts about as
-	// long as a request.
-	waitsRetryAfter = 5 * time.Second
-	// quarantinedRetryAfter tells the caller of a quarantined request that coming back soon is no use.
+	// suspectRetryAfter is the Retry-After for a suspect that finds another suspect on trial. A trial lasts about
+	// as long as a request.
+	suspectRetryAfter = 5 * time.Second
+	// quarantinedRetryAfter tells the caller of a quarantined request that an early retry is useless.
 	quarantinedRetryAfter = time.Hour
-	// writeTimeout bounds the write of a crash or a trial; the request waits for it.
+	// writeTimeout bounds the write of a crash or a trial. The request waits for the write.
 	writeTimeout = time.Second
 )
 
-// ObjectPublisher spreads an object that this entry wrote.
+// ObjectPublisher adds an object that this entry wrote to its mirror and spreads it to the other entries.
 type ObjectPublisher interface {
 	Took(object platform.Object)
 }
 
-// Deps are what a Guard works with.
+// Deps holds the dependencies of a Guard.
 type Deps struct {
-	Self     string
-	Store    platform.Store
-	Publisher    ObjectPublisher
-	Engines  engine.Client
-	Recorder *timeline.Recorder
-	Metrics  metrics.Registry
-	Clock    func() time.Time
-	NewNonce    func() string
+	Self      string
+	Store     platform.Store
+	Publisher ObjectPublisher
+	Engines   engine.Client
+	Recorder  *timeline.Recorder
+	Metrics   metrics.Registry
+	Clock     func() time.Time
+	NewNonce  func() string
 }
 
-// Guard is safe for concurrent use.
+// Guard admits requests to groups and records the crashes that they cause. It is safe for concurrent use.
 type Guard struct {
 	deps   Deps
 	config quarantine.Config
 
-	mu       sync.Mutex // guards what follows; a leaf lock: not held over I/O
-	services map[string]*quarantine.Register
-	running  map[vm.GroupID]map[string]string // request id to fingerprint
-	unsaved  map[string]bool                  // services with something that the platform did not take yet
+	mu         sync.Mutex // guards the fields below; a leaf lock, not held during I/O
+	services   map[string]*quarantine.Register
+	inProgress map[vm.GroupID]map[string]string // fingerprint by request id
+	unsaved    map[string]bool                  // services with changes not yet stored on the platform
 }
 
-// New returns a Guard that knows of no crash.
+// New returns a Guard that knows of no crashes.
 func New(deps Deps) *Guard {
 	return &Guard{
 		deps: deps, config: quarantine.DefaultConfig(),
-		services: make(map[string]*quarantine.Register), running: make(map[vm.GroupID]map[string]string),
+		services: make(map[string]*quarantine.Register), inProgress: make(map[vm.GroupID]map[string]string),
 		unsaved: make(map[string]bool),
 	}
 }
 
-// register must be called with mu held.
+// register returns the register of a service and creates it if necessary. mu must be held.
 func (g *Guard) register(service string) *quarantine.Register {
 	r := g.services[service]
 	if r == nil {
@@ -81,73 +84,74 @@
 	return r
 }
 
-// Request is a request that is about to be sent to a group.
+// Request describes a request that is about to be sent to a group.
 type Request struct {
 	RequestID   string
 	Service     string
 	Group       vm.Group
 	Fingerprint string
-	// Timeout is how long the request may take from now.
+	// Timeout is the time that the request may take from now.
 	Timeout time.Duration
-	// CrashID names the crash that an earlier try of the request ended in; empty if there was none. It makes
-	// a suspect of it here, even if the news of the crash has not arrived.
+	// CrashID identifies the crash that ended an earlier try of the request, or is empty. It makes the request a
+	// suspect here even if the report of the crash has not arrived yet.
 	CrashID string
 }
 
-// Admit lets the request pass or says why not. Whoever passes calls Done.
-func (g *Guard) Admit(ctx context.Context, s Request) (*Permit, *contract.Problem) {
-	pass := &Permit{guard: g, subject: s}
-	verdict := g.enter(pass)
+// Admit returns a Permit to send the request, or a problem that says why it must not be sent. The caller must
+// call Done on the Permit.
+func (g *Guard) Admit(ctx context.Context, request Request) (*Permit, *contract.Problem) {
+	permit := &Permit{guard: g, request: request}
+	verdict := g.evaluate(permit)
 	if verdict == quarantine.OnTrial {
-		verdict = g.claim(ctx, pass)
+		verdict = g.claimTrial(ctx, permit)
 	}
 	g.count("verdict." + verdict.String())
 	switch verdict {
 	case quarantine.Free, quarantine.OnTrial:
-		return pass, nil
+		return permit, nil
 	case quarantine.Quarantined:
-		pass.leave()
-		return nil, quarantined()
+		permit.removeInProgress()
+		return nil, quarantinedProblem()
 	}
-	pass.leave()
+	permit.removeInProgress()
 	return nil, contract.Later(contract.CodeSuspectWaits,
-		"this request was in progress when a backend server crashed; it runs again alone, and another is running", waitsRetryAfter)
+		"this request was in progress when a backend server crashed; it runs again alone, and another is running", suspectRetryAfter)
 }
 
-func quarantined() *contract.Problem {
+func quarantinedProblem() *contract.Problem {
 	p := contract.Later(contract.CodeQuarantined, "this request crashed backend servers and is run no more", quarantinedRetryAfter)
 	p.Status = 422
 	p.Next = "change the request, or ask an operator to lift it (pondctl quarantine)"
 	return p
 }
 
-// enter counts the request as running and returns its verdict.
-func (g *Guard) enter(p *Permit) quarantine.Verdict {
+// evaluate counts the request as in progress and returns its verdict.
+func (g *Guard) evaluate(p *Permit) quarantine.Verdict {
 	now := g.deps.Clock()
-	s := p.subject
+	request := p.request
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := g.register(s.Service)
-	if s.CrashID != "" {
-		r.RecordCrash(now, s.CrashID, "", []string{s.Fingerprint})
+	r := g.register(request.Service)
+	if request.CrashID != "" {
+		r.RecordCrash(now, request.CrashID, "", []string{request.Fingerprint})
 	}
-	requests := g.running[s.Group.ID]
+	requests := g.inProgress[request.Group.ID]
 	if requests == nil {
 		requests = make(map[string]string)
-		g.running[s.Group.ID] = requests
+		g.inProgress[request.Group.ID] = requests
 	}
-	requests[s.RequestID] = s.Fingerprint
-	return r.Verdict(now, s.Fingerprint, string(s.Group.ID))
+	requests[request.RequestID] = request.Fingerprint
+	return r.Verdict(now, request.Fingerprint, string(request.Group.ID))
 }
 
-// claim enters the trial into the platform's object. Without a confirmed write the suspect waits: another
-// home may have it on trial.
-func (g *Guard) claim(ctx context.Context, p *Permit) quarantine.Verdict {
-	s := p.subject
-	trial := quarantine.Trial{Group: string(s.Group.ID), Home: g.deps.Self}
+// claimTrial writes the suspect's trial to the platform. Without a confirmed write the suspect waits, because
+// another home may have it on trial.
+func (g *Guard) claimTrial(ctx context.Context, p *Permit) quarantine.Verdict {
+	request := p.request
+	trial := quarantine.Trial{Group: string(request.Group.ID), Home: g.deps.Self}
 	verdict := quarantine.Waits
-	err := g.update(ctx, s.Service, func(r *quarantine.Register) bool {
-		verdict = r.Claim(g.deps.Clock(), s.Fingerprint, trial, s.Timeout, g.othersRunning(s))
+	err := g.update(ctx, request.Service, func(r *quarantine.Register) bool {
+		verdict = r.Claim(g.deps.Clock(), request.Fingerprint, trial, request.Timeout, g.othersInProgress(request))
 		return verdict == quarantine.OnTrial
 	})
 	if err != nil {
@@ -157,32 +161,32 @@
 	return verdict
 }
 
-// othersRunning returns the fingerprints at work on the group, but for the request's own.
-func (g *Guard) othersRunning(s Request) []string {
+// othersInProgress returns the fingerprints of the requests in progress on the group, without the request's own.
+func (g *Guard) othersInProgress(request Request) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var others []string
-	for id, fingerprint := range g.running[s.Group.ID] {
-		if id != s.RequestID {
+	for id, fingerprint := range g.inProgress[request.Group.ID] {
+		if id != request.RequestID {
 			others = append(others, fingerprint)
 		}
 	}
 	return others
 }
 
-func (g *Guard) fingerprints(group vm.GroupID) []string {
+func (g *Guard) fingerprintsInProgress(group vm.GroupID) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var all []string
-	for _, fingerprint := range g.running[group] {
+	for _, fingerprint := range g.inProgress[group] {
 		all = append(all, fingerprint)
 	}
 	return all
 }
 
-// update changes the service's object by a conditional write, starting again from what it reads on a
-// conflict. change returns false where there is nothing to write. What the object held is kept here also
-// if the write fails.
+// update changes the service's object in a conditional write, and reads it again and retries after a conflict.
+// change returns false if there is nothing to write. The content that was read is merged into this entry's
+// register even if the write fails.
 func (g *Guard) update(ctx context.Context, service string, change func(*quarantine.Register) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -199,7 +203,7 @@
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		return err
 	}
-	next, err := g.merged(service, object)
+	next, err := g.mergeStored(service, object)
 	if err != nil {
 		return err
 	}
@@ -214,13 +218,13 @@
 	if err != nil {
 		return err
 	}
-	g.adopt(service, next)
+	g.mergeRegister(service, next)
 	g.deps.Publisher.Took(platform.Object{Kind: platform.KindQuarantine, Name: service, Version: version, Value: value})
 	return nil
 }
 
-// merged returns what the object and this entry know together.
-func (g *Guard) merged(service string, object platform.Object) (*quarantine.Register, error) {
+// mergeStored merges the stored object into this entry's register and returns a copy of the result.
+func (g *Guard) mergeStored(service string, object platform.Object) (*quarantine.Register, error) {
 	read, err := decode(g.config, object)
 	if err != nil {
 		return nil, err
@@ -234,19 +238,19 @@
 	return own.Clone(), nil
 }
 
-func (g *Guard) adopt(service string, r *quarantine.Register) {
+func (g *Guard) mergeRegister(service string, r *quarantine.Register) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.register(service).Merge(g.deps.Clock(), r)
 }
 
-// ApplyObject takes in an object of kind "quarantine" from the mirror.
+// ApplyObject merges an object of kind "quarantine" from the mirror. An object that can't be decoded is ignored.
 func (g *Guard) ApplyObject(object platform.Object) {
 	read, err := decode(g.config, object)
 	if err != nil {
 		return
 	}
-	g.adopt(object.Name, read)
+	g.mergeRegister(object.Name, read)
 }
 
 func (g *Guard) count(name string) {
--- a/entry/guard/look.go
+++ b/entry/guard/look.go
@@ -11,71 +11,73 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// Times of the look at a group whose answer broke off.
+// Time limits of the search for a crashed member after a response broke off.
 const (
-	// lookTimeout bounds the look. The front hears of the break after it, so it is short; it covers a
-	// machine that is busy with the very crash.
-	lookTimeout = time.Second
-	// lookAgain is the pause before members that could not be judged are asked again.
-	lookAgain = 20 * time.Millisecond
+	// crashProbeTimeout bounds the search for a crashed member. The front is told of the broken response only after
+	// the search, so the timeout is short. It still allows for a machine that is slow because of the crash.
+	crashProbeTimeout = time.Second
+	// reprobeInterval is the pause before the members are probed again if any was unresponsive.
+	reprobeInterval = 20 * time.Millisecond
 )
 
-// goneBoot asks the members until each is judged, and returns the boot id that is gone, or "" and what was
-// seen. A process that is about to end breaks off the probe as well, as if its link were cut; asked again a
-// moment later, it is seen to be gone. Taken for a cut, the crash would go unnoticed, and the request
-// would take down one group more.
-func (g *Guard) goneBoot(ctx context.Context, group vm.Group) (boot vm.BootID, why string) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lookTimeout)
+// findCrashedMember probes the members until the status of each is known. It returns the boot id of a crashed
+// member, or "" and the reason why none was found.
+//
+// A process that is about to exit breaks off its probe as if the link were cut, and only a second probe shows
+// that it is gone. If that were taken for a cut link, the crash would go unnoticed and the request would take
+// down another group.
+func (g *Guard) findCrashedMember(ctx context.Context, group vm.Group) (boot vm.BootID, reason string) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), crashProbeTimeout)
 	defer cancel()
 	for {
-		verdicts := g.look(ctx, group)
-		if i := slices.Index(verdicts, memberGone); i >= 0 {
+		statuses := g.probeMembers(ctx, group)
+		if i := slices.Index(statuses, memberGone); i >= 0 {
 			return group.Members[i].BootID, ""
 		}
-		silent := slices.Index(verdicts, memberSilent)
-		if silent < 0 {
+		unresponsive := slices.Index(statuses, memberUnresponsive)
+		if unresponsive < 0 {
 			return "", "every member answers with its boot id"
 		}
 		select {
 		case <-ctx.Done():
-			return "", string(group.Members[silent].VM) + " does not answer"
-		case <-time.After(lookAgain):
+			return "", string(group.Members[unresponsive].VM) + " does not answer"
+		case <-time.After(reprobeInterval):
 		}
 	}
 }
 
-// memberVerdict is what one probe says of a member.
-type memberVerdict uint8
+// memberStatus is the result of one probe of a member.
+type memberStatus uint8
 
 const (
-	memberThere memberVerdict = iota
-	// memberGone: the process that was ordered into the group is no more.
+	memberAlive memberStatus = iota
+	// memberGone means that the process that was ordered into the group does not exist any more.
 	memberGone
-	// memberSilent: no answer; it may be cut off, frozen, or about to end.
-	memberSilent
+	// memberUnresponsive means that there was no response: the member may be cut off, frozen, or about to exit.
+	memberUnresponsive
 )
 
-func (g *Guard) look(ctx context.Context, group vm.Group) []memberVerdict {
+func (g *Guard) probeMembers(ctx context.Context, group vm.Group) []memberStatus {
 	ctx, cancel := context.WithTimeout(ctx, engine.ProbeTimeout)
 	defer cancel()
-	verdicts := make([]memberVerdict, len(group.Members))
+	statuses := make([]memberStatus, len(group.Members))
 	var probes sync.WaitGroup
 	for i, member := range group.Members {
-		probes.Go(func() { verdicts[i] = g.lookAt(ctx, member) })
+		probes.Go(func() { statuses[i] = g.probeMember(ctx, member) })
 	}
 	probes.Wait()
-	return verdicts
+	return statuses
 }
 
-func (g *Guard) lookAt(ctx context.Context, member vm.Member) memberVerdict {
+func (g *Guard) probeMember(ctx context.Context, member vm.Member) memberStatus {
 	state, err := g.deps.Engines.Probe(ctx, member.Address)
 	switch {
 	case errors.Is(err, engine.ErrNoProcess):
 		return memberGone
 	case err != nil:
-		return memberSilent
+		return memberUnresponsive
 	case state.BootID != member.BootID:
 		return memberGone
 	}
-	return memberThere
+	return memberAlive
 }
--- a/entry/guard/operate.go
+++ b/entry/guard/operate.go
@@ -6,7 +6,7 @@
 	"github.com/skylarkpond/skylarkpond/policy/quarantine"
 )
 
-// Held lists what is held back, by service.
+// Held returns the requests that are held back, by service.
 func (g *Guard) Held() map[string][]quarantine.HeldRequest {
 	now := g.deps.Clock()
 	g.mu.Lock()
@@ -20,7 +20,8 @@
 	return held
 }
 
-// Lift lets a request run again, by an operator's word. It says whether the request was held.
+// Lift clears a request on behalf of an operator, so that it may run again. It returns whether the request was
+// held.
 func (g *Guard) Lift(ctx context.Context, service, fingerprint string) (lifted bool, err error) {
 	err = g.update(ctx, service, func(r *quarantine.Register) bool {
 		lifted = r.Lift(g.deps.Clock(), fingerprint)
--- a/entry/guard/pass.go
+++ b/entry/guard/pass.go
@@ -7,107 +7,109 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// Permit is a request's leave to run on a group. Only the request's own goroutine uses it.
+// Permit allows a request to run on a group. It must only be used by the request's own goroutine.
 type Permit struct {
 	guard   *Guard
-	subject Request
+	request Request
 	onTrial bool
-	// over says that the request finished or crashed, so that Done need not release a trial.
-	over bool
+	// concluded means that the request finished or crashed, so that Done need not release a trial.
+	concluded bool
 }
 
-// Finished says that the request ran to its end: if it was a suspect, that clears it.
+// Finished records that the request ran to its end, which clears it if it was a suspect.
 func (p *Permit) Finished(ctx context.Context) {
-	p.over = true
-	s := p.subject
-	if !p.guard.known(s) {
+	p.concluded = true
+	request := p.request
+	if !p.guard.isSuspect(request) {
 		return
 	}
-	_ = p.guard.update(context.WithoutCancel(ctx), s.Service, func(r *quarantine.Register) bool {
-		return r.RecordFinish(p.guard.deps.Clock(), s.Fingerprint, string(s.Group.ID))
+	_ = p.guard.update(context.WithoutCancel(ctx), request.Service, func(r *quarantine.Register) bool {
+		return r.RecordFinish(p.guard.deps.Clock(), request.Fingerprint, string(request.Group.ID))
 	})
 }
 
-// known says whether anything is held against the request here; most have nothing, and cost no call.
-func (g *Guard) known(s Request) bool {
+// isSuspect returns whether this entry knows of a suspicion that finishing the request clears. Most requests are
+// under none, and Finished makes no platform call for them.
+func (g *Guard) isSuspect(request Request) bool {
 	now := g.deps.Clock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := g.register(s.Service)
-	return r.Len() > 0 && r.Clone().RecordFinish(now, s.Fingerprint, string(s.Group.ID))
+	r := g.register(request.Service)
+	return r.Len() > 0 && r.Clone().RecordFinish(now, request.Fingerprint, string(request.Group.ID))
 }
 
-// ResponseBroke says that the answer broke off. If a member's process is gone, every request at work on the group is
-// a suspect from now on, and the crash's name is returned; it goes with the request to its next try. A
-// member that does not answer at all may be cut off or frozen: nobody is suspected for that.
-func (p *Permit) ResponseBroke(ctx context.Context) (crash string) {
-	s := p.subject
-	boot, why := p.guard.goneBoot(ctx, s.Group)
+// ResponseBroke handles a response that broke off. If a member's process is gone, every request in progress on the
+// group becomes a suspect, and the crash's id is returned; the request carries it into its next try. A member
+// that merely does not respond may be cut off or frozen, so that no request becomes a suspect.
+func (p *Permit) ResponseBroke(ctx context.Context) (crashID string) {
+	request := p.request
+	boot, reason := p.guard.findCrashedMember(ctx, request.Group)
 	if boot == "" {
-		p.guard.record(timeline.BreakUnexplained, s, why)
+		p.guard.record(timeline.BreakUnexplained, request, reason)
 		return ""
 	}
-	p.over = true
-	crash = string(s.Group.ID) + "/" + string(boot)
-	p.guard.record(timeline.BackendCrashed, s, crash)
-	p.guard.crashed(ctx, s, crash)
-	return crash
+	p.concluded = true
+	crashID = string(request.Group.ID) + "/" + string(boot)
+	p.guard.record(timeline.BackendCrashed, request, crashID)
+	p.guard.recordCrash(ctx, request, crashID)
+	return crashID
 }
 
-// Done ends the pass.
+// Done ends the permit. It releases the request's trial if the request neither finished nor crashed.
 func (p *Permit) Done(ctx context.Context) {
-	p.leave()
-	if !p.onTrial || p.over {
+	p.removeInProgress()
+	if !p.onTrial || p.concluded {
 		return
 	}
-	s := p.subject
-	_ = p.guard.update(context.WithoutCancel(ctx), s.Service, func(r *quarantine.Register) bool {
-		r.Release(s.Fingerprint, p.guard.deps.Self)
+	request := p.request
+	_ = p.guard.update(context.WithoutCancel(ctx), request.Service, func(r *quarantine.Register) bool {
+		r.Release(request.Fingerprint, p.guard.deps.Self)
 		return true
 	})
 }
 
-func (p *Permit) leave() {
+func (p *Permit) removeInProgress() {
 	g := p.guard
-	s := p.subject
+	request := p.request
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.running[s.Group.ID], s.RequestID)
-	if len(g.running[s.Group.ID]) == 0 {
-		delete(g.running, s.Group.ID)
+	delete(g.inProgress[request.Group.ID], request.RequestID)
+	if len(g.inProgress[request.Group.ID]) == 0 {
+		delete(g.inProgress, request.Group.ID)
 	}
 }
 
-// crashed keeps the crash here at once, then writes it, so that other entries hold the suspects back too.
-func (g *Guard) crashed(ctx context.Context, s Request, crash string) {
-	running := append(g.fingerprints(s.Group.ID), s.Fingerprint)
+// recordCrash records the crash in this entry at once and then writes it to the platform, so that other entries
+// hold the suspects back too.
+func (g *Guard) recordCrash(ctx context.Context, request Request, crashID string) {
+	fingerprints := append(g.fingerprintsInProgress(request.Group.ID), request.Fingerprint)
 	now := g.deps.Clock()
 	g.mu.Lock()
-	caught := g.register(s.Service).RecordCrash(now, crash, string(s.Group.ID), running)
+	quarantined := g.register(request.Service).RecordCrash(now, crashID, string(request.Group.ID), fingerprints)
 	g.mu.Unlock()
-	for _, fingerprint := range caught {
+	for _, fingerprint := range quarantined {
 		g.count("caught")
 		g.deps.Recorder.Record(timeline.Event{
-			Kind: timeline.RequestQuarantine, Request: s.RequestID, Service: s.Service, Group: string(s.Group.ID), Detail: fingerprint,
+			Kind: timeline.RequestQuarantine, Request: request.RequestID, Service: request.Service, Group: string(request.Group.ID), Detail: fingerprint,
 		})
 	}
-	// The register in update has the crash already, by the merge with this entry's own.
-	err := g.update(context.WithoutCancel(ctx), s.Service, func(*quarantine.Register) bool { return true })
+	// update writes the crash without a further change, because it merges this entry's register into the object.
+	err := g.update(context.WithoutCancel(ctx), request.Service, func(*quarantine.Register) bool { return true })
 	if err != nil {
-		g.record(timeline.QuarantineUnsaved, s, err.Error())
-		g.owe(s.Service)
+		g.record(timeline.QuarantineUnsaved, request, err.Error())
+		g.markUnsaved(request.Service)
 	}
 }
 
-// owe notes that what is known of a service has to be written yet.
-func (g *Guard) owe(service string) {
+// markUnsaved marks the service's register as not yet stored on the platform.
+func (g *Guard) markUnsaved(service string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.unsaved[service] = true
 }
 
-func (g *Guard) record(kind timeline.Kind, s Request, detail string) {
+func (g *Guard) record(kind timeline.Kind, request Request, detail string) {
 	g.deps.Recorder.Record(timeline.Event{
-		Kind: kind, Request: s.RequestID, Service: s.Service, Group: string(s.Group.ID), Detail: detail,
+		Kind: kind, Request: request.RequestID, Service: request.Service, Group: string(request.Group.ID), Detail: detail,
 	})
 }
--- a/entry/guard/save.go
+++ b/entry/guard/save.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// expireInterval is how often what no longer matters is forgotten.
+	// expireInterval is how often records that can no longer change a decision are deleted.
 	expireInterval = time.Minute
-	// saveInterval is how often a write that the platform did not take is tried again.
+	// saveInterval is how often a failed write to the platform is retried.
 	saveInterval = time.Second
 )
 
-// Run writes what the platform did not take yet, and forgets what no longer matters, until ctx ends.
+// Run stores changes that the platform has not accepted yet and deletes expired records, until ctx is done.
 func (g *Guard) Run(ctx context.Context) {
 	expiry := time.NewTicker(expireInterval)
 	defer expiry.Stop()
@@ -27,21 +27,21 @@
 		case <-expiry.C:
 			g.expire()
 		case <-saving.C:
-			g.save(ctx)
+			g.saveUnsaved(ctx)
 		}
 	}
 }
 
-// save writes crashes that other entries must know of. Without it a crash during an outage of the platform
-// would be known to one entry alone, also after it.
-func (g *Guard) save(ctx context.Context) {
+// saveUnsaved writes crashes that other entries must know of. Without it, only this entry would ever know of a
+// crash that happened during an outage of the platform, even after the outage.
+func (g *Guard) saveUnsaved(ctx context.Context) {
 	g.mu.Lock()
-	owed := g.unsaved
+	unsaved := g.unsaved
 	g.unsaved = make(map[string]bool)
 	g.mu.Unlock()
-	for service := range owed {
+	for service := range unsaved {
 		if g.update(ctx, service, func(*quarantine.Register) bool { return true }) != nil {
-			g.owe(service)
+			g.markUnsaved(service)
 		}
 	}
 }
--- a/entry/guard/value.go
+++ b/entry/guard/value.go
@@ -7,8 +7,8 @@
 	"github.com/skylarkpond/skylarkpond/policy/quarantine"
 )
 
-// value is the value of an object of kind "quarantine".
-type value struct {
+// storedValue is the value of a platform object of kind "quarantine".
+type storedValue struct {
 	Nonce string          `json:"nonce"`
 	Held  json.RawMessage `json:"held"`
 }
@@ -18,17 +18,17 @@
 	if err != nil {
 		return nil, "", err
 	}
-	v := value{Nonce: nonce(), Held: held}
+	v := storedValue{Nonce: nonce(), Held: held}
 	encoded, err := json.Marshal(v)
 	return encoded, v.Nonce, err
 }
 
-// decode reads an object; one that does not exist holds nothing.
+// decode returns the register stored in an object. A missing or deleted object holds an empty register.
 func decode(config quarantine.Config, object platform.Object) (*quarantine.Register, error) {
 	if object.Deleted || len(object.Value) == 0 {
 		return quarantine.New(config), nil
 	}
-	var v value
+	var v storedValue
 	if err := json.Unmarshal(object.Value, &v); err != nil {
 		return nil, err
 	}
--- a/entry/home/home.go
+++ b/entry/home/home.go
@@ -68,7 +68,8 @@
 
 // Guard holds requests back that crash backend servers.
 type Guard interface {
-	// Admit says whether the request may go to the group now. It is called right before the claim.
+	// Admit returns a permit to send the request to the group, or the problem that prevents it. It is called right before
+	// the claim.
 	Admit(ctx context.Context, s guard.Request) (*guard.Permit, *contract.Problem)
 }
 
