--- a/entry/controller/work.go
+++ b/entry/controller/work.go
@@ -107,7 +107,7 @@
 }
 
 // ensureOwnership reads the placement if necessary and takes the domain over if this entry does not hold it. It
-// returns ErrTakenOver if another entry took the domain from this one less than ReclaimDelay ago.
+// returns ErrTakenOver if this entry noticed less than ReclaimDelay ago that another one took the domain from it.
 func (r *reconciler) ensureOwnership(ctx context.Context) error {
 	if r.placement == nil || r.mirrorIsAhead() {
 		if err := r.readPlacement(ctx); err != nil {
--- a/entry/guard/guard.go
+++ b/entry/guard/guard.go
@@ -125,7 +125,8 @@
 	return p
 }
 
-// evaluate counts the request as in progress and returns its verdict.
+// evaluate counts the request as in progress, records the crash that ended its earlier try, if any, and returns
+// the verdict.
 func (g *Guard) evaluate(p *Permit) quarantine.Verdict {
 	now := g.deps.Clock()
 	request := p.request
--- a/entry/guard/value.go
+++ b/entry/guard/value.go
@@ -13,12 +13,12 @@
 	Held  json.RawMessage `json:"held"`
 }
 
-func encode(r *quarantine.Register, nonce func() string) (json.RawMessage, string, error) {
+func encode(r *quarantine.Register, newNonce func() string) (json.RawMessage, string, error) {
 	held, err := r.Encode()
 	if err != nil {
 		return nil, "", err
 	}
-	v := storedValue{Nonce: nonce(), Held: held}
+	v := storedValue{Nonce: newNonce(), Held: held}
 	encoded, err := json.Marshal(v)
 	return encoded, v.Nonce, err
 }
