--- a/contract/outcome/actors_test.go
+++ b/contract/outcome/actors_test.go
@@ -30,13 +30,13 @@
 
 func records(w *world, y yielder) *attempt.Records {
 	r := attempt.New(store{w: w, y: y}, func() time.Time { return time.Unix(0, 0) })
-	r.Pause = func(context.Context, time.Duration) {}
+	r.Sleep = func(context.Context, time.Duration) {}
 	return r
 }
 
-func wish(r Request, key string, renounced []string) attempt.Wish {
-	return attempt.Wish{
-		ID: attempt.ID{Team: "t", Key: key}, Number: r.Attempt, Fingerprint: r.Fingerprint, RequestID: r.ID, Renounced: renounced,
+func wish(r Request, key string, renounced []string) attempt.WriteRequest {
+	return attempt.WriteRequest{
+		ID: attempt.ID{Team: "t", Key: key}, Number: r.Attempt, Fingerprint: r.Fingerprint, RequestID: r.ID, AbandonedClaims: renounced,
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 	y(step{do: func() {
 		if *tried == groups || w.chance(15, "no group") {
-			next = m.NoDispatch(contract.Later(contract.CodeNoGroup, "none", RetrySoon))
+			next = m.NoDispatch(contract.NewRetryLater(contract.CodeNoGroup, "none", RetrySoon))
 			return
 		}
 		*tried++
@@ -149,7 +149,7 @@
 
 // ask is the holder's own answer; a dead or frozen one gives none. A home that has given its claim up goes on
 // answering for it.
-func (w *world) ask(holder contract.Attempt) HolderAnswer {
+func (w *world) ask(holder contract.AttemptRecord) HolderAnswer {
 	i := slices.IndexFunc(w.actors, func(a *actor) bool { return a.name == holder.Home })
 	switch {
 	case i < 0 || w.actors[i].dead || w.actors[i].frozen:
@@ -178,10 +178,10 @@
 			}
 		}
 		refuse := func(code contract.Code) {
-			f := contract.Frame{Kind: contract.FrameRefused, Problem: contract.Later(code, "", RetrySoon)}
+			f := contract.Frame{Kind: contract.FrameRefused, Problem: contract.NewRetryLater(code, "", RetrySoon)}
 			if claim.Verdict != 0 {
-				f.Attempt = &claim.Attempt
-				w.givenUp[claim.Attempt.Nonce] = true
+				f.Record = &claim.Record
+				w.givenUp[claim.Record.Nonce] = true
 			}
 			send(f)
 			if claim.Verdict != 0 {
@@ -202,15 +202,15 @@
 			case attempt.Confirmed:
 				claim = result
 				send(contract.Frame{Kind: contract.FrameClaimed})
-			case attempt.Found, attempt.Reused:
-				send(contract.Frame{Kind: contract.FrameFound, Attempt: &result.Attempt})
+			case attempt.Found, attempt.KeyReused:
+				send(contract.Frame{Kind: contract.FrameRecordExists, Record: &result.Record})
 				return
-			case attempt.Unsure:
+			case attempt.Indeterminate:
 				claim = result
-				refuse(contract.CodePlatformOut)
+				refuse(contract.CodePlatformUnavailable)
 				return
 			default:
-				refuse(contract.CodePlatformOut)
+				refuse(contract.CodePlatformUnavailable)
 				return
 			}
 		}
@@ -251,7 +251,7 @@
 		}
 		last := i == uint64(len(all))-1
 		if last && q.Unrepeatable {
-			r.Done(context.Background(), attempt.ID{Team: "t", Key: t.key}, claim, contract.StoredAnswer{Body: []byte(strings.Join(all, " "))}, 0)
+			r.Complete(context.Background(), attempt.ID{Team: "t", Key: t.key}, claim, contract.StoredAnswer{Body: []byte(strings.Join(all, " "))}, 0)
 		}
 		send(contract.Frame{Kind: contract.FrameEvent, EventSeq: i, Text: all[i], Final: last})
 	}
--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -136,11 +136,11 @@
 
 func refusal(verdict fairqueue.Verdict) *contract.Problem {
 	if verdict.Code == fairqueue.CodeDeadline {
-		p := contract.Later(contract.CodeDeadline, "the request can't be answered before its deadline", verdict.RetryAfter)
-		p.Next = "give it a later Request-Timeout, or come back after Retry-After"
+		p := contract.NewRetryLater(contract.CodeDeadline, "the request can't be answered before its deadline", verdict.RetryAfter)
+		p.Hint = "give it a later Request-Timeout, or come back after Retry-After"
 		return p
 	}
-	p := contract.Later(contract.CodeOverloaded, "the group has more work than it can carry", verdict.RetryAfter)
+	p := contract.NewRetryLater(contract.CodeOverloaded, "the group has more work than it can carry", verdict.RetryAfter)
 	p.Status = http.StatusTooManyRequests
 	return p
 }
@@ -172,7 +172,7 @@
 func (g *gate) setConfig(service settings.Service) {
 	config := limit.Config{
 		TokenGap: service.TokenGap, FirstToken: service.FirstToken,
-		Max: service.MaxConcurrency, Whole: service.Kind == settings.Plain,
+		Max: service.MaxConcurrency, NonStreaming: service.Kind == settings.Plain,
 	}
 	if g.limit != nil && config == g.config {
 		return
@@ -206,11 +206,11 @@
 func queued(now time.Duration, item home.Item, id string) fairqueue.Item {
 	q := fairqueue.Item{
 		ID: id, Team: item.Team.Name, Share: item.Team.Share, Priority: item.Priority, Work: fairqueue.PlainWork,
-		Deadline: now + item.Timeout, Spread: rand.Float64(),
+		Deadline: now + item.Timeout, Jitter: rand.Float64(),
 	}
 	if item.Service.Kind == settings.Language {
 		q.Work = item.Work
-		q.Least = item.Prompt + min(leastAnswer, item.Work-item.Prompt)
+		q.MinWork = item.Prompt + min(leastAnswer, item.Work-item.Prompt)
 	}
 	return q
 }
--- a/entry/home/keep.go
+++ b/entry/home/keep.go
@@ -29,7 +29,7 @@
 // can't be kept in time, the caller still gets it at once, and the home goes on trying; a repeated key is
 // told in-progress meanwhile, and unknown if that fails.
 func (r *run) finish(ctx context.Context, last ...contract.Frame) {
-	kept := !r.d.Unrepeatable || r.keep(ctx)
+	kept := !r.d.AtMostOnce || r.keep(ctx)
 	for _, f := range last {
 		r.frame(f)
 	}
@@ -63,7 +63,7 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), keepTimeout)
 	defer cancel()
 	answer := r.kept.stored(r.d.Plain != nil)
-	result := r.home.deps.Attempts.Done(ctx, r.wish().ID, r.claim, answer, attempt.Retention(r.service))
+	result := r.home.deps.Attempts.Complete(ctx, r.wish().ID, r.claim, answer, attempt.Retention(r.service))
 	return result.Verdict == attempt.Confirmed || result.Verdict == attempt.Found
 }
 
--- a/policy/fairqueue/figures_test.go
+++ b/policy/fairqueue/figures_test.go
@@ -13,43 +13,44 @@
 	"github.com/skylarkpond/skylarkpond/policy/internal/playback"
 )
 
-// plainQueue is the baseline: first in first out with the same longest wait and length.
-func plainQueue() playback.Queue {
+// fifoQueue returns the baseline: a first-in, first-out queue with the same bounds on wait and length.
+func fifoQueue() playback.Queue {
 	return &playback.FIFO{MaxItems: 2048, MaxWait: 2 * time.Second, Retry: time.Second}
 }
 
-func fairQueue() playback.Queue { return playback.NewFair(fairqueue.Config{}) }
+func fairQueue() playback.Queue { return playback.NewFairQueue(fairqueue.Config{}) }
 
-type played struct {
+type playResult struct {
 	*playback.Run
-	playback.Figures
+	playback.Summary
 }
 
-func play(s playback.Scenario, queue playback.Queue) played {
+func play(s playback.Scenario, queue playback.Queue) playResult {
 	run := s.Play(queue, playback.FixedLimit(s.SteadyLimit()))
-	return played{Run: run, Figures: run.Figures()}
+	return playResult{Run: run, Summary: run.Summary()}
 }
 
 func printTable(title string, table *playback.Table) {
 	fmt.Fprintf(GinkgoWriter, "\n### %s\n\n%s", title, table)
 }
 
-// Callers share one group of backend servers, and more comes than it can carry. First in first out, each
-// waits behind all that came before, whoever sent it, and many give up after having waited.
+// These tests compare the fair queue with a first-in, first-out queue on simulated load above the capacity
+// of one group. First in, first out, each request waits behind all earlier ones regardless of team, and
+// many callers give up after having waited.
 var _ = Describe("figures", Ordered, func() {
 	scenarios := []playback.Scenario{
 		playback.Steady(), playback.Burst(), playback.FewTeams(), playback.SlowServer(),
 		playback.LongAmongShort(0.9), playback.LongAmongShort(1.3), playback.Saturation(),
 	}
-	fifo := make(map[string]played)
-	fair := make(map[string]played)
+	fifo := make(map[string]playResult)
+	fair := make(map[string]playResult)
 
 	BeforeAll(func() {
-		table := playback.NewTable(append([]string{"load", "queue"}, playback.FigureColumns...)...)
+		table := playback.NewTable(append([]string{"load", "queue"}, playback.SummaryColumns...)...)
 		for _, s := range scenarios {
-			fifo[s.Name], fair[s.Name] = play(s, plainQueue()), play(s, fairQueue())
-			table.Row(append([]string{s.Name, "FIFO"}, fifo[s.Name].Cells(fifo[s.Name].Figures)...)...)
-			table.Row(append([]string{s.Name, "fair"}, fair[s.Name].Cells(fair[s.Name].Figures)...)...)
+			fifo[s.Name], fair[s.Name] = play(s, fifoQueue()), play(s, fairQueue())
+			table.AddRow(append([]string{s.Name, "FIFO"}, fifo[s.Name].Cells(fifo[s.Name].Summary)...)...)
+			table.AddRow(append([]string{s.Name, "fair"}, fair[s.Name].Cells(fair[s.Name].Summary)...)...)
 		}
 		printTable("Fair queue and first in first out, the same fixed limit", table)
 	})
@@ -60,15 +61,15 @@
 
 	It("does as much useful work as first in first out, within a tenth", func() {
 		for _, s := range scenarios {
-			Expect(fair[s.Name].Useful(fair[s.Name].Figures)).To(
-				BeNumerically(">", 0.9*fifo[s.Name].Useful(fifo[s.Name].Figures)), s.Name)
+			Expect(fair[s.Name].Goodput(fair[s.Name].Summary)).To(
+				BeNumerically(">", 0.9*fifo[s.Name].Goodput(fifo[s.Name].Summary)), s.Name)
 		}
 	})
 
 	It("refuses at once nearly all that it refuses in saturation, and lets the rest wait less", func() {
 		for _, s := range []playback.Scenario{playback.Saturation(), playback.FewTeams()} {
 			f := fair[s.Name]
-			Expect(float64(f.AtOnce)).To(BeNumerically(">", 0.95*float64(f.Refused)), s.Name)
+			Expect(float64(f.RefusedImmediately)).To(BeNumerically(">", 0.95*float64(f.Refused)), s.Name)
 			Expect(f.Wait.P50).To(BeNumerically("<", fifo[s.Name].Wait.P50/5), s.Name)
 			Expect(f.Wait.P95).To(BeNumerically("<", fifo[s.Name].Wait.P95*2/3), s.Name)
 		}
@@ -77,8 +78,8 @@
 	It("gives each team its fair share when two teams send most", func() {
 		name := playback.FewTeams().Name
 		table := playback.NewTable("teams", "queue", "answered, worst", "of its fair share, worst", "wait 95, worst, s")
-		heavyFIFO, lightFIFO := twoHeavy(table, "FIFO", fifo[name])
-		heavy, light := twoHeavy(table, "fair", fair[name])
+		heavyFIFO, lightFIFO := worstByGroup(table, "FIFO", fifo[name])
+		heavy, light := worstByGroup(table, "fair", fair[name])
 		printTable("Two of ten teams send 80%, 1.5x the capacity", table)
 		Expect(lightFIFO.share).To(BeNumerically("<", 0.65))
 		Expect(heavyFIFO.share).To(BeNumerically(">", 1))
@@ -113,15 +114,15 @@
 					shortRefused = refused
 				}
 			}
-			table.Row(append(cells, playback.Ratio(p.Useful(p.Figures)))...)
+			table.AddRow(append(cells, playback.Ratio(p.Goodput(p.Summary)))...)
 			return shortRefused
 		}
 		var refused []float64
 		for _, load := range []float64{0.9, 1.3} {
 			s := playback.LongAmongShort(load)
-			refused = append(refused, row(s, "FIFO", plainQueue()))
+			refused = append(refused, row(s, "FIFO", fifoQueue()))
 			for _, reserve := range []float64{0.01, 0.25, 0.4, 0.5, 0.6, 0.7} {
-				queue := playback.NewFair(fairqueue.Config{ShortReserve: reserve})
+				queue := playback.NewFairQueue(fairqueue.Config{ShortReserve: reserve})
 				refused = append(refused, row(s, fmt.Sprintf("reserve %.2f", reserve), queue))
 			}
 		}
@@ -135,21 +136,21 @@
 		for _, headStart := range []float64{1, 64, 256} {
 			s := playback.Saturation()
 			s.Traffic.Teams[0].Priority = 9
-			p := play(s, playback.NewFair(fairqueue.Config{HeadStart: headStart}))
-			fair := playback.FairShares(p.OfferedOf, p.Work)
+			p := play(s, playback.NewFairQueue(fairqueue.Config{HeadStart: headStart}))
+			fair := playback.FairShares(p.OfferedWorkByTeam, p.Work)
 			first, others := s.Traffic.Teams[0], s.Traffic.Teams[1:]
 			row := func(who string, team *playback.Team) {
-				table.Row(fmt.Sprint(headStart), who, playback.Percent(p.AnsweredOf[team], 1),
-					playback.Ratio(p.WorkOf[team]/fair[team]), p.WaitOf[team].Both())
+				table.AddRow(fmt.Sprint(headStart), who, playback.Percent(p.AnsweredRatioByTeam[team], 1),
+					playback.Ratio(p.WorkByTeam[team]/fair[team]), p.WaitByTeam[team].Format())
 			}
 			worst := slices.MinFunc(others, func(a, b *playback.Team) int {
-				return cmp.Compare(p.WorkOf[a]/fair[a], p.WorkOf[b]/fair[b])
+				return cmp.Compare(p.WorkByTeam[a]/fair[a], p.WorkByTeam[b]/fair[b])
 			})
 			row("priority 9", first)
 			row("priority 0, the worst of 9", worst)
-			Expect(p.WorkOf[worst]/fair[worst]).To(BeNumerically(">", 0.85), "priority 0")
+			Expect(p.WorkByTeam[worst]/fair[worst]).To(BeNumerically(">", 0.85), "priority 0")
 			if headStart == 64 {
-				Expect(p.WorkOf[first]/fair[first]).To(BeNumerically("<", 1.2), "priority 9")
+				Expect(p.WorkByTeam[first]/fair[first]).To(BeNumerically("<", 1.2), "priority 9")
 			}
 		}
 		printTable("Priority, 1.5x the capacity, ten equal teams", table)
@@ -161,14 +162,14 @@
 		for _, run := range []struct {
 			name  string
 			queue playback.Queue
-		}{{"FIFO, Retry-After 1 s", plainQueue()}, {"fair", fairQueue()}} {
+		}{{"FIFO, Retry-After 1 s", fifoQueue()}, {"fair", fairQueue()}} {
 			s := playback.Burst()
 			s.Tries = 10
-			tries := &arrivals{Queue: run.queue, at: make(map[int]int), refused: make(map[int]int)}
-			p := play(s, tries)
-			most, refusing := tries.after(68)
+			counter := &arrivalCounter{Queue: run.queue, attempts: make(map[int]int), refused: make(map[int]int)}
+			p := play(s, counter)
+			most, refusing := counter.after(68)
 			peak = append(peak, most)
-			table.Row(run.name, playback.Percent(float64(p.Answered), float64(p.Offered)), playback.Ratio(p.Tries),
+			table.AddRow(run.name, playback.Percent(float64(p.Answered), float64(p.Offered)), playback.Ratio(p.MeanTries),
 				fmt.Sprint(most), fmt.Sprint(refusing))
 		}
 		printTable("Burst of 10x for 5 s, callers obey Retry-After and try up to ten times", table)
@@ -176,35 +177,37 @@
 	})
 })
 
-// got is the worst that any of some teams got.
-type got struct {
+// worstOutcome holds the worst figures of any team in a set of teams.
+type worstOutcome struct {
 	answered, share float64
 	wait            time.Duration
 }
 
-// twoHeavy adds a row for the first two teams and one for the others, and returns them.
-func twoHeavy(table *playback.Table, queue string, p played) (heavy, light got) {
-	fair := playback.FairShares(p.OfferedOf, p.Work)
-	heavy, light = got{answered: 1, share: 9}, got{answered: 1, share: 9}
+// worstByGroup adds a row for the first two teams, which send most, and one for the others, and returns
+// both.
+func worstByGroup(table *playback.Table, queue string, p playResult) (heavy, light worstOutcome) {
+	fair := playback.FairShares(p.OfferedWorkByTeam, p.Work)
+	heavy, light = worstOutcome{answered: 1, share: 9}, worstOutcome{answered: 1, share: 9}
 	for i, team := range p.Scenario.Traffic.Teams {
 		g := &light
 		if i < 2 {
 			g = &heavy
 		}
-		g.answered = min(g.answered, p.AnsweredOf[team])
-		g.share = min(g.share, p.WorkOf[team]/fair[team])
-		g.wait = max(g.wait, p.WaitOf[team].P95)
+		g.answered = min(g.answered, p.AnsweredRatioByTeam[team])
+		g.share = min(g.share, p.WorkByTeam[team]/fair[team])
+		g.wait = max(g.wait, p.WaitByTeam[team].P95)
 	}
 	for _, row := range []struct {
 		name string
-		got
+		worstOutcome
 	}{{"2 that send 40% each", heavy}, {"8 that send 2.5% each", light}} {
-		table.Row(row.name, queue, playback.Percent(row.answered, 1), playback.Ratio(row.share), playback.Seconds(row.wait))
+		table.AddRow(row.name, queue, playback.Percent(row.answered, 1), playback.Ratio(row.share), playback.Seconds(row.wait))
 	}
 	return heavy, light
 }
 
-// byLength returns the part of the short or the long requests that was refused, and the wait of the others.
+// byLength returns the fraction of the short or the long requests that was refused, and the 95th
+// percentile of the wait of the others.
 func byLength(requests []*playback.Request, s playback.Scenario, long bool) (refused float64, wait time.Duration) {
 	var waits []time.Duration
 	count := 0.0
@@ -223,14 +226,14 @@
 	return refused / count, waits[len(waits)*95/100]
 }
 
-// arrivals counts the tries and the refusals in each second.
-type arrivals struct {
+// arrivalCounter counts the attempts and the refusals in each second.
+type arrivalCounter struct {
 	playback.Queue
-	at, refused map[int]int
+	attempts, refused map[int]int
 }
 
-func (a *arrivals) Offer(now time.Duration, r *playback.Request) (playback.Decision, time.Duration) {
-	a.at[int(now.Seconds())]++
+func (a *arrivalCounter) Offer(now time.Duration, r *playback.Request) (playback.Decision, time.Duration) {
+	a.attempts[int(now.Seconds())]++
 	decision, retryAfter := a.Queue.Offer(now, r)
 	if decision == playback.Refuse {
 		a.refused[int(now.Seconds())]++
@@ -238,15 +241,16 @@
 	return decision, retryAfter
 }
 
-func (a *arrivals) Expire(now time.Duration) []*playback.Request {
+func (a *arrivalCounter) Expire(now time.Duration) []*playback.Request {
 	expired := a.Queue.Expire(now)
 	a.refused[int(now.Seconds())] += len(expired)
 	return expired
 }
 
-// after returns the most tries in a second, and the number of seconds with a refusal, from a second on.
-func (a *arrivals) after(from int) (most, refusing int) {
-	for second, count := range a.at {
+// after returns the largest number of attempts in one second, and the number of seconds with a refusal,
+// from the given second on.
+func (a *arrivalCounter) after(from int) (most, refusing int) {
+	for second, count := range a.attempts {
 		if second < from {
 			continue
 		}
--- a/policy/forming/decide.go
+++ b/policy/forming/decide.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// planner works out one plan.
+// planner computes one plan from a view.
 type planner struct {
-	view     *View
-	services map[string]Service
-	vms      map[string]VM
-	grace    time.Duration
-	plan     Plan
-	// touched holds the groups that a step of this plan already changes.
-	touched map[string]bool
-	// broken holds the groups that are to be repaired.
+	view         *View
+	services     map[string]Service
+	vms          map[string]VM
+	silenceGrace time.Duration
+	plan         Plan
+	// changed holds the IDs of the groups that a step of this plan already changes.
+	changed map[string]bool
+	// broken holds the condition of the groups that need repair, by group ID.
 	broken map[string]condition
-	// targets holds the split, by domain and service.
+	// targets holds the number of groups by domain and service, as Split returns it.
 	targets map[string]map[string]int
-	// pool holds the VMs that are free, or become so by this plan.
+	// pool holds the VMs that are free, or that this plan frees.
 	pool []VM
 	// formed counts the groups formed by this plan, by service.
 	formed map[string]int
 }
 
-// Decide returns the plan for a view whose durations a Tracker has filled in.
+// Decide returns the plan for a view. The durations in the view must have been filled in by a Tracker.
 func Decide(view View) Plan {
 	p := newPlanner(&view)
-	p.advance()
-	p.repair()
-	p.trim()
-	p.roll()
-	p.setAsideStraggler()
+	p.advanceGroups()
+	p.formMissing()
+	p.endExcess()
+	p.replaceOutdated()
+	p.drainStraggler()
 	p.formExtra()
-	p.mark()
-	p.load()
-	p.account()
+	p.updateNotWhole()
+	p.startNextLoad()
+	p.computeCosts()
 	return p.plan
 }
 
 func newPlanner(v *View) *planner {
 	p := &planner{
-		view:     v,
-		services: make(map[string]Service, len(v.Services)),
-		vms:      make(map[string]VM, len(v.VMs)),
-		grace:    graceFor(v),
-		touched:  make(map[string]bool),
-		broken:   make(map[string]condition),
-		formed:   make(map[string]int),
+		view:         v,
+		services:     make(map[string]Service, len(v.Services)),
+		vms:          make(map[string]VM, len(v.VMs)),
+		silenceGrace: silenceGraceFor(v),
+		changed:      make(map[string]bool),
+		broken:       make(map[string]condition),
+		formed:       make(map[string]int),
 	}
 	for _, s := range v.Services {
 		p.services[s.Name] = s
@@ -64,13 +64,13 @@
 			p.pool = append(p.pool, vm)
 		}
 	}
-	p.plan.Held = make(map[string]string)
-	p.plan.Live = p.live()
-	targets, unplaced := Split(v.Services, p.domains())
+	p.plan.BlockedReasons = make(map[string]string)
+	p.plan.Live = p.countLive()
+	targets, unplaced := Split(v.Services, p.allDomains())
 	p.targets = targets
 	p.plan.Targets = targets[v.Domain]
 	p.plan.DownGroups = make(map[string]int)
-	if p.firstDomain() {
+	if p.isFirstDomain() {
 		p.plan.Unplaced = unplaced
 		for name, count := range unplaced {
 			p.plan.DownGroups[name] += count
@@ -79,26 +79,29 @@
 	return p
 }
 
-// domains returns all fabric domains of the place, as their controllers should see them.
-func (p *planner) domains() []Domain {
+// allDomains returns this fabric domain and the others of the place, in the form that every controller sees
+// them.
+func (p *planner) allDomains() []Domain {
 	own := Domain{Name: p.view.Domain, Live: p.plan.Live, Groups: p.view.Groups}
 	return append([]Domain{own}, p.view.Others...)
 }
 
-// live counts the VMs that a replica can be planned on. One that is silent for a moment counts, or each
-// pause would move a replica to another domain.
-func (p *planner) live() map[string]int {
+// countLive counts the VMs that replicas can be planned on, by the service that they are dedicated to.
+// Unlike VM.usable it includes VMs that are silent for less than the grace period, otherwise each pause
+// would move a replica to another domain.
+func (p *planner) countLive() map[string]int {
 	live := make(map[string]int)
 	for _, vm := range p.view.VMs {
-		if vm.Listed && !vm.Leaving && !vm.Aside && vm.SilentFor < p.grace {
-			live[vm.Service]++
+		if vm.Listed && !vm.Leaving && !vm.Aside && vm.SilentFor < p.silenceGrace {
+			live[vm.DedicatedTo]++
 		}
 	}
 	return live
 }
 
-// firstDomain says that this domain is the one that accounts for what no domain can hold.
-func (p *planner) firstDomain() bool {
+// isFirstDomain reports whether this domain is first by name. Only the first domain reports the groups that
+// no domain has room for, so that they are counted once.
+func (p *planner) isFirstDomain() bool {
 	for _, d := range p.view.Others {
 		if d.Name < p.view.Domain {
 			return false
@@ -107,15 +110,16 @@
 	return true
 }
 
-func (p *planner) step(s Step) {
+func (p *planner) addStep(s Step) {
 	p.plan.Steps = append(p.plan.Steps, s)
 	if s.Group != "" {
-		p.touched[s.Group] = true
+		p.changed[s.Group] = true
 	}
 }
 
-// advance takes each group as far as its own members allow.
-func (p *planner) advance() {
+// advanceGroups moves each group to its next state, as far as its own members allow. Groups that need
+// repair are recorded in p.broken.
+func (p *planner) advanceGroups() {
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
 		c := p.condition(g)
@@ -135,36 +139,37 @@
 			p.drain(g, "", c.reason())
 		case !wanted:
 			p.drain(g, "", "service no longer wanted")
-		case g.BlindFor >= BlindHold && !p.drainsAny():
+		case g.HomeCutOffFor >= HomeCutOffGrace && !p.anyDraining():
 			p.drain(g, "", "its home can't reach its members")
 		case g.State == Loading && p.whole(g):
-			p.step(Step{Kind: StepServe, Group: g.ID, Service: g.Service, Reason: "every member is ready"})
+			p.addStep(Step{Kind: StepServe, Group: g.ID, Service: g.Service, Reason: "every member is ready"})
 		case g.State == Loading && g.InState >= LoadTimeout:
 			p.dissolve(g, "not loaded in time")
 		}
 	}
 }
 
-// advanceDraining frees the members of a group once nothing is in progress on it. The home's count is
-// checked against the head's own: a home that has just changed may not know of the requests that the one
-// before it still has at work. A group with a member lost for good has nothing left to drain: its
-// requests broke off, and if it is the head that is gone, nobody will ever say so.
+// advanceDraining releases the members of a draining group once no request is in progress on it or the
+// drain timeout has passed, and then dissolves it. The count of the home is checked against that of the
+// group's head (its first member), because a home that has just taken over may not know of requests that
+// the previous home sent. A group that lost a member has nothing left to drain: its requests have failed,
+// and if the head is the lost member, no count will ever arrive.
 func (p *planner) advanceDraining(g *Group) {
-	drained := p.condition(g).lost() || g.Known && g.InProgress == 0 && p.running(g) == 0
+	drained := p.condition(g).memberLost() || g.HomeReported && g.InProgress == 0 && p.runningOnHead(g) == 0
 	if !drained && g.InState < p.drainTimeout(g) {
 		return
 	}
-	if p.released(g) || g.InState >= p.drainTimeout(g)+ReleaseGrace {
+	if p.released(g) || g.InState >= p.drainTimeout(g)+ReleaseTimeout {
 		p.dissolve(g, "drained")
 		return
 	}
-	p.step(Step{Kind: StepRelease, Group: g.ID, Service: g.Service, Reason: "drained"})
+	p.addStep(Step{Kind: StepRelease, Group: g.ID, Service: g.Service, Reason: "drained"})
 }
 
-// running is how many requests the group's head says it runs.
-func (p *planner) running(g *Group) int {
+// runningOnHead returns the number of running requests that the head of the group reports.
+func (p *planner) runningOnHead(g *Group) int {
 	head := p.vms[g.Members[0].VM]
-	if !head.Present || head.Group != g.ID {
+	if !head.Responding || head.Group != g.ID {
 		return 0
 	}
 	return head.Running
@@ -174,14 +179,14 @@
 	if s, ok := p.services[g.Service]; ok {
 		return s.DrainTimeout
 	}
-	return RemovedDrainTimeout
+	return RemovedServiceDrainTimeout
 }
 
-// released says that no member that answers still has the group's state.
+// released reports whether no responding member still holds the state of the group.
 func (p *planner) released(g *Group) bool {
 	for _, m := range g.Members {
 		v := p.vms[m.VM]
-		if v.Present && v.Boot == m.Boot && v.Group == g.ID {
+		if v.Responding && v.BootID == m.BootID && v.Group == g.ID {
 			return false
 		}
 	}
@@ -189,12 +194,12 @@
 }
 
 func (p *planner) drain(g *Group, aside, reason string) {
-	p.step(Step{Kind: StepDrain, Group: g.ID, Service: g.Service, VM: aside, Reason: reason})
+	p.addStep(Step{Kind: StepDrain, Group: g.ID, Service: g.Service, VM: aside, Reason: reason})
 }
 
-// dissolve frees the group's members for the rest of this plan.
+// dissolve removes the group and makes its usable members available to the rest of this plan.
 func (p *planner) dissolve(g *Group, reason string) {
-	p.step(Step{Kind: StepDissolve, Group: g.ID, Service: g.Service, Reason: reason})
+	p.addStep(Step{Kind: StepDissolve, Group: g.ID, Service: g.Service, Reason: reason})
 	for _, m := range g.Members {
 		if vm, ok := p.vms[m.VM]; ok && vm.usable() {
 			p.pool = append(p.pool, vm)
@@ -202,9 +207,10 @@
 	}
 }
 
-// form takes VMs for one group of s from the pool, if it holds enough.
+// form adds a step that forms one group of s from the pool. It returns false if the pool has too few VMs
+// for it.
 func (p *planner) form(s Service, reason string) bool {
-	chosen := p.choose(s)
+	chosen := p.chooseMembers(s)
 	if chosen == nil {
 		return false
 	}
@@ -222,48 +228,49 @@
 	}
 	p.pool = kept
 	p.formed[s.Name]++
-	p.step(Step{Kind: StepForm, Service: s.Name, Version: s.Version, Members: members, Reason: reason})
+	p.addStep(Step{Kind: StepForm, Service: s.Name, Version: s.Version, Members: members, Reason: reason})
 	return true
 }
 
-// choose picks the VMs for a group: dedicated ones first, then those that restarted least, since a VM in
-// a restart loop would take its new group down again within minutes.
-func (p *planner) choose(s Service) []VM {
-	fitting := make([]VM, 0, len(p.pool))
+// chooseMembers picks the VMs for a group of s: dedicated VMs first, then those with the fewest restarts,
+// since a VM in a restart loop would break its new group within minutes. It returns nil if too few VMs are
+// eligible.
+func (p *planner) chooseMembers(s Service) []VM {
+	candidates := make([]VM, 0, len(p.pool))
 	for _, vm := range p.pool {
-		if fits(vm, s) {
-			fitting = append(fitting, vm)
+		if eligible(vm, s) {
+			candidates = append(candidates, vm)
 		}
 	}
-	if len(fitting) < s.GroupSize || s.GroupSize == 0 {
+	if len(candidates) < s.GroupSize || s.GroupSize == 0 {
 		return nil
 	}
-	sort.Slice(fitting, func(i, j int) bool {
-		a, b := fitting[i], fitting[j]
-		if (a.Service == "") != (b.Service == "") {
-			return a.Service != ""
+	sort.Slice(candidates, func(i, j int) bool {
+		a, b := candidates[i], candidates[j]
+		if (a.DedicatedTo == "") != (b.DedicatedTo == "") {
+			return a.DedicatedTo != ""
 		}
 		if a.Restarts != b.Restarts {
 			return a.Restarts < b.Restarts
 		}
 		return a.Name < b.Name
 	})
-	return fitting[:s.GroupSize]
+	return candidates[:s.GroupSize]
 }
 
-func fits(vm VM, s Service) bool {
-	return vm.Service == s.Name || (vm.Service == "" && !s.Dedicated)
+func eligible(vm VM, s Service) bool {
+	return vm.DedicatedTo == s.Name || (vm.DedicatedTo == "" && !s.Dedicated)
 }
 
-// load starts the most urgent load that waits, at the pace that the settings give.
-func (p *planner) load() {
+// startNextLoad starts the most urgent waiting load if the load rate allows one now.
+func (p *planner) startNextLoad() {
 	g := p.nextLoad()
 	if g == nil {
 		return
 	}
 	if !p.view.LoadAllowed {
-		p.plan.Held[g.Service] = "loads are paced"
+		p.plan.BlockedReasons[g.Service] = "loads are paced"
 		return
 	}
-	p.step(Step{Kind: StepLoad, Group: g.ID, Service: g.Service, Reason: "members are free"})
+	p.addStep(Step{Kind: StepLoad, Group: g.ID, Service: g.Service, Reason: "members are free"})
 }
--- a/policy/forming/repair.go
+++ b/policy/forming/repair.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// This file answers the fault pattern of groups that lost a member for good, or for long. The plain
-// answer, to dissolve each broken group and form new ones from whatever is free, throws away the state
-// of replicas that would have come back whole, and in a domain that went dark and returned it makes
-// every replica load anew. Here a broken group is taken apart only when its survivors make another
-// group whole: with a free VM its own successor, or with the survivors of other broken groups. Until
-// then it stays listed, and is whole again the moment its member returns with its state.
+// Repair of groups that lost a member permanently or for a long time. Dissolving every broken group at once
+// and forming new ones from the free VMs would discard the state of replicas whose member returns, and
+// would make every replica of a domain load again after a temporary outage of that domain. A broken group
+// is therefore dissolved only when its remaining members complete another group, either its own successor
+// with the help of free VMs, or a group with members of other broken groups. Until then it stays in the
+// placement, and it is whole again as soon as its member returns with its state.
 
-// ExcessHold is how long a group above the target stands before it is drained: the views of two
+// ExcessGroupGrace is how long a group above the target exists before it is drained. The views of two
 // controllers differ for some seconds after each change, and a drain can't be undone.
-const ExcessHold = 10 * time.Second
+const ExcessGroupGrace = 10 * time.Second
 
-// active counts the groups of a service here that are or will be a replica, after this plan.
-func (p *planner) active(service string) int {
+// activeGroups counts the groups of a service in this domain that remain active after this plan.
+func (p *planner) activeGroups(service string) int {
 	count := p.formed[service]
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if g.Service == service && p.lasts(g) {
+		if g.Service == service && p.remainsActive(g) {
 			count++
 		}
 	}
 	return count
 }
 
-// lasts says that the group is or will be a replica after this plan.
-func (p *planner) lasts(g *Group) bool {
+// remainsActive reports whether the group is a replica, or on the way to become one, after this plan.
+func (p *planner) remainsActive(g *Group) bool {
 	if g.State == Draining {
 		return false
 	}
 	if _, ok := p.broken[g.ID]; ok {
 		return false
 	}
-	return !p.ends(g.ID)
+	return !p.endedByPlan(g.ID)
 }
 
-func (p *planner) ends(id string) bool {
+func (p *planner) endedByPlan(id string) bool {
 	for _, s := range p.plan.Steps {
 		if s.Group == id && (s.Kind == StepDrain || s.Kind == StepDissolve) {
 			return true
@@ -48,130 +48,133 @@
 	return false
 }
 
-// repair forms what the target wants, for the service in greatest need first.
-func (p *planner) repair() {
-	for _, s := range p.byNeed() {
-		for p.active(s.Name) < p.plan.Targets[s.Name] {
+// formMissing forms the groups that the targets ask for, for the service in greatest need first.
+func (p *planner) formMissing() {
+	for _, s := range p.servicesByNeed() {
+		for p.activeGroups(s.Name) < p.plan.Targets[s.Name] {
 			if p.form(s, "a replica is missing") {
 				continue
 			}
-			if !p.takeApart(s) {
+			if !p.dissolveBroken(s) {
 				p.makeRoom(s)
 				break
 			}
 		}
 	}
-	p.clearHopeless()
+	p.dissolveUnrecoverable()
 }
 
-func (p *planner) byNeed() []Service {
-	ordered := orderedServices(p.view.Services)
+func (p *planner) servicesByNeed() []Service {
+	ordered := servicesByWeight(p.view.Services)
 	sort.SliceStable(ordered, func(i, j int) bool {
 		return p.need(ordered[i].Name) > p.need(ordered[j].Name)
 	})
 	return ordered
 }
 
-// takeApart dissolves the broken group with the most survivors that s can use, if the survivors of all
-// broken groups and the pool together make a group of s.
-func (p *planner) takeApart(s Service) bool {
-	have := p.free(s)
+// dissolveBroken dissolves the broken group with the most members that s can use, provided that the usable
+// members of all broken groups and the pool together suffice for a group of s.
+func (p *planner) dissolveBroken(s Service) bool {
+	available := p.countFree(s)
 	var best *Group
 	most := 0
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if _, ok := p.broken[g.ID]; !ok || p.touched[g.ID] {
+		if _, ok := p.broken[g.ID]; !ok || p.changed[g.ID] {
 			continue
 		}
-		survivors := p.survivors(g, s)
-		have += survivors
+		survivors := p.usableMembers(g, s)
+		available += survivors
 		if survivors > most {
 			best, most = g, survivors
 		}
 	}
-	if best == nil || have < s.GroupSize {
+	if best == nil || available < s.GroupSize {
 		return false
 	}
 	p.dissolve(best, p.broken[best.ID].reason())
 	return true
 }
 
-func (p *planner) survivors(g *Group, s Service) int {
+func (p *planner) usableMembers(g *Group, s Service) int {
 	count := 0
 	for _, m := range g.Members {
-		if vm := p.vms[m.VM]; vm.usable() && fits(vm, s) {
+		if vm := p.vms[m.VM]; vm.usable() && eligible(vm, s) {
 			count++
 		}
 	}
 	return count
 }
 
-// clearHopeless dissolves broken groups that can't come back as they were, and that nothing has used.
-func (p *planner) clearHopeless() {
+// dissolveUnrecoverable dissolves the broken groups that can't become whole again and that the plan has not
+// changed yet.
+func (p *planner) dissolveUnrecoverable() {
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
 		c, ok := p.broken[g.ID]
-		if !ok || p.touched[g.ID] {
+		if !ok || p.changed[g.ID] {
 			continue
 		}
-		if c.hopeless() {
+		if c.unrecoverable() {
 			p.dissolve(g, c.reason())
 		}
 	}
 }
 
-// makeRoom ends one group that is above the target of its service, for a service that misses one, unless
-// VMs are on their way already.
+// makeRoom ends one group above the target of its service, to free VMs for a service that is missing a
+// group. It does nothing if enough VMs are about to become free.
 func (p *planner) makeRoom(s Service) {
-	p.plan.Held[s.Name] = "too few free VMs in the fabric domain"
-	if p.comingFree(s) >= s.GroupSize {
+	p.plan.BlockedReasons[s.Name] = "too few free VMs in the fabric domain"
+	if p.freeOrDraining(s) >= s.GroupSize {
 		return
 	}
-	for _, other := range p.byNeed() {
-		if other.Name == s.Name || p.active(other.Name) <= p.plan.Targets[other.Name] {
+	for _, other := range p.servicesByNeed() {
+		if other.Name == s.Name || p.activeGroups(other.Name) <= p.plan.Targets[other.Name] {
 			continue
 		}
-		if g := p.leastUseful(other.Name); g != nil && p.survivors(g, s) > 0 {
-			p.end(g, "makes room for "+s.Name)
+		if g := p.leastUseful(other.Name); g != nil && p.usableMembers(g, s) > 0 {
+			p.endGroup(g, "makes room for "+s.Name)
 			return
 		}
 	}
 }
 
-// trim ends groups above the target, where the settings ask for spares that are missing, or weigh nothing.
-// Elsewhere an extra group is worth more than idle VMs, and makes room once its VMs are wanted.
-func (p *planner) trim() {
-	for _, s := range p.byNeed() {
-		for p.active(s.Name) > p.plan.Targets[s.Name] && p.extraUnwanted(s) {
+// endExcess ends groups above the target if fewer VMs are free than the settings ask for as spares, or if
+// the service has no use for extra groups. Otherwise an extra group is worth more than idle VMs, and
+// makeRoom ends it once its VMs are needed.
+func (p *planner) endExcess() {
+	for _, s := range p.servicesByNeed() {
+		for p.activeGroups(s.Name) > p.plan.Targets[s.Name] && p.excessUnwanted(s) {
 			g := p.leastUseful(s.Name)
-			if g == nil || g.InState < ExcessHold {
+			if g == nil || g.InState < ExcessGroupGrace {
 				break
 			}
-			p.end(g, "more than the wanted replicas")
+			p.endGroup(g, "more than the wanted replicas")
 		}
 	}
 }
 
-func (p *planner) extraUnwanted(s Service) bool {
-	if p.rolling(s) || len(p.plan.Held) > 0 {
+func (p *planner) excessUnwanted(s Service) bool {
+	if p.rolling(s) || len(p.plan.BlockedReasons) > 0 {
 		return false
 	}
-	return !s.wantsExtra() || p.comingFree(s) < p.sparesAsked(s)
+	return !s.wantsExtraGroups() || p.freeOrDraining(s) < p.requestedSpares(s)
 }
 
-// comingFree counts the VMs that s can use and that are free, or will be once what drains is drained.
-func (p *planner) comingFree(s Service) int {
-	count := p.free(s)
+// freeOrDraining counts the VMs eligible for s that are free, or become free once the draining groups are
+// drained.
+func (p *planner) freeOrDraining(s Service) int {
+	count := p.countFree(s)
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if g.State == Draining || p.drains(g.ID) {
-			count += p.survivors(g, s)
+		if g.State == Draining || p.drainedByPlan(g.ID) {
+			count += p.usableMembers(g, s)
 		}
 	}
 	return count
 }
 
-func (p *planner) drains(id string) bool {
+func (p *planner) drainedByPlan(id string) bool {
 	for _, s := range p.plan.Steps {
 		if s.Group == id && s.Kind == StepDrain {
 			return true
@@ -180,12 +183,13 @@
 	return false
 }
 
-// leastUseful returns the group of a service that is furthest from serving, or has the least in progress.
+// leastUseful returns the group of a service that is furthest from serving or, if all serve, has the fewest
+// requests in progress. It returns nil if none can be ended.
 func (p *planner) leastUseful(service string) *Group {
 	var worst *Group
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if g.Service != service || !p.lasts(g) || p.touched[g.ID] {
+		if g.Service != service || !p.remainsActive(g) || p.changed[g.ID] {
 			continue
 		}
 		if worst == nil || usefulness(g) < usefulness(worst) {
@@ -205,8 +209,8 @@
 	return g.InProgress
 }
 
-// end drains a group that serves, and dissolves one that never did.
-func (p *planner) end(g *Group, reason string) {
+// endGroup drains a group that serves, and dissolves one that never did.
+func (p *planner) endGroup(g *Group, reason string) {
 	if g.State == Serving {
 		p.drain(g, "", reason)
 		return
@@ -214,12 +218,13 @@
 	p.dissolve(g, reason)
 }
 
-// mark tells the controllers of other fabric domains which groups are not whole.
-func (p *planner) mark() {
+// updateNotWhole updates the NotWhole flag in the placement, from which the controllers of other fabric
+// domains learn which groups are not whole.
+func (p *planner) updateNotWhole() {
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
 		c, broken := p.broken[g.ID]
-		if p.touched[g.ID] || g.State == Draining || broken == g.NotWhole {
+		if p.changed[g.ID] || g.State == Draining || broken == g.NotWhole {
 			continue
 		}
 		if !broken && p.condition(g).worst != faultNone {
@@ -229,23 +234,23 @@
 		if broken {
 			step.Reason = c.reason()
 		}
-		p.step(step)
+		p.addStep(step)
 	}
 }
 
-// formExtra turns free VMs beyond the spares into a group more than is wanted. One at a time, and not while
-// anything else is in need of VMs.
+// formExtra forms an extra group from free VMs beyond the spares. It forms one at a time, and none while a
+// service lacks VMs or a rollout is in progress.
 func (p *planner) formExtra() {
-	if len(p.plan.Held) > 0 {
+	if len(p.plan.BlockedReasons) > 0 {
 		return
 	}
-	for _, s := range p.byShare() {
+	for _, s := range p.servicesByReplicaShare() {
 		if p.rolling(s) {
 			return
 		}
 	}
-	for _, s := range p.byShare() {
-		if !s.wantsExtra() || p.free(s)-s.GroupSize < p.sparesAsked(s) {
+	for _, s := range p.servicesByReplicaShare() {
+		if !s.wantsExtraGroups() || p.countFree(s)-s.GroupSize < p.requestedSpares(s) {
 			continue
 		}
 		if p.form(s, "free VMs beyond the spares") {
@@ -254,25 +259,26 @@
 	}
 }
 
-// free counts the pool's VMs that fit s.
-func (p *planner) free(s Service) int {
+// countFree counts the VMs of the pool that are eligible for s.
+func (p *planner) countFree(s Service) int {
 	count := 0
 	for _, vm := range p.pool {
-		if fits(vm, s) {
+		if eligible(vm, s) {
 			count++
 		}
 	}
 	return count
 }
 
-// byShare orders services by how many groups they have for their wish, fewest first.
-func (p *planner) byShare() []Service {
-	ordered := orderedServices(p.view.Services)
+// servicesByReplicaShare orders services by the ratio of their groups in all domains to their wanted
+// replicas, lowest first.
+func (p *planner) servicesByReplicaShare() []Service {
+	ordered := servicesByWeight(p.view.Services)
 	share := func(s Service) float64 {
-		count := p.active(s.Name)
+		count := p.activeGroups(s.Name)
 		for _, d := range p.view.Others {
 			for _, g := range d.Groups {
-				if g.Service == s.Name && g.counts() {
+				if g.Service == s.Name && g.countsAsReplica() {
 					count++
 				}
 			}
--- a/policy/forming/roll.go
+++ b/policy/forming/roll.go
@@ -1,104 +1,105 @@
 package forming
 
-// This file answers the load pattern of a changed version or setting that every replica must take up.
-// Restarting all at once is an outage, and each domain restarting one of its own at once is one for a
-// small service. So groups are replaced one by one over all domains: the domains take turns in the order
-// of their names, which every controller can tell from the placements alone, and the number that serves
-// never goes below the wanted one where a new group finds room, beside the old ones or in another domain.
-// Where there is no room anywhere, one at a time is given up first; a service whose only replica that
-// would be waits and says so.
-
-// SurgeShare is the share of a service's replicas that may be formed beyond the wanted ones during a
-// roll: enough to finish 50 replicas in about ten rounds of loading, few enough that their loads do not
-// crowd out repairs.
-const SurgeShare = 0.1
-
-// rolling says that some domain still has groups of s of another version.
-func (p *planner) rolling(s Service) bool { return p.turn(s) != "" }
-
-func (p *planner) outdated(groups []Group, s Service) int {
+// Rolling replacement of groups after a change of version or group size. Restarting all replicas at once is
+// an outage, and so is restarting one in each domain at once for a small service. Groups are therefore
+// replaced one by one across all domains. The domains take turns in the order of their names, which every
+// controller can determine from the placements alone. The number of serving groups stays at or above the
+// wanted one as long as a new group finds room, beside the old ones or in another domain. Without room
+// anywhere, one old group at a time is drained first. A service with a single replica is not drained for
+// this: it keeps the old version, and the plan reports it as blocked.
+
+// MaxSurgeShare is the share of the replicas of a service that may be formed beyond the wanted number
+// during a rollout. It replaces 50 replicas in about ten rounds of loading without crowding out the loads
+// of repairs.
+const MaxSurgeShare = 0.1
+
+// rolling reports whether any domain still has groups of s that are outdated.
+func (p *planner) rolling(s Service) bool { return p.domainInTurn(s) != "" }
+
+func (p *planner) countOutdated(groups []Group, s Service) int {
 	count := 0
 	for _, g := range groups {
-		if g.Service == s.Name && g.outdated(s) && g.counts() {
+		if g.Service == s.Name && g.outdated(s) && g.countsAsReplica() {
 			count++
 		}
 	}
 	return count
 }
 
-// turn names the domain whose turn it is, the first that still has groups to roll, or "".
-func (p *planner) turn(s Service) string {
+// domainInTurn returns the name of the domain whose turn it is to replace its outdated groups of s: the
+// first by name that has any, or "" if none has.
+func (p *planner) domainInTurn(s Service) string {
 	first := ""
-	for _, d := range p.domains() {
-		if p.outdated(d.Groups, s) > 0 && (first == "" || d.Name < first) {
+	for _, d := range p.allDomains() {
+		if p.countOutdated(d.Groups, s) > 0 && (first == "" || d.Name < first) {
 			first = d.Name
 		}
 	}
 	return first
 }
 
-func (p *planner) roll() {
-	for _, s := range p.byNeed() {
+func (p *planner) replaceOutdated() {
+	for _, s := range p.servicesByNeed() {
 		if !p.rolling(s) {
 			continue
 		}
-		if p.takesNew(s) {
-			p.formBeside(s)
+		if p.formsReplacements(s) {
+			p.formSurge(s)
 		}
-		if p.turn(s) == p.view.Domain {
-			p.giveUpOld(s)
+		if p.domainInTurn(s) == p.view.Domain {
+			p.drainOutdated(s)
 		}
 	}
 }
 
-// takesNew says that this domain is the one to form groups of the new version: the one whose turn it is
-// if it has room, else the first that has. Without the others, a replica that fills its domain would
-// keep its old version while another domain stands empty.
-func (p *planner) takesNew(s Service) bool {
-	turn := p.turn(s)
-	return turn == p.view.Domain || !p.roomElsewhere(s, func(d Domain) bool {
-		return d.Name == turn || d.Name < p.view.Domain
+// formsReplacements reports whether this domain forms the groups that replace outdated ones. That is the
+// domain in turn if it has room, else the first by name that has room. If only the domain in turn did so, a
+// replica that fills its domain would keep its old version while another domain is empty.
+func (p *planner) formsReplacements(s Service) bool {
+	domainInTurn := p.domainInTurn(s)
+	return domainInTurn == p.view.Domain || !p.roomElsewhere(s, func(d Domain) bool {
+		return d.Name == domainInTurn || d.Name < p.view.Domain
 	})
 }
 
-// roomElsewhere says that one of the other domains that which selects has room for a group of s. It may
-// err on the side of no room, since the members of groups that are gone are counted as taken.
-func (p *planner) roomElsewhere(s Service, which func(Domain) bool) bool {
+// roomElsewhere reports whether any other domain that selects accepts has room for a group of s. It may miss
+// room, because the VMs of all groups in the placement count as taken, even if they are gone.
+func (p *planner) roomElsewhere(s Service, selects func(Domain) bool) bool {
 	for _, d := range p.view.Others {
-		if which(d) && p.roomIn(d, s) >= s.GroupSize {
+		if selects(d) && p.freeIn(d, s) >= s.GroupSize {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *planner) roomIn(d Domain, s Service) int {
-	left := slots{free: make(map[string]int, len(d.Live))}
+func (p *planner) freeIn(d Domain, s Service) int {
+	capacity := domainCapacity{free: make(map[string]int, len(d.Live))}
 	for class, count := range d.Live {
-		left.free[class] = count
+		capacity.free[class] = count
 	}
 	for _, g := range d.Groups {
-		left.take(Service{Name: g.Service, Dedicated: p.services[g.Service].Dedicated, GroupSize: g.size()}, 1)
+		capacity.reserve(Service{Name: g.Service, Dedicated: p.services[g.Service].Dedicated, GroupSize: g.size()}, 1)
 	}
-	return left.room(s)
+	return capacity.freeFor(s)
 }
 
-func (p *planner) formBeside(s Service) {
-	surge := max(1, int(SurgeShare*float64(s.Replicas)))
-	for coming := p.coming(s); coming < surge && p.form(s, "takes the place of an older version"); {
-		coming++
+func (p *planner) formSurge(s Service) {
+	surge := max(1, int(MaxSurgeShare*float64(s.Replicas)))
+	for starting := p.countStarting(s); starting < surge && p.form(s, "takes the place of an older version"); {
+		starting++
 	}
 }
 
-// giveUpOld drains groups of the older version for which others serve.
-func (p *planner) giveUpOld(s Service) {
+// drainOutdated drains outdated groups of s as long as enough groups keep serving.
+func (p *planner) drainOutdated(s Service) {
 	minimum := s.Replicas
-	serving := p.servingEverywhere(s.Name) - p.endingServing(s.Name)
-	if serving <= minimum && p.stuck(s) {
+	serving := p.servingInAllDomains(s.Name) - p.countServingEnded(s.Name)
+	if serving <= minimum && p.rolloutStuck(s) {
 		minimum--
 	}
 	if minimum < 1 {
-		p.plan.Held[s.Name] = "no room to load the new version beside the only replica"
+		p.plan.BlockedReasons[s.Name] = "no room to load the new version beside the only replica"
 		return
 	}
 	for ; serving > minimum; serving-- {
@@ -110,18 +111,20 @@
 	}
 }
 
-// stuck says that no group of s is on the way, and that none can be until one is given up.
-func (p *planner) stuck(s Service) bool {
+// rolloutStuck reports whether no group of s is about to serve, none is draining, and no domain has room
+// for one, so that an old group must be drained first.
+func (p *planner) rolloutStuck(s Service) bool {
 	anywhere := func(Domain) bool { return true }
-	return p.coming(s) == 0 && p.draining(s) == 0 && !p.roomElsewhere(s, anywhere)
+	return p.countStarting(s) == 0 && p.countDraining(s) == 0 && !p.roomElsewhere(s, anywhere)
 }
 
-// draining counts the groups of s, here and elsewhere, whose VMs are about to be free.
-func (p *planner) draining(s Service) int {
+// countDraining counts the groups of s in all domains that are draining or that this plan ends, so that
+// their VMs become free.
+func (p *planner) countDraining(s Service) int {
 	count := 0
-	for _, d := range p.domains() {
+	for _, d := range p.allDomains() {
 		for _, g := range d.Groups {
-			if g.Service == s.Name && (g.State == Draining || p.ends(g.ID)) {
+			if g.Service == s.Name && (g.State == Draining || p.endedByPlan(g.ID)) {
 				count++
 			}
 		}
@@ -129,18 +132,18 @@
 	return count
 }
 
-// coming counts the groups of s, here and elsewhere, that are on the way to serve.
-func (p *planner) coming(s Service) int {
+// countStarting counts the groups of s in all domains that are forming or loading.
+func (p *planner) countStarting(s Service) int {
 	count := p.formed[s.Name]
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if g.Service == s.Name && g.State != Serving && p.lasts(g) {
+		if g.Service == s.Name && g.State != Serving && p.remainsActive(g) {
 			count++
 		}
 	}
 	for _, d := range p.view.Others {
 		for _, g := range d.Groups {
-			if g.Service == s.Name && g.State != Serving && g.counts() {
+			if g.Service == s.Name && g.State != Serving && g.countsAsReplica() {
 				count++
 			}
 		}
@@ -148,12 +151,12 @@
 	return count
 }
 
-// endingServing counts the serving groups that this plan already ends.
-func (p *planner) endingServing(service string) int {
+// countServingEnded counts the serving groups of a service that this plan already ends.
+func (p *planner) countServingEnded(service string) int {
 	count := 0
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if g.Service == service && p.serves(g) && p.ends(g.ID) {
+		if g.Service == service && p.isServing(g) && p.endedByPlan(g.ID) {
 			count++
 		}
 	}
@@ -164,7 +167,7 @@
 	var best *Group
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if g.Service != s.Name || !g.outdated(s) || g.State != Serving || p.touched[g.ID] || !p.lasts(g) {
+		if g.Service != s.Name || !g.outdated(s) || g.State != Serving || p.changed[g.ID] || !p.remainsActive(g) {
 			continue
 		}
 		if best == nil || g.InProgress < best.InProgress {
@@ -174,11 +177,11 @@
 	return best
 }
 
-// servingEverywhere counts the groups of a service that serve, in all domains.
-func (p *planner) servingEverywhere(service string) int {
+// servingInAllDomains counts the serving groups of a service in all domains.
+func (p *planner) servingInAllDomains(service string) int {
 	count := 0
 	for i := range p.view.Groups {
-		if g := &p.view.Groups[i]; g.Service == service && p.serves(g) {
+		if g := &p.view.Groups[i]; g.Service == service && p.isServing(g) {
 			count++
 		}
 	}
--- a/policy/forming/split.go
+++ b/policy/forming/split.go
@@ -5,41 +5,43 @@
 	"sort"
 )
 
-// This file answers the fault pattern that fabric domains lose and gain VMs while each is run by another
-// controller, and that no controller tells another what to do. If each formed what is missing of a
-// service, all would form it at once; if each held a fixed share, a domain that lost VMs would leave its
-// share unserved while others have room. So every controller works out the same split from the same
-// view, and takes only its own part. Views that differ for a moment overshoot by the groups formed in
-// that moment; the same rule then names which of them are extra.
+// Distribution of the replicas over the fabric domains. Each domain gains and loses VMs and is run by a
+// controller of its own, and the controllers do not command each other. If each of them formed every
+// missing replica, they would all form it at once; with fixed shares, the share of a domain that lost VMs
+// would stay unserved while other domains have room. So every controller computes the same split from the
+// same view and acts only on the part of its own domain. While views differ, groups may be formed in
+// excess; the same rule then determines which of them are extra.
 //
-// The split keeps what stands, since moving a replica costs a load. It fills the service that is
-// furthest below its wish first, and puts a replica where the service has the smallest share of the
-// VMs: a domain that goes dark then takes the smallest part of each service.
-
-// slots holds what a domain can still take, by dedication.
-type slots struct {
-	name string
-	free map[string]int
-	all  map[string]int
-	// held counts groups by service.
-	held map[string]int
+// The split keeps existing groups, since moving a replica costs a load. It adds a replica to the service
+// with the largest share of its replicas missing, in the domain where that service has the fewest groups in
+// proportion to the VMs that it can use, so that the loss of a domain costs each service as little as
+// possible.
+
+// domainCapacity tracks the VMs of a domain while replicas are assigned to it. free and total are by the
+// service that VMs are dedicated to ("" for any).
+type domainCapacity struct {
+	name  string
+	free  map[string]int
+	total map[string]int
+	// groups counts the groups kept or assigned, by service.
+	groups map[string]int
 }
 
-// Split returns the groups of each service wanted in each domain, and how many replicas find no room
-// anywhere.
+// Split returns the number of groups wanted by domain and service, and by service the number of replicas
+// for which no domain has room.
 func Split(services []Service, domains []Domain) (targets map[string]map[string]int, unplaced map[string]int) {
-	ordered := orderedServices(services)
-	held := openSlots(ordered, domains)
-	missing := keepStanding(ordered, held)
-	unplaced = fill(ordered, held, missing)
-	targets = make(map[string]map[string]int, len(held))
-	for _, d := range held {
-		targets[d.name] = d.held
+	ordered := servicesByWeight(services)
+	capacities := newCapacities(ordered, domains)
+	missing := keepExisting(ordered, capacities)
+	unplaced = placeMissing(ordered, capacities, missing)
+	targets = make(map[string]map[string]int, len(capacities))
+	for _, d := range capacities {
+		targets[d.name] = d.groups
 	}
 	return targets, unplaced
 }
 
-func orderedServices(services []Service) []Service {
+func servicesByWeight(services []Service) []Service {
 	ordered := append([]Service(nil), services...)
 	sort.Slice(ordered, func(i, j int) bool {
 		a, b := ordered[i], ordered[j]
@@ -51,87 +53,89 @@
 	return ordered
 }
 
-func openSlots(services []Service, domains []Domain) []*slots {
-	held := make([]*slots, 0, len(domains))
+func newCapacities(services []Service, domains []Domain) []*domainCapacity {
+	capacities := make([]*domainCapacity, 0, len(domains))
 	for _, d := range domains {
-		s := &slots{name: d.Name, free: map[string]int{}, all: d.Live, held: map[string]int{}}
+		s := &domainCapacity{name: d.Name, free: map[string]int{}, total: d.Live, groups: map[string]int{}}
 		for class, count := range d.Live {
 			s.free[class] = count
 		}
 		for _, g := range d.Groups {
-			if g.counts() {
-				s.held[g.Service]++
+			if g.countsAsReplica() {
+				s.groups[g.Service]++
 			}
 		}
-		held = append(held, s)
+		capacities = append(capacities, s)
 	}
-	sort.Slice(held, func(i, j int) bool { return held[i].name < held[j].name })
+	sort.Slice(capacities, func(i, j int) bool { return capacities[i].name < capacities[j].name })
 	wanted := make(map[string]bool, len(services))
 	for _, s := range services {
 		wanted[s.Name] = true
 	}
-	for _, d := range held {
-		for name := range d.held {
+	for _, d := range capacities {
+		for name := range d.groups {
 			if !wanted[name] {
-				delete(d.held, name)
+				delete(d.groups, name)
 			}
 		}
 	}
-	return held
+	return capacities
 }
 
-// keepStanding counts what stands up to what is wanted, takes its VMs from the free ones, and returns
-// what is missing. Above the wish, the domain with the most groups of the service gives one up first.
-func keepStanding(services []Service, domains []*slots) map[string]int {
+// keepExisting keeps the existing groups up to the wanted number, reserves their VMs, and returns the
+// number of missing replicas by service. While a service has too many groups, the domain with the most of
+// them gives one up.
+func keepExisting(services []Service, domains []*domainCapacity) map[string]int {
 	missing := make(map[string]int)
 	for _, s := range services {
 		total := 0
 		for _, d := range domains {
-			total += d.held[s.Name]
+			total += d.groups[s.Name]
 		}
 		for ; total > s.Replicas; total-- {
-			fullest(domains, s.Name).held[s.Name]--
+			domainWithMostGroups(domains, s.Name).groups[s.Name]--
 		}
 		missing[s.Name] = s.Replicas - total
 		for _, d := range domains {
-			d.take(s, d.held[s.Name])
+			d.reserve(s, d.groups[s.Name])
 		}
 	}
 	return missing
 }
 
-func fullest(domains []*slots, service string) *slots {
+func domainWithMostGroups(domains []*domainCapacity, service string) *domainCapacity {
 	best := domains[0]
 	for _, d := range domains[1:] {
-		if d.held[service] > best.held[service] {
+		if d.groups[service] > best.groups[service] {
 			best = d
 		}
 	}
 	return best
 }
 
-// fill places one missing replica after the other.
-func fill(services []Service, domains []*slots, missing map[string]int) map[string]int {
+// placeMissing assigns the missing replicas one by one and returns, by service, the number that did not
+// fit.
+func placeMissing(services []Service, domains []*domainCapacity, missing map[string]int) map[string]int {
 	unplaced := make(map[string]int)
 	for {
-		s, ok := neediest(services, missing)
+		s, ok := mostUnderReplicated(services, missing)
 		if !ok {
 			return unplaced
 		}
 		missing[s.Name]--
-		d := roomiest(domains, s)
+		d := bestDomain(domains, s)
 		if d == nil {
 			unplaced[s.Name] += missing[s.Name] + 1
 			missing[s.Name] = 0
 			continue
 		}
-		d.held[s.Name]++
-		d.take(s, 1)
+		d.groups[s.Name]++
+		d.reserve(s, 1)
 	}
 }
 
-// neediest returns the service with the largest share of its replicas missing.
-func neediest(services []Service, missing map[string]int) (Service, bool) {
+// mostUnderReplicated returns the service with the largest share of its replicas missing.
+func mostUnderReplicated(services []Service, missing map[string]int) (Service, bool) {
 	var best Service
 	found := false
 	for _, s := range services {
@@ -146,49 +150,50 @@
 	return best, found
 }
 
-// roomiest returns the domain with room for a group of s that holds the fewest of them for its size.
-func roomiest(domains []*slots, s Service) *slots {
-	var best *slots
+// bestDomain returns the domain for the next group of s: of those with room, the one with the fewest groups
+// of s in proportion to its VMs. It returns nil if none has room.
+func bestDomain(domains []*domainCapacity, s Service) *domainCapacity {
+	var best *domainCapacity
 	for _, d := range domains {
-		if d.room(s) < s.GroupSize {
+		if d.freeFor(s) < s.GroupSize {
 			continue
 		}
-		if best == nil || d.before(best, s) {
+		if best == nil || d.preferredTo(best, s) {
 			best = d
 		}
 	}
 	return best
 }
 
-func (d *slots) before(other *slots, s Service) bool {
-	share, otherShare := d.held[s.Name]*other.size(s), other.held[s.Name]*d.size(s)
+func (d *domainCapacity) preferredTo(other *domainCapacity, s Service) bool {
+	share, otherShare := d.groups[s.Name]*other.totalFor(s), other.groups[s.Name]*d.totalFor(s)
 	if share != otherShare {
 		return share < otherShare
 	}
-	if d.room(s) != other.room(s) {
-		return d.room(s) > other.room(s)
+	if d.freeFor(s) != other.freeFor(s) {
+		return d.freeFor(s) > other.freeFor(s)
 	}
-	return spread(s.Name, d.name) < spread(s.Name, other.name)
+	return tieBreak(s.Name, d.name) < tieBreak(s.Name, other.name)
 }
 
-func (d *slots) room(s Service) int {
-	room := max(0, d.free[s.Name])
+func (d *domainCapacity) freeFor(s Service) int {
+	free := max(0, d.free[s.Name])
 	if !s.Dedicated {
-		room += max(0, d.free[""])
+		free += max(0, d.free[""])
 	}
-	return room
+	return free
 }
 
-func (d *slots) size(s Service) int {
-	size := d.all[s.Name]
+func (d *domainCapacity) totalFor(s Service) int {
+	total := d.total[s.Name]
 	if !s.Dedicated {
-		size += d.all[""]
+		total += d.total[""]
 	}
-	return size
+	return total
 }
 
-// take books the VMs of count groups, dedicated ones first.
-func (d *slots) take(s Service, count int) {
+// reserve takes the VMs of count groups from the free ones, dedicated VMs first.
+func (d *domainCapacity) reserve(s Service, count int) {
 	vms := count * s.GroupSize
 	own := min(vms, max(0, d.free[s.Name]))
 	d.free[s.Name] -= own
@@ -197,9 +202,9 @@
 	}
 }
 
-// spread breaks ties differently for each service, so that the first domain by name does not get the
-// first replica of all of them.
-func spread(service, domain string) uint32 {
+// tieBreak orders domains differently for each service, so that the first domain by name does not get the
+// first replica of every service.
+func tieBreak(service, domain string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(service + "\x00" + domain))
 	return h.Sum32()
--- a/policy/forming/straggler.go
+++ b/policy/forming/straggler.go
@@ -5,25 +5,30 @@
 	"time"
 )
 
-// This file answers the fault pattern of a VM that works, but slowly: a throttled accelerator, a bad
-// link. Every step of its group waits for it, so that one slow VM makes a whole replica slow, and probes
-// see nothing wrong. Callers that land there miss their deadlines. The group is drained and formed anew
-// without its slowest member, but only where that costs no replica: a slow one is better than none.
+// Stragglers: VMs that work but are slow, for example because of a throttled accelerator or a bad link.
+// Every step of a group waits for its slowest member, so that one slow VM slows the whole replica; its
+// callers miss their deadlines while all probes succeed. A slow group is drained and formed again without
+// its slowest member, but only where that costs no replica: a slow replica is better than none.
 
-// Bounds for stragglers.
+// Thresholds for the detection of stragglers.
 const (
-	// SlowFactor times the median time between tokens of its service is where a group counts as slow.
-	// Groups of a service differ by load by some tens of percent; a factor of two is far outside.
-	SlowFactor = 2
-	// SlowHold is how long it must stay slow: long prompts and cold caches make a group slow for seconds.
-	SlowHold = 60 * time.Second
-	// SlowQuorum is the least number of groups whose median says anything.
-	SlowQuorum = 3
-	// MemberFactor times the median step time within the group is where a member stands out.
-	MemberFactor = 1.5
+	// SlowGroupFactor is the multiple of the median time between tokens of its service above which a group
+	// is slow. The groups of a service differ by some tens of percent under load; a factor of two is far
+	// outside that range.
+	SlowGroupFactor = 2
+	// SlowGroupMinDuration is how long a group must stay slow before it is drained. Long prompts and cold
+	// caches slow a group down for seconds.
+	SlowGroupMinDuration = 60 * time.Second
+	// SlowGroupMinSamples is the least number of groups with a known time between tokens for which the
+	// median is meaningful.
+	SlowGroupMinSamples = 3
+	// SlowMemberFactor is the multiple of the median step time in its group from which a member is a
+	// straggler.
+	SlowMemberFactor = 1.5
 )
 
-// slowGroups returns the ids of the view's serving groups that are slow for their service.
+// slowGroups returns the IDs of the serving groups of the view that are slow compared with the other groups
+// of their service.
 func slowGroups(v *View) map[string]bool {
 	gaps := make(map[string][]time.Duration)
 	collect := func(groups []Group) {
@@ -40,10 +45,10 @@
 	slow := make(map[string]bool)
 	for _, g := range v.Groups {
 		known := gaps[g.Service]
-		if g.State != Serving || len(known) < SlowQuorum {
+		if g.State != Serving || len(known) < SlowGroupMinSamples {
 			continue
 		}
-		if g.TokenGap > SlowFactor*median(known) {
+		if g.TokenGap > SlowGroupFactor*median(known) {
 			slow[g.ID] = true
 		}
 	}
@@ -56,24 +61,25 @@
 	return values[(len(values)-1)/2]
 }
 
-// setAsideStraggler drains at most one slow group of the domain at a time.
-func (p *planner) setAsideStraggler() {
-	if p.drainsAny() {
+// drainStraggler drains a slow group and sets its slowest member aside, at most one group of the domain at
+// a time.
+func (p *planner) drainStraggler() {
+	if p.anyDraining() {
 		return
 	}
 	for i := range p.view.Groups {
 		g := &p.view.Groups[i]
-		if g.SlowFor < SlowHold || p.touched[g.ID] || !p.serves(g) {
+		if g.SlowFor < SlowGroupMinDuration || p.changed[g.ID] || !p.isServing(g) {
 			continue
 		}
-		if p.drainSlow(g) {
+		if p.drainSlowGroup(g) {
 			return
 		}
 	}
 }
 
-// drainsAny says that some group of the domain drains, or is to by this plan.
-func (p *planner) drainsAny() bool {
+// anyDraining reports whether any group of the domain is draining, or is to be drained by this plan.
+func (p *planner) anyDraining() bool {
 	for _, g := range p.view.Groups {
 		if g.State == Draining {
 			return true
@@ -87,26 +93,27 @@
 	return false
 }
 
-func (p *planner) drainSlow(g *Group) bool {
+func (p *planner) drainSlowGroup(g *Group) bool {
 	s, ok := p.services[g.Service]
-	if !ok || p.servingEverywhere(s.Name) < s.Replicas {
+	if !ok || p.servingInAllDomains(s.Name) < s.Replicas {
 		return false
 	}
-	if p.free(s) == 0 && p.active(s.Name) <= p.plan.Targets[s.Name] {
-		p.plan.Held[s.Name] = "a group is slow, and no VM is free to take its slowest member's place"
+	if p.countFree(s) == 0 && p.activeGroups(s.Name) <= p.plan.Targets[s.Name] {
+		p.plan.BlockedReasons[s.Name] = "a group is slow, and no VM is free to take its slowest member's place"
 		return false
 	}
-	member := p.slowest(g)
+	member := p.slowestMember(g)
 	if member == "" {
-		p.plan.Held[s.Name] = "a group is slow, and no member of it stands out"
+		p.plan.BlockedReasons[s.Name] = "a group is slow, and no member of it stands out"
 		return false
 	}
 	p.drain(g, member, member+" is slow")
 	return true
 }
 
-// slowest returns the member that stands out in step time, or "".
-func (p *planner) slowest(g *Group) string {
+// slowestMember returns the member with the longest step time if it is a straggler. It returns "" if none
+// is, or if a step time is unknown.
+func (p *planner) slowestMember(g *Group) string {
 	times := make([]time.Duration, 0, len(g.Members))
 	name := ""
 	longest := time.Duration(0)
@@ -120,7 +127,7 @@
 			name, longest = m.VM, step
 		}
 	}
-	if len(times) > 1 && float64(longest) < MemberFactor*float64(median(times)) {
+	if len(times) > 1 && float64(longest) < SlowMemberFactor*float64(median(times)) {
 		return ""
 	}
 	return name
--- a/policy/grouping/mix_test.go
+++ b/policy/grouping/mix_test.go
@@ -9,7 +9,7 @@
 	"github.com/skylarkpond/skylarkpond/policy/grouping"
 )
 
-// empty returns some domains of free VMs without weights.
+// empty returns domains of free VMs without weights.
 func empty(domains, perDomain int) []grouping.Domain {
 	list := make([]grouping.Domain, 0, domains)
 	for i := range domains {
@@ -27,16 +27,16 @@
 	return count
 }
 
-var _ = Describe("Groups before callers come", func() {
+var _ = Describe("Groups before the first request", func() {
 	pair := func(large, small int, share float64) []grouping.Model {
 		return []grouping.Model{
 			{Name: "l", Size: large, Share: share, LoadTime: largeLoad}, {Name: "s", Size: small, Share: 1 - share, LoadTime: smallLoad},
 		}
 	}
 
-	// A domain of eleven takes one group of six and one of three. Filled with groups of three, it would hold none of six.
+	// A domain of eleven fits one group of six and one of three. Filled with groups of three, it has no room for one of six.
 	DescribeTable("fit whole domains and the models' shares", func(perDomain int, models []grouping.Model, expected map[string]int) {
-		plan := grouping.Decide(grouping.Input{Models: models, Early: true, Loads: 1000, Domains: empty(6, perDomain)})
+		plan := grouping.Decide(grouping.Input{Models: models, BeforeTraffic: true, AvailableLoads: 1000, Domains: empty(6, perDomain)})
 		Expect(counts(plan)).To(Equal(expected))
 	},
 		Entry("6 and 3 in 11", 11, pair(6, 3, 0.67), map[string]int{"l": 6, "s": 6}),
@@ -45,14 +45,14 @@
 		Entry("16 and 4 in 37", 37, pair(16, 4, 0.5), map[string]int{"l": 7, "s": 26}),
 	)
 
-	// VMs register one by one, a domain after the other. A group formed of the first three of a domain would be of the smaller model.
+	// VMs register one by one, domain after domain. A group formed of the first three VMs of a domain would always be of the smaller model.
 	It("wait until the VMs of their domain are listed, and for no other domain", func() {
-		in := grouping.Input{Models: models, Early: true, Loads: 1000, Domains: empty(6, 3)}
+		in := grouping.Input{Models: models, BeforeTraffic: true, AvailableLoads: 1000, Domains: empty(6, 3)}
 		for i := range in.Domains {
-			in.Domains[i].Filling = true
+			in.Domains[i].Registering = true
 		}
 		Expect(grouping.Decide(in)).To(BeZero())
-		in.Domains[2].Filling = false
+		in.Domains[2].Registering = false
 		plan := grouping.Decide(in)
 		Expect(plan.Form).NotTo(BeEmpty())
 		Expect(plan.Form).To(HaveEach(HaveField("Domain", in.Domains[2].Name)))
--- a/policy/internal/playback/table.go
+++ b/policy/internal/playback/table.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Table is a table of figures in Markdown.
+// Table is a Markdown table of results.
 type Table struct{ text strings.Builder }
 
-// NewTable returns a table with the given columns; the first holds text, the others figures.
+// NewTable returns a table with the given columns. The first column holds text, the others numbers.
 func NewTable(columns ...string) *Table {
 	t := &Table{}
-	t.Row(columns...)
+	t.AddRow(columns...)
 	t.text.WriteString("| ---" + strings.Repeat(" | ---:", len(columns)-1) + " |\n")
 	return t
 }
 
-// Row adds a row.
-func (t *Table) Row(cells ...string) {
+// AddRow appends a row.
+func (t *Table) AddRow(cells ...string) {
 	t.text.WriteString("| " + strings.Join(cells, " | ") + " |\n")
 }
 
-// String returns the table in Markdown.
+// String returns the table as Markdown.
 func (t *Table) String() string { return t.text.String() }
 
-// Both formats the quantiles of a time in seconds.
-func (q Quantiles) Both() string { return Seconds(q.P50) + " / " + Seconds(q.P95) }
+// Format returns both quantiles in seconds, as "P50 / P95".
+func (q Quantiles) Format() string { return Seconds(q.P50) + " / " + Seconds(q.P95) }
 
-// Seconds formats a time in seconds.
+// Seconds formats a duration in seconds with two decimals.
 func Seconds(d time.Duration) string { return fmt.Sprintf("%.2f", d.Seconds()) }
 
-// Percent formats a part in percent.
+// Percent formats part as a percentage of whole, or "-" if whole is 0.
 func Percent(part, whole float64) string {
 	if whole == 0 {
 		return "-"
@@ -39,33 +39,33 @@
 	return fmt.Sprintf("%.1f%%", 100*part/whole)
 }
 
-// Ratio formats a ratio.
+// Ratio formats a ratio with two decimals.
 func Ratio(r float64) string { return fmt.Sprintf("%.2f", r) }
 
-// FigureColumns are the columns of Figures.Cells.
-var FigureColumns = []string{
+// SummaryColumns are the headings of the cells that Run.Cells returns.
+var SummaryColumns = []string{
 	"answered", "refused", "of these at once", "too late", "useful work of capacity",
 	"worst team of its fair share", "wait 50 / 95, s", "first token 50 / 95, s", "refused after 95, s",
 }
 
-// Cells returns the figures as cells of a table. Capacity is the work a second that the group carries.
-func (r *Run) Cells(f Figures) []string {
-	offered := float64(f.Offered)
+// Cells returns the summary as cells of a table row.
+func (r *Run) Cells(summary Summary) []string {
+	offered := float64(summary.Offered)
 	return []string{
-		Percent(float64(f.Answered), offered),
-		Percent(float64(f.Refused), offered),
-		Percent(float64(f.AtOnce), float64(f.Refused)),
-		Percent(float64(f.Late), offered),
-		Ratio(r.Useful(f)),
-		Ratio(f.WorstShare()),
-		f.Wait.Both(),
-		f.First.Both(),
-		Seconds(f.Refusal.P95),
+		Percent(float64(summary.Answered), offered),
+		Percent(float64(summary.Refused), offered),
+		Percent(float64(summary.RefusedImmediately), float64(summary.Refused)),
+		Percent(float64(summary.Late), offered),
+		Ratio(r.Goodput(summary)),
+		Ratio(summary.WorstShare()),
+		summary.Wait.Format(),
+		summary.FirstToken.Format(),
+		Seconds(summary.Refusal.P95),
 	}
 }
 
-// Useful returns the work of the answered requests of the measured time as a share of the capacity.
-func (r *Run) Useful(f Figures) float64 {
+// Goodput returns the work of the answered requests per second of the measured interval, as a fraction of the capacity.
+func (r *Run) Goodput(summary Summary) float64 {
 	s := r.Scenario
-	return f.Work / (s.Until - s.From).Seconds() / s.CapacityWork()
+	return summary.Work / (s.Until - s.From).Seconds() / s.CapacityWork()
 }
--- a/policy/quarantine/register_test.go
+++ b/policy/quarantine/register_test.go
@@ -20,7 +20,7 @@
 	var r *Register
 	BeforeEach(func() {
 		r = New(DefaultConfig())
-		Expect(r.Crash(at(0), "crash-1", "a", []string{"x", "y"})).To(BeEmpty())
+		Expect(r.RecordCrash(at(0), "crash-1", "a", []string{"x", "y"})).To(BeEmpty())
 	})
 	claim := func(seconds float64, fingerprint, group string, running ...string) Verdict {
 		return r.Claim(at(seconds), fingerprint, trialOn(group), 30*sec, running)
@@ -37,22 +37,22 @@
 
 	It("quarantines what crashes on trial, whatever finishes, until an operator lifts it", func() {
 		Expect(claim(1, "x", "b")).To(Equal(OnTrial))
-		Expect(r.Crash(at(2), "crash-2", "b", []string{"x", "z"})).To(Equal([]string{"x"}))
-		Expect(r.Finish(at(3), "x", "c")).To(BeTrue())
+		Expect(r.RecordCrash(at(2), "crash-2", "b", []string{"x", "z"})).To(Equal([]string{"x"}))
+		Expect(r.RecordFinish(at(3), "x", "c")).To(BeTrue())
 		Expect(r.Verdict(at(3), "x", "c")).To(Equal(Quarantined))
 		Expect(r.Verdict(at(3), "z", "c")).To(Equal(OnTrial))
-		Expect(r.Held(at(3))[0]).To(Equal(Held{Fingerprint: "x", Verdict: Quarantined, Crashes: 1, Latest: time.UnixMilli(at(2).UnixMilli())}))
+		Expect(r.Held(at(3))[0]).To(Equal(HeldRequest{Fingerprint: "x", Verdict: Quarantined, Crashes: 1, Latest: time.UnixMilli(at(2).UnixMilli())}))
 		Expect(r.Lift(at(4), "x")).To(BeTrue())
 		Expect(r.Lift(at(4), "x")).To(BeFalse())
 		Expect(r.Verdict(at(4), "x", "c")).To(Equal(Free))
 	})
 
 	It("quarantines at a second crash of early copies, and clears what finishes", func() {
-		Expect(r.Crash(at(0.1), "crash-2", "b", []string{"x"})).To(Equal([]string{"x"}))
-		Expect(r.Crash(at(0.2), "crash-2", "b", []string{"x"})).To(BeEmpty())
-		Expect(r.Finish(at(1), "x", "c")).To(BeTrue())
+		Expect(r.RecordCrash(at(0.1), "crash-2", "b", []string{"x"})).To(Equal([]string{"x"}))
+		Expect(r.RecordCrash(at(0.2), "crash-2", "b", []string{"x"})).To(BeEmpty())
+		Expect(r.RecordFinish(at(1), "x", "c")).To(BeTrue())
 		Expect(r.Verdict(at(1), "x", "c")).To(Equal(Free))
-		Expect(r.Finish(at(2), "x", "c")).To(BeFalse())
+		Expect(r.RecordFinish(at(2), "x", "c")).To(BeFalse())
 	})
 
 	It("frees a trial that was released, or whose home never came back", func() {
@@ -66,7 +66,7 @@
 	})
 
 	It("forgets suspicion and quarantine in time", func() {
-		r.Crash(at(1), "crash-2", "b", []string{"x"})
+		r.RecordCrash(at(1), "crash-2", "b", []string{"x"})
 		Expect(r.Verdict(at(700), "y", "c")).To(Equal(Free))
 		Expect(r.Verdict(at(700), "x", "c")).To(Equal(Quarantined))
 		Expect(r.Verdict(at(3*24*3600), "x", "c")).To(Equal(Free))
@@ -76,14 +76,15 @@
 		Expect(r.Len()).To(BeZero())
 	})
 
-	// A failure domain goes dark, and thousands of requests are in progress on what looks crashed.
+	// A failure domain fails, with thousands of requests in progress on groups that appear to have
+	// crashed.
 	It("holds back no more than its share, and stays bounded", func() {
 		for group := range 20 {
 			var running []string
 			for i := range 100 {
 				running = append(running, fmt.Sprint(group, "/", i))
 			}
-			r.Crash(at(1), fmt.Sprint("crash-", group), "g", append(running, "poison"))
+			r.RecordCrash(at(1), fmt.Sprint("crash-", group), "g", append(running, "poison"))
 		}
 		Expect(r.count(at(1).UnixMilli(), suspect)).To(Equal(DefaultMaxSuspects))
 		Expect(r.Len()).To(Equal(MaxRecords))
@@ -110,44 +111,45 @@
 		Entry("crashes", Config{SuspectFor: time.Minute, QuarantineFor: time.Hour, MaxSuspects: 1, Crashes: 1}),
 	)
 
-	// Where suspects are not held back, a request that shared two servers with the one that crashed them is no rarity.
+	// Where suspects are not held back, an ordinary request is often in progress on two of the servers
+	// that a poison request crashed, so that two crashes are not enough.
 	It("waits for as many crashes as are asked for", func() {
 		config := DefaultConfig()
 		config.Crashes = 3
 		r := New(config)
 		for i, server := range []string{"a", "b"} {
-			Expect(r.Crash(at(float64(i)), "crash-"+server, server, []string{"poison"})).To(BeEmpty())
+			Expect(r.RecordCrash(at(float64(i)), "crash-"+server, server, []string{"poison"})).To(BeEmpty())
 		}
-		Expect(r.Crash(at(2), "crash-b", "b", []string{"poison"})).To(BeEmpty(), "the same crash, seen by another")
-		Expect(r.Crash(at(3), "crash-c", "c", []string{"poison"})).To(Equal([]string{"poison"}))
+		Expect(r.RecordCrash(at(2), "crash-b", "b", []string{"poison"})).To(BeEmpty(), "the same crash, seen by another")
+		Expect(r.RecordCrash(at(3), "crash-c", "c", []string{"poison"})).To(Equal([]string{"poison"}))
 		Expect(r.Verdict(at(4), "poison", "d")).To(Equal(Quarantined))
 	})
 })
 
-// draw makes a register by random steps, within limits that bounds do not reach.
-func draw(t *rapid.T, label string) *Register {
+// drawRegister makes a register by random steps, few enough that no limit is reached.
+func drawRegister(t *rapid.T, label string) *Register {
 	r := New(DefaultConfig())
 	for i := range rapid.IntRange(0, 12).Draw(t, label) {
-		step(t, r, at(float64(i)+rapid.Float64Range(0, 0.9).Draw(t, "pause")))
+		randomStep(t, r, at(float64(i)+rapid.Float64Range(0, 0.9).Draw(t, "pause")))
 	}
 	return r
 }
 
 var (
-	someone = rapid.SampledFrom([]string{"x", "y", "z"})
-	where   = rapid.SampledFrom([]string{"a", "b"})
+	anyFingerprint = rapid.SampledFrom([]string{"x", "y", "z"})
+	anyGroup       = rapid.SampledFrom([]string{"a", "b"})
 )
 
-func step(t *rapid.T, r *Register, now time.Time) {
-	fingerprint, group := someone.Draw(t, "request"), where.Draw(t, "group")
+func randomStep(t *rapid.T, r *Register, now time.Time) {
+	fingerprint, group := anyFingerprint.Draw(t, "request"), anyGroup.Draw(t, "group")
 	switch rapid.IntRange(0, 4).Draw(t, "step") {
 	case 0:
-		running := rapid.SliceOfNDistinct(someone, 1, 3, rapid.ID[string]).Draw(t, "running")
-		r.Crash(now, fmt.Sprint("crash at ", now.UnixMilli()), group, running)
+		running := rapid.SliceOfNDistinct(anyFingerprint, 1, 3, rapid.ID[string]).Draw(t, "running")
+		r.RecordCrash(now, fmt.Sprint("crash at ", now.UnixMilli()), group, running)
 	case 1:
 		r.Claim(now, fingerprint, trialOn(group), 5*sec, nil)
 	case 2:
-		r.Finish(now, fingerprint, group)
+		r.RecordFinish(now, fingerprint, group)
 	case 3:
 		r.Lift(now, fingerprint)
 	case 4:
@@ -172,7 +174,7 @@
 var _ = Describe("Concurrent writers", func() {
 	It("merge to the same, in any order and any number of times", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			a, b, c := draw(t, "a"), draw(t, "b"), draw(t, "c")
+			a, b, c := drawRegister(t, "a"), drawRegister(t, "b"), drawRegister(t, "c")
 			ab := encoded(t, merged(a, b))
 			if ab != encoded(t, merged(b, a)) {
 				t.Fatal("depends on the order of two")
@@ -192,7 +194,7 @@
 
 	It("never lose what speaks against a request, and expiry changes no verdict", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			a, b := draw(t, "a"), draw(t, "b")
+			a, b := drawRegister(t, "a"), drawRegister(t, "b")
 			both := merged(a, b)
 			now := at(rapid.Float64Range(12, 4*24*3600).Draw(t, "later"))
 			expired := both.Clone()
@@ -206,9 +208,10 @@
 	})
 })
 
-var _ = Describe("Whatever homes know, and when", func() {
-	// A poison request and two innocents are sent by homes of which some learn late that a group crashed.
-	It("a poison takes down one group on trial, and those that homes sent it to unaware", func() {
+var _ = Describe("Homes with outdated views", func() {
+	// A poison request and two ordinary ones are sent by homes, some of which learn late that a group
+	// crashed.
+	It("a poison request takes down one group on trial, and those it was sent to before the home knew of a crash", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 			shared := New(DefaultConfig())
@@ -245,20 +248,20 @@
 					}
 					if slices.Contains(running[g], "poison") {
 						crashes++
-						shared.Crash(now, fmt.Sprint("crash-", i), name, running[g])
+						shared.RecordCrash(now, fmt.Sprint("crash-", i), name, running[g])
 						running[g] = nil
 						continue
 					}
 					finished := running[g][0]
 					running[g] = running[g][1:]
-					shared.Finish(now, finished, name)
+					shared.RecordFinish(now, finished, name)
 					if finished != "poison" && shared.Verdict(now, finished, "free") == Quarantined {
 						t.Fatalf("%s finished and is in quarantine", finished)
 					}
 				}
-				for _, innocent := range []string{"x", "y"} {
-					if crashes <= maxCrashes && shared.Verdict(now, innocent, "free") == Quarantined {
-						t.Fatalf("%s is in quarantine for what the poison did", innocent)
+				for _, ordinary := range []string{"x", "y"} {
+					if crashes <= maxCrashes && shared.Verdict(now, ordinary, "free") == Quarantined {
+						t.Fatalf("%s is in quarantine for a crash that the poison request caused", ordinary)
 					}
 				}
 			}
