--- a/contract/outcome/action.go
+++ b/contract/outcome/action.go
@@ -1,55 +1,59 @@
-// Package outcome decides what a caller is told of its request: a state machine of one request at its
-// front, without network or clock. What comes from outside (frames of the home, its loss, results of the
-// attempt record, the deadline) goes in by methods; each returns the Action that is to be done next.
+// Package outcome decides what a caller is told about its request. It contains a state machine for one request at its
+// front, without network or clock. Events from outside (frames from the home, its loss, results of reads and writes
+// of the attempt record, the deadline) are passed to its methods; each method returns the Action to be taken next.
 //
-// What it keeps, whatever goes wrong around it:
+// Whatever fails around it, the machine guarantees:
 //
-//   - A request that may not be repeated is told not-run only after a confirmed seal, or without one if no
-//     other copy of its key can exist and each home that took it said that it gave it up unsent.
-//   - It is told answered only with the whole answer, from its home or from the record.
-//   - Everything else is unknown, or in-progress while the holder of the claim says that it is at work.
+//   - A request that must run at most once is reported as not-run only after a confirmed seal, or without a seal if no
+//     other copy of its key can exist and every home that accepted it has reported that it gave it up unsent.
+//   - A request is reported as answered only with its complete answer, from its home or from the record.
+//   - Everything else is reported as unknown, or as in-progress while the holder of the claim reports that it is working
+//     on the request.
 package outcome
 
 import (
 	"github.com/skylarkpond/skylarkpond/contract"
 )
 
-// ActionKind says what is to be done.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// What can be asked for.
+// The kinds of actions.
 const (
-	// Wait: go on with the dispatch that is under way.
+	// Wait means to continue with the current dispatch.
 	Wait ActionKind = iota + 1
-	// Dispatch: send the request to a group that did not have it yet, and report by Lost or Frame, or by
-	// NoDispatch if there is none, or neither budget nor time. An earlier dispatch is closed first.
+	// Dispatch means to send the request to a group that has not received it yet and to report its frames by
+	// HandleFrame or its loss by HandleHomeLost, or to call HandleNoDispatch if there is no such group, no retry
+	// budget or no time left. An earlier dispatch is closed first.
 	Dispatch
-	// Deliver: the frame just given belongs to the answer; hand it on.
+	// Deliver means that the frame just handled belongs to the answer and is to be passed on to the caller.
 	Deliver
-	// Seal: write the seal, report by Sealed.
+	// Seal means to write the seal and report the result by HandleSeal.
 	Seal
-	// Find: read the record, report by Found.
+	// Find means to read the record and report the result by HandleFind.
 	Find
-	// AskHolder: ask the home in Attempt what became of this claim, report by Holder.
+	// AskHolder means to ask the home named in Claim what became of that claim and report its answer by
+	// HandleHolderAnswer.
 	AskHolder
-	// Finish: the outcome is final. A dispatch under way is closed.
+	// Finish means that the outcome is final and is to be reported to the caller. The current dispatch, if any, is
+	// closed.
 	Finish
 )
 
-// HolderAnswer is what the holder of a claim says of it.
+// HolderAnswer is what the holder of a claim reports about it.
 type HolderAnswer uint8
 
 // The answers.
 const (
-	// HolderSilent: it can't be reached, or knows no more of the claim.
+	// HolderSilent means that the holder cannot be reached or does not know the claim.
 	HolderSilent HolderAnswer = iota
-	// HolderWorking: it is still at work.
+	// HolderWorking means that the holder is still working on the request.
 	HolderWorking
-	// HolderGaveUp: it gave the claim up. Nothing was or will be sent under it.
+	// HolderGaveUp means that the holder gave the claim up: nothing was or will be sent under it.
 	HolderGaveUp
 )
 
-// String names the answer in logs.
+// String returns the text of the answer for logs.
 func (a HolderAnswer) String() string {
 	switch a {
 	case HolderWorking:
@@ -64,20 +68,20 @@
 // Action is what is to be done next.
 type Action struct {
 	Kind ActionKind
-	// ResumeFrom is the first event wanted of a Dispatch; Restart says that what was gathered of an
-	// answer is void.
+	// ResumeFrom is the number of the first event wanted from a Dispatch. Restart is set if the parts of the answer
+	// received so far are to be discarded.
 	ResumeFrom uint64
 	Restart    bool
-	// AbandonedClaims goes with a Dispatch or a Seal: claims that may be replaced.
+	// AbandonedClaims accompanies a Dispatch or a Seal: the nonces of claims that may be replaced.
 	AbandonedClaims []string
-	// Claim is the record whose holder is to be asked.
+	// Claim is the claim whose holder is to be asked.
 	Claim contract.AttemptRecord
-	// Outcome is what is told. Answered comes with Stored, or with neither Stored nor Problem when the
-	// answer was delivered whole, or with a Problem when it was too large to be kept.
+	// Outcome is the outcome to report. Answered is accompanied by StoredAnswer, by neither StoredAnswer nor Problem
+	// if the answer was already delivered completely, or by a Problem if the answer was too large to be stored.
 	Outcome      contract.Outcome
 	Problem      *contract.Problem
 	StoredAnswer *contract.StoredAnswer
-	// SealedThrough is the highest attempt number that is given up for good; 0: none. A caller that means to
-	// try again under its key names a higher one.
+	// SealedThrough is the highest attempt number that can no longer run; 0 if there is none. A caller that wants to
+	// retry under the same key has to use a higher number.
 	SealedThrough int
 }
--- a/contract/outcome/answer.go
+++ b/contract/outcome/answer.go
@@ -2,103 +2,105 @@
 
 import "github.com/skylarkpond/skylarkpond/contract"
 
-// FrameCheck says what a frame is to the answer under way.
+// FrameCheck is the result of checking a frame.
 type FrameCheck uint8
 
-// What a frame can be.
+// The results of a check.
 const (
-	// InOrder: it is the next part.
+	// InOrder means that the frame is the next part of the answer.
 	InOrder FrameCheck = iota + 1
-	// Stray: it is another request's, or came before. It is dropped.
+	// Stray means that the frame belongs to another request or is a duplicate. It is dropped.
 	Stray
-	// Gap: something before it is missing, or the end came too early.
+	// Gap means that something before the frame is missing, or that the answer ended too early.
 	Gap
 )
 
-// AnswerChecker checks that the frames of a request are its own, in order, without gap, and whole at the end.
+// AnswerChecker checks that the frames of an answer belong to the request, arrive in order and without gaps, and form
+// a complete answer at the end.
 //
-// What goes wrong without it: frames of another request, or of an earlier dispatch of this one, arrive
-// late on a link and are handed on as this caller's answer; or a part is lost and the rest looks whole.
+// Otherwise frames of another request, or of an earlier dispatch of this one, that arrive late on a link would be
+// passed on as this caller's answer, or an answer that lost a part would appear complete.
 type AnswerChecker struct {
 	requestID string
 	plain     bool
-	// frame is the next frame number of the dispatch under way, event the next event of the answer.
-	frame uint64
-	event uint64
-	final bool
-	head  bool
-	bytes int64
+	// nextFrame is the next frame number of the current dispatch, and nextEvent the number of the answer's next
+	// event.
+	nextFrame uint64
+	nextEvent uint64
+	finalSeen bool
+	headSeen  bool
+	bytesSeen int64
 }
 
-// NewAnswerChecker returns the check of one request's answer.
+// NewAnswerChecker returns a checker for the answer to one request.
 func NewAnswerChecker(requestID string, plain bool) *AnswerChecker {
 	return &AnswerChecker{requestID: requestID, plain: plain}
 }
 
-// Started says that a part of the answer was taken.
-func (a *AnswerChecker) Started() bool { return a.event > 0 || a.head }
+// Started reports whether a part of the answer was accepted.
+func (a *AnswerChecker) Started() bool { return a.nextEvent > 0 || a.headSeen }
 
-// Complete says that a completion's final event was taken: nothing of the answer is missing, whatever
-// becomes of the dispatch.
-func (a *AnswerChecker) Complete() bool { return a.final }
+// Complete reports whether the final event of a completion was accepted. Nothing of the answer is missing then,
+// whatever becomes of the dispatch.
+func (a *AnswerChecker) Complete() bool { return a.finalSeen }
 
-// BeginDispatch begins the frames of another dispatch and returns the first event to ask for.
+// BeginDispatch prepares for the frames of another dispatch and returns the number of the first event to request.
 func (a *AnswerChecker) BeginDispatch(restart bool) uint64 {
-	a.frame = 0
+	a.nextFrame = 0
 	if restart {
-		a.event = 0
-		a.final = false
-		a.head = false
-		a.bytes = 0
+		a.nextEvent = 0
+		a.finalSeen = false
+		a.headSeen = false
+		a.bytesSeen = 0
 	}
-	return a.event
+	return a.nextEvent
 }
 
 // Check checks one frame.
 func (a *AnswerChecker) Check(f contract.Frame) FrameCheck {
-	if f.RequestID != a.requestID || f.Seq < a.frame {
+	if f.RequestID != a.requestID || f.Seq < a.nextFrame {
 		return Stray
 	}
-	if f.Seq > a.frame {
+	if f.Seq > a.nextFrame {
 		return Gap
 	}
-	a.frame++
+	a.nextFrame++
 	switch f.Kind {
 	case contract.FrameEvent:
-		return a.takeEvent(f)
+		return a.checkEvent(f)
 	case contract.FrameHead:
-		if !a.plain || a.head {
+		if !a.plain || a.headSeen {
 			return Gap
 		}
-		a.head = true
+		a.headSeen = true
 	case contract.FrameChunk:
-		if !a.head {
+		if !a.headSeen {
 			return Gap
 		}
-		a.bytes += int64(len(f.Data))
+		a.bytesSeen += int64(len(f.Data))
 	case contract.FrameEnd:
-		if !a.whole(f) {
+		if !a.complete(f) {
 			return Gap
 		}
 	}
 	return InOrder
 }
 
-func (a *AnswerChecker) takeEvent(f contract.Frame) FrameCheck {
-	if a.plain || f.EventSeq > a.event || a.final {
+func (a *AnswerChecker) checkEvent(f contract.Frame) FrameCheck {
+	if a.plain || f.EventSeq > a.nextEvent || a.finalSeen {
 		return Gap
 	}
-	if f.EventSeq < a.event {
+	if f.EventSeq < a.nextEvent {
 		return Stray
 	}
-	a.event++
-	a.final = f.Final
+	a.nextEvent++
+	a.finalSeen = f.Final
 	return InOrder
 }
 
-func (a *AnswerChecker) whole(f contract.Frame) bool {
+func (a *AnswerChecker) complete(f contract.Frame) bool {
 	if a.plain {
-		return a.head && a.bytes == f.AnswerBytes
+		return a.headSeen && a.bytesSeen == f.AnswerBytes
 	}
-	return a.final
+	return a.finalSeen
 }
--- a/contract/outcome/machine.go
+++ b/contract/outcome/machine.go
@@ -7,93 +7,95 @@
 	"github.com/skylarkpond/skylarkpond/contract/attempt"
 )
 
-// When a caller should come back: after a moment for what may soon be known, later for an outage.
+// How long the caller should wait before it retries: a moment if the outcome may soon be known, longer during an
+// outage.
 const (
 	RetryAfterShort  = time.Second
 	RetryAfterOutage = 5 * time.Second
 )
 
-// Request is what the machine has to know of a request.
+// Request holds what the machine needs to know of a request.
 type Request struct {
 	ID string
 	// AtMostOnce requests run at most once per key.
 	AtMostOnce bool
-	// KeyFromCaller says that the caller chose the key, so that another copy may exist.
+	// KeyFromCaller is set if the caller chose the key, so that another copy of the request may exist.
 	KeyFromCaller bool
-	// AttemptNumber is the caller's attempt number, from 1.
+	// AttemptNumber is the caller's attempt number, starting at 1.
 	AttemptNumber int
 	Fingerprint   string
-	// Resumable says that the engines resume a completion at an offset.
+	// Resumable is set if the engines can resume a completion at a given event.
 	Resumable bool
-	// Plain is set for a call of a plain service.
+	// Plain is set for a call to a plain service.
 	Plain bool
 }
 
 type phase uint8
 
 const (
-	starting phase = iota
-	lookingUp
-	atHome
-	sealing
-	finding
-	asking
-	told
+	phaseStart phase = iota
+	phaseLookup
+	phaseDispatched
+	phaseSealing
+	phaseFinding
+	phaseAskingHolder
+	phaseFinished
 )
 
-// Machine is the state of one request at its front. It is not safe for concurrent use.
+// Machine is the state machine of one request at its front. It is not safe for concurrent use.
 type Machine struct {
 	request Request
 	phase   phase
-	answer  *AnswerChecker
+	checker *AnswerChecker
 
-	// claimed and sent are of the dispatch under way.
+	// claimed and sent refer to the current dispatch.
 	claimed bool
 	sent    bool
-	// ran: a dispatch may have run. loose: a dispatch may run yet, as far as this front knows.
-	ran   bool
-	loose bool
-	// delivered: the caller was given a part of the answer already.
-	delivered bool
-	renounced []string
-	// claim is the one whose holder is asked; asked: it was, and is not at work. unsettled is why the outcome is
-	// unknown if the claim stays.
-	claim     contract.AttemptRecord
-	asked     bool
-	unsettled *contract.Problem
-	// problem is why the request is given up; noOther: there is no further dispatch.
-	problem *contract.Problem
-	noOther bool
+	// mayHaveRun is set if a dispatch may have run, and mayStillRun if, to this front's knowledge, one may yet run.
+	mayHaveRun  bool
+	mayStillRun bool
+	// delivered is set once the caller has received a part of the answer.
+	delivered       bool
+	abandonedClaims []string
+	// claim is the claim whose holder is asked. holderAsked is set once the holder has been asked and is not working
+	// on the request. unknownReason is why the outcome is unknown if the claim stays.
+	claim         contract.AttemptRecord
+	holderAsked   bool
+	unknownReason *contract.Problem
+	// problem is why the request is given up. noMoreDispatches is set if there is no further dispatch.
+	problem          *contract.Problem
+	noMoreDispatches bool
 }
 
 // New returns the machine of a request.
 func New(r Request) *Machine {
-	return &Machine{request: r, answer: NewAnswerChecker(r.ID, r.Plain)}
+	return &Machine{request: r, checker: NewAnswerChecker(r.ID, r.Plain)}
 }
 
-// Start is called once, first. A key that the caller chose is looked up before anything is queued: a
-// repeated key is answered by one read, also while groups are overloaded or gone.
+// Start returns the first action. It is called once and before any other method, unless Reject is called instead. A
+// key chosen by the caller is looked up before anything is queued, so that a repeated key costs one read and is
+// answered even while groups are overloaded or gone.
 func (m *Machine) Start() Action {
 	if m.request.AtMostOnce && m.request.KeyFromCaller {
-		m.phase = lookingUp
+		m.phase = phaseLookup
 		return Action{Kind: Find}
 	}
 	return m.dispatch(false)
 }
 
-// MarkDelivered is called when the first byte of an answer was given to the caller.
+// MarkDelivered records that the caller has received the first byte of an answer.
 func (m *Machine) MarkDelivered() { m.delivered = true }
 
-// HandleFrame takes the next frame of the dispatch under way.
+// HandleFrame processes the next frame of the current dispatch.
 func (m *Machine) HandleFrame(f contract.Frame) Action {
-	if m.phase != atHome {
+	if m.phase != phaseDispatched {
 		return Action{Kind: Wait}
 	}
-	switch m.answer.Check(f) {
+	switch m.checker.Check(f) {
 	case Stray:
 		return Action{Kind: Wait}
 	case Gap:
-		return m.broken(problemGap())
+		return m.interrupted(problemFrameLost())
 	}
 	switch f.Kind {
 	case contract.FrameQueued:
@@ -108,205 +110,207 @@
 		m.sent = true
 		return Action{Kind: Deliver}
 	case contract.FrameEnd:
-		return m.tell(Action{Outcome: contract.OutcomeAnswered})
+		return m.finish(Action{Outcome: contract.OutcomeAnswered})
 	case contract.FrameRefused:
 		return m.refused(f)
 	case contract.FrameRecordExists:
-		return m.foundByHome(f)
+		return m.recordExists(f)
 	case contract.FrameBroken:
 		m.sent = true
-		return m.broken(orInternal(f.Problem))
+		return m.interrupted(orInternal(f.Problem))
 	}
-	return m.broken(problemGap())
+	return m.interrupted(problemFrameLost())
 }
 
-// HandleHomeLost says that the home of the dispatch under way can no longer be heard. notSent: it can't have
-// taken the dispatch.
+// HandleHomeLost handles the loss of contact to the home of the current dispatch. notSent is set if the home cannot
+// have received the dispatch.
 func (m *Machine) HandleHomeLost(notSent bool) Action {
-	if m.phase != atHome {
+	if m.phase != phaseDispatched {
 		return Action{Kind: Wait}
 	}
 	if notSent {
 		m.problem = problemHomeLost()
 		return m.dispatch(false)
 	}
-	return m.broken(problemHomeLost())
+	return m.interrupted(problemHomeLost())
 }
 
-// HandleNoDispatch says that the Dispatch asked for can't be made, and why.
+// HandleNoDispatch is called with the reason if the Dispatch that was requested is not possible.
 func (m *Machine) HandleNoDispatch(p *contract.Problem) Action {
-	if m.phase != atHome {
+	if m.phase != phaseDispatched {
 		return Action{Kind: Wait}
 	}
-	m.noOther = true
+	m.noMoreDispatches = true
 	if m.problem == nil {
 		m.problem = p
 	}
 	return m.giveUp()
 }
 
-// HandleDeadline says that the caller's time is over.
-func (m *Machine) HandleDeadline() Action { return m.Abandon(problemDeadline()) }
+// HandleDeadline handles the end of the caller's deadline.
+func (m *Machine) HandleDeadline() Action { return m.CancelDispatch(problemDeadline()) }
 
-// Abandon leaves the dispatch under way and tries no other.
-func (m *Machine) Abandon(p *contract.Problem) Action {
-	if m.phase != atHome {
+// CancelDispatch gives up the current dispatch without trying another.
+func (m *Machine) CancelDispatch(p *contract.Problem) Action {
+	if m.phase != phaseDispatched {
 		return Action{Kind: Wait}
 	}
-	m.leaveHome()
+	m.markMayRun()
 	m.problem = p
 	return m.giveUp()
 }
 
 // Reject gives the request up before its first dispatch.
 func (m *Machine) Reject(p *contract.Problem) Action {
-	m.noOther = true
+	m.noMoreDispatches = true
 	m.problem = p
 	return m.giveUp()
 }
 
-// HandleSeal takes the result of a Seal.
+// HandleSeal processes the result of a Seal.
 func (m *Machine) HandleSeal(r attempt.Result) Action {
-	if m.phase != sealing {
+	if m.phase != phaseSealing {
 		return Action{Kind: Wait}
 	}
 	switch r.Verdict {
 	case attempt.Confirmed:
-		return m.notRun(m.problem, m.request.AttemptNumber)
+		return m.finishNotRun(m.problem, m.request.AttemptNumber)
 	case attempt.Found, attempt.KeyReused:
-		return m.standing(r)
+		return m.existingRecord(r)
 	}
-	return m.unknown(problemPlatform())
+	return m.finishUnknown(problemPlatformUnavailable())
 }
 
-// HandleFind takes the result of a Find.
+// HandleFind processes the result of a Find.
 func (m *Machine) HandleFind(r attempt.Result) Action {
 	stands := r.Verdict == attempt.Found || r.Verdict == attempt.KeyReused
 	switch m.phase {
-	case lookingUp:
+	case phaseLookup:
 		lower := r.Record.State == contract.AttemptSealed && r.Record.Number < m.request.AttemptNumber
 		if !stands || r.Verdict == attempt.Found && lower {
 			return m.dispatch(false)
 		}
-	case finding:
+	case phaseFinding:
 		if !stands {
-			return m.unknown(m.whyUnknown())
+			return m.finishUnknown(m.reasonForUnknown())
 		}
 	default:
 		return Action{Kind: Wait}
 	}
-	return m.standing(r)
+	return m.existingRecord(r)
 }
 
-// HandleHolderAnswer takes the answer to AskHolder.
+// HandleHolderAnswer processes the answer to AskHolder.
 func (m *Machine) HandleHolderAnswer(answer HolderAnswer) Action {
-	if m.phase != asking {
+	if m.phase != phaseAskingHolder {
 		return Action{Kind: Wait}
 	}
 	if answer == HolderWorking && !m.delivered {
-		return m.tell(Action{Outcome: contract.OutcomeInProgress, Problem: problemInProgress()})
+		return m.finish(Action{Outcome: contract.OutcomeInProgress, Problem: problemInProgress()})
 	}
-	if answer == HolderGaveUp && m.mayReplace(m.claim) {
+	if answer == HolderGaveUp && m.mayReplaceClaim(m.claim) {
 		return m.replaceClaim()
 	}
-	if answer != HolderWorking && !m.asked {
-		// It may have ended between the look at the record and the question: then the answer is there now.
-		m.asked = true
-		m.phase = finding
+	if answer != HolderWorking && !m.holderAsked {
+		// The request may have finished between the read of the record and the question to the holder; the record
+		// then contains the answer now.
+		m.holderAsked = true
+		m.phase = phaseFinding
 		return Action{Kind: Find}
 	}
-	return m.unknown(m.whyUnknown())
+	return m.finishUnknown(m.reasonForUnknown())
 }
 
-func (m *Machine) whyUnknown() *contract.Problem {
-	if m.unsettled != nil {
-		return m.unsettled
+func (m *Machine) reasonForUnknown() *contract.Problem {
+	if m.unknownReason != nil {
+		return m.unknownReason
 	}
 	return m.problem
 }
 
-// mayReplace says whether this request may go on in place of a claim that was given up: it is this request's own,
-// or that of another copy while nothing that this front sent may have run.
-func (m *Machine) mayReplace(claim contract.AttemptRecord) bool {
-	return claim.Number <= m.request.AttemptNumber && !m.delivered && (!m.ran || claim.RequestID == m.request.ID)
+// mayReplaceClaim reports whether this request may continue in place of a claim that was given up. The claim has to
+// be its own, or that of another copy while nothing that this front sent may have run.
+func (m *Machine) mayReplaceClaim(claim contract.AttemptRecord) bool {
+	return claim.Number <= m.request.AttemptNumber && !m.delivered && (!m.mayHaveRun || claim.RequestID == m.request.ID)
 }
 
-// replaceClaim goes on after the holder of the claim that stands gave it up, as after a refusal.
+// replaceClaim continues as after a refusal, because the holder of the existing claim has given it up.
 func (m *Machine) replaceClaim() Action {
-	m.renounced = append(m.renounced, m.claim.Nonce)
-	m.ran = false
-	return m.goOn()
+	m.abandonedClaims = append(m.abandonedClaims, m.claim.Nonce)
+	m.mayHaveRun = false
+	return m.retryOrGiveUp()
 }
 
-// goOn: no claim stands in the way any more, and nothing of this request ran.
-func (m *Machine) goOn() Action {
-	m.asked = false
-	m.unsettled = nil
-	if m.problem == nil || !m.noOther && elsewhere(m.problem.Code) {
+// retryOrGiveUp continues when no claim blocks the request any more and nothing of it ran.
+func (m *Machine) retryOrGiveUp() Action {
+	m.holderAsked = false
+	m.unknownReason = nil
+	if m.problem == nil || !m.noMoreDispatches && otherGroupMayAccept(m.problem.Code) {
 		return m.dispatch(false)
 	}
 	return m.giveUp()
 }
 
 func (m *Machine) dispatch(restart bool) Action {
-	m.phase = atHome
+	m.phase = phaseDispatched
 	m.claimed = false
 	m.sent = false
-	action := Action{Kind: Dispatch, AbandonedClaims: m.renounced, Restart: restart}
-	action.ResumeFrom = m.answer.BeginDispatch(restart)
+	action := Action{Kind: Dispatch, AbandonedClaims: m.abandonedClaims, Restart: restart}
+	action.ResumeFrom = m.checker.BeginDispatch(restart)
 	return action
 }
 
-// refused: the home gave it up and the backend server did not run it. Whether another group may take it is a question of the reason.
+// refused handles a request that its home gave up and that the backend server did not run. Whether another group may
+// accept it depends on the reason.
 func (m *Machine) refused(f contract.Frame) Action {
-	if m.answer.Started() {
-		return m.broken(problemGap())
+	if m.checker.Started() {
+		return m.interrupted(problemFrameLost())
 	}
 	if f.Record != nil {
-		m.renounced = append(m.renounced, f.Record.Nonce)
+		m.abandonedClaims = append(m.abandonedClaims, f.Record.Nonce)
 	}
 	m.problem = orInternal(f.Problem)
-	if elsewhere(m.problem.Code) {
+	if otherGroupMayAccept(m.problem.Code) {
 		return m.dispatch(false)
 	}
 	return m.giveUp()
 }
 
-func (m *Machine) foundByHome(f contract.Frame) Action {
+func (m *Machine) recordExists(f contract.Frame) Action {
 	if f.Record == nil {
-		return m.broken(problemGap())
+		return m.interrupted(problemFrameLost())
 	}
 	r := attempt.Result{Verdict: attempt.Found, Record: *f.Record}
 	if f.Record.Fingerprint != m.request.Fingerprint {
 		r.Verdict = attempt.KeyReused
 	}
-	return m.standing(r)
+	return m.existingRecord(r)
 }
 
-// leaveHome notes what the dispatch under way may still do once nobody listens.
-func (m *Machine) leaveHome() {
+// markMayRun records what the current dispatch may have done or may still do after the front stops listening to it.
+func (m *Machine) markMayRun() {
 	if m.sent || m.claimed {
-		m.ran = true
+		m.mayHaveRun = true
 	} else {
-		m.loose = true
+		m.mayStillRun = true
 	}
 }
 
-// broken: the dispatch under way ended early.
-func (m *Machine) broken(p *contract.Problem) Action {
-	if m.answer.Complete() {
-		return m.tell(Action{Outcome: contract.OutcomeAnswered})
+// interrupted handles the early end of the current dispatch.
+func (m *Machine) interrupted(p *contract.Problem) Action {
+	if m.checker.Complete() {
+		return m.finish(Action{Outcome: contract.OutcomeAnswered})
 	}
-	m.leaveHome()
+	m.markMayRun()
 	m.problem = p
 	if m.request.AtMostOnce {
-		if m.ran {
+		if m.mayHaveRun {
 			return m.giveUp()
 		}
-		// It may not have been claimed: another home may try, and the claim decides between the two.
+		// The home may not have claimed the request, so another home may try. The claim decides between the two.
 		return m.dispatch(false)
 	}
-	if m.answer.Started() && m.request.Resumable {
+	if m.checker.Started() && m.request.Resumable {
 		return m.dispatch(false)
 	}
 	if m.delivered {
--- a/contract/outcome/machine_test.go
+++ b/contract/outcome/machine_test.go
@@ -75,8 +75,8 @@
 func frame(want ActionKind, f contract.Frame) input {
 	return input{want, func(m *Machine) Action {
 		f.RequestID = "r"
-		f.Seq = m.answer.frame
-		f.EventSeq += m.answer.event
+		f.Seq = m.checker.nextFrame
+		f.EventSeq += m.checker.nextEvent
 		return m.HandleFrame(f)
 	}}
 }
--- a/contract/outcome/problem.go
+++ b/contract/outcome/problem.go
@@ -6,9 +6,9 @@
 	"github.com/skylarkpond/skylarkpond/contract"
 )
 
-// elsewhere says that a refusal for this reason is a matter of that home or group, so that another
-// group may take the request.
-func elsewhere(code contract.Code) bool {
+// otherGroupMayAccept reports whether a refusal with this code is specific to the home or group, so that another
+// group may accept the request.
+func otherGroupMayAccept(code contract.Code) bool {
 	switch code {
 	case contract.CodeOverloaded, contract.CodeNoGroup, contract.CodeNotHome, contract.CodeLeaving,
 		contract.CodeBackendRefused, contract.CodeHomeLost:
@@ -28,14 +28,14 @@
 	}
 }
 
-func nextUnknown(r Request) string {
+func hintForUnknown(r Request) string {
 	if r.AtMostOnce {
 		return "ask again with the same Idempotency-Key and Skylarkpond-Attempt: it will not run twice"
 	}
 	return "the request may be repeated: send it again"
 }
 
-func problemGap() *contract.Problem {
+func problemFrameLost() *contract.Problem {
 	return &contract.Problem{
 		Code: contract.CodeAnswerTruncated, Status: http.StatusBadGateway, Message: "a part of the answer was lost on its way",
 	}
@@ -51,7 +51,8 @@
 	return contract.NewRetryLater(contract.CodeHomeLost, "the entry that handles the group can't be heard", RetryAfterShort)
 }
 
-// DeadlineProblem is why there is no further try when the caller's time is over between two.
+// DeadlineProblem returns the problem for a request that is not tried again because the caller's deadline passed
+// between two tries.
 func DeadlineProblem() *contract.Problem { return problemDeadline() }
 
 func problemDeadline() *contract.Problem {
@@ -61,7 +62,7 @@
 	}
 }
 
-func problemPlatform() *contract.Problem {
+func problemPlatformUnavailable() *contract.Problem {
 	return &contract.Problem{
 		Code: contract.CodePlatformUnavailable, Status: http.StatusServiceUnavailable, RetryAfter: RetryAfterOutage,
 		Message: "the platform could not confirm that the request can't run",
@@ -76,14 +77,14 @@
 	}
 }
 
-func problemClaimed() *contract.Problem {
+func problemAnswerLost() *contract.Problem {
 	return &contract.Problem{
 		Code: contract.CodeUnknownOutcome, Status: http.StatusBadGateway,
 		Message: "a copy with this key was or may have been sent, and its answer is lost",
 	}
 }
 
-func problemReused() *contract.Problem {
+func problemKeyReused() *contract.Problem {
 	return contract.NewRejection(http.StatusUnprocessableEntity, contract.CodeKeyReused,
 		"this Idempotency-Key was used for another request", "use a new key")
 }
--- a/contract/outcome/tell.go
+++ b/contract/outcome/tell.go
@@ -7,103 +7,103 @@
 	"github.com/skylarkpond/skylarkpond/contract/attempt"
 )
 
-// giveUp says the outcome, or finds out what may be said.
+// giveUp reports the outcome, or takes the action that is needed to determine it.
 func (m *Machine) giveUp() Action {
 	if !m.request.AtMostOnce {
-		if m.ran || m.loose {
-			return m.unknown(m.problem)
+		if m.mayHaveRun || m.mayStillRun {
+			return m.finishUnknown(m.problem)
 		}
-		return m.notRun(m.problem, 0)
+		return m.finishNotRun(m.problem, 0)
 	}
-	if m.ran {
-		m.phase = finding
+	if m.mayHaveRun {
+		m.phase = phaseFinding
 		return Action{Kind: Find}
 	}
-	if m.request.KeyFromCaller || m.loose {
-		m.phase = sealing
-		return Action{Kind: Seal, AbandonedClaims: m.renounced}
+	if m.request.KeyFromCaller || m.mayStillRun {
+		m.phase = phaseSealing
+		return Action{Kind: Seal, AbandonedClaims: m.abandonedClaims}
 	}
-	return m.notRun(m.problem, 0)
+	return m.finishNotRun(m.problem, 0)
 }
 
-// standing: a record stands that this request can't replace. It decides.
-func (m *Machine) standing(r attempt.Result) Action {
+// existingRecord decides the outcome by an existing record that this request cannot replace.
+func (m *Machine) existingRecord(r attempt.Result) Action {
 	if r.Verdict == attempt.KeyReused {
-		return m.notRun(problemReused(), 0)
+		return m.finishNotRun(problemKeyReused(), 0)
 	}
 	switch r.Record.State {
 	case contract.AttemptDone:
-		return m.stored(r.Record.Answer)
+		return m.answerFromRecord(r.Record.Answer)
 	case contract.AttemptSealed:
 		if r.Record.RequestID == m.request.ID {
-			m.ran = false // a seal replaces the claim of this request only after its holder gave it up
+			m.mayHaveRun = false // a seal replaces this request's claim only after its holder gave the claim up
 		}
-		if !m.ran {
-			return m.sealed(r.Record)
+		if !m.mayHaveRun {
+			return m.existingSeal(r.Record)
 		}
 	case contract.AttemptClaimed:
-		m.unsettled = m.problem
-		if !m.ran {
-			m.unsettled = problemClaimed()
+		m.unknownReason = m.problem
+		if !m.mayHaveRun {
+			m.unknownReason = problemAnswerLost()
 		}
-		if m.asked {
-			return m.unknown(m.unsettled)
+		if m.holderAsked {
+			return m.finishUnknown(m.unknownReason)
 		}
 		m.claim = r.Record
-		m.phase = asking
+		m.phase = phaseAskingHolder
 		return Action{Kind: AskHolder, Claim: r.Record}
 	}
-	return m.unknown(problemClaimed())
+	return m.finishUnknown(problemAnswerLost())
 }
 
-// sealed: a seal stands, and nothing of this request ran.
-func (m *Machine) sealed(seal contract.AttemptRecord) Action {
+// existingSeal handles an existing seal when nothing of this request ran.
+func (m *Machine) existingSeal(seal contract.AttemptRecord) Action {
 	if seal.Number >= m.request.AttemptNumber {
-		return m.notRun(m.sealedProblem(), seal.Number)
+		return m.finishNotRun(m.reasonForNotRun(), seal.Number)
 	}
-	return m.goOn()
+	return m.retryOrGiveUp()
 }
 
-func (m *Machine) stored(answer *contract.StoredAnswer) Action {
+func (m *Machine) answerFromRecord(answer *contract.StoredAnswer) Action {
 	switch {
 	case m.delivered:
-		// The caller holds the beginning of a stream; the stored answer can't be put behind it.
-		return m.unknown(problemTruncated())
+		// The caller has received the beginning of a stream, which the stored answer cannot be appended to.
+		return m.finishUnknown(problemTruncated())
 	case answer == nil || answer.TooLarge:
-		return m.tell(Action{Outcome: contract.OutcomeAnswered, Problem: problemTooLarge()})
+		return m.finish(Action{Outcome: contract.OutcomeAnswered, Problem: problemTooLarge()})
 	}
-	return m.tell(Action{Outcome: contract.OutcomeAnswered, StoredAnswer: answer})
+	return m.finish(Action{Outcome: contract.OutcomeAnswered, StoredAnswer: answer})
 }
 
-// sealedProblem keeps the own reason if there is one: the seal found may well be this front's own.
-func (m *Machine) sealedProblem() *contract.Problem {
+// reasonForNotRun prefers the machine's own reason, because the seal that was found may be this front's own.
+func (m *Machine) reasonForNotRun() *contract.Problem {
 	if m.problem != nil {
 		return m.problem
 	}
 	return problemSealed()
 }
 
-func (m *Machine) notRun(p *contract.Problem, attempts int) Action {
-	told := *orInternal(p)
-	told.Outcome = contract.OutcomeNotRun
-	return m.tell(Action{Outcome: contract.OutcomeNotRun, Problem: &told, SealedThrough: attempts})
+func (m *Machine) finishNotRun(p *contract.Problem, sealedThrough int) Action {
+	problem := *orInternal(p)
+	problem.Outcome = contract.OutcomeNotRun
+	return m.finish(Action{Outcome: contract.OutcomeNotRun, Problem: &problem, SealedThrough: sealedThrough})
 }
 
-func (m *Machine) unknown(p *contract.Problem) Action {
-	told := *orInternal(p)
-	told.Outcome = contract.OutcomeUnknown
-	if told.Status < http.StatusInternalServerError {
-		told.Status = http.StatusBadGateway
+func (m *Machine) finishUnknown(p *contract.Problem) Action {
+	problem := *orInternal(p)
+	problem.Outcome = contract.OutcomeUnknown
+	if problem.Status < http.StatusInternalServerError {
+		problem.Status = http.StatusBadGateway
 	}
-	told.RetryAfter = max(told.RetryAfter, RetryAfterShort)
-	if m.request.AtMostOnce || told.Hint == "" {
-		told.Hint = nextUnknown(m.request)
+	problem.RetryAfter = max(problem.RetryAfter, RetryAfterShort)
+	if m.request.AtMostOnce || problem.Hint == "" {
+		problem.Hint = hintForUnknown(m.request)
 	}
-	return m.tell(Action{Outcome: contract.OutcomeUnknown, Problem: &told})
+	return m.finish(Action{Outcome: contract.OutcomeUnknown, Problem: &problem})
 }
 
-func (m *Machine) tell(a Action) Action {
-	m.phase = told
+func (m *Machine) finish(a Action) Action {
+	m.phase = phaseFinished
 	a.Kind = Finish
 	return a
 }
--- a/entry/front/drive.go
+++ b/entry/front/drive.go
@@ -126,7 +126,7 @@
 		d.front.counts.delivered(d)
 	}
 	if errors.Is(err, errAnswerTooLarge) {
-		return d.machine.Abandon(problemAnswerTooLarge()), false
+		return d.machine.CancelDispatch(problemAnswerTooLarge()), false
 	}
 	return outcome.Action{Kind: outcome.Wait}, err != nil
 }
