--- a/contract/outcome/actors_test.go
+++ b/contract/outcome/actors_test.go
@@ -12,40 +12,41 @@
 )
 
 const (
-	groups       = 3
-	answerEvents = 3
+	groups          = 3
+	eventsPerAnswer = 3
 )
 
-// teller is one caller's connection: what was asked for, and what was told.
-type teller struct {
+// connection is the connection of one caller: its request, and what it was told.
+type connection struct {
 	request Request
 	key     string
 	outcome contract.Outcome
 	code    contract.Code
-	// events are what the caller got of the answer.
+	// events holds the events of the answer that the caller received.
 	events []string
-	// called and returned are in steps.
+	// called and returned are step numbers.
 	called, returned int64
 }
 
-func records(w *world, y yielder) *attempt.Records {
-	r := attempt.New(store{w: w, y: y}, func() time.Time { return time.Unix(0, 0) })
+func newRecords(sim *simulation, yield yieldFunc) *attempt.Records {
+	r := attempt.New(store{sim: sim, yield: yield}, func() time.Time { return time.Unix(0, 0) })
 	r.Sleep = func(context.Context, time.Duration) {}
 	return r
 }
 
-func wish(r Request, key string, renounced []string) attempt.WriteRequest {
+func writeRequest(r Request, key string, abandoned []string) attempt.WriteRequest {
 	return attempt.WriteRequest{
-		ID: attempt.ID{Team: "t", Key: key}, Number: r.AttemptNumber, Fingerprint: r.Fingerprint, RequestID: r.ID, AbandonedClaims: renounced,
+		ID: attempt.ID{Team: "t", Key: key}, Number: r.AttemptNumber, Fingerprint: r.Fingerprint, RequestID: r.ID, AbandonedClaims: abandoned,
 	}
 }
 
-// events is the whole answer of one run. Two runs of a request differ, but on engines that resume.
-func events(r Request, run string) []string {
+// answerOf returns the events of the complete answer of one run. Two runs of a request give different answers, except
+// on engines that can resume.
+func answerOf(r Request, run string) []string {
 	if r.Resumable {
 		run = "any"
 	}
-	all := make([]string, answerEvents)
+	all := make([]string, eventsPerAnswer)
 	for i := range all {
 		all[i] = fmt.Sprintf("%s-%s-%d", r.Fingerprint, run, i)
 	}
@@ -53,92 +54,92 @@
 }
 
 // front serves one connection with the machine under test.
-func (w *world) front(t *teller) {
-	t.called = w.clock
-	w.tellers = append(w.tellers, t)
-	w.spawn("front "+t.request.ID, func(y yielder) {
-		m := New(t.request)
-		r := records(w, y)
+func (sim *simulation) front(conn *connection) {
+	conn.called = sim.steps
+	sim.connections = append(sim.connections, conn)
+	sim.spawn("front "+conn.request.ID, func(yield yieldFunc) {
+		m := New(conn.request)
+		r := newRecords(sim, yield)
 		var l *link
 		tried := 0
 		action := m.Start()
 		for {
 			switch action.Kind {
 			case Dispatch:
-				action = w.dispatch(t, m, action, y, &l, &tried)
+				action = sim.dispatch(conn, m, action, yield, &l, &tried)
 			case Seal:
-				action = m.HandleSeal(r.Seal(context.Background(), wish(t.request, t.key, action.AbandonedClaims)))
+				action = m.HandleSeal(r.Seal(context.Background(), writeRequest(conn.request, conn.key, action.AbandonedClaims)))
 			case Find:
-				action = m.HandleFind(r.Find(context.Background(), attempt.ID{Team: "t", Key: t.key}, t.request.Fingerprint))
+				action = m.HandleFind(r.Find(context.Background(), attempt.ID{Team: "t", Key: conn.key}, conn.request.Fingerprint))
 			case AskHolder:
 				holder := action.Claim
-				y(step{do: func() { action = m.HandleHolderAnswer(w.ask(holder)) }})
+				yield(step{do: func() { action = m.HandleHolderAnswer(sim.askHolder(holder)) }})
 			case Finish:
-				t.tell(action)
-				t.returned = w.clock
+				conn.finish(action)
+				conn.returned = sim.steps
 				return
 			default:
-				action = w.wait(t, m, l, y)
+				action = sim.receiveFrame(conn, m, l, yield)
 			}
 		}
 	})
 }
 
-func (t *teller) tell(a Action) {
-	t.outcome = a.Outcome
+func (conn *connection) finish(a Action) {
+	conn.outcome = a.Outcome
 	if a.Problem != nil {
-		t.code = a.Problem.Code
+		conn.code = a.Problem.Code
 	}
 	if a.StoredAnswer != nil {
-		t.events = strings.Fields(string(a.StoredAnswer.Body))
+		conn.events = strings.Fields(string(a.StoredAnswer.Body))
 	}
 }
 
-func (w *world) dispatch(t *teller, m *Machine, a Action, y yielder, l **link, tried *int) (next Action) {
+func (sim *simulation) dispatch(conn *connection, m *Machine, a Action, yield yieldFunc, l **link, tried *int) (next Action) {
 	if a.Restart {
-		t.events = nil
+		conn.events = nil
 	}
 	if *l != nil {
 		(*l).closed = true
 	}
-	y(step{do: func() {
-		if *tried == groups || w.chance(15, "no group") {
+	yield(step{do: func() {
+		if *tried == groups || sim.chance(15, "no group") {
 			next = m.HandleNoDispatch(contract.NewRetryLater(contract.CodeNoGroup, "none", RetryAfterShort))
 			return
 		}
 		*tried++
 		*l = &link{}
 		next = Action{Kind: Wait}
-		w.home(t, *l, a)
+		sim.home(conn, *l, a)
 	}})
 	return next
 }
 
-func (w *world) wait(t *teller, m *Machine, l *link, y yielder) (next Action) {
-	ready := func() bool { return !w.calm || len(l.frames) > 0 || l.home.over }
-	y(step{ready: ready, do: func() {
+func (sim *simulation) receiveFrame(conn *connection, m *Machine, l *link, yield yieldFunc) (next Action) {
+	ready := func() bool { return !sim.noFaults || len(l.frames) > 0 || l.home.finished }
+	yield(step{ready: ready, do: func() {
 		next = Action{Kind: Wait}
-		if w.chance(4, "deadline") {
+		if sim.chance(4, "deadline") {
 			next = m.HandleDeadline()
 			return
 		}
-		if len(l.frames) == 0 && !l.home.over && !w.chance(10, "lost") {
+		if len(l.frames) == 0 && !l.home.finished && !sim.chance(10, "lost") {
 			return
 		}
-		if !l.taken && w.chance(10, "not sent") {
-			w.kill(l.home)
+		if !l.received && sim.chance(10, "not sent") {
+			sim.kill(l.home)
 			next = m.HandleHomeLost(true)
 			return
 		}
-		f, lost := w.receive(l)
+		f, lost := sim.receive(l)
 		if lost {
 			next = m.HandleHomeLost(false)
 			return
 		}
 		next = m.HandleFrame(f)
 		if next.Kind == Deliver {
-			t.events = append(t.events, f.Text)
-			if w.chance(50, "delivered") {
+			conn.events = append(conn.events, f.Text)
+			if sim.chance(50, "delivered") {
 				m.MarkDelivered()
 			}
 			next = Action{Kind: Wait}
@@ -147,30 +148,31 @@
 	return next
 }
 
-// ask is the holder's own answer; a dead or frozen one gives none. A home that has given its claim up goes on
-// answering for it.
-func (w *world) ask(holder contract.AttemptRecord) HolderAnswer {
-	i := slices.IndexFunc(w.actors, func(a *actor) bool { return a.name == holder.Home })
+// askHolder returns the holder's answer. A killed or frozen holder does not answer; a home that has given its claim
+// up still answers for it.
+func (sim *simulation) askHolder(holder contract.AttemptRecord) HolderAnswer {
+	i := slices.IndexFunc(sim.actors, func(a *actor) bool { return a.name == holder.Home })
 	switch {
-	case i < 0 || w.actors[i].dead || w.actors[i].frozen:
+	case i < 0 || sim.actors[i].killed || sim.actors[i].frozen:
 		return HolderSilent
-	case w.givenUp[holder.Nonce]:
+	case sim.givenUp[holder.Nonce]:
 		return HolderGaveUp
-	case !w.actors[i].over:
+	case !sim.actors[i].finished:
 		return HolderWorking
 	}
 	return HolderSilent
 }
 
-// home handles one dispatch: queue, claim, one send, events, answer kept, end.
-func (w *world) home(t *teller, l *link, a Action) {
-	q := t.request
-	name := w.newID("home")
-	l.home = w.spawn(name, func(y yielder) {
+// home handles one dispatch: it queues and claims the request, sends it once, forwards the events, stores the answer
+// and ends.
+func (sim *simulation) home(conn *connection, l *link, a Action) {
+	req := conn.request
+	name := sim.newID("home")
+	l.home = sim.spawn(name, func(yield yieldFunc) {
 		seq := uint64(0)
 		var claim attempt.Result
 		send := func(f contract.Frame) {
-			f.RequestID = q.ID
+			f.RequestID = req.ID
 			f.Seq = seq
 			seq++
 			if !l.closed {
@@ -181,23 +183,23 @@
 			f := contract.Frame{Kind: contract.FrameRefused, Problem: contract.NewRetryLater(code, "", RetryAfterShort)}
 			if claim.Verdict != 0 {
 				f.Record = &claim.Record
-				w.givenUp[claim.Record.Nonce] = true
+				sim.givenUp[claim.Record.Nonce] = true
 			}
 			send(f)
 			if claim.Verdict != 0 {
-				y(step{do: func() {}})
-				records(w, y).Release(context.Background(), wish(q, t.key, nil), claim)
+				yield(step{do: func() {}})
+				newRecords(sim, yield).Release(context.Background(), writeRequest(req, conn.key, nil), claim)
 			}
 		}
-		r := records(w, y)
+		r := newRecords(sim, yield)
 		refused := false
-		y(step{do: func() { l.taken = true; refused = w.chance(20, "queue full") }})
+		yield(step{do: func() { l.received = true; refused = sim.chance(20, "queue full") }})
 		if refused {
 			refuse(contract.CodeOverloaded)
 			return
 		}
-		if q.AtMostOnce {
-			result := r.Claim(context.Background(), wish(q, t.key, a.AbandonedClaims), name, "1")
+		if req.AtMostOnce {
+			result := r.Claim(context.Background(), writeRequest(req, conn.key, a.AbandonedClaims), name, "1")
 			switch result.Verdict {
 			case attempt.Confirmed:
 				claim = result
@@ -214,25 +216,25 @@
 				return
 			}
 		}
-		y(step{do: func() { refused = w.chance(10, "not whole") }})
+		yield(step{do: func() { refused = sim.chance(10, "not whole") }})
 		if refused {
 			refuse(contract.CodeNoGroup)
 			return
 		}
 		send(contract.Frame{Kind: contract.FrameSent})
-		w.engine(t, a, y, r, claim, send, refuse)
+		sim.engine(conn, a, yield, r, claim, send, refuse)
 	})
 }
 
-func (w *world) engine(
-	t *teller, a Action, y yielder, r *attempt.Records, claim attempt.Result, send func(contract.Frame), refuse func(contract.Code),
+func (sim *simulation) engine(
+	conn *connection, a Action, yield yieldFunc, r *attempt.Records, claim attempt.Result, send func(contract.Frame), refuse func(contract.Code),
 ) {
-	q := t.request
+	req := conn.request
 	refused, broke := false, false
-	all := events(q, w.newID("run"))
-	y(step{do: func() {
-		if refused = w.chance(10, "engine refuses"); !refused {
-			w.runs = append(w.runs, runLog{q.ID, t.key, q.Fingerprint, q.AttemptNumber, all, w.clock})
+	all := answerOf(req, sim.newID("run"))
+	yield(step{do: func() {
+		if refused = sim.chance(10, "engine refuses"); !refused {
+			sim.runs = append(sim.runs, engineRun{req.ID, conn.key, req.Fingerprint, req.AttemptNumber, all, sim.steps})
 		}
 	}})
 	if refused {
@@ -240,18 +242,18 @@
 		return
 	}
 	from := a.ResumeFrom
-	if !q.Resumable {
+	if !req.Resumable {
 		from = 0
 	}
 	for i := from; i < uint64(len(all)); i++ {
-		y(step{do: func() { broke = w.chance(7, "engine breaks") }})
+		yield(step{do: func() { broke = sim.chance(7, "engine breaks") }})
 		if broke {
 			send(contract.Frame{Kind: contract.FrameBroken, Problem: problemTruncated()})
 			return
 		}
 		last := i == uint64(len(all))-1
-		if last && q.AtMostOnce {
-			r.Complete(context.Background(), attempt.ID{Team: "t", Key: t.key}, claim, contract.StoredAnswer{Body: []byte(strings.Join(all, " "))}, 0)
+		if last && req.AtMostOnce {
+			r.Complete(context.Background(), attempt.ID{Team: "t", Key: conn.key}, claim, contract.StoredAnswer{Body: []byte(strings.Join(all, " "))}, 0)
 		}
 		send(contract.Frame{Kind: contract.FrameEvent, EventSeq: i, Text: all[i], Final: last})
 	}
--- a/contract/outcome/history_test.go
+++ b/contract/outcome/history_test.go
@@ -6,21 +6,21 @@
 	"github.com/skylarkpond/skylarkpond/contract"
 )
 
-// keyState is what is true of one key, for each of the two requests that callers send under it.
+// keyState is the state of one key, for each of the two requests that callers send under it.
 type keyState struct {
 	ran     bool
 	request string
 	attempt int
-	// sealed is the highest attempt told not-run, by request.
+	// sealedF and sealedG are the highest attempts reported as not-run, by request.
 	sealedF, sealedG int
 }
 
-// operation is a run, by the engine's log, or an answer to a caller.
+// operation is a run according to the engine's log, or an outcome reported to a caller.
 type operation struct {
 	key, request string
 	attempt      int
 	run          bool
-	told         contract.Outcome
+	outcome      contract.Outcome
 }
 
 func (s *keyState) sealed(request string) *int {
@@ -30,8 +30,8 @@
 	return &s.sealedF
 }
 
-// keyModel is the promise to callers as a sequential specification: a run may happen once, and not under an
-// attempt that was told not-run; not-run is told of what did not run, answered of what did.
+// keyModel is the guarantee to callers as a sequential specification: a request runs at most once, and not under an
+// attempt that was reported as not-run; not-run is only reported for what did not run, and answered for what did.
 var keyModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := make(map[string][]porcupine.Operation)
@@ -55,44 +55,45 @@
 				return false, s
 			}
 			s.ran, s.request, s.attempt = true, op.request, op.attempt
-		case op.told == contract.OutcomeNotRun:
+		case op.outcome == contract.OutcomeNotRun:
 			if s.ran && s.request == op.request && s.attempt <= op.attempt {
 				return false, s
 			}
 			*sealed = max(*sealed, op.attempt)
-		case op.told == contract.OutcomeAnswered:
+		case op.outcome == contract.OutcomeAnswered:
 			return s.ran && s.request == op.request, s
 		}
 		return true, s
 	},
 }
 
-// checkHistory looks for an order of runs and answers that agrees with the steps at which they were seen.
-func (w *world) checkHistory() {
+// checkHistory checks that some order of the runs and reported outcomes satisfies keyModel and is consistent with the
+// steps at which they occurred.
+func (sim *simulation) checkHistory() {
 	var history []porcupine.Operation
-	for i, run := range w.runs {
+	for i, run := range sim.runs {
 		op := operation{key: run.key, request: run.fingerprint, attempt: run.attempt, run: true}
-		if w.unrepeatable(run.requestID) {
-			history = append(history, porcupine.Operation{ClientId: i, Input: op, Call: 2 * run.at, Return: 2*run.at + 1})
+		if sim.unrepeatable(run.requestID) {
+			history = append(history, porcupine.Operation{ClientId: i, Input: op, Call: 2 * run.step, Return: 2*run.step + 1})
 		}
 	}
-	for i, t := range w.tellers {
-		q := t.request
-		if !q.AtMostOnce || t.outcome != contract.OutcomeNotRun && t.outcome != contract.OutcomeAnswered {
+	for i, conn := range sim.connections {
+		req := conn.request
+		if !req.AtMostOnce || conn.outcome != contract.OutcomeNotRun && conn.outcome != contract.OutcomeAnswered {
 			continue
 		}
-		op := operation{key: t.key, request: q.Fingerprint, attempt: q.AttemptNumber, told: t.outcome}
-		history = append(history, porcupine.Operation{ClientId: len(w.runs) + i, Input: op, Call: 2 * t.called, Return: 2*t.returned + 1})
+		op := operation{key: conn.key, request: req.Fingerprint, attempt: req.AttemptNumber, outcome: conn.outcome}
+		history = append(history, porcupine.Operation{ClientId: len(sim.runs) + i, Input: op, Call: 2 * conn.called, Return: 2*conn.returned + 1})
 	}
 	if !porcupine.CheckOperations(keyModel, history) {
-		w.t.Fatalf("no order of runs and answers keeps the promise: %+v", history)
+		sim.t.Fatalf("no order of runs and outcomes satisfies the specification: %+v", history)
 	}
 }
 
-func (w *world) unrepeatable(requestID string) bool {
-	for _, t := range w.tellers {
-		if t.request.ID == requestID {
-			return t.request.AtMostOnce
+func (sim *simulation) unrepeatable(requestID string) bool {
+	for _, conn := range sim.connections {
+		if conn.request.ID == requestID {
+			return conn.request.AtMostOnce
 		}
 	}
 	return false
--- a/contract/outcome/machine.go
+++ b/contract/outcome/machine.go
@@ -183,15 +183,15 @@
 
 // HandleFind processes the result of a Find.
 func (m *Machine) HandleFind(r attempt.Result) Action {
-	stands := r.Verdict == attempt.Found || r.Verdict == attempt.KeyReused
+	exists := r.Verdict == attempt.Found || r.Verdict == attempt.KeyReused
 	switch m.phase {
 	case phaseLookup:
 		lower := r.Record.State == contract.AttemptSealed && r.Record.Number < m.request.AttemptNumber
-		if !stands || r.Verdict == attempt.Found && lower {
+		if !exists || r.Verdict == attempt.Found && lower {
 			return m.dispatch(false)
 		}
 	case phaseFinding:
-		if !stands {
+		if !exists {
 			return m.finishUnknown(m.reasonForUnknown())
 		}
 	default:
--- a/contract/outcome/property_test.go
+++ b/contract/outcome/property_test.go
@@ -14,17 +14,17 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// The schedules that CI plays, always the same ones. -rapid.checks and -rapid.seed play others.
+// The random schedules that CI runs, always the same. -rapid.checks and -rapid.seed select others.
 const (
-	schedules    = "4000"
-	scheduleSeed = "1"
-	scheduleLen  = 150
+	scheduleCount = "4000"
+	scheduleSeed  = "1"
+	scheduleSteps = 150
 )
 
 func TestOutcome(t *testing.T) {
 	given := make(map[string]bool)
 	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
-	for name, value := range map[string]string{"rapid.checks": schedules, "rapid.seed": scheduleSeed, "rapid.nofailfile": "true"} {
+	for name, value := range map[string]string{"rapid.checks": scheduleCount, "rapid.seed": scheduleSeed, "rapid.nofailfile": "true"} {
 		if !given[name] {
 			_ = flag.Set(name, value)
 		}
@@ -33,83 +33,83 @@
 	RunSpecs(t, "outcome")
 }
 
-// arrive lets a caller send a request, or one of its keys again, through some front. A caller raises its
-// attempt number whenever it likes, and copies with lower numbers arrive late.
-func (w *world) arrive(highest map[string]int) {
-	r := Request{ID: w.newID("r"), AttemptNumber: 1, Fingerprint: "f", AtMostOnce: w.pick(5, "kind") > 0}
-	t := &teller{key: w.newID("made")}
-	r.Resumable = !r.AtMostOnce && w.pick(2, "resumable") == 0
-	if r.AtMostOnce && w.pick(4, "key") > 0 {
+// arrive lets a caller send a request, or repeat one of its keys, through some front. Callers raise their attempt
+// number at any time, and copies with lower numbers arrive late.
+func (sim *simulation) arrive(highest map[string]int) {
+	r := Request{ID: sim.newID("r"), AttemptNumber: 1, Fingerprint: "f", AtMostOnce: sim.pick(5, "kind") > 0}
+	conn := &connection{key: sim.newID("made")}
+	r.Resumable = !r.AtMostOnce && sim.pick(2, "resumable") == 0
+	if r.AtMostOnce && sim.pick(4, "key") > 0 {
 		r.KeyFromCaller = true
-		t.key = fmt.Sprintf("key%d", w.pick(2, "key"))
-		if w.pick(8, "reuse") == 0 {
+		conn.key = fmt.Sprintf("key%d", sim.pick(2, "key"))
+		if sim.pick(8, "reuse") == 0 {
 			r.Fingerprint = "g"
 		}
-		if highest[t.key] == 0 || w.pick(3, "raise") == 0 {
-			highest[t.key]++
+		if highest[conn.key] == 0 || sim.pick(3, "raise") == 0 {
+			highest[conn.key]++
 		}
-		r.AttemptNumber = 1 + w.pick(highest[t.key], "attempt")
+		r.AttemptNumber = 1 + sim.pick(highest[conn.key], "attempt")
 	}
-	t.request = r
-	w.front(t)
+	conn.request = r
+	sim.front(conn)
 }
 
-func (w *world) check() {
+func (sim *simulation) check() {
 	count := make(map[string]int)
-	for _, run := range w.runs {
+	for _, run := range sim.runs {
 		count[run.key]++
 	}
-	for _, t := range w.tellers {
-		q := t.request
-		if q.AtMostOnce && count[t.key] > 1 {
-			w.t.Fatalf("key %s ran %d times: %v", t.key, count[t.key], w.runs)
+	for _, conn := range sim.connections {
+		req := conn.request
+		if req.AtMostOnce && count[conn.key] > 1 {
+			sim.t.Fatalf("key %s ran %d times: %v", conn.key, count[conn.key], sim.runs)
 		}
-		ran := slices.ContainsFunc(w.runs, func(run runLog) bool {
-			if !q.AtMostOnce {
-				return run.requestID == q.ID
+		ran := slices.ContainsFunc(sim.runs, func(run engineRun) bool {
+			if !req.AtMostOnce {
+				return run.requestID == req.ID
 			}
-			return run.key == t.key && run.fingerprint == q.Fingerprint && run.attempt <= q.AttemptNumber
+			return run.key == conn.key && run.fingerprint == req.Fingerprint && run.attempt <= req.AttemptNumber
 		})
-		switch t.outcome {
+		switch conn.outcome {
 		case contract.OutcomeNotRun:
 			if ran {
-				w.t.Fatalf("request %s (key %s, attempt %d) was told not-run (%s) and ran: %v", q.ID, t.key, q.AttemptNumber, t.code, w.runs)
+				sim.t.Fatalf("request %s (key %s, attempt %d) was reported as not-run (%s) but ran: %v", req.ID, conn.key, req.AttemptNumber, conn.code, sim.runs)
 			}
 		case contract.OutcomeAnswered:
-			whole := func(run runLog) bool { return run.key == t.key && slices.Equal(run.answer, t.events) }
-			if !slices.ContainsFunc(w.runs, whole) {
-				w.t.Fatalf("request %s was told answered with %v, which no run gave: %v", q.ID, t.events, w.runs)
+			whole := func(run engineRun) bool { return run.key == conn.key && slices.Equal(run.answer, conn.events) }
+			if !slices.ContainsFunc(sim.runs, whole) {
+				sim.t.Fatalf("request %s was reported as answered with %v, which no run produced: %v", req.ID, conn.events, sim.runs)
 			}
 		}
 	}
 }
 
-var _ = Describe("Machine among many", func() {
-	// Fronts and homes freeze, die and wake late, links cut, double and drop frames, the platform is out, loses
-	// answers and lets writes land late, and callers send the same key through several fronts at once. A user
-	// would notice a lot booked twice, or a booking that was told not-run and took place.
-	It("runs a key once at most, keeps each not-run, and answers only in whole", func() {
+var _ = Describe("Machine in concurrent use", func() {
+	// Fronts and homes freeze, die and resume late; links are cut and duplicate or drop frames; the platform is down,
+	// loses responses and executes writes late; callers send the same key through several fronts at once. Guards
+	// against a request that runs twice, or that runs although it was reported as not-run.
+	It("runs a key at most once, upholds each not-run and reports only complete answers", func() {
 		outcomes := make(map[contract.Outcome]int)
 		runs, fronts := 0, 0
 		rapid.Check(GinkgoTB(), func(t *rapid.T) {
-			w := &world{t: t, objects: make(map[string]platform.Object), givenUp: make(map[string]bool)}
-			defer w.close()
+			sim := &simulation{t: t, objects: make(map[string]platform.Object), givenUp: make(map[string]bool)}
+			defer sim.close()
 			highest := make(map[string]int)
-			w.run(scheduleLen, func() { w.arrive(highest) })
-			w.check()
-			w.checkHistory()
-			for _, a := range w.actors {
-				if !a.over {
-					t.Fatalf("%s never ended", a.name)
+			sim.run(scheduleSteps, func() { sim.arrive(highest) })
+			sim.check()
+			sim.checkHistory()
+			for _, a := range sim.actors {
+				if !a.finished {
+					t.Fatalf("%s never finished", a.name)
 				}
 			}
-			runs += len(w.runs)
-			for _, teller := range w.tellers {
+			runs += len(sim.runs)
+			for _, conn := range sim.connections {
 				fronts++
-				outcomes[teller.outcome]++
+				outcomes[conn.outcome]++
 			}
 		})
-		GinkgoWriter.Printf("%d requests, %d runs, told %v\n", fronts, runs, outcomes)
+		GinkgoWriter.Printf("%d requests, %d runs, outcomes %v\n", fronts, runs, outcomes)
 		for _, o := range []contract.Outcome{contract.OutcomeAnswered, contract.OutcomeNotRun, contract.OutcomeInProgress, contract.OutcomeUnknown} {
 			Expect(outcomes[o]).To(BeNumerically(">", 0), "no schedule led to %s", o)
 		}
--- a/contract/outcome/world_test.go
+++ b/contract/outcome/world_test.go
@@ -13,189 +13,190 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// world plays many fronts and homes, one platform and one engine, one step at a time. An actor runs until
-// it needs something from outside, then waits for the schedule to go on with it. The schedule, and what
-// becomes of each call, are drawn.
-type world struct {
+// simulation runs many fronts and homes, one platform and one engine, one step at a time. An actor runs until it
+// needs something from outside and then waits until the schedule continues it. The schedule and the result of each
+// call are drawn at random.
+type simulation struct {
 	t      *rapid.T
 	actors []*actor
-	// calm: no more faults are drawn; what is under way comes to its end.
-	calm    bool
-	outage  bool
-	objects map[string]platform.Object
-	version platform.Version
-	// pending are writes whose answer was lost and which may still take effect.
+	// noFaults is set at the end of a schedule: no further faults are drawn, and everything in progress completes.
+	noFaults bool
+	outage   bool
+	objects  map[string]platform.Object
+	version  platform.Version
+	// pending holds writes whose response was lost and which may still take effect.
 	pending []func()
-	// givenUp are the nonces of claims that their homes have given up.
-	givenUp map[string]bool
-	runs    []runLog
-	tellers []*teller
-	serial  int
-	// clock counts steps.
-	clock int64
+	// givenUp holds the nonces of claims that their homes have given up.
+	givenUp     map[string]bool
+	runs        []engineRun
+	connections []*connection
+	lastID      int
+	// steps counts the steps executed so far.
+	steps int64
 }
 
-// runLog is one line of the engine's log: the judge of all outcomes.
-type runLog struct {
+// engineRun is one line of the engine's log, against which all outcomes are checked.
+type engineRun struct {
 	requestID, key, fingerprint string
 	attempt                     int
 	answer                      []string
-	at                          int64
+	step                        int64
 }
 
-// actor is one front's or home's work on one request.
+// actor is the work of one front or home on one request.
 type actor struct {
-	name   string
-	next   func() (step, bool)
-	stop   func()
-	step   step
-	over   bool
-	frozen bool
-	dead   bool
+	name     string
+	next     func() (step, bool)
+	stop     func()
+	step     step
+	finished bool
+	frozen   bool
+	killed   bool
 }
 
-// step is what an actor waits for: ready says whether it can happen, do makes it happen.
+// step is what an actor waits for: ready reports whether it can happen, and do makes it happen.
 type step struct {
 	ready func() bool
 	do    func()
 }
 
-// killed unwinds an actor whose process died.
-type killed struct{}
+// killSignal unwinds an actor whose process was killed.
+type killSignal struct{}
 
-// yielder suspends its actor until the step was done.
-type yielder func(step)
+// yieldFunc suspends its actor until the step has been executed.
+type yieldFunc func(step)
 
-func (w *world) spawn(name string, body func(y yielder)) *actor {
+func (sim *simulation) spawn(name string, body func(yield yieldFunc)) *actor {
 	a := &actor{name: name}
 	a.next, a.stop = iter.Pull(func(yield func(step) bool) {
 		defer func() {
 			if r := recover(); r != nil {
-				if _, ok := r.(killed); !ok {
+				if _, ok := r.(killSignal); !ok {
 					panic(r)
 				}
 			}
 		}()
 		body(func(s step) {
 			if !yield(s) {
-				panic(killed{})
+				panic(killSignal{})
 			}
 		})
 	})
-	w.actors = append(w.actors, a)
-	w.advance(a)
+	sim.actors = append(sim.actors, a)
+	sim.advance(a)
 	return a
 }
 
-func (w *world) advance(a *actor) {
+func (sim *simulation) advance(a *actor) {
 	s, ok := a.next()
 	a.step = s
-	a.over = !ok
+	a.finished = !ok
 }
 
-func (w *world) kill(a *actor) {
-	a.dead = true
-	a.over = true
+func (sim *simulation) kill(a *actor) {
+	a.killed = true
+	a.finished = true
 	a.stop()
 }
 
-func (w *world) runnable() []*actor {
+func (sim *simulation) runnable() []*actor {
 	var ready []*actor
-	for _, a := range w.actors {
-		if !a.over && !a.frozen && (a.step.ready == nil || a.step.ready()) {
+	for _, a := range sim.actors {
+		if !a.finished && !a.frozen && (a.step.ready == nil || a.step.ready()) {
 			ready = append(ready, a)
 		}
 	}
 	return ready
 }
 
-// chance draws true in some percent of cases, and never once all is calm. Small draws, which rapid
-// prefers and shrinks to, are the harmless ones.
-func (w *world) chance(percent int, what string) bool {
-	return !w.calm && w.pick(100, what) >= 100-percent
+// chance returns true with the given probability in percent, and never once faults are disabled. It is true for the
+// largest draws, because rapid prefers and shrinks to small ones.
+func (sim *simulation) chance(percent int, what string) bool {
+	return !sim.noFaults && sim.pick(100, what) >= 100-percent
 }
 
-func (w *world) pick(n int, what string) int { return rapid.IntRange(0, n-1).Draw(w.t, what) }
+func (sim *simulation) pick(n int, what string) int { return rapid.IntRange(0, n-1).Draw(sim.t, what) }
 
-func (w *world) run(steps int, arrive func()) {
+func (sim *simulation) run(steps int, arrive func()) {
 	for range steps {
-		switch draw := w.pick(100, "event"); {
-		case draw >= 90 || len(w.actors) == 0:
+		switch draw := sim.pick(100, "event"); {
+		case draw >= 90 || len(sim.actors) == 0:
 			arrive()
 		case draw >= 87:
-			w.outage = !w.outage
-		case draw >= 82 && len(w.pending) > 0:
-			w.land(w.pick(len(w.pending), "write"))
+			sim.outage = !sim.outage
+		case draw >= 82 && len(sim.pending) > 0:
+			sim.applyPending(sim.pick(len(sim.pending), "write"))
 		case draw >= 72:
-			a := w.actors[w.pick(len(w.actors), "actor")]
+			a := sim.actors[sim.pick(len(sim.actors), "actor")]
 			a.frozen = !a.frozen
 		case draw >= 70:
-			if a := w.actors[w.pick(len(w.actors), "actor")]; !a.over {
-				w.kill(a)
+			if a := sim.actors[sim.pick(len(sim.actors), "actor")]; !a.finished {
+				sim.kill(a)
 			}
 		default:
-			if ready := w.runnable(); len(ready) > 0 {
-				w.go1(ready[w.pick(len(ready), "runnable")])
+			if ready := sim.runnable(); len(ready) > 0 {
+				sim.executeStep(ready[sim.pick(len(ready), "runnable")])
 			}
 		}
 	}
-	w.settle()
+	sim.settle()
 }
 
-func (w *world) go1(a *actor) {
-	w.clock++
+func (sim *simulation) executeStep(a *actor) {
+	sim.steps++
 	a.step.do()
-	w.advance(a)
+	sim.advance(a)
 }
 
-// settle wakes whatever is frozen, lets late writes land, and lets all end, without further faults.
-func (w *world) settle() {
-	w.calm = true
-	w.outage = false
+// settle resumes frozen actors, lets pending writes take effect and runs everything to its end without further
+// faults.
+func (sim *simulation) settle() {
+	sim.noFaults = true
+	sim.outage = false
 	for {
-		for _, a := range w.actors {
+		for _, a := range sim.actors {
 			a.frozen = false
 		}
-		if len(w.pending) > 0 {
-			w.land(0)
+		if len(sim.pending) > 0 {
+			sim.applyPending(0)
 			continue
 		}
-		ready := w.runnable()
+		ready := sim.runnable()
 		if len(ready) == 0 {
 			return
 		}
-		w.go1(ready[w.pick(len(ready), "runnable")])
+		sim.executeStep(ready[sim.pick(len(ready), "runnable")])
 	}
 }
 
-func (w *world) land(i int) {
-	apply := w.pending[i]
-	w.pending = slices.Delete(w.pending, i, i+1)
+func (sim *simulation) applyPending(i int) {
+	apply := sim.pending[i]
+	sim.pending = slices.Delete(sim.pending, i, i+1)
 	apply()
 }
 
-func (w *world) close() {
-	for _, a := range w.actors {
-		if !a.over {
-			w.kill(a)
+func (sim *simulation) close() {
+	for _, a := range sim.actors {
+		if !a.finished {
+			sim.kill(a)
 		}
 	}
 }
 
-// store is the platform as one actor sees it.
+// store is the platform as seen by one actor.
 type store struct {
 	platform.Store
-	w *world
-	y yielder
+	sim   *simulation
+	yield yieldFunc
 }
 
 func (s store) Get(_ context.Context, _ platform.Kind, name string) (object platform.Object, err error) {
-	s.y(step{do: func() {
+	s.yield(step{do: func() {
 		var ok bool
-		if object, ok = s.w.objects[name]; !ok {
+		if object, ok = s.sim.objects[name]; !ok {
 			err = platform.ErrNotFound
 		}
-		if s.w.outage && s.w.chance(90, "outage") || s.w.chance(5, "read lost") {
+		if s.sim.outage && s.sim.chance(90, "outage") || s.sim.chance(5, "read lost") {
 			err = platform.ErrUnavailable
 		}
 	}})
@@ -203,63 +204,64 @@
 }
 
 func (s store) Put(_ context.Context, _ platform.Kind, name string, version platform.Version, value json.RawMessage) (written platform.Version, err error) {
-	s.y(step{do: func() { written, err = s.w.put(name, version, value) }})
+	s.yield(step{do: func() { written, err = s.sim.put(name, version, value) }})
 	if err == nil {
-		// The answer is under way: much may happen before its writer sees it.
-		s.y(step{do: func() {}})
+		// The response is in transit: other actors can run before the writer receives it.
+		s.yield(step{do: func() {}})
 	}
 	return written, err
 }
 
-func (w *world) put(name string, version platform.Version, value json.RawMessage) (platform.Version, error) {
-	if w.outage && w.chance(70, "outage") {
+func (sim *simulation) put(name string, version platform.Version, value json.RawMessage) (platform.Version, error) {
+	if sim.outage && sim.chance(70, "outage") {
 		return 0, platform.ErrUnavailable
 	}
-	if w.chance(20, "write fault") {
-		switch w.pick(4, "kind of fault") {
+	if sim.chance(20, "write fault") {
+		switch sim.pick(4, "kind of fault") {
 		case 0:
 			return 0, platform.ErrThrottled
 		case 1:
-			_, _ = w.apply(name, version, value)
+			_, _ = sim.apply(name, version, value)
 		case 2:
-			w.pending = append(w.pending, func() { _, _ = w.apply(name, version, value) })
+			sim.pending = append(sim.pending, func() { _, _ = sim.apply(name, version, value) })
 		}
 		return 0, platform.ErrUnconfirmed
 	}
-	return w.apply(name, version, value)
+	return sim.apply(name, version, value)
 }
 
-func (w *world) apply(name string, version platform.Version, value json.RawMessage) (platform.Version, error) {
-	if w.objects[name].Version != version {
+func (sim *simulation) apply(name string, version platform.Version, value json.RawMessage) (platform.Version, error) {
+	if sim.objects[name].Version != version {
 		return 0, platform.ErrConflict
 	}
-	w.version++
-	w.objects[name] = platform.Object{Kind: platform.KindAttempt, Name: name, Version: w.version, Value: value}
-	return w.version, nil
+	sim.version++
+	sim.objects[name] = platform.Object{Kind: platform.KindAttempt, Name: name, Version: sim.version, Value: value}
+	return sim.version, nil
 }
 
 // link carries the frames of one dispatch.
 type link struct {
-	frames []contract.Frame
-	home   *actor
-	taken  bool
-	closed bool
-	old    []contract.Frame
+	frames    []contract.Frame
+	home      *actor
+	received  bool
+	closed    bool
+	delivered []contract.Frame
 }
 
-// receive draws what the front gets next: the next frame, one twice, another's, one too few, or a cut.
-func (w *world) receive(l *link) (f contract.Frame, lost bool) {
-	if w.chance(4, "cut") {
+// receive draws what the front receives next: the next frame, a duplicate, a frame of another request, the frame
+// after a dropped one, or the loss of the link.
+func (sim *simulation) receive(l *link) (f contract.Frame, lost bool) {
+	if sim.chance(4, "cut") {
 		l.closed = true
 		return f, true
 	}
-	if len(l.old) > 0 && w.chance(8, "copy") {
-		return l.old[w.pick(len(l.old), "which")], false
+	if len(l.delivered) > 0 && sim.chance(8, "copy") {
+		return l.delivered[sim.pick(len(l.delivered), "which")], false
 	}
-	if w.chance(5, "another's") {
+	if sim.chance(5, "frame of another request") {
 		return contract.Frame{Kind: contract.FrameEvent, RequestID: "another", Text: "?"}, false
 	}
-	if len(l.frames) > 1 && w.chance(8, "dropped") {
+	if len(l.frames) > 1 && sim.chance(8, "dropped") {
 		l.frames = l.frames[1:]
 	}
 	if len(l.frames) == 0 {
@@ -267,11 +269,11 @@
 	}
 	f = l.frames[0]
 	l.frames = l.frames[1:]
-	l.old = append(l.old, f)
+	l.delivered = append(l.delivered, f)
 	return f, false
 }
 
-func (w *world) newID(prefix string) string {
-	w.serial++
-	return fmt.Sprintf("%s%d", prefix, w.serial)
+func (sim *simulation) newID(prefix string) string {
+	sim.lastID++
+	return fmt.Sprintf("%s%d", prefix, sim.lastID)
 }
