--- a/contract/admin/admin.go
+++ b/contract/admin/admin.go
@@ -1,4 +1,4 @@
-// Package admin holds the messages between pondctl and an entry's admin address.
+// Package admin holds the messages between pondctl and the admin address of an entry.
 package admin
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// Paths of the admin address. Every call carries "Authorization: Bearer" with an operator's token.
+// Paths on the admin address. Every call carries "Authorization: Bearer" with an operator's token.
 const (
 	Prefix         = "/admin/v1"
 	SettingsPath   = Prefix + "/settings"
@@ -20,27 +20,30 @@
 	MetricsPath    = Prefix + "/metrics"
 )
 
-// MaxChangeBytes bounds the body of an apply; a tree as a whole has to fit the platform's megabyte.
+// MaxChangeBytes bounds the body of an apply request. The settings tree as a whole has to fit into the 1 MB that the
+// platform accepts for a value.
 const MaxChangeBytes = 1 << 20
 
-// Settings answers GET SettingsPath.
+// Settings is the response to GET SettingsPath.
 type Settings struct {
-	// Version is the platform version of the tree; 0: there is none yet.
+	// Version is the platform version of the tree; 0 if there is no tree yet.
 	Version uint64         `json:"version"`
 	Tree    *settings.Tree `json:"tree"`
-	// FromLocalCopy says that the platform could not be asked and this is the entry's own copy, which may be old.
+	// FromLocalCopy is set if the platform could not be reached. Tree is then the entry's own copy, which may be
+	// outdated.
 	FromLocalCopy bool `json:"copy,omitempty"`
 }
 
-// Applied answers an apply: 200 if the settings have the change, 409 for a conflict, 422 for faults.
+// Applied is the response to an apply request: with status 200 if the settings contain the change, 409 for a
+// conflict, and 422 for invalid settings.
 type Applied struct {
 	settings.Result
-	// Version is a platform version that has the change: an entry whose version in force is at least this
-	// one works by it. 0 if the change was not taken.
+	// Version is a platform version that contains the change: an entry whose version in force is at least this one
+	// works by it. It is 0 if the change was not accepted.
 	Version uint64 `json:"version,omitempty"`
 }
 
-// Explanation answers GET ExplainPath?path=.
+// Explanation is the response to GET ExplainPath?path=.
 type Explanation struct {
 	Path     settings.Path        `json:"path"`
 	Version  uint64               `json:"version"`
@@ -48,79 +51,79 @@
 	Values   []settings.Explained `json:"values"`
 }
 
-// History answers GET HistoryPath, latest change first.
+// History is the response to GET HistoryPath, latest change first.
 type History struct {
 	Version  uint64             `json:"version"`
 	Revision uint64             `json:"revision"`
 	Changes  []settings.Applied `json:"changes"`
 }
 
-// Status answers GET StatusPath: what one entry knows of all.
+// Status is the response to GET StatusPath: what one entry knows about all entries, groups and services.
 type Status struct {
-	// Reporter is the entry that was asked, At its clock in Unix milliseconds.
+	// Reporter is the entry that was asked, and ReportedAt the time of its clock in Unix milliseconds.
 	Reporter   string          `json:"reporter"`
 	ReportedAt int64           `json:"at_ms"`
 	Entries    []EntryStatus   `json:"entries"`
 	Groups     []GroupStatus   `json:"groups"`
 	Services   []ServiceStatus `json:"services"`
-	// BlockedActions is what controllers want and can't do now, as they say themselves.
+	// BlockedActions lists what the controllers intend to do but cannot do now, as they report it.
 	BlockedActions []BlockedAction `json:"held,omitempty"`
 }
 
-// BlockedAction is something that the controller of a fabric domain wants and can't do.
+// BlockedAction is something that the controller of a fabric domain intends to do but cannot do now.
 type BlockedAction struct {
 	FabricDomain string `json:"fabric_domain"`
-	// Service is empty where the controller's work as a whole is held up.
+	// Service is empty if the controller's work as a whole is blocked.
 	Service string `json:"service,omitempty"`
 	Reason  string `json:"reason"`
 }
 
-// EntryStatus is one entry.
+// EntryStatus is the status of one entry.
 type EntryStatus struct {
 	Name          string `json:"name"`
 	Place         string `json:"place"`
 	FailureDomain string `json:"failure_domain"`
 	AdminAddress  string `json:"admin_address"`
 	Incarnation   string `json:"incarnation,omitempty"`
-	// Live says that the reporter's membership counts it as live.
+	// Live is set if the reporter's membership counts the entry as live.
 	Live    bool `json:"live"`
 	Leaving bool `json:"leaving,omitempty"`
-	// SettingsVersion is the version in force there, SettingsSince since when, by that entry's clock in
-	// Unix milliseconds.
+	// SettingsVersion is the settings version in force at the entry, and SettingsSince the time since when, by the
+	// entry's clock in Unix milliseconds.
 	SettingsVersion uint64 `json:"settings_version"`
 	SettingsSince   int64  `json:"settings_since_ms,omitempty"`
-	// Problem says why the reporter could not ask it; what stands beside it may then be old.
+	// Problem is why the reporter could not query the entry. The other fields may then be outdated.
 	Problem string `json:"problem,omitempty"`
 }
 
-// GroupStatus is one group.
+// GroupStatus is the status of one group.
 type GroupStatus struct {
 	vm.Group
 	FabricDomain string `json:"fabric_domain"`
 	Home         string `json:"home,omitempty"`
-	// Whole says that the home found every member present; Problem why not.
+	// Whole is set if the home found every member of the group present; Problem says why not.
 	Whole   bool   `json:"whole"`
 	Problem string `json:"problem,omitempty"`
 }
 
-// ServiceStatus says how far the groups of a service are from what its settings want.
+// ServiceStatus compares the groups of a service with the groups that its settings require.
 type ServiceStatus struct {
 	Name   string `json:"name"`
 	Wanted int    `json:"wanted"`
-	// Serving counts whole groups in state serving; Current those among them that have the size and
-	// model version wanted.
+	// Serving counts groups in state serving with all members present. UpToDate counts those of them that have the
+	// required size and model version.
 	Serving  int `json:"serving"`
 	UpToDate int `json:"current"`
-	// Changing counts groups that form, load or drain.
+	// Changing counts groups that are being formed, loaded or drained.
 	Changing int `json:"changing"`
-	// Note says why more is not done now, and in which fabric domains.
+	// Note says why no further action is taken now, and in which fabric domains.
 	Note string `json:"note,omitempty"`
 }
 
-// TimelineQuery narrows a time line; zero fields don't.
+// TimelineQuery restricts a time line. Zero fields do not restrict it.
 type TimelineQuery struct {
 	timeline.Filter
-	// Limit keeps only the latest events; 0: DefaultTimelineLimit.
+	// Limit is the maximum number of events; only the latest are kept. 0 means DefaultTimelineLimit.
 	Limit int
 }
 
@@ -130,24 +133,24 @@
 	MaxTimelineLimit     = 10_000
 )
 
-// Timeline answers GET TimelinePath, oldest event first.
+// Timeline is the response to GET TimelinePath, oldest event first.
 type Timeline struct {
 	Events []timeline.Event `json:"events"`
-	// Missing names live entries that could not be asked.
+	// Missing names live entries that could not be queried.
 	Missing []string `json:"missing,omitempty"`
 }
 
-// QuarantinedRequest is one fingerprint that no backend server is given any more.
+// QuarantinedRequest is a request fingerprint that is no longer sent to any backend server.
 type QuarantinedRequest struct {
 	Service     string `json:"service"`
 	Fingerprint string `json:"fingerprint"`
-	// Since is in Unix milliseconds, by the clock of the entry that saw the crash.
+	// Since is in Unix milliseconds, by the clock of the entry that observed the crash.
 	Since   int64  `json:"since_ms,omitempty"`
 	Crashes int    `json:"crashes,omitempty"`
 	Reason  string `json:"reason,omitempty"`
 }
 
-// Quarantine answers GET QuarantinePath.
+// Quarantine is the response to GET QuarantinePath.
 type Quarantine struct {
 	Requests []QuarantinedRequest `json:"requests"`
 }
--- a/contract/route/route.go
+++ b/contract/route/route.go
@@ -1,8 +1,8 @@
-// Package route holds what operators say about callers' requests: which service a request goes to, what may be
-// repeated, how long it may take, and whose key it needs.
+// Package route holds the operators' configuration for callers' requests: which service a request is sent to, whether
+// it may be repeated, how long it may take, and which keys it needs.
 //
-// A Table is one version of all of that. It is never changed after NewTable, so that a request which took one
-// at its start sees a single version to its end.
+// A Table is one version of this configuration. It never changes after NewTable, so a request that takes a Table at
+// its start sees a single version until its end.
 package route
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Kind says what may be repeated on a route.
+// Kind says whether the requests of a route may be repeated.
 type Kind string
 
 // The kinds.
@@ -19,17 +19,17 @@
 	Idempotent Kind = "idempotent"
 	// NonIdempotent requests may run at most once for each attempt of a caller.
 	NonIdempotent Kind = "non-idempotent"
-	// Streaming requests are answered by events. They may run again only where the route is Resumable.
+	// Streaming requests are answered by a stream of events. They may run again only if the route is Resumable.
 	Streaming Kind = "streaming"
 )
 
-// Target is one service of a route and its part of the requests.
+// Target is one service of a route and its share of the route's requests.
 type Target struct {
 	Service string
 	Weight  float64
 }
 
-// Route is where requests of one host and path prefix go.
+// Route configures the requests of one host and path prefix.
 type Route struct {
 	Name string
 	Host string
@@ -40,27 +40,27 @@
 	Timeout time.Duration
 	// LatencyTarget is the objective for the time to the answer, or to the first event of a stream.
 	LatencyTarget time.Duration
-	// EventGapTarget is the objective for the pause between two events of a stream.
+	// EventGapTarget is the objective for the time between two events of a stream.
 	EventGapTarget time.Duration
-	// Priority is 0 for the most urgent requests.
+	// Priority is the priority of the requests; 0 is the most urgent.
 	Priority int
 	// MaxAttempts is how many backend servers one request may be sent to.
 	MaxAttempts int
 	// Public routes need no key.
 	Public bool
-	// Sticky routes carry prompts whose parts are shared by requests.
+	// Sticky routes carry requests whose prompts share parts with those of other requests.
 	Sticky bool
-	// Resumable streams may go on at another backend server, after the last event that was received.
+	// Resumable streams may continue at another backend server, after the last event that was received.
 	Resumable bool
 	Targets   []Target
 }
 
-// Repeatable says whether a request on the route may run more than once.
+// Repeatable reports whether a request on the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Streaming && r.Resumable)
 }
 
-// Limits bound what a caller may send.
+// Limits bounds what a caller may send.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -68,11 +68,11 @@
 	IdleTimeout   time.Duration
 }
 
-// Team is a holder of keys.
+// Team is a set of API keys, and the priority of the requests that carry them.
 type Team struct {
 	Name string
 	Keys []string
-	// Priority goes before that of a route; nil where the team has none.
+	// Priority takes precedence over the priority of a route; nil if the team has none.
 	Priority *int
 }
 
@@ -80,31 +80,31 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConns is how many connections one backend server takes from all entries together.
+	// MaxConns is how many connections one backend server accepts from all entries together.
 	MaxConns int
-	// Engine is nil for a plain service.
+	// Engine is nil for a plain service, which answers ordinary HTTP requests without a model engine.
 	Engine *Engine
 }
 
-// Table is one version of everything that operators say.
+// Table is one version of the configuration.
 type Table struct {
 	Version  uint64
 	Limits   Limits
 	Services map[string]Service
-	// routes holds the routes by host and prefix.
-	routes map[string]map[string]*Route
-	teams  map[string]*Team
-	// keyed says that there are teams at all, so that requests need a key.
-	keyed bool
+	// routes holds the routes by host and path prefix.
+	routes     map[string]map[string]*Route
+	teamsByKey map[string]*Team
+	// keysRequired is set if there are any teams, so that requests need a key.
+	keysRequired bool
 }
 
 // NewTable returns the table of one version.
 func NewTable(version uint64, routes []Route, services []Service, teams []Team, limits Limits) *Table {
 	t := &Table{
-		Version: version, Limits: limits, keyed: len(teams) > 0,
-		Services: make(map[string]Service, len(services)),
-		routes:   make(map[string]map[string]*Route),
-		teams:    make(map[string]*Team),
+		Version: version, Limits: limits, keysRequired: len(teams) > 0,
+		Services:   make(map[string]Service, len(services)),
+		routes:     make(map[string]map[string]*Route),
+		teamsByKey: make(map[string]*Team),
 	}
 	for i := range routes {
 		host := strings.ToLower(routes[i].Host)
@@ -118,14 +118,14 @@
 	}
 	for i := range teams {
 		for _, key := range teams[i].Keys {
-			t.teams[key] = &teams[i]
+			t.teamsByKey[key] = &teams[i]
 		}
 	}
 	return t
 }
 
-// Match returns the route of a request: of those of the host, the one with the longest prefix of path. The cost
-// grows with the path's segments, not with the number of routes.
+// Match returns the route of a request: among the routes of its host, the one with the longest prefix of path. The
+// cost grows with the number of path segments, not with the number of routes.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	byPrefix := t.routes[strings.ToLower(host)]
 	for end := len(path); end > 0; {
@@ -141,11 +141,11 @@
 	return nil, false
 }
 
-// RequiresKey says whether a request on the route needs a key.
-func (t *Table) RequiresKey(route *Route) bool { return t.keyed && !route.Public }
+// RequiresKey reports whether a request on the route needs a key.
+func (t *Table) RequiresKey(route *Route) bool { return t.keysRequired && !route.Public }
 
-// TeamByKey returns the team that holds a key.
+// TeamByKey returns the team that holds the key.
 func (t *Table) TeamByKey(key string) (*Team, bool) {
-	team, ok := t.teams[key]
+	team, ok := t.teamsByKey[key]
 	return team, ok
 }
--- a/contract/route/route_test.go
+++ b/contract/route/route_test.go
@@ -32,15 +32,15 @@
 		Entry("the longest", "a.example", "/x/y/z", "long"),
 		Entry("a shorter one", "a.example", "/x/z", "short"),
 		Entry("the prefix itself", "a.example", "/x/y/", "long"),
-		Entry("a prefix without its slash", "a.example", "/x/y", "short"),
-		Entry("names that begin alike", "a.example", "/xy/", ""),
+		Entry("a prefix without its trailing slash", "a.example", "/x/y", "short"),
+		Entry("a path that shares only a name prefix", "a.example", "/xy/", ""),
 		Entry("another host", "c.example", "/x/", ""),
-		Entry("a host in capitals", "A.Example", "/x/", "short"),
+		Entry("a host in upper case", "A.Example", "/x/", "short"),
 		Entry("the root", "b.example", "/anything/at/all", "root"),
 		Entry("no path", "b.example", "", ""),
 	)
 
-	It("knows which routes need a key, and whose key is whose", func() {
+	It("knows which routes need a key and which team holds a key", func() {
 		public, _ := table.Match("a.example", "/x/")
 		keyed, _ := table.Match("a.example", "/x/y/")
 		Expect(table.RequiresKey(public)).To(BeFalse())
@@ -52,7 +52,7 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	DescribeTable("says what may be repeated",
+	DescribeTable("decides what may be repeated",
 		func(kind route.Kind, resumable, repeatable bool) {
 			Expect((&route.Route{Kind: kind, Resumable: resumable}).Repeatable()).To(Equal(repeatable))
 		},
