--- a/contract/attempt/records.go
+++ b/contract/attempt/records.go
@@ -59,7 +59,8 @@
 	NoRecord
 )
 
-// String returns the text of the verdict for logs and time line events.
+// String returns the text of the verdict for logs and time line events. Some texts differ from the names of the
+// constants and do not change with them.
 func (v Verdict) String() string {
 	names := [...]string{"none", "confirmed", "found", "reused", "untouched", "unsure", "absent"}
 	if int(v) >= len(names) {
@@ -99,9 +100,9 @@
 // defaultRetention is the retention of a seal whose service is unknown to this entry.
 const defaultRetention = 24 * time.Hour
 
-// Retention returns how long the records of a service are kept: for the declared time, but at least for twice the
-// longest request timeout. A dispatch can be delayed for that long in a home that is suspended, and a record that has
-// been deleted no longer prevents a second run.
+// Retention returns how long the records of a service are kept: defaultRetention if the service declares no time,
+// else the declared time, but at least twice the longest request timeout. A dispatch can be delayed for that long in
+// a home that is suspended, and a record that has been deleted no longer prevents a second run.
 func Retention(s settings.Service) time.Duration {
 	if s.AttemptRetention <= 0 {
 		return defaultRetention
--- a/contract/dispatch.go
+++ b/contract/dispatch.go
@@ -62,7 +62,7 @@
 
 // The frames of a dispatch, in the order in which they can arrive: Queued? Claimed? Sent (Head? Chunk*) or (Event*)
 // End. Refused takes the place of Sent and what follows it, or comes after Sent if the backend server did not run the
-// request. Broken can come after Sent. RecordExists takes the place of Claimed.
+// request. Broken can come after Sent. RecordExists takes the place of Claimed and ends the dispatch.
 const (
 	// FrameQueued means that the home has queued the request.
 	FrameQueued FrameKind = iota + 1
--- a/contract/outcome.go
+++ b/contract/outcome.go
@@ -4,6 +4,9 @@
 // An entry is one instance of Skylarkpond's proxy. For a given request it can act as the front, which holds the
 // caller's connection and decides what the caller is told, or as the home of a group, which alone sends requests to the
 // backend servers of a group. A group is a set of VMs that together run one replica of a service.
+//
+// A completion is a request to a language model. A plain service answers ordinary HTTP requests instead. A caller that
+// repeats a request gives it an idempotency key, and an attempt number that it raises when it means to try again.
 package contract
 
 import (
--- a/contract/outcome/machine.go
+++ b/contract/outcome/machine.go
@@ -30,6 +30,7 @@
 	Plain bool
 }
 
+// phase is what the machine is waiting for.
 type phase uint8
 
 const (
