--- a/entry/catalog/catalog_test.go
+++ b/entry/catalog/catalog_test.go
@@ -246,7 +246,7 @@
 		r.api.Write("servers", "i-2", replica.Registered("t"))
 		r.api.Delete("servers", "i-1")
 		r.api.Set(objects.Faults{})
-		Eventually(r.serversSince(since), waitFor).Should(ConsistOf(HaveField("Server.Service", "t"), HaveField("Gone.Server", BeEquivalentTo("i-1"))))
+		Eventually(r.serversSince(since), waitFor).Should(ConsistOf(HaveField("Server.Service", "t"), HaveField("Removal.Server", BeEquivalentTo("i-1"))))
 	})
 
 	// The platform drops its history between two looks of the entry in charge. Told only that something was missed, each of hundreds of entries reads
@@ -265,7 +265,7 @@
 		r.api.Compact()
 		r.api.Set(objects.Faults{})
 		Eventually(r.serversSince(since), waitFor).Should(ConsistOf(
-			HaveField("Server.Service", "t"), HaveField("Server.ID", BeEquivalentTo("i-4")), HaveField("Gone.Server", BeEquivalentTo("i-1"))))
+			HaveField("Server.Service", "t"), HaveField("Server.ID", BeEquivalentTo("i-4")), HaveField("Removal.Server", BeEquivalentTo("i-1"))))
 		told := store.Version(0)
 		for len(r.news) > 0 {
 			news := <-r.news
--- a/entry/catalog/follow.go
+++ b/entry/catalog/follow.go
@@ -21,7 +21,7 @@
 }
 
 // News is what happened to a kind between two revisions.
-type News = link.News
+type News = link.ChangeSet
 
 // Change is the change of one object.
 type Change = link.Change
@@ -356,7 +356,7 @@
 		f.held = make(map[string]store.Version)
 	}
 	for _, change := range changes {
-		if change.Ended() {
+		if change.IsRemoval() {
 			delete(f.held, change.Name())
 			continue
 		}
--- a/entry/catalog/servers.go
+++ b/entry/catalog/servers.go
@@ -43,8 +43,8 @@
 	present := make(map[backend.ID]bool, len(update.Changes))
 	var gone []backend.ID
 	for _, change := range update.Changes {
-		if change.Gone != nil {
-			gone = append(gone, change.Gone.Server)
+		if change.Removal != nil {
+			gone = append(gone, change.Removal.Server)
 		}
 		if change.Server == nil {
 			continue
@@ -72,7 +72,7 @@
 
 // decode reads one registration. What names no server to use is taken for one that ended.
 func (s *servers) decode(object store.Object) Change {
-	gone := Change{Gone: &link.Gone{Server: backend.ID(object.Name), Version: object.Version}}
+	gone := Change{Removal: &link.Removal{Server: backend.ID(object.Name), Version: object.Version}}
 	if object.Deleted {
 		return gone
 	}
--- a/entry/gateway/follow.go
+++ b/entry/gateway/follow.go
@@ -104,7 +104,7 @@
 	context.AfterFunc(ctx, func() { to.Close("stopping") })
 	err = to.Receive(func(message link.Down) { g.fromLeader(ctx, to.Send, message) })
 	g.log.WithError(err).WithField("leader", holder.Entry).Info(logline.LinkEnded)
-	if link.Silent(err) {
+	if link.IsIdleTimeout(err) {
 		g.following.lost(holder.Entry)
 	}
 }
@@ -127,22 +127,22 @@
 func (g *Gateway) fromLeader(ctx context.Context, send func(link.Up), message link.Down) {
 	g.remote.LeaderAlive()
 	switch {
-	case message.Grant != nil || message.Refuse != nil || message.Queued != 0:
+	case message.Grant != nil || message.Refusal != nil || message.Queued != 0:
 		g.remote.HandleReply(message)
 	case message.Config != nil:
 		g.catalog.TakeConfig(message.Config.Spec)
-	case message.Renewed != nil:
-		g.leaderRenewed(send, *message.Renewed)
-	case message.News != nil:
-		g.catalog.Feed(*message.News)
-	case message.Held != nil:
-		g.suspects.Take(*message.Held)
-	case message.Look != nil:
-		go g.look(ctx, send, *message.Look)
+	case message.Renewal != nil:
+		g.leaderRenewed(send, *message.Renewal)
+	case message.ChangeSet != nil:
+		g.catalog.Feed(*message.ChangeSet)
+	case message.Quarantine != nil:
+		g.suspects.Take(*message.Quarantine)
+	case message.Probe != nil:
+		go g.look(ctx, send, *message.Probe)
 	}
 }
 
-func (g *Gateway) leaderRenewed(send func(link.Up), renewed link.Renewed) {
+func (g *Gateway) leaderRenewed(send func(link.Up), renewed link.Renewal) {
 	g.lease.ObserveRenewal(renewed.Version)
 	g.following.renewed(renewed, g.roster.Names())
 	g.catalog.Confirm(renewed.Ages)
@@ -151,20 +151,20 @@
 	case version > renewed.ConfigVersion && spec != nil:
 		send(link.Up{Config: &link.Config{Spec: spec}})
 	case g.following.stillBehind(version < renewed.ConfigVersion):
-		send(link.Up{Has: max(1, version)})
+		send(link.Up{ConfigVersion: max(1, version)})
 	}
 }
 
 // look answers the leader's question whether this entry reaches a server.
-func (g *Gateway) look(ctx context.Context, send func(link.Up), asked link.Look) {
-	seen := link.Seen{Server: asked.Server}
+func (g *Gateway) look(ctx context.Context, send func(link.Up), asked link.Probe) {
+	seen := link.ProbeResult{Server: asked.Server}
 	report, err := g.controller.Look(ctx, &backend.Server{ID: asked.Server, Address: asked.Address})
 	if err == nil {
 		seen.Answered = true
 		seen.Group = report.Group.GroupKey
 		seen.Serving = report.Group.State.Serving()
 	}
-	send(link.Up{Seen: &seen})
+	send(link.Up{ProbeResult: &seen})
 }
 
 // reached asks the other entries whether a server that this one does not reach serves a group.
--- a/entry/gateway/gateway_test.go
+++ b/entry/gateway/gateway_test.go
@@ -50,7 +50,7 @@
 
 var _ = Describe("Which entries are live", func() {
 	names := []string{"e-1", "e-2", "e-3", "e-4"}
-	settled := func(live ...string) link.Renewed { return link.Renewed{Live: live, Settled: true} }
+	settled := func(live ...string) link.Renewal { return link.Renewal{Live: live, Settled: true} }
 
 	It("follows a settled leader, and what it tells of those that come and go", func() {
 		f := newFollowing()
@@ -58,7 +58,7 @@
 		f.renewed(settled("e-1", "e-2", "e-3"), names)
 		Expect(f.informed()).To(BeTrue())
 		Expect(f.dead("e-4")).To(BeTrue())
-		f.renewed(link.Renewed{Joined: []string{"e-4"}, Left: []string{"e-1"}, Settled: true}, names)
+		f.renewed(link.Renewal{Joined: []string{"e-4"}, Left: []string{"e-1"}, Settled: true}, names)
 		Expect(f.dead("e-4")).To(BeFalse())
 		Expect(f.dead("e-1")).To(BeTrue())
 	})
@@ -72,7 +72,7 @@
 		Expect(f.dead("e-1")).To(BeTrue())
 		f.newLeader()
 		Expect(f.dead("e-1")).To(BeTrue())
-		f.renewed(link.Renewed{Live: []string{"e-1", "e-2"}}, names)
+		f.renewed(link.Renewal{Live: []string{"e-1", "e-2"}}, names)
 		Expect(f.dead("e-1")).To(BeFalse())
 	})
 
@@ -81,7 +81,7 @@
 		f := newFollowing()
 		f.renewed(settled("e-1", "e-2", "e-3"), names)
 		f.newLeader()
-		f.renewed(link.Renewed{Live: []string{"e-2"}}, names)
+		f.renewed(link.Renewal{Live: []string{"e-2"}}, names)
 		Expect(f.dead("e-3")).To(BeFalse())
 		Expect(f.dead("e-4")).To(BeTrue())
 	})
--- a/entry/gateway/lines.go
+++ b/entry/gateway/lines.go
@@ -71,7 +71,7 @@
 	}).Info(string(event.Kind))
 }
 
-func (s *shell) heldBack(held link.Held) {
+func (s *shell) heldBack(held link.Quarantine) {
 	s.log.WithFields(logrus.Fields{"service": held.Service, "fingerprints": held.Fingerprints}).Warn(logline.RequestsHeldBack)
 }
 
--- a/entry/gateway/live.go
+++ b/entry/gateway/live.go
@@ -67,7 +67,7 @@
 }
 
 // renewed takes the leader's word on which entries are live; names are all that are known and not leaving.
-func (f *following) renewed(renewed link.Renewed, names []string) {
+func (f *following) renewed(renewed link.Renewal, names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.heard = time.Now()
--- a/entry/leader/crashes.go
+++ b/entry/leader/crashes.go
@@ -59,13 +59,13 @@
 }
 
 // quarantineChange returns the quarantine of a service, and whether it differs from what the followers were last sent.
-func (c *crashTracker) quarantineChange(service string) (link.Held, bool) {
+func (c *crashTracker) quarantineChange(service string) (link.Quarantine, bool) {
 	held := c.quarantined(service)
 	if slices.Equal(held, c.announced[service]) {
-		return link.Held{}, false
+		return link.Quarantine{}, false
 	}
 	c.announced[service] = held
-	return link.Held{Service: service, Fingerprints: held}, true
+	return link.Quarantine{Service: service, Fingerprints: held}, true
 }
 
 // addCrash records a crash, and sends the quarantine to all followers if it has changed.
@@ -88,13 +88,13 @@
 func (l *Leader) broadcastQuarantine(service string) {
 	if held, changed := l.crashes.quarantineChange(service); changed {
 		l.deps.ReportQuarantine(held)
-		l.sendToAll(&link.Shared{Down: link.Down{Held: &held}})
+		l.sendToAll(&link.Shared{Down: link.Down{Quarantine: &held}})
 	}
 }
 
 // sendQuarantines sends the quarantines of all services to one follower. It must be called with l.mu held.
 func (l *Leader) sendQuarantines(to recipient) {
 	for service, fingerprints := range l.crashes.announced {
-		to.Send(link.Down{Held: &link.Held{Service: service, Fingerprints: fingerprints}})
+		to.Send(link.Down{Quarantine: &link.Quarantine{Service: service, Fingerprints: fingerprints}})
 	}
 }
--- a/entry/leader/demand_test.go
+++ b/entry/leader/demand_test.go
@@ -50,8 +50,8 @@
 				if model.Name == "long" {
 					prompt = 4000
 				}
-				l.Receive("e-1", &follower{}, link.Up{Ask: &link.Ask{
-					Key: asked, Service: "chat", Model: model.Name, Prompt: prompt, Answer: 50, Fingerprint: asked,
+				l.Receive("e-1", &follower{}, link.Up{TurnRequest: &link.TurnRequest{
+					Key: asked, Service: "chat", Model: model.Name, PromptTokens: prompt, OutputTokens: 50, Fingerprint: asked,
 				}})
 			}
 			long, short := l.GroupsNeeded("chat", "long"), l.GroupsNeeded("chat", "short")
--- a/entry/leader/leader.go
+++ b/entry/leader/leader.go
@@ -55,7 +55,7 @@
 	LeaseVersion func() uint64
 	// ReportQuarantine is called when the set of quarantined requests of a service changes: requests that are held back
 	// because they crash servers.
-	ReportQuarantine func(held link.Held)
+	ReportQuarantine func(held link.Quarantine)
 }
 
 // Leader implements link/leader.Handler. It is safe for concurrent use.
@@ -83,7 +83,7 @@
 	newFollowers map[string]bool
 	crashes      *crashTracker
 	// probes holds the channels for the results of indirect probes in progress, by server.
-	probes map[backend.ID]chan link.Seen
+	probes map[backend.ID]chan link.ProbeResult
 }
 
 // recipient is a follower, or this entry itself.
@@ -96,7 +96,7 @@
 func New(deps Deps) *Leader {
 	return &Leader{
 		deps: deps, started: time.Now(), turns: policy.New(policy.DefaultConfig()), followers: make(map[string]recipient),
-		probes: make(map[backend.ID]chan link.Seen), groupsNeeded: make(map[string]float64),
+		probes: make(map[backend.ID]chan link.ProbeResult), groupsNeeded: make(map[string]float64),
 		broadcastUpTo: make(map[store.Kind]store.Version), announced: make(map[string]bool), newFollowers: make(map[string]bool),
 		crashes: newCrashTracker(),
 	}
@@ -235,24 +235,24 @@
 // Receive handles a message from an entry.
 func (l *Leader) Receive(entry string, from recipient, message link.Up) {
 	switch {
-	case message.Turns != nil:
-		l.reconcile(entry, message.Turns.Running)
-	case message.Ask != nil:
-		l.submit(entry, from, *message.Ask)
+	case message.HeldTurns != nil:
+		l.reconcile(entry, message.HeldTurns.Running)
+	case message.TurnRequest != nil:
+		l.submit(entry, from, *message.TurnRequest)
 	case message.Done != nil:
 		l.done(entry, *message.Done)
-	case message.Silent != "":
-		l.suspect(message.Silent)
+	case message.StalledHead != "":
+		l.suspect(message.StalledHead)
 	case message.Config != nil:
 		l.deps.OfferConfig(message.Config.Spec)
-	case message.Seen != nil:
-		l.handleProbeResult(*message.Seen)
+	case message.ProbeResult != nil:
+		l.handleProbeResult(*message.ProbeResult)
 	case message.Crash != nil:
 		l.addCrash(*message.Crash)
 	case message.Cleared != nil:
 		l.clearCrashes(*message.Cleared)
-	case message.Has != 0:
-		l.sendNewerConfig(from, message.Has)
+	case message.ConfigVersion != 0:
+		l.sendNewerConfig(from, message.ConfigVersion)
 	}
 }
 
@@ -271,11 +271,11 @@
 // notLeader tells a follower that this entry is not the leader, so that the follower decides for itself.
 const notLeader = "not-in-charge"
 
-func (l *Leader) submit(entry string, from recipient, request link.Ask) {
+func (l *Leader) submit(entry string, from recipient, request link.TurnRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.leading {
-		from.Send(link.Down{Refuse: &link.Refuse{Key: request.Key, Reason: notLeader}})
+		from.Send(link.Down{Refusal: &link.Refusal{Key: request.Key, Reason: notLeader}})
 		return
 	}
 	tried := make([]string, 0, len(request.Tried))
@@ -285,8 +285,8 @@
 	key := turnKey(entry, request.Key)
 	decisions := l.turns.Submit(l.now(), policy.Request{
 		Key: key, Model: modelKey(request.Service, request.Model),
-		FirstTokenBudget: time.Duration(request.DueMs) * time.Millisecond, MaxWait: time.Duration(request.PatienceMs) * time.Millisecond, Priority: request.Priority, TriedHeads: tried,
-		Retry: request.Returning, Fingerprint: request.Fingerprint, Size: capacity.RequestSize{PromptTokens: float64(request.Prompt), OutputTokens: float64(request.Answer)},
+		FirstTokenBudget: time.Duration(request.FirstTokenBudgetMs) * time.Millisecond, MaxWait: time.Duration(request.MaxWaitMs) * time.Millisecond, Priority: request.Priority, TriedHeads: tried,
+		Retry: request.Retry, Fingerprint: request.Fingerprint, Size: capacity.RequestSize{PromptTokens: float64(request.PromptTokens), OutputTokens: float64(request.OutputTokens)},
 	}, rand.Float64)
 	l.sendDecisions(decisions)
 	if !slices.ContainsFunc(decisions, func(d policy.Decision) bool { return d.Key == key }) {
@@ -295,7 +295,7 @@
 }
 
 // reconcile replaces the turns held by an entry with those that it reports.
-func (l *Leader) reconcile(entry string, held []link.Running) {
+func (l *Leader) reconcile(entry string, held []link.RunningTurn) {
 	heads := make(map[string]string, len(held))
 	for _, running := range held {
 		heads[turnKey(entry, running.Key)] = string(running.Head)
@@ -306,7 +306,7 @@
 }
 
 func (l *Leader) done(entry string, done link.Done) {
-	end := policy.End{Complete: done.Whole, FirstToken: time.Duration(done.FirstMs) * time.Millisecond}
+	end := policy.End{Complete: done.Complete, FirstToken: time.Duration(done.FirstTokenMs) * time.Millisecond}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sendDecisions(l.turns.Done(l.now(), turnKey(entry, done.Key), end, rand.Float64))
@@ -328,7 +328,7 @@
 			to.Send(link.Down{Grant: &link.Grant{Key: key, Head: backend.ID(d.Head), Revision: revision, AgeMs: age.Milliseconds()}})
 			continue
 		}
-		to.Send(link.Down{Refuse: &link.Refuse{
+		to.Send(link.Down{Refusal: &link.Refusal{
 			Key: key, Reason: string(reasons[d.Reason]), RetryAfterMs: d.RetryAfter.Milliseconds(),
 			Detail: fmt.Sprintf("%d run on %d places, %d wait", d.Running, d.Slots, d.Waiting),
 		}})
--- a/entry/leader/leader_test.go
+++ b/entry/leader/leader_test.go
@@ -39,9 +39,9 @@
 }
 
 // configChange returns a change of the configuration between two revisions.
-func configChange(from, to platform.Version, value json.RawMessage) link.News {
+func configChange(from, to platform.Version, value json.RawMessage) link.ChangeSet {
 	object := &platform.Object{Kind: "config", Name: "main", Version: to, Value: value}
-	return link.News{Kind: "config", From: from, To: to, Changes: []link.Change{{Object: object}}}
+	return link.ChangeSet{Kind: "config", From: from, To: to, Changes: []link.Change{{Object: object}}}
 }
 
 // ages is what Deps.Ages returns.
@@ -67,7 +67,7 @@
 		Config:           func() (uint64, json.RawMessage) { return 3, nil },
 		LeaseVersion:     func() uint64 { return 9 },
 		Ages:             func() []link.Age { return ages },
-		ReportQuarantine: func(link.Held) {},
+		ReportQuarantine: func(link.Quarantine) {},
 	})
 }
 
@@ -77,7 +77,7 @@
 		first := &follower{}
 		l.Join("e-1", first, link.Hello{})
 		l.BroadcastRenewal()
-		Expect(first.takeLast().Renewed.Ages).To(Equal(ages))
+		Expect(first.takeLast().Renewal.Ages).To(Equal(ages))
 	})
 
 	It("sends a new follower all live entries, and the others those that joined and left", func() {
@@ -85,13 +85,13 @@
 		first, second := &follower{}, &follower{}
 		l.Join("e-1", first, link.Hello{})
 		l.BroadcastRenewal()
-		Expect(first.takeLast().Renewed).To(Equal(&link.Renewed{Version: 9, ConfigVersion: 3, Live: []string{"e-1"}, Ages: ages}))
+		Expect(first.takeLast().Renewal).To(Equal(&link.Renewal{Version: 9, ConfigVersion: 3, Live: []string{"e-1"}, Ages: ages}))
 		l.Join("e-2", second, link.Hello{})
 		l.BroadcastRenewal()
-		Expect(second.takeLast().Renewed.Live).To(Equal([]string{"e-1", "e-2"}))
-		Expect(first.takeLast().Renewed).To(Equal(&link.Renewed{Version: 9, ConfigVersion: 3, Joined: []string{"e-2"}, Ages: ages}))
+		Expect(second.takeLast().Renewal.Live).To(Equal([]string{"e-1", "e-2"}))
+		Expect(first.takeLast().Renewal).To(Equal(&link.Renewal{Version: 9, ConfigVersion: 3, Joined: []string{"e-2"}, Ages: ages}))
 		l.BroadcastRenewal()
-		Expect(second.takeLast().Renewed).To(Equal(&link.Renewed{Version: 9, ConfigVersion: 3, Ages: ages}))
+		Expect(second.takeLast().Renewal).To(Equal(&link.Renewal{Version: 9, ConfigVersion: 3, Ages: ages}))
 	})
 
 	// The configuration grows by thousands of routes. Broadcast to hundreds of followers, it would occupy the leader's
@@ -110,10 +110,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		l.Broadcast(configChange(5, 6, value))
 		for _, f := range all {
-			Expect(*f.takeLast().News).To(Equal(link.Gap("config", 6)))
+			Expect(*f.takeLast().ChangeSet).To(Equal(link.Gap("config", 6)))
 		}
 		l.Broadcast(configChange(5, 6, json.RawMessage(`{"version":4}`)))
-		Expect(all[0].takeLast().News.Changes).To(HaveLen(1))
+		Expect(all[0].takeLast().ChangeSet.Changes).To(HaveLen(1))
 	})
 
 	// Guards against changes that no follower is sent: entries connect to the next leader before it knows that its
@@ -123,9 +123,9 @@
 		early := &follower{}
 		l.Join("e-1", early, link.Hello{})
 		l.Broadcast(configChange(5, 6, nil))
-		Expect(early.takeLast().News.Changes).To(HaveLen(1))
+		Expect(early.takeLast().ChangeSet.Changes).To(HaveLen(1))
 		l.Broadcast(configChange(8, 9, nil)) // the revisions in between had no changes
-		Expect(early.takeLast().News.From).To(BeEquivalentTo(6))
+		Expect(early.takeLast().ChangeSet.From).To(BeEquivalentTo(6))
 	})
 
 	crash := func(fingerprint, server string) link.Crash {
@@ -144,13 +144,13 @@
 		Expect(first.received).To(BeEmpty())
 		third := crash("poison", "i-3")
 		l.Receive("e-2", second, link.Up{Crash: &third})
-		held := &link.Held{Service: "desk", Fingerprints: []string{"poison"}}
-		Expect(first.takeLast().Held).To(Equal(held))
+		held := &link.Quarantine{Service: "desk", Fingerprints: []string{"poison"}}
+		Expect(first.takeLast().Quarantine).To(Equal(held))
 		late := &follower{}
 		l.Join("e-3", late, link.Hello{})
-		Expect(late.takeLast().Held).To(Equal(held))
+		Expect(late.takeLast().Quarantine).To(Equal(held))
 		l.Receive("e-3", late, link.Up{Cleared: &link.Cleared{Service: "desk", Fingerprint: "poison"}})
-		Expect(first.takeLast().Held.Fingerprints).To(BeEmpty())
+		Expect(first.takeLast().Quarantine.Fingerprints).To(BeEmpty())
 	})
 
 	// The leader that counted the crashes has failed. If its successor started from zero, the request would crash three
@@ -161,6 +161,6 @@
 		l.Join("e-1", first, link.Hello{Crashes: []link.Crash{crash("poison", "i-1"), crash("poison", "i-2")}})
 		Expect(first.received).To(BeEmpty())
 		l.Join("e-2", other, link.Hello{Crashes: []link.Crash{crash("poison", "i-3")}})
-		Expect(first.takeLast().Held.Fingerprints).To(Equal([]string{"poison"}))
+		Expect(first.takeLast().Quarantine.Fingerprints).To(Equal([]string{"poison"}))
 	})
 })
--- a/entry/leader/live.go
+++ b/entry/leader/live.go
@@ -17,7 +17,7 @@
 	version, _ := l.deps.Config()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	message := link.Renewed{
+	message := link.Renewal{
 		Version: l.deps.LeaseVersion(), ConfigVersion: version, Settled: l.leading && time.Since(l.leadingSince) >= settleTime, Ages: l.deps.Ages(),
 	}
 	full := message
@@ -25,8 +25,8 @@
 		full.Live = slices.Sorted(maps.Keys(l.followers))
 	}
 	message.Joined, message.Left = l.liveChanges()
-	shared := &link.Shared{Down: link.Down{Renewed: &message}}
-	sharedFull := &link.Shared{Down: link.Down{Renewed: &full}}
+	shared := &link.Shared{Down: link.Down{Renewal: &message}}
+	sharedFull := &link.Shared{Down: link.Down{Renewal: &full}}
 	for entry, to := range l.followers {
 		if l.newFollowers[entry] {
 			to.SendShared(sharedFull)
--- a/entry/leader/looks.go
+++ b/entry/leader/looks.go
@@ -17,8 +17,8 @@
 
 // ProbeIndirectly asks other entries whether they reach a server, and returns the result of the first that does. A
 // server can be cut off from this entry and from the platform, and still serve requests of other entries.
-func (l *Leader) ProbeIndirectly(ctx context.Context, server *backend.Server) (link.Seen, bool) {
-	answers := make(chan link.Seen, maxProbers)
+func (l *Leader) ProbeIndirectly(ctx context.Context, server *backend.Server) (link.ProbeResult, bool) {
+	answers := make(chan link.ProbeResult, maxProbers)
 	l.mu.Lock()
 	l.probes[server.ID] = answers
 	asked := 0
@@ -26,7 +26,7 @@
 		if asked == maxProbers {
 			break
 		}
-		to.Send(link.Down{Look: &link.Look{Server: server.ID, Address: server.Address}})
+		to.Send(link.Down{Probe: &link.Probe{Server: server.ID, Address: server.Address}})
 		asked++
 	}
 	l.mu.Unlock()
@@ -43,15 +43,15 @@
 				return result, true
 			}
 		case <-timeout:
-			return link.Seen{}, false
+			return link.ProbeResult{}, false
 		case <-ctx.Done():
-			return link.Seen{}, false
+			return link.ProbeResult{}, false
 		}
 	}
-	return link.Seen{}, false
+	return link.ProbeResult{}, false
 }
 
-func (l *Leader) handleProbeResult(result link.Seen) {
+func (l *Leader) handleProbeResult(result link.ProbeResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	answers, ok := l.probes[result.Server]
--- a/entry/leader/news.go
+++ b/entry/leader/news.go
@@ -14,7 +14,7 @@
 		if !ok {
 			news = link.Gap(kind, revision+1)
 		}
-		to.Send(link.Down{News: &news})
+		to.Send(link.Down{ChangeSet: &news})
 	}
 }
 
@@ -33,10 +33,10 @@
 	if len(l.followers) == 0 {
 		return
 	}
-	shared := &link.Shared{Down: link.Down{News: &news}}
+	shared := &link.Shared{Down: link.Down{ChangeSet: &news}}
 	if shared.Size()*len(l.followers) > maxBroadcastBytes {
 		gap := link.Gap(news.Kind, news.To)
-		shared = &link.Shared{Down: link.Down{News: &gap}}
+		shared = &link.Shared{Down: link.Down{ChangeSet: &gap}}
 	}
 	l.sendToAll(shared)
 }
--- a/entry/suspects/suspects.go
+++ b/entry/suspects/suspects.go
@@ -69,14 +69,14 @@
 }
 
 // Take takes the word of the entry in charge on a service, and tells it of what has finished all the same.
-func (w *Watch) Take(held link.Held) {
+func (w *Watch) Take(held link.Quarantine) {
 	for _, fingerprint := range w.take(held) {
 		w.deps.Tell(link.Up{Cleared: &link.Cleared{Service: held.Service, Fingerprint: fingerprint}})
 	}
 }
 
 // take returns what is held back although it finished lately.
-func (w *Watch) take(held link.Held) []string {
+func (w *Watch) take(held link.Quarantine) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	set := make(map[string]bool, len(held.Fingerprints))
--- a/entry/suspects/suspects_test.go
+++ b/entry/suspects/suspects_test.go
@@ -57,11 +57,11 @@
 	It("holds back what the leader says, and tells it of what has finished all the same", func() {
 		Expect(watch.Held("desk", "poison")).To(BeFalse())
 		watch.Finished("desk", "usual")
-		watch.Take(link.Held{Service: "desk", Fingerprints: []string{"poison", "usual"}})
+		watch.Take(link.Quarantine{Service: "desk", Fingerprints: []string{"poison", "usual"}})
 		Expect(watch.Held("desk", "poison")).To(BeTrue())
 		Expect(watch.Held("other", "poison")).To(BeFalse())
 		Expect(told).To(Equal([]link.Up{{Cleared: &link.Cleared{Service: "desk", Fingerprint: "usual"}}}))
-		watch.Take(link.Held{Service: "desk"})
+		watch.Take(link.Quarantine{Service: "desk"})
 		Expect(watch.Held("desk", "poison")).To(BeFalse())
 	})
 })
--- a/entry/turn/remote.go
+++ b/entry/turn/remote.go
@@ -57,11 +57,11 @@
 	if send == nil {
 		return
 	}
-	held := link.Turns{Running: make([]link.Running, 0, len(r.held))}
+	held := link.HeldTurns{Running: make([]link.RunningTurn, 0, len(r.held))}
 	for key, head := range r.held {
-		held.Running = append(held.Running, link.Running{Key: key, Head: head})
+		held.Running = append(held.Running, link.RunningTurn{Key: key, Head: head})
 	}
-	send(link.Up{Turns: &held})
+	send(link.Up{HeldTurns: &held})
 }
 
 // Acquire implements Source.
@@ -105,10 +105,10 @@
 	key := r.lastKey
 	replies := make(chan link.Down, maxReplies)
 	r.pending[key] = replies
-	r.send(link.Up{Ask: &link.Ask{
-		Key: key, Service: request.Service, Model: request.Model, PatienceMs: request.MaxWait.Milliseconds(),
-		Priority: request.Priority, Tried: request.Tried, Returning: request.Retry,
-		Prompt: request.PromptTokens, Answer: request.OutputTokens, DueMs: request.FirstTokenBudget.Milliseconds(), Fingerprint: request.Fingerprint,
+	r.send(link.Up{TurnRequest: &link.TurnRequest{
+		Key: key, Service: request.Service, Model: request.Model, MaxWaitMs: request.MaxWait.Milliseconds(),
+		Priority: request.Priority, Tried: request.Tried, Retry: request.Retry,
+		PromptTokens: request.PromptTokens, OutputTokens: request.OutputTokens, FirstTokenBudgetMs: request.FirstTokenBudget.Milliseconds(), Fingerprint: request.Fingerprint,
 	}})
 	return key, replies
 }
@@ -129,7 +129,7 @@
 
 // resolve converts the leader's decision to a turn or a refusal.
 func (r *Remote) resolve(ctx context.Context, request Request, key uint64, reply link.Down) (*Turn, *Refusal) {
-	if refuse := reply.Refuse; refuse != nil {
+	if refuse := reply.Refusal; refuse != nil {
 		if refuse.RetryAfterMs == 0 {
 			return r.local.Acquire(ctx, request) // that entry is not the leader
 		}
@@ -159,7 +159,7 @@
 		done(result)
 		r.finish(key, result)
 	}
-	t.ReportStall = func() { r.Send(link.Up{Silent: server.ID}) }
+	t.ReportStall = func() { r.Send(link.Up{StalledHead: server.ID}) }
 	return t
 }
 
@@ -169,7 +169,7 @@
 	defer r.mu.Unlock()
 	delete(r.held, key)
 	if r.send != nil {
-		r.send(link.Up{Done: &link.Done{Key: key, Whole: complete, FirstMs: result.TimeToFirstToken.Milliseconds()}})
+		r.send(link.Up{Done: &link.Done{Key: key, Complete: complete, FirstTokenMs: result.TimeToFirstToken.Milliseconds()}})
 	}
 }
 
@@ -202,8 +202,8 @@
 		return
 	case reply.Grant != nil:
 		key = reply.Grant.Key
-	case reply.Refuse != nil:
-		key = reply.Refuse.Key
+	case reply.Refusal != nil:
+		key = reply.Refusal.Key
 	default:
 		return
 	}
--- a/entry/turn/turn_test.go
+++ b/entry/turn/turn_test.go
@@ -57,8 +57,8 @@
 	// leader grants every turn immediately.
 	leader := func(message link.Up) {
 		sent = append(sent, message)
-		if message.Ask != nil {
-			key := message.Ask.Key
+		if message.TurnRequest != nil {
+			key := message.TurnRequest.Key
 			go remote.HandleReply(link.Down{Grant: &link.Grant{Key: key, Head: "head"}})
 		}
 	}
@@ -76,9 +76,9 @@
 		sent = nil
 		remote.Attach(leader)
 		Expect(sent).To(HaveLen(1))
-		Expect(sent[0].Turns.Running).To(Equal([]link.Running{{Key: 2, Head: "head"}}))
+		Expect(sent[0].HeldTurns.Running).To(Equal([]link.RunningTurn{{Key: 2, Head: "head"}}))
 		kept.Done(turn.Result{})
-		Expect(sent[1].Done).To(Equal(&link.Done{Key: 2, Whole: true}))
+		Expect(sent[1].Done).To(Equal(&link.Done{Key: 2, Complete: true}))
 	})
 
 	// The leader dies. The link notices this only after a second, and every request that waits for a reply until then
@@ -115,10 +115,10 @@
 	// send it to a full group.
 	It("waits for its turn once the leader has queued it", func() {
 		remote.Attach(func(message link.Up) {
-			if message.Ask == nil {
+			if message.TurnRequest == nil {
 				return
 			}
-			key := message.Ask.Key
+			key := message.TurnRequest.Key
 			go func() {
 				remote.HandleReply(link.Down{Queued: key})
 				time.Sleep(300 * time.Millisecond)
--- a/link/leader/client.go
+++ b/link/leader/client.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Silent says of what Receive returned that the other side has not been heard for longer than a link lives without a packet.
-func Silent(err error) bool {
+// IsIdleTimeout says of what Receive returned that the other side has not been heard for longer than a link lives without a packet.
+func IsIdleTimeout(err error) bool {
 	var idle *quic.IdleTimeoutError
 	return errors.As(err, &idle)
 }
--- a/link/leader/leader.go
+++ b/link/leader/leader.go
@@ -43,18 +43,18 @@
 
 // Up is what a follower sends. One of its fields is set.
 type Up struct {
-	Hello *Hello `cbor:"1,keyasint,omitempty"`
-	Ask   *Ask   `cbor:"2,keyasint,omitempty"`
-	Done  *Done  `cbor:"3,keyasint,omitempty"`
-	// Silent names a head whose streams have stopped.
-	Silent backend.ID `cbor:"4,keyasint,omitempty"`
-	Config *Config    `cbor:"5,keyasint,omitempty"`
-	// Seen answers a question whether a server can be reached.
-	Seen *Seen `cbor:"6,keyasint,omitempty"`
-	// Has is the version of the configuration that the follower works by.
-	Has uint64 `cbor:"7,keyasint,omitempty"`
-	// Turns are all those that the follower holds. It is sent before anything else that concerns turns.
-	Turns *Turns `cbor:"10,keyasint,omitempty"`
+	Hello       *Hello       `cbor:"1,keyasint,omitempty"`
+	TurnRequest *TurnRequest `cbor:"2,keyasint,omitempty"`
+	Done        *Done        `cbor:"3,keyasint,omitempty"`
+	// StalledHead names a head whose streams have stopped.
+	StalledHead backend.ID `cbor:"4,keyasint,omitempty"`
+	Config      *Config    `cbor:"5,keyasint,omitempty"`
+	// ProbeResult answers a question whether a server can be reached.
+	ProbeResult *ProbeResult `cbor:"6,keyasint,omitempty"`
+	// ConfigVersion is the version of the configuration that the follower works by.
+	ConfigVersion uint64 `cbor:"7,keyasint,omitempty"`
+	// HeldTurns are all those that the follower holds. It is sent before anything else that concerns turns.
+	HeldTurns *HeldTurns `cbor:"10,keyasint,omitempty"`
 	// Crash tells of a request that lost its server, Cleared of one that finished although it is held back.
 	Crash   *Crash   `cbor:"8,keyasint,omitempty"`
 	Cleared *Cleared `cbor:"9,keyasint,omitempty"`
@@ -87,39 +87,39 @@
 	Fingerprint string `cbor:"2,keyasint"`
 }
 
-// Held are all requests of a service that no entry may send to a server.
-type Held struct {
+// Quarantine are all requests of a service that no entry may send to a server.
+type Quarantine struct {
 	Service      string   `cbor:"1,keyasint"`
 	Fingerprints []string `cbor:"2,keyasint,omitempty"`
 }
 
-// Turns are those that a follower holds, given by this leader or an earlier one.
-type Turns struct {
-	Running []Running `cbor:"1,keyasint,omitempty"`
+// HeldTurns are those that a follower holds, given by this leader or an earlier one.
+type HeldTurns struct {
+	Running []RunningTurn `cbor:"1,keyasint,omitempty"`
 }
 
-// Running is one turn.
-type Running struct {
+// RunningTurn is one turn.
+type RunningTurn struct {
 	Key  uint64     `cbor:"1,keyasint"`
 	Head backend.ID `cbor:"2,keyasint"`
 }
 
-// Ask is a request that wants a turn.
-type Ask struct {
+// TurnRequest is a request that wants a turn.
+type TurnRequest struct {
 	Key     uint64 `cbor:"1,keyasint"`
 	Service string `cbor:"2,keyasint"`
 	Model   string `cbor:"3,keyasint"`
-	// PatienceMs is how long it may wait at most.
-	PatienceMs int64        `cbor:"4,keyasint"`
-	Priority   int          `cbor:"5,keyasint,omitempty"`
-	Tried      []backend.ID `cbor:"6,keyasint,omitempty"`
-	// Returning says that the request was sent before.
-	Returning bool `cbor:"7,keyasint,omitempty"`
-	// Prompt and Answer are the tokens of its prompt, and those that its answer is expected to have; 0 if that is not known.
-	Prompt int `cbor:"8,keyasint,omitempty"`
-	Answer int `cbor:"9,keyasint,omitempty"`
-	// DueMs is when the first part of its answer is to be there, from now on; 0 where nothing is lost by waiting longer.
-	DueMs int64 `cbor:"10,keyasint,omitempty"`
+	// MaxWaitMs is how long it may wait at most.
+	MaxWaitMs int64        `cbor:"4,keyasint"`
+	Priority  int          `cbor:"5,keyasint,omitempty"`
+	Tried     []backend.ID `cbor:"6,keyasint,omitempty"`
+	// Retry says that the request was sent before.
+	Retry bool `cbor:"7,keyasint,omitempty"`
+	// PromptTokens and Answer are the tokens of its prompt, and those that its answer is expected to have; 0 if that is not known.
+	PromptTokens int `cbor:"8,keyasint,omitempty"`
+	OutputTokens int `cbor:"9,keyasint,omitempty"`
+	// FirstTokenBudgetMs is when the first part of its answer is to be there, from now on; 0 where nothing is lost by waiting longer.
+	FirstTokenBudgetMs int64 `cbor:"10,keyasint,omitempty"`
 	// Fingerprint is alike for all tries of one request; 0 if there is none.
 	Fingerprint uint64 `cbor:"11,keyasint,omitempty"`
 }
@@ -127,10 +127,10 @@
 // Done ends a turn, or takes back a request that waits.
 type Done struct {
 	Key uint64 `cbor:"1,keyasint"`
-	// Whole says that the answer was given to its end.
-	Whole bool `cbor:"2,keyasint,omitempty"`
-	// FirstMs is what passed from the turn to the first part of the answer; 0 if none came.
-	FirstMs int64 `cbor:"3,keyasint,omitempty"`
+	// Complete says that the answer was given to its end.
+	Complete bool `cbor:"2,keyasint,omitempty"`
+	// FirstTokenMs is what passed from the turn to the first part of the answer; 0 if none came.
+	FirstTokenMs int64 `cbor:"3,keyasint,omitempty"`
 }
 
 // Config is the configuration as the operator wrote it.
@@ -138,8 +138,8 @@
 	Spec json.RawMessage `cbor:"1,keyasint"`
 }
 
-// Seen says whether a server answered the follower.
-type Seen struct {
+// ProbeResult says whether a server answered the follower.
+type ProbeResult struct {
 	Server   backend.ID `cbor:"1,keyasint"`
 	Answered bool       `cbor:"2,keyasint,omitempty"`
 	// Group is what it answered to be in.
@@ -150,20 +150,20 @@
 
 // Down is what the leader sends. One of its fields is set.
 type Down struct {
-	Grant  *Grant  `cbor:"1,keyasint,omitempty"`
-	Refuse *Refuse `cbor:"2,keyasint,omitempty"`
-	Config *Config `cbor:"3,keyasint,omitempty"`
-	// Renewed is the version of the lease, after each renewal.
-	Renewed *Renewed `cbor:"4,keyasint,omitempty"`
-	// Look asks the follower whether it can reach a server.
-	Look *Look `cbor:"5,keyasint,omitempty"`
-	// News are changes of a kind of objects.
-	News *News `cbor:"6,keyasint,omitempty"`
-	Held *Held `cbor:"8,keyasint,omitempty"`
+	Grant   *Grant   `cbor:"1,keyasint,omitempty"`
+	Refusal *Refusal `cbor:"2,keyasint,omitempty"`
+	Config  *Config  `cbor:"3,keyasint,omitempty"`
+	// Renewal is the version of the lease, after each renewal.
+	Renewal *Renewal `cbor:"4,keyasint,omitempty"`
+	// Probe asks the follower whether it can reach a server.
+	Probe *Probe `cbor:"5,keyasint,omitempty"`
+	// ChangeSet are changes of a kind of objects.
+	ChangeSet  *ChangeSet  `cbor:"6,keyasint,omitempty"`
+	Quarantine *Quarantine `cbor:"8,keyasint,omitempty"`
 	// Queued is the key of a request that waits for its turn; 0 for none.
 	Queued uint64 `cbor:"9,keyasint,omitempty"`
-	// Packed is one of the above, compressed.
-	Packed []byte `cbor:"7,keyasint,omitempty"`
+	// Compressed is one of the above, compressed.
+	Compressed []byte `cbor:"7,keyasint,omitempty"`
 }
 
 // Grant is a turn.
@@ -175,16 +175,16 @@
 	AgeMs    int64  `cbor:"4,keyasint,omitempty"`
 }
 
-// Refuse turns a request away.
-type Refuse struct {
+// Refusal turns a request away.
+type Refusal struct {
 	Key          uint64 `cbor:"1,keyasint"`
 	Reason       string `cbor:"2,keyasint"`
 	RetryAfterMs int64  `cbor:"3,keyasint"`
 	Detail       string `cbor:"4,keyasint"`
 }
 
-// Renewed tells that the leader holds the lease, and which entries it hears from.
-type Renewed struct {
+// Renewal tells that the leader holds the lease, and which entries it hears from.
+type Renewal struct {
 	Version uint64 `cbor:"1,keyasint"`
 	// Live are all entries that it hears from, for a follower that was not told yet; Joined and Left are those that changed since.
 	// With hundreds of entries, all names at each change would be most of what the leader sends.
@@ -205,8 +205,8 @@
 	Ms   int64         `cbor:"2,keyasint,omitempty"`
 }
 
-// Look is a question about a server.
-type Look struct {
+// Probe is a question about a server.
+type Probe struct {
 	Server  backend.ID `cbor:"1,keyasint"`
 	Address string     `cbor:"2,keyasint"`
 }
--- a/link/leader/leader_test.go
+++ b/link/leader/leader_test.go
@@ -108,13 +108,13 @@
 			link, err := dial(name, "token", identity.Fingerprint())
 			Expect(err).NotTo(HaveOccurred())
 			go func() { _ = link.Receive(func(down leader.Down) { received <- down }) }()
-			link.Send(leader.Up{Ask: &leader.Ask{Key: 7, Service: "s", Model: "m", PatienceMs: 200, Returning: true}})
+			link.Send(leader.Up{TurnRequest: &leader.TurnRequest{Key: 7, Service: "s", Model: "m", MaxWaitMs: 200, Retry: true}})
 		}
 		Eventually(h.joined, waitFor).Should(Equal(2))
 		Eventually(h.asks, waitFor).Should(HaveLen(2))
-		Expect(*h.asks()[0].Ask).To(Equal(leader.Ask{Key: 7, Service: "s", Model: "m", PatienceMs: 200, Returning: true}))
-		news := leader.Down{News: &leader.News{Kind: "servers", From: 3, To: 5, Changes: []leader.Change{
-			{Gone: &leader.Gone{Server: "i-1", Version: 5}}, {Server: &backend.Server{ID: "i-2", Service: "s", Address: "10.0.0.1:1", Revision: 4}},
+		Expect(*h.asks()[0].TurnRequest).To(Equal(leader.TurnRequest{Key: 7, Service: "s", Model: "m", MaxWaitMs: 200, Retry: true}))
+		news := leader.Down{ChangeSet: &leader.ChangeSet{Kind: "servers", From: 3, To: 5, Changes: []leader.Change{
+			{Removal: &leader.Removal{Server: "i-1", Version: 5}}, {Server: &backend.Server{ID: "i-2", Service: "s", Address: "10.0.0.1:1", Revision: 4}},
 		}}}
 		shared := &leader.Shared{Down: news}
 		for _, follower := range h.followers {
@@ -142,7 +142,7 @@
 				Group: backend.Membership{GroupKey: backend.GroupKey{Name: "the group", Epoch: 7}, Rank: i, State: backend.GroupReady}, Revision: 5,
 			}})
 		}
-		news := leader.Down{News: &leader.News{Kind: "servers", From: 3, To: 5, Changes: changes}}
+		news := leader.Down{ChangeSet: &leader.ChangeSet{Kind: "servers", From: 3, To: 5, Changes: changes}}
 		shared := &leader.Shared{Down: news}
 		Expect(shared.Size()).To(BeNumerically("<", 200*30))
 		h.followers["a"].SendShared(shared)
@@ -172,9 +172,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(h.joined, waitFor).Should(Equal(2))
 		h.followers["b"].Close("over")
-		Expect(leader.Silent(ended.Receive(func(leader.Down) {}))).To(BeFalse())
+		Expect(leader.IsIdleTimeout(ended.Receive(func(leader.Down) {}))).To(BeFalse())
 		Expect(socket.Close()).To(Succeed())
-		Expect(leader.Silent(silent.Receive(func(leader.Down) {}))).To(BeTrue())
+		Expect(leader.IsIdleTimeout(silent.Receive(func(leader.Down) {}))).To(BeTrue())
 	})
 
 	It("tells when a follower has gone", func() {
--- a/link/leader/pack.go
+++ b/link/leader/pack.go
@@ -35,7 +35,7 @@
 	if buffer.Len() >= len(plain) {
 		return plain, nil
 	}
-	return cbor.Marshal(Down{Packed: buffer.Bytes()})
+	return cbor.Marshal(Down{Compressed: buffer.Bytes()})
 }
 
 // compressors are kept, since one holds half a megabyte, which an entry would otherwise allocate for each change.
@@ -59,10 +59,10 @@
 
 // unpack returns the message that lies in a packed one.
 func unpack(message Down) (Down, error) {
-	if message.Packed == nil {
+	if message.Compressed == nil {
 		return message, nil
 	}
-	reader := flate.NewReader(bytes.NewReader(message.Packed))
+	reader := flate.NewReader(bytes.NewReader(message.Compressed))
 	plain, err := io.ReadAll(io.LimitReader(reader, unpackedMost+1))
 	if err != nil {
 		return Down{}, eris.Wrap(err, "unpacking a message")
