--- a/link/leader/client.go
+++ b/link/leader/client.go
@@ -11,16 +11,19 @@
 	"github.com/skylarkpond/skylarkpond/link/peer"
 )
 
-// Link is a follower's side of a link.
+// Link is a follower's end of a connection to the leader.
 type Link struct{ stream *stream }
 
-// pinned trusts one certificate.
-type pinned string
+// pinnedFingerprint trusts only the certificate with this fingerprint.
+type pinnedFingerprint string
 
 // Trusted implements peer.Trust.
-func (p pinned) Trusted(fingerprint string) (string, bool) { return "leader", fingerprint == string(p) }
+func (p pinnedFingerprint) Trusted(fingerprint string) (string, bool) {
+	return "leader", fingerprint == string(p)
+}
 
-// Dial links to the leader at address, whose certificate has the fingerprint, and sends hello.
+// Dial connects to the leader at address, whose certificate must have the fingerprint, and sends hello. The local
+// address is source.
 func Dial(ctx context.Context, identity *peer.Identity, source net.IP, address, fingerprint string, hello Hello) (*Link, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -32,7 +35,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "socket")
 	}
-	conn, err := quic.Dial(ctx, socket, to, peer.TLSConfig(identity, pinned(fingerprint), protocol), config())
+	conn, err := quic.Dial(ctx, socket, to, peer.TLSConfig(identity, pinnedFingerprint(fingerprint), protocol), config())
 	if err != nil {
 		_ = socket.Close()
 		return nil, eris.Wrap(err, "dialling the leader")
@@ -48,10 +51,10 @@
 	return link, nil
 }
 
-// Send queues a message. It never blocks; a link that can't keep up ends.
+// Send queues a message. It never blocks: a link whose queue is full is closed.
 func (l *Link) Send(message Up) { l.stream.send(message) }
 
-// Receive hands each message to handle until the link ends.
+// Receive calls handle with each message until the link ends, and returns the reason.
 func (l *Link) Receive(handle func(Down)) error {
 	decoder, err := l.stream.decoder()
 	if err != nil {
@@ -62,19 +65,20 @@
 		if err := decoder.Decode(&message); err != nil {
 			return eris.Wrap(err, "link to the leader")
 		}
-		unpacked, err := unpack(message)
+		decompressed, err := decompress(message)
 		if err != nil {
 			return err
 		}
-		handle(unpacked)
+		handle(decompressed)
 	}
 }
 
-// IsIdleTimeout says of what Receive returned that the other side has not been heard for longer than a link lives without a packet.
+// IsIdleTimeout reports whether an error of Receive means that nothing was received from the leader for longer than the
+// idle timeout.
 func IsIdleTimeout(err error) bool {
 	var idle *quic.IdleTimeoutError
 	return errors.As(err, &idle)
 }
 
-// Close ends the link.
+// Close closes the link.
 func (l *Link) Close(reason string) { l.stream.close(reason) }
--- a/link/leader/leader_test.go
+++ b/link/leader/leader_test.go
@@ -17,48 +17,48 @@
 
 func TestLeader(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "links to the entry in charge")
+	RunSpecs(t, "Link to the leader")
 }
 
-// hub notes what comes over the links.
-type hub struct {
+// recordingHandler records followers and their messages.
+type recordingHandler struct {
 	mu        sync.Mutex
 	followers map[string]*leader.Follower
 	received  []leader.Up
 	left      []string
 }
 
-func (h *hub) Joined(follower *leader.Follower, _ leader.Hello) {
+func (h *recordingHandler) Joined(follower *leader.Follower, _ leader.Hello) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.followers[follower.Entry] = follower
 }
 
-func (h *hub) Received(_ *leader.Follower, message leader.Up) {
+func (h *recordingHandler) Received(_ *leader.Follower, message leader.Up) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.received = append(h.received, message)
 }
 
-func (h *hub) Left(follower *leader.Follower) {
+func (h *recordingHandler) Left(follower *leader.Follower) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.left = append(h.left, follower.Entry)
 }
 
-func (h *hub) joined() int {
+func (h *recordingHandler) joined() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.followers)
 }
 
-func (h *hub) gone() []string {
+func (h *recordingHandler) departed() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]string(nil), h.left...)
 }
 
-func (h *hub) asks() []leader.Up {
+func (h *recordingHandler) messages() []leader.Up {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]leader.Up(nil), h.received...)
@@ -68,14 +68,14 @@
 
 var _ = Describe("Link", func() {
 	var (
-		h        *hub
+		h        *recordingHandler
 		ctx      context.Context
 		address  string
 		identity *peer.Identity
 		socket   net.PacketConn
 	)
 	BeforeEach(func() {
-		h = &hub{followers: make(map[string]*leader.Follower)}
+		h = &recordingHandler{followers: make(map[string]*leader.Follower)}
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithCancel(context.Background())
 		var err error
@@ -102,7 +102,7 @@
 		return leader.Dial(ctx, own, net.IPv4(127, 0, 0, 1), address, fingerprint, leader.Hello{Entry: name, Token: token})
 	}
 
-	It("carries messages both ways, and one to all as it is", func() {
+	It("carries messages in both directions, and shared messages unchanged", func() {
 		received := make(chan leader.Down, 10)
 		for _, name := range []string{"a", "b"} {
 			link, err := dial(name, "token", identity.Fingerprint())
@@ -111,8 +111,8 @@
 			link.Send(leader.Up{TurnRequest: &leader.TurnRequest{Key: 7, Service: "s", Model: "m", MaxWaitMs: 200, Retry: true}})
 		}
 		Eventually(h.joined, waitFor).Should(Equal(2))
-		Eventually(h.asks, waitFor).Should(HaveLen(2))
-		Expect(*h.asks()[0].TurnRequest).To(Equal(leader.TurnRequest{Key: 7, Service: "s", Model: "m", MaxWaitMs: 200, Retry: true}))
+		Eventually(h.messages, waitFor).Should(HaveLen(2))
+		Expect(*h.messages()[0].TurnRequest).To(Equal(leader.TurnRequest{Key: 7, Service: "s", Model: "m", MaxWaitMs: 200, Retry: true}))
 		news := leader.Down{ChangeSet: &leader.ChangeSet{Kind: "servers", From: 3, To: 5, Changes: []leader.Change{
 			{Removal: &leader.Removal{Server: "i-1", Version: 5}}, {Server: &backend.Server{ID: "i-2", Service: "s", Address: "10.0.0.1:1", Revision: 4}},
 		}}}
@@ -127,9 +127,9 @@
 		Eventually(received, waitFor).Should(Receive(HaveField("Grant.Head", BeEquivalentTo("i-1"))))
 	})
 
-	// A configuration, or the news of a whole fabric domain, goes to hundreds of followers. Sent as it is, it fills the leader's link, whose
-	// links then time out.
-	It("compresses what is long", func() {
+	// A configuration, or the changes of a whole fabric domain, are sent to hundreds of followers. Uncompressed, they
+	// would fill the leader's link, and its links to followers would time out.
+	It("compresses long messages", func() {
 		received := make(chan leader.Down, 1)
 		link, err := dial("a", "token", identity.Fingerprint())
 		Expect(err).NotTo(HaveOccurred())
@@ -149,23 +149,23 @@
 		Eventually(received, waitFor).Should(Receive(Equal(news)))
 	})
 
-	// A process that is none of ours reaches the port. Let in, it could take turns and pass on configurations of its own.
-	It("lets in nobody who does not know the lease's token", func() {
+	// An unrelated process reaches the port. If it were accepted, it could take turns and distribute configurations.
+	It("rejects followers without the lease's token", func() {
 		link, err := dial("stranger", "guess", identity.Fingerprint())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(link.Receive(func(leader.Down) {})).NotTo(Succeed())
 		Expect(h.joined()).To(BeZero())
 	})
 
-	// Another process has taken the leader's address. Its orders and configurations must not be taken for the leader's.
-	It("trusts no other certificate than the one in the lease", func() {
+	// Another process has taken over the leader's address. Its messages must not be accepted as the leader's.
+	It("trusts only the certificate in the lease", func() {
 		_, err := dial("a", "token", "0000")
 		Expect(err).To(HaveOccurred())
 		Expect(h.joined()).To(BeZero())
 	})
 
-	// The leader's VM loses power. Nothing says so, but that nothing comes any more.
-	It("tells a leader that fell silent from one that ended the link", func() {
+	// The leader's VM loses power. The only sign is that nothing is received any more.
+	It("distinguishes an idle timeout from a link closed by the leader", func() {
 		silent, err := dial("a", "token", identity.Fingerprint())
 		Expect(err).NotTo(HaveOccurred())
 		ended, err := dial("b", "token", identity.Fingerprint())
@@ -177,11 +177,11 @@
 		Expect(leader.IsIdleTimeout(silent.Receive(func(leader.Down) {}))).To(BeTrue())
 	})
 
-	It("tells when a follower has gone", func() {
+	It("reports a follower that has left", func() {
 		link, err := dial("a", "token", identity.Fingerprint())
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(h.joined, waitFor).Should(Equal(1))
 		link.Close("over")
-		Eventually(h.gone, waitFor).Should(Equal([]string{"a"}))
+		Eventually(h.departed, waitFor).Should(Equal([]string{"a"}))
 	})
 })
--- a/link/leader/news.go
+++ b/link/leader/news.go
@@ -5,8 +5,8 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// ChangeSet is what happened to a kind between two revisions. From is 0 where changes are missing, so that a follower has to read the
-// kind for itself.
+// ChangeSet holds the changes of a kind of objects between two revisions. From is 0 if changes are missing, so that a
+// follower has to read the objects itself.
 type ChangeSet struct {
 	Kind    platform.Kind    `cbor:"1,keyasint"`
 	From    platform.Version `cbor:"2,keyasint"`
@@ -14,25 +14,26 @@
 	Changes []Change         `cbor:"4,keyasint,omitempty"`
 }
 
-// Gap returns news that only say that there is something to read.
+// Gap returns a change set that only states that there is something to read.
 func Gap(kind platform.Kind, to platform.Version) ChangeSet { return ChangeSet{Kind: kind, To: to} }
 
-// Change is the change of one object. One of its fields is set.
+// Change is the change of one object. Exactly one field is set.
 type Change struct {
 	Object *platform.Object `cbor:"1,keyasint,omitempty"`
-	// Server is a registration that was written. It takes a fifth of the bytes of its object, and is decoded by one entry for all.
+	// Server is a registration that was written. It takes a fifth of the bytes of its object, and is decoded once by
+	// the leader instead of by each entry.
 	Server *backend.Server `cbor:"2,keyasint,omitempty"`
-	// Removal is a registration that ended, or that names no server to use any more.
+	// Removal is a registration that ended, or that no longer names a usable server.
 	Removal *Removal `cbor:"3,keyasint,omitempty"`
 }
 
-// Removal names a registration that ended.
+// Removal identifies a registration that ended.
 type Removal struct {
 	Server  backend.ID       `cbor:"1,keyasint"`
 	Version platform.Version `cbor:"2,keyasint"`
 }
 
-// Version is the revision of the change.
+// Version returns the revision of the change.
 func (c Change) Version() platform.Version {
 	switch {
 	case c.Server != nil:
@@ -45,7 +46,7 @@
 	return 0
 }
 
-// Name is the name of the object that changed.
+// Name returns the name of the changed object.
 func (c Change) Name() string {
 	switch {
 	case c.Server != nil:
@@ -58,5 +59,5 @@
 	return ""
 }
 
-// IsRemoval says that the object is no more.
+// IsRemoval reports whether the object was removed.
 func (c Change) IsRemoval() bool { return c.Removal != nil || (c.Object != nil && c.Object.Deleted) }
--- a/link/leader/pack.go
+++ b/link/leader/pack.go
@@ -10,22 +10,23 @@
 	"github.com/rotisserie/eris"
 )
 
-// Messages are compressed from packFrom bytes on. When a fabric domain comes back, one change after another says nearly the same of some forty
-// VMs, and each of hundreds of followers is told: uncompressed, that fills the leader's link, its links time out, and every
-// follower starts anew.
+// Messages of compressThreshold bytes or more are compressed. When a fabric domain recovers, successive changes are
+// nearly the same for some forty VMs, and each of hundreds of followers is sent all of them. Uncompressed, they would
+// fill the leader's link: its links to followers would time out, and every follower would start anew.
 const (
-	packFrom = 256
-	// unpackedMost bounds what a message may grow to. The platform holds no object above 1 MB, and news hold some.
-	unpackedMost = 16 << 20
+	compressThreshold = 256
+	// maxDecompressedSize limits the size of a message after decompression. The platform's objects are at most 1 MB,
+	// and a change set holds several.
+	maxDecompressedSize = 16 << 20
 )
 
-// errUnpacked is a message that is larger than any that the leader sends.
-var errUnpacked = eris.New("a packed message is too large")
+// errTooLarge reports a message that is larger than any that the leader sends.
+var errTooLarge = eris.New("decompressed message is too large")
 
-// packed encodes a message, compressed where that makes it shorter.
-func packed(message Down) ([]byte, error) {
+// encodeDown encodes a message, in compressed form if that is shorter.
+func encodeDown(message Down) ([]byte, error) {
 	plain, err := cbor.Marshal(message)
-	if err != nil || len(plain) < packFrom {
+	if err != nil || len(plain) < compressThreshold {
 		return plain, err
 	}
 	var buffer bytes.Buffer
@@ -38,7 +39,7 @@
 	return cbor.Marshal(Down{Compressed: buffer.Bytes()})
 }
 
-// compressors are kept, since one holds half a megabyte, which an entry would otherwise allocate for each change.
+// compressors are reused: each holds half a megabyte, which would otherwise be allocated for every change.
 var compressors sync.Pool
 
 func compress(to io.Writer, plain []byte) error {
@@ -57,22 +58,22 @@
 	return writer.Close()
 }
 
-// unpack returns the message that lies in a packed one.
-func unpack(message Down) (Down, error) {
+// decompress returns the message contained in a compressed one, or message itself if it is not compressed.
+func decompress(message Down) (Down, error) {
 	if message.Compressed == nil {
 		return message, nil
 	}
 	reader := flate.NewReader(bytes.NewReader(message.Compressed))
-	plain, err := io.ReadAll(io.LimitReader(reader, unpackedMost+1))
+	plain, err := io.ReadAll(io.LimitReader(reader, maxDecompressedSize+1))
 	if err != nil {
-		return Down{}, eris.Wrap(err, "unpacking a message")
+		return Down{}, eris.Wrap(err, "decompressing a message")
 	}
-	if len(plain) > unpackedMost {
-		return Down{}, errUnpacked
+	if len(plain) > maxDecompressedSize {
+		return Down{}, errTooLarge
 	}
 	var inner Down
 	if err := cbor.Unmarshal(plain, &inner); err != nil {
-		return Down{}, eris.Wrap(err, "decoding a packed message")
+		return Down{}, eris.Wrap(err, "decoding a decompressed message")
 	}
 	return inner, nil
 }
--- a/link/leader/server.go
+++ b/link/leader/server.go
@@ -10,50 +10,51 @@
 	"github.com/skylarkpond/skylarkpond/link/peer"
 )
 
-// Handler is what a Server tells. Its methods are called for one follower in order, for several at once.
+// Handler handles the events of a Server. Its methods are called in order for one follower, and concurrently for
+// several.
 type Handler interface {
 	Joined(follower *Follower, hello Hello)
 	Received(follower *Follower, message Up)
 	Left(follower *Follower)
 }
 
-// Server takes the links of followers. It does so also while this entry is not in charge, since a follower may have read the lease
-// before this entry knows that it holds it.
+// Server accepts the links of followers. It does so even while this entry is not the leader, since a follower may have
+// read the lease before this entry knows that it holds it.
 type Server struct {
 	identity *peer.Identity
 	token    string
 	handler  Handler
 }
 
-// NewServer returns a server that lets in whoever shows token.
+// NewServer returns a Server that accepts followers which present the token.
 func NewServer(identity *peer.Identity, token string, handler Handler) *Server {
 	return &Server{identity: identity, token: token, handler: handler}
 }
 
-// Follower is one linked entry.
+// Follower is a linked entry.
 type Follower struct {
 	Entry  string
 	stream *stream
 }
 
-// Send queues a message. It never blocks; a link that can't keep up ends.
+// Send queues a message. It never blocks: a link whose queue is full is closed.
 func (f *Follower) Send(message Down) { f.stream.send(message) }
 
-// SendShared queues a message that other followers get as well.
+// SendShared queues a message that is sent to several followers.
 func (f *Follower) SendShared(message *Shared) { f.stream.send(message) }
 
-// Close ends the link.
+// Close closes the link.
 func (f *Follower) Close(reason string) { f.stream.close(reason) }
 
-// anyone lets any certificate pass; the token decides.
-type anyone struct{}
+// anyCertificate trusts any certificate; followers are authenticated by the token.
+type anyCertificate struct{}
 
 // Trusted implements peer.Trust.
-func (anyone) Trusted(fingerprint string) (string, bool) { return fingerprint, true }
+func (anyCertificate) Trusted(fingerprint string) (string, bool) { return fingerprint, true }
 
-// Serve takes links at socket until ctx ends.
+// Serve accepts links on socket until ctx ends.
 func (s *Server) Serve(ctx context.Context, socket net.PacketConn) error {
-	listener, err := quic.Listen(socket, peer.TLSConfig(s.identity, anyone{}, protocol), config())
+	listener, err := quic.Listen(socket, peer.TLSConfig(s.identity, anyCertificate{}, protocol), config())
 	if err != nil {
 		return eris.Wrap(err, "listening for followers")
 	}
@@ -84,7 +85,7 @@
 	}
 	var first Up
 	if decoder.Decode(&first) != nil || first.Hello == nil || first.Hello.Token != s.token {
-		return // not one of ours
+		return // not authenticated
 	}
 	follower := &Follower{Entry: first.Hello.Entry, stream: stream}
 	s.handler.Joined(follower, *first.Hello)
@@ -92,7 +93,7 @@
 	for {
 		var message Up
 		if decoder.Decode(&message) != nil {
-			return // the link is over; Left tells
+			return // the link has ended, which Left reports
 		}
 		s.handler.Received(follower, message)
 	}
--- a/link/leader/stream.go
+++ b/link/leader/stream.go
@@ -9,20 +9,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// errOverrun ends a link whose other side does not read.
-var errOverrun = eris.New("too many messages wait for the link")
+// errQueueFull closes a link whose other side does not read.
+var errQueueFull = eris.New("too many messages wait for the link")
 
 // stream sends and receives items on one connection.
 type stream struct {
-	conn  *quic.Conn
-	raw   *quic.Stream
-	queue chan any
-	once  sync.Once
+	conn       *quic.Conn
+	quicStream *quic.Stream
+	queue      chan any
+	once       sync.Once
 }
 
-func newStream(conn *quic.Conn, raw *quic.Stream) *stream {
-	s := &stream{conn: conn, raw: raw, queue: make(chan any, queueSize)}
-	go s.write()
+func newStream(conn *quic.Conn, quicStream *quic.Stream) *stream {
+	s := &stream{conn: conn, quicStream: quicStream, queue: make(chan any, queueSize)}
+	go s.writeLoop()
 	return s
 }
 
@@ -32,11 +32,11 @@
 	case s.queue <- item:
 	case <-s.conn.Context().Done():
 	default:
-		s.close(errOverrun.Error())
+		s.close(errQueueFull.Error())
 	}
 }
 
-func (s *stream) write() {
+func (s *stream) writeLoop() {
 	for {
 		select {
 		case <-s.conn.Context().Done():
@@ -49,7 +49,7 @@
 	}
 }
 
-// writeBatch writes an item and those that wait behind it at once, which makes one packet of them.
+// writeBatch writes an item together with those queued behind it, so that they share packets.
 func (s *stream) writeBatch(item any) bool {
 	var batch []byte
 	for more := true; more; {
@@ -65,14 +65,14 @@
 			more = false
 		}
 	}
-	if _, err := s.raw.Write(batch); err != nil {
+	if _, err := s.quicStream.Write(batch); err != nil {
 		s.close(err.Error())
 		return false
 	}
 	return true
 }
 
-// Shared is a message to many followers, encoded once however many they are.
+// Shared is a message for several followers that is encoded only once.
 type Shared struct {
 	Down
 	once    sync.Once
@@ -80,14 +80,14 @@
 	err     error
 }
 
-// Size is how many bytes each follower gets.
+// Size returns the number of bytes sent to each follower.
 func (s *Shared) Size() int {
 	s.encode()
 	return len(s.encoded)
 }
 
 func (s *Shared) encode() {
-	s.once.Do(func() { s.encoded, s.err = packed(s.Down) })
+	s.once.Do(func() { s.encoded, s.err = encodeDown(s.Down) })
 }
 
 func encode(item any) ([]byte, error) {
@@ -96,18 +96,18 @@
 		item.encode()
 		return item.encoded, item.err
 	case Down:
-		return packed(item)
+		return encodeDown(item)
 	}
 	return cbor.Marshal(item)
 }
 
-// decoder reads the items of the other side.
+// decoder returns a decoder for the items of the other side.
 func (s *stream) decoder() (*cbor.Decoder, error) {
 	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 12}.DecMode()
 	if err != nil {
 		return nil, err
 	}
-	return mode.NewDecoder(io.Reader(s.raw)), nil
+	return mode.NewDecoder(io.Reader(s.quicStream)), nil
 }
 
 func (s *stream) close(reason string) {
