--- a/entry/leader/crashes.go
+++ b/entry/leader/crashes.go
@@ -49,9 +49,9 @@
 // quarantined returns the fingerprints of the quarantined requests of a service in sorted order.
 func (c *crashTracker) quarantined(service string) []string {
 	var fingerprints []string
-	for _, held := range c.register(service).Held(time.Now()) {
-		if held.Verdict == quarantine.Quarantined {
-			fingerprints = append(fingerprints, held.Fingerprint)
+	for _, request := range c.register(service).Held(time.Now()) {
+		if request.Verdict == quarantine.Quarantined {
+			fingerprints = append(fingerprints, request.Fingerprint)
 		}
 	}
 	slices.Sort(fingerprints)
@@ -60,12 +60,12 @@
 
 // quarantineChange returns the quarantine of a service, and whether it differs from what the followers were last sent.
 func (c *crashTracker) quarantineChange(service string) (link.Quarantine, bool) {
-	held := c.quarantined(service)
-	if slices.Equal(held, c.announced[service]) {
+	quarantined := c.quarantined(service)
+	if slices.Equal(quarantined, c.announced[service]) {
 		return link.Quarantine{}, false
 	}
-	c.announced[service] = held
-	return link.Quarantine{Service: service, Fingerprints: held}, true
+	c.announced[service] = quarantined
+	return link.Quarantine{Service: service, Fingerprints: quarantined}, true
 }
 
 // addCrash records a crash, and sends the quarantine to all followers if it has changed.
@@ -86,9 +86,9 @@
 
 // broadcastQuarantine must be called with l.mu held.
 func (l *Leader) broadcastQuarantine(service string) {
-	if held, changed := l.crashes.quarantineChange(service); changed {
-		l.deps.ReportQuarantine(held)
-		l.sendToAll(&link.Shared{Down: link.Down{Quarantine: &held}})
+	if quarantined, changed := l.crashes.quarantineChange(service); changed {
+		l.deps.ReportQuarantine(quarantined)
+		l.sendToAll(&link.Shared{Down: link.Down{Quarantine: &quarantined}})
 	}
 }
 
--- a/entry/leader/leader.go
+++ b/entry/leader/leader.go
@@ -55,7 +55,7 @@
 	LeaseVersion func() uint64
 	// ReportQuarantine is called when the set of quarantined requests of a service changes: requests that are held back
 	// because they crash servers.
-	ReportQuarantine func(held link.Quarantine)
+	ReportQuarantine func(quarantine link.Quarantine)
 }
 
 // Leader implements link/leader.Handler. It is safe for concurrent use.
--- a/entry/leader/news.go
+++ b/entry/leader/news.go
@@ -10,32 +10,32 @@
 // reads the objects from the platform.
 func (l *Leader) catchUp(to recipient, revisions map[store.Kind]store.Version) {
 	for kind, revision := range revisions {
-		news, ok := l.deps.ChangesSince(kind, revision)
+		changes, ok := l.deps.ChangesSince(kind, revision)
 		if !ok {
-			news = link.Gap(kind, revision+1)
+			changes = link.Gap(kind, revision+1)
 		}
-		to.Send(link.Down{ChangeSet: &news})
+		to.Send(link.Down{ChangeSet: &changes})
 	}
 }
 
 // Broadcast sends changes that this entry's watch returned to all followers. Followers may connect before this entry
 // knows that it holds the lease, so it also broadcasts before it is leading.
-func (l *Leader) Broadcast(news catalog.News) {
-	if len(news.Changes) == 0 && news.From != 0 {
+func (l *Leader) Broadcast(changes catalog.News) {
+	if len(changes.Changes) == 0 && changes.From != 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if passed := l.broadcastUpTo[news.Kind]; passed > 0 {
-		news.From = min(news.From, passed) // there were no changes in between, so that nothing was broadcast
+	if previous := l.broadcastUpTo[changes.Kind]; previous > 0 {
+		changes.From = min(changes.From, previous) // there were no changes in between, so that nothing was broadcast
 	}
-	l.broadcastUpTo[news.Kind] = news.To
+	l.broadcastUpTo[changes.Kind] = changes.To
 	if len(l.followers) == 0 {
 		return
 	}
-	shared := &link.Shared{Down: link.Down{ChangeSet: &news}}
+	shared := &link.Shared{Down: link.Down{ChangeSet: &changes}}
 	if shared.Size()*len(l.followers) > maxBroadcastBytes {
-		gap := link.Gap(news.Kind, news.To)
+		gap := link.Gap(changes.Kind, changes.To)
 		shared = &link.Shared{Down: link.Down{ChangeSet: &gap}}
 	}
 	l.sendToAll(shared)
--- a/entry/turn/remote.go
+++ b/entry/turn/remote.go
@@ -129,13 +129,13 @@
 
 // resolve converts the leader's decision to a turn or a refusal.
 func (r *Remote) resolve(ctx context.Context, request Request, key uint64, reply link.Down) (*Turn, *Refusal) {
-	if refuse := reply.Refusal; refuse != nil {
-		if refuse.RetryAfterMs == 0 {
+	if refusal := reply.Refusal; refusal != nil {
+		if refusal.RetryAfterMs == 0 {
 			return r.local.Acquire(ctx, request) // that entry is not the leader
 		}
 		return nil, &Refusal{
-			Reason: Reason(refuse.Reason), RetryAfter: time.Duration(refuse.RetryAfterMs) * time.Millisecond,
-			Detail: "leader: " + refuse.Detail,
+			Reason: Reason(refusal.Reason), RetryAfter: time.Duration(refusal.RetryAfterMs) * time.Millisecond,
+			Detail: "leader: " + refusal.Detail,
 		}
 	}
 	server := r.listing().Servers[reply.Grant.Head]
