--- a/entry/catalog/catalog_test.go
+++ b/entry/catalog/catalog_test.go
@@ -248,7 +248,7 @@
 		f.api.Write("servers", "i-2", replica.Registered("t"))
 		f.api.Delete("servers", "i-1")
 		f.api.Set(objects.Faults{})
-		Eventually(f.serversSince(since), waitFor).Should(ConsistOf(HaveField("Server.Service", "t"), HaveField("Gone.Server", BeEquivalentTo("i-1"))))
+		Eventually(f.serversSince(since), waitFor).Should(ConsistOf(HaveField("Server.Service", "t"), HaveField("Removal.Server", BeEquivalentTo("i-1"))))
 	})
 
 	// The platform drops its history between two watches of the leader. If the leader only announced a gap, each of hundreds
@@ -267,7 +267,7 @@
 		f.api.Compact()
 		f.api.Set(objects.Faults{})
 		Eventually(f.serversSince(since), waitFor).Should(ConsistOf(
-			HaveField("Server.Service", "t"), HaveField("Server.ID", BeEquivalentTo("i-4")), HaveField("Gone.Server", BeEquivalentTo("i-1"))))
+			HaveField("Server.Service", "t"), HaveField("Server.ID", BeEquivalentTo("i-4")), HaveField("Removal.Server", BeEquivalentTo("i-1"))))
 		reported := store.Version(0)
 		for len(f.news) > 0 {
 			news := <-f.news
--- a/entry/catalog/follow.go
+++ b/entry/catalog/follow.go
@@ -21,7 +21,7 @@
 }
 
 // News describes the changes of a kind between two revisions.
-type News = link.News
+type News = link.ChangeSet
 
 // Change is the change of one object.
 type Change = link.Change
@@ -361,7 +361,7 @@
 		f.versions = make(map[string]store.Version)
 	}
 	for _, change := range changes {
-		if change.Ended() {
+		if change.IsRemoval() {
 			delete(f.versions, change.Name())
 			continue
 		}
--- a/entry/catalog/servers.go
+++ b/entry/catalog/servers.go
@@ -43,8 +43,8 @@
 	present := make(map[backend.ID]bool, len(update.Changes))
 	var ended []backend.ID
 	for _, change := range update.Changes {
-		if change.Gone != nil {
-			ended = append(ended, change.Gone.Server)
+		if change.Removal != nil {
+			ended = append(ended, change.Removal.Server)
 		}
 		if change.Server == nil {
 			continue
@@ -72,7 +72,7 @@
 
 // decode decodes one registration. An object that does not describe a usable server is treated as a registration that ended.
 func (s *serverList) decode(object store.Object) Change {
-	ended := Change{Gone: &link.Gone{Server: backend.ID(object.Name), Version: object.Version}}
+	ended := Change{Removal: &link.Removal{Server: backend.ID(object.Name), Version: object.Version}}
 	if object.Deleted {
 		return ended
 	}
