--- a/entry/front/completion.go
+++ b/entry/front/completion.go
@@ -23,37 +23,37 @@
 		Choices []chunkChoice `json:"choices"`
 	}
 	chunkChoice struct {
-		Index        int         `json:"index"`
-		Delta        chunkDelta  `json:"delta"`
-		FinishReason nullableStr `json:"finish_reason"`
+		Index        int            `json:"index"`
+		Delta        chunkDelta     `json:"delta"`
+		FinishReason nullableString `json:"finish_reason"`
 	}
 	chunkDelta struct {
 		Role    string `json:"role,omitempty"`
 		Content string `json:"content,omitempty"`
 	}
-	whole struct {
-		ID      string        `json:"id"`
-		Object  string        `json:"object"`
-		Created int64         `json:"created"`
-		Model   string        `json:"model"`
-		Choices []wholeChoice `json:"choices"`
-		Usage   usage         `json:"usage"`
+	completion struct {
+		ID      string             `json:"id"`
+		Object  string             `json:"object"`
+		Created int64              `json:"created"`
+		Model   string             `json:"model"`
+		Choices []completionChoice `json:"choices"`
+		Usage   usage              `json:"usage"`
 	}
-	wholeChoice struct {
+	completionChoice struct {
 		Index        int            `json:"index"`
 		Message      engine.Message `json:"message"`
-		FinishReason nullableStr    `json:"finish_reason"`
+		FinishReason nullableString `json:"finish_reason"`
 	}
 	usage struct {
 		CompletionTokens int `json:"completion_tokens"`
 	}
 )
 
-// nullableStr is a string whose empty value is JSON's null.
-type nullableStr string
+// nullableString is a string whose empty value is JSON's null.
+type nullableString string
 
 // MarshalJSON implements json.Marshaler.
-func (s nullableStr) MarshalJSON() ([]byte, error) {
+func (s nullableString) MarshalJSON() ([]byte, error) {
 	if s == "" {
 		return []byte("null"), nil
 	}
@@ -63,85 +63,85 @@
 // streamWriter gives a completion as server-sent events. [DONE] comes only behind a whole answer; what
 // breaks off ends with an event named error that holds a Problem.
 type streamWriter struct {
-	*caller
-	began   bool
+	*callerConn
+	started bool
 	created int64
 }
 
 func (s *streamWriter) deliver(f contract.Frame) (bool, error) {
-	s.begin()
+	s.start()
 	delta := chunkDelta{Content: f.Text}
 	if f.EventSeq == 0 {
 		delta.Role = "assistant"
 	}
-	err := s.data(chunk{
+	err := s.writeChunk(chunk{
 		ID: s.q.id, Object: "chat.completion.chunk", Created: s.created, Model: s.q.model,
-		Choices: []chunkChoice{{Delta: delta, FinishReason: nullableStr(f.FinishReason)}},
+		Choices: []chunkChoice{{Delta: delta, FinishReason: nullableString(f.FinishReason)}},
 	})
 	return true, err
 }
 
-func (s *streamWriter) begin() {
-	if s.began {
+func (s *streamWriter) start() {
+	if s.started {
 		return
 	}
-	s.began = true
+	s.started = true
 	s.created = time.Now().Unix()
 	header := s.w.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
 	header.Set("Trailer", contract.HeaderOutcome)
 	header.Set(contract.HeaderRequestID, s.q.id)
-	if s.q.unrepeatable {
+	if s.q.atMostOnce {
 		header.Set(contract.HeaderIdempotencyKey, s.q.key)
 	}
 	s.w.WriteHeader(http.StatusOK)
 }
 
-func (s *streamWriter) restart() {}
+func (s *streamWriter) reset() {}
 
-func (s *streamWriter) tell(a outcome.Action) {
+func (s *streamWriter) finish(a outcome.Action) {
 	if a.Stored != nil {
-		s.stored(a)
+		s.writeStored(a)
 		return
 	}
-	if !s.began {
+	if !s.started {
 		if a.Problem != nil {
-			s.problem(a)
+			s.writeProblem(a)
 		}
 		return
 	}
 	if a.Problem != nil {
-		_ = s.event("error", string(s.problemBody(a)))
+		_ = s.writeEvent("error", string(s.problemBody(a)))
 	} else {
-		_ = s.event("", "[DONE]")
+		_ = s.writeEvent("", "[DONE]")
 	}
 	s.w.Header().Set(contract.HeaderOutcome, string(a.Outcome))
 }
 
-// stored gives an answer from the record as a stream of one event.
-func (s *streamWriter) stored(a outcome.Action) {
-	event, ok := storedEvent(a.Stored)
+// writeStored gives an answer from the record as a stream of one event.
+func (s *streamWriter) writeStored(a outcome.Action) {
+	event, ok := decodeStored(a.Stored)
 	if !ok {
-		s.problem(unreadable())
+		s.writeProblem(unreadableAnswer())
 		return
 	}
 	f := contract.Frame{Text: event.Text, FinishReason: event.FinishReason}
 	if _, err := s.deliver(f); err != nil {
 		return
 	}
-	s.tell(outcome.Action{Outcome: contract.OutcomeAnswered})
+	s.finish(outcome.Action{Outcome: contract.OutcomeAnswered})
 }
 
-func (s *streamWriter) data(c chunk) error {
+func (s *streamWriter) writeChunk(c chunk) error {
 	body, err := json.Marshal(c)
 	if err != nil {
 		return err
 	}
-	return s.event("", string(body))
+	return s.writeEvent("", string(body))
 }
 
-func (s *streamWriter) event(kind, data string) error {
+func (s *streamWriter) writeEvent(kind, data string) error {
 	message := &sse.Message{}
 	if kind != "" {
 		message.Type = sse.Type(kind)
@@ -158,16 +158,16 @@
 	return nil
 }
 
-// wholeWriter gathers a completion and gives it as one JSON object.
-type wholeWriter struct {
-	*caller
+// bufferedWriter gathers a completion and gives it as one JSON object.
+type bufferedWriter struct {
+	*callerConn
 	text         strings.Builder
 	tokens       int
 	finishReason string
 }
 
-func (s *wholeWriter) deliver(f contract.Frame) (bool, error) {
-	if s.text.Len()+len(f.Text) > maxGathered {
+func (s *bufferedWriter) deliver(f contract.Frame) (bool, error) {
+	if s.text.Len()+len(f.Text) > maxBufferedCompletion {
 		return false, errAnswerTooLarge
 	}
 	s.text.WriteString(f.Text)
@@ -176,52 +176,52 @@
 	return false, nil
 }
 
-func (s *wholeWriter) restart() {
+func (s *bufferedWriter) reset() {
 	s.text.Reset()
 	s.tokens = 0
 	s.finishReason = ""
 }
 
-func (s *wholeWriter) tell(a outcome.Action) {
+func (s *bufferedWriter) finish(a outcome.Action) {
 	if a.Problem != nil {
-		s.problem(a)
+		s.writeProblem(a)
 		return
 	}
 	if a.Stored != nil {
-		event, ok := storedEvent(a.Stored)
+		event, ok := decodeStored(a.Stored)
 		if !ok {
-			s.problem(unreadable())
+			s.writeProblem(unreadableAnswer())
 			return
 		}
-		s.restart()
+		s.reset()
 		_, _ = s.deliver(contract.Frame{Text: event.Text, Tokens: event.Tokens, FinishReason: event.FinishReason})
 	}
-	body, err := json.Marshal(whole{
+	body, err := json.Marshal(completion{
 		ID: s.q.id, Object: "chat.completion", Created: time.Now().Unix(), Model: s.q.model,
-		Choices: []wholeChoice{{
+		Choices: []completionChoice{{
 			Message:      engine.Message{Role: "assistant", Content: s.text.String()},
-			FinishReason: nullableStr(s.finishReason),
+			FinishReason: nullableString(s.finishReason),
 		}},
 		Usage: usage{CompletionTokens: s.tokens},
 	})
 	if err != nil {
-		s.problem(unreadable())
+		s.writeProblem(unreadableAnswer())
 		return
 	}
-	s.outcomeHeaders(a)
+	s.setOutcomeHeaders(a)
 	s.w.Header().Set("Content-Type", "application/json")
 	_ = s.write(body)
 }
 
-// storedEvent reads an answer as the home keeps it.
-func storedEvent(stored *contract.StoredAnswer) (engine.Event, bool) {
+// decodeStored reads an answer as the home keeps it.
+func decodeStored(stored *contract.StoredAnswer) (engine.Event, bool) {
 	var event engine.Event
 	err := json.Unmarshal(stored.Body, &event)
 	return event, err == nil && event.Final
 }
 
-// unreadable: the request ran, and its answer is there but can't be shown.
-func unreadable() outcome.Action {
+// unreadableAnswer: the request ran, and its answer is there but can't be shown.
+func unreadableAnswer() outcome.Action {
 	return outcome.Action{Outcome: contract.OutcomeAnswered, Problem: &contract.Problem{
 		Code: contract.CodeAnswerNotStored, Status: http.StatusOK, Outcome: contract.OutcomeAnswered,
 		Message: "the request ran, and its stored answer can't be read",
--- a/entry/front/counts.go
+++ b/entry/front/counts.go
@@ -8,37 +8,37 @@
 	"github.com/skylarkpond/skylarkpond/contract/outcome"
 )
 
-// counts are the front's metrics: "front.outcome.<outcome>" and "front.code.<code>" count what callers were
+// frontMetrics are the front's metrics: "front.outcome.<outcome>" and "front.code.<code>" count what callers were
 // told; "front.first" is the time to the first part given to a caller of a stream or a long answer,
 // "front.total" that to the end of any answer.
-type counts struct {
+type frontMetrics struct {
 	registry metrics.Registry
 	first    metrics.Timer
 	total    metrics.Timer
 }
 
-func newCounts(registry metrics.Registry) *counts {
-	return &counts{
+func newFrontMetrics(registry metrics.Registry) *frontMetrics {
+	return &frontMetrics{
 		registry: registry,
 		first:    metrics.GetOrRegisterTimer("front.first", registry),
 		total:    metrics.GetOrRegisterTimer("front.total", registry),
 	}
 }
 
-func (c *counts) add(name string) { metrics.GetOrRegisterCounter(name, c.registry).Inc(1) }
+func (c *frontMetrics) increment(name string) { metrics.GetOrRegisterCounter(name, c.registry).Inc(1) }
 
-func (c *counts) told(a outcome.Action, took time.Duration) {
-	c.add("front.outcome." + string(a.Outcome))
+func (c *frontMetrics) recordOutcome(a outcome.Action, took time.Duration) {
+	c.increment("front.outcome." + string(a.Outcome))
 	if a.Problem != nil {
-		c.add("front.code." + string(a.Problem.Code))
+		c.increment("front.code." + string(a.Problem.Code))
 	}
 	c.total.Update(took)
 }
 
-// delivered is called with each part given to a caller; the first counts.
-func (c *counts) delivered(d *drive) {
+// recordDelivery is called with each part given to a caller; the first counts.
+func (c *frontMetrics) recordDelivery(d *driver) {
 	if !d.delivered {
 		d.delivered = true
-		c.first.UpdateSince(d.began)
+		c.first.UpdateSince(d.startedAt)
 	}
 }
--- a/entry/front/drive.go
+++ b/entry/front/drive.go
@@ -17,52 +17,52 @@
 // nothing else left to wait for, so it is short.
 const recordTimeout = time.Second
 
-// drive does what the machine of one request asks for. Only the goroutine of the request uses it.
-type drive struct {
-	front   *Front
-	q       *request
-	machine *outcome.Machine
-	out     writer
-	began   time.Time
-	until   time.Time
-	tried   []vm.GroupID
+// driver does what the machine of one request asks for. Only the goroutine of the request uses it.
+type driver struct {
+	front     *Front
+	q         *request
+	machine   *outcome.Machine
+	writer    writer
+	startedAt time.Time
+	deadline  time.Time
+	tried     []vm.GroupID
 	// delivered: the caller was given a part of the answer.
 	delivered bool
-	// crash names the crash of a backend server that the last try ended in.
-	crash string
+	// crashID names the crashID of a backend server that the last try ended in.
+	crashID string
 
 	choice Choice
 	cancel context.CancelFunc
-	next   chan received
-	// well says that the dispatch under way ended by its home's word.
-	well bool
+	frames chan frameResult
+	// endedByHome says that the dispatch under way ended by its home's word.
+	endedByHome bool
 }
 
-// received is what a dispatch's reader got.
-type received struct {
+// frameResult is what a dispatch's reader got.
+type frameResult struct {
 	frame contract.Frame
 	err   error
 }
 
 // serve answers one request. p, if set, is why it is refused before any dispatch.
 func (f *Front) serve(q *request, p *contract.Problem, r *http.Request, w http.ResponseWriter) {
-	if q.unrepeatable && q.key == "" {
+	if q.atMostOnce && q.key == "" {
 		q.key = f.newID()
 	}
 	now := time.Now()
-	d := &drive{
-		front: f, q: q, out: newWriter(q, w), began: now, until: now.Add(q.timeout),
+	d := &driver{
+		front: f, q: q, writer: newWriter(q, w), startedAt: now, deadline: now.Add(q.timeout),
 		machine: outcome.New(outcome.Request{
-			ID: q.id, Unrepeatable: q.unrepeatable, KeyChosen: q.chosen, Attempt: q.attempt,
+			ID: q.id, Unrepeatable: q.atMostOnce, KeyChosen: q.keyFromCaller, Attempt: q.attempt,
 			Fingerprint: q.fingerprint, Resumable: q.service.CanResume, Plain: q.plain != nil,
 		}),
 	}
-	defer d.close()
+	defer d.closeDispatch()
 	d.record(timeline.RequestAccepted, "")
 	d.run(r.Context(), p)
 }
 
-func (d *drive) run(ctx context.Context, p *contract.Problem) {
+func (d *driver) run(ctx context.Context, p *contract.Problem) {
 	action := outcome.Action{}
 	if p != nil {
 		action = d.machine.Refuse(p)
@@ -75,92 +75,92 @@
 		case outcome.Dispatch:
 			action = d.dispatch(ctx, action)
 		case outcome.Seal:
-			action = d.machine.Sealed(d.seal(ctx, action))
+			action = d.machine.Sealed(d.sealAttempt(ctx, action))
 		case outcome.Find:
-			action = d.machine.Found(d.find(ctx))
+			action = d.machine.Found(d.findRecord(ctx))
 		case outcome.AskHolder:
 			action = d.machine.Holder(d.askHolder(ctx, action.Attempt))
 		case outcome.Tell:
-			d.tell(action)
+			d.respond(action)
 			return
 		default:
 			var over bool
-			if action, over = d.wait(ctx); over {
+			if action, over = d.awaitFrame(ctx); over {
 				return
 			}
 		}
 	}
 }
 
-// wait takes the next thing that happens to the dispatch under way. over: the caller is gone.
-func (d *drive) wait(ctx context.Context) (action outcome.Action, over bool) {
-	timer := time.NewTimer(time.Until(d.until))
+// awaitFrame takes the next thing that happens to the dispatch under way. over: the caller is gone.
+func (d *driver) awaitFrame(ctx context.Context) (action outcome.Action, over bool) {
+	timer := time.NewTimer(time.Until(d.deadline))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return action, true
 	case <-timer.C:
 		return d.machine.Deadline(), false
-	case got := <-d.next:
+	case got := <-d.frames:
 		if got.err != nil {
-			d.noteLost(got.err)
+			d.reportHomeLost(got.err)
 			return d.machine.Lost(errors.Is(got.err, ErrNotSent)), false
 		}
-		return d.take(got.frame)
+		return d.handleFrame(got.frame)
 	}
 }
 
-func (d *drive) take(f contract.Frame) (action outcome.Action, over bool) {
+func (d *driver) handleFrame(f contract.Frame) (action outcome.Action, over bool) {
 	d.front.deps.Recorder.Observe(f.HLCTime)
 	if f.CrashID != "" {
-		d.crash = f.CrashID
+		d.crashID = f.CrashID
 	}
 	action = d.machine.Frame(f)
 	if action.Do != outcome.Deliver {
-		d.well = f.Kind == contract.FrameEnd || f.Kind == contract.FrameRefused || f.Kind == contract.FrameRecordExists
+		d.endedByHome = f.Kind == contract.FrameEnd || f.Kind == contract.FrameRefused || f.Kind == contract.FrameRecordExists
 		return action, false
 	}
-	began, err := d.out.deliver(f)
+	began, err := d.writer.deliver(f)
 	if began {
 		d.machine.Delivered()
-		d.front.counts.delivered(d)
+		d.front.metrics.recordDelivery(d)
 	}
 	if errors.Is(err, errAnswerTooLarge) {
-		return d.machine.Abandon(problemAnswerTooLarge()), false
+		return d.machine.Abandon(answerTooLargeProblem()), false
 	}
 	return outcome.Action{Do: outcome.Wait}, err != nil
 }
 
-func (d *drive) dispatch(ctx context.Context, action outcome.Action) outcome.Action {
-	d.close()
+func (d *driver) dispatch(ctx context.Context, action outcome.Action) outcome.Action {
+	d.closeDispatch()
 	if action.Restart {
-		d.out.restart()
+		d.writer.reset()
 	}
 	service := d.q.service
-	if !d.mayTry(ctx, time.Until(d.until)) {
+	if !d.awaitRetry(ctx, time.Until(d.deadline)) {
 		return d.machine.NoDispatch(contract.NewRetryLater(contract.CodeOverloaded, "too many retries are under way", outcome.RetrySoon))
 	}
-	left := time.Until(d.until)
+	left := time.Until(d.deadline)
 	if left <= 0 {
 		return d.machine.NoDispatch(outcome.TooLate())
 	}
-	choice, p := d.front.deps.Chooser.Choose(GroupQuery{Service: service, PrefixHash: d.q.prefix, EstimatedTokens: d.q.work, Tried: d.tried})
+	choice, p := d.front.deps.Chooser.Choose(GroupQuery{Service: service, PrefixHash: d.q.prefixHash, EstimatedTokens: d.q.estimatedTokens, Tried: d.tried})
 	if p != nil {
 		return d.machine.NoDispatch(p)
 	}
 	d.choice = choice
 	d.tried = append(d.tried, choice.Group)
-	order := d.q.dispatch(d.front, homeTimeout(left))
+	order := d.q.newDispatch(d.front, homeTimeout(left))
 	order.Group = choice.Group
 	order.ResumeFrom = action.ResumeFrom
 	order.AbandonedClaims = action.Renounced
-	order.CrashID = d.crash
-	d.open(ctx, order)
+	order.CrashID = d.crashID
+	d.openDispatch(ctx, order)
 	return outcome.Action{Do: outcome.Wait}
 }
 
-// mayTry says whether another try may be made, after the pause that it has to keep. A first one always may.
-func (d *drive) mayTry(ctx context.Context, left time.Duration) bool {
+// awaitRetry says whether another try may be made, after the pause that it has to keep. A first one always may.
+func (d *driver) awaitRetry(ctx context.Context, left time.Duration) bool {
 	if len(d.tried) == 0 {
 		return true
 	}
@@ -187,31 +187,31 @@
 // maxHomeMargin covers the way back from the home and a seal.
 const maxHomeMargin = 200 * time.Millisecond
 
-// open starts the reader of a dispatch. It holds one frame at a time: what a slow caller does not take
+// openDispatch starts the reader of a dispatch. It holds one frame at a time: what a slow caller does not take
 // stays with the home, within the window of its stream.
-func (d *drive) open(ctx context.Context, order contract.Dispatch) {
+func (d *driver) openDispatch(ctx context.Context, order contract.Dispatch) {
 	ctx, d.cancel = context.WithCancel(ctx)
-	next := make(chan received)
-	d.next = next
+	next := make(chan frameResult)
+	d.frames = next
 	dispatcher := d.front.deps.Dispatcher
 	go func() {
 		frames, err := dispatcher.Dispatch(ctx, order)
 		if err != nil {
-			pass(ctx, next, received{err: err})
+			sendResult(ctx, next, frameResult{err: err})
 			return
 		}
 		defer frames.Close()
 		for err == nil {
 			var frame contract.Frame
 			frame, err = frames.Next()
-			if !pass(ctx, next, received{frame: frame, err: err}) {
+			if !sendResult(ctx, next, frameResult{frame: frame, err: err}) {
 				return
 			}
 		}
 	}()
 }
 
-func pass(ctx context.Context, next chan<- received, got received) bool {
+func sendResult(ctx context.Context, next chan<- frameResult, got frameResult) bool {
 	select {
 	case next <- got:
 		return true
@@ -220,63 +220,63 @@
 	}
 }
 
-// close ends the dispatch under way, if any.
-func (d *drive) close() {
+// closeDispatch ends the dispatch under way, if any.
+func (d *driver) closeDispatch() {
 	if d.cancel == nil {
 		return
 	}
 	d.cancel()
 	d.cancel = nil
 	if d.choice.Done != nil {
-		d.choice.Done(d.well)
+		d.choice.Done(d.endedByHome)
 	}
-	d.well = false
+	d.endedByHome = false
 }
 
-func (d *drive) seal(ctx context.Context, action outcome.Action) attempt.Result {
+func (d *driver) sealAttempt(ctx context.Context, action outcome.Action) attempt.Result {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	result := d.front.deps.Attempts.Seal(ctx, attempt.WriteRequest{
-		ID: d.id(), Number: d.q.attempt, Fingerprint: d.q.fingerprint, RequestID: d.q.id,
+		ID: d.attemptID(), Number: d.q.attempt, Fingerprint: d.q.fingerprint, RequestID: d.q.id,
 		Retention: attempt.Retention(d.q.service), AbandonedClaims: action.Renounced,
 	})
-	d.noteSeal(result)
+	d.reportSeal(result)
 	return result
 }
 
-func (d *drive) find(ctx context.Context) attempt.Result {
+func (d *driver) findRecord(ctx context.Context) attempt.Result {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	return d.front.deps.Attempts.Find(ctx, d.id(), d.q.fingerprint)
+	return d.front.deps.Attempts.Find(ctx, d.attemptID(), d.q.fingerprint)
 }
 
-func (d *drive) id() attempt.ID { return attempt.ID{Team: d.q.team.Name, Key: d.q.key} }
+func (d *driver) attemptID() attempt.ID { return attempt.ID{Team: d.q.team.Name, Key: d.q.key} }
 
-func (d *drive) askHolder(ctx context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
+func (d *driver) askHolder(ctx context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	answer := d.front.deps.Holders.ClaimStatus(ctx, claim)
-	d.noteHolder(claim, answer)
+	d.reportHolderAnswer(claim, answer)
 	return answer
 }
 
-func (d *drive) tell(action outcome.Action) {
+func (d *driver) respond(action outcome.Action) {
 	detail := string(action.Outcome)
 	if action.Problem != nil {
 		detail += " " + string(action.Problem.Code)
 	}
 	d.record(timeline.RequestOutcome, detail)
-	d.front.counts.told(action, time.Since(d.began))
-	d.noteUnanswered(action)
-	d.out.tell(action)
+	d.front.metrics.recordOutcome(action, time.Since(d.startedAt))
+	d.logUnanswered(action)
+	d.writer.finish(action)
 }
 
-func (d *drive) record(kind timeline.Kind, detail string) {
+func (d *driver) record(kind timeline.Kind, detail string) {
 	d.recordEvent(timeline.Event{Kind: kind, Detail: detail})
 }
 
 // recordEvent records an event of this request.
-func (d *drive) recordEvent(e timeline.Event) {
+func (d *driver) recordEvent(e timeline.Event) {
 	e.Request, e.Team, e.Service = d.q.id, d.q.team.Name, d.q.service.Name
 	d.front.deps.Recorder.Record(e)
 }
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -95,25 +95,25 @@
 
 // Front serves callers. It is safe for concurrent use.
 type Front struct {
-	deps   Deps
-	newID  func() string
-	counts *counts
+	deps    Deps
+	newID   func() string
+	metrics *frontMetrics
 }
 
 // New returns a front.
 func New(deps Deps) *Front {
-	return &Front{deps: deps, newID: uuid.NewString, counts: newCounts(deps.Metrics)}
+	return &Front{deps: deps, newID: uuid.NewString, metrics: newFrontMetrics(deps.Metrics)}
 }
 
-// methods are those that a plain service may be called with.
-var methods = []string{
+// plainMethods are those that a plain service may be called with.
+var plainMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
 // Register adds the front's routes to a web service at root path /v1.
 func (f *Front) Register(ws *restful.WebService) {
 	ws.Route(ws.POST(completionsPath).To(f.completions))
-	for _, method := range methods {
+	for _, method := range plainMethods {
 		ws.Route(ws.Method(method).Path("/services/{service}").To(f.services))
 		ws.Route(ws.Method(method).Path("/services/{service}/{path:*}").To(f.services))
 	}
--- a/entry/front/handlers.go
+++ b/entry/front/handlers.go
@@ -49,16 +49,16 @@
 	if p = q.parseKey(r.Header); p != nil {
 		return q, p
 	}
-	q.unrepeatable = q.chosen
+	q.atMostOnce = q.keyFromCaller
 	return q, nil
 }
 
-// maxBody bounds any body, whatever its service allows: a dispatch must fit into one message between
+// maxBodyBytes bounds any body, whatever its service allows: a dispatch must fit into one message between
 // entries, of 8 MB.
-const maxBody = 7 << 20
+const maxBodyBytes = 7 << 20
 
 func (q *request) parseCompletion(r *http.Request, w http.ResponseWriter) *contract.Problem {
-	if p := q.readBody(r, w, maxBody); p != nil {
+	if p := q.readBody(r, w, maxBodyBytes); p != nil {
 		return p
 	}
 	var completion engine.Completion
@@ -72,19 +72,19 @@
 	q.service = service
 	q.model = completion.Model
 	q.stream = completion.Stream
-	q.work, q.prompt = estimateWork(completion)
-	q.prefix = prefixHash(completion)
-	q.unrepeatable = !repeatable(service, http.MethodPost, "/v1"+completionsPath)
+	q.estimatedTokens, q.promptTokens = estimateTokens(completion)
+	q.prefixHash = prefixHash(completion)
+	q.atMostOnce = !repeatable(service, http.MethodPost, "/v1"+completionsPath)
 	if int64(len(q.body)) > service.MaxBodyBytes {
-		return tooLarge()
+		return bodyTooLarge()
 	}
-	return q.admit(r)
+	return q.checkService(r)
 }
 
 func (q *request) parseCall(r *http.Request, w http.ResponseWriter, name string) *contract.Problem {
 	service, ok := q.snapshot.Services[name]
 	ok = ok && service.Kind == settings.Plain
-	limit := int64(maxBody)
+	limit := int64(maxBodyBytes)
 	if ok {
 		limit = min(limit, service.MaxBodyBytes)
 	}
@@ -99,40 +99,40 @@
 	if callPath == "" {
 		callPath = "/"
 	}
-	if p := cleanPath(r, callPath); p != nil {
+	if p := checkCanonicalPath(r, callPath); p != nil {
 		return p
 	}
-	q.unrepeatable = !repeatable(service, r.Method, callPath)
-	q.work = 1 + len(q.body)/bytesPerToken
+	q.atMostOnce = !repeatable(service, r.Method, callPath)
+	q.estimatedTokens = 1 + len(q.body)/bytesPerToken
 	target := url.URL{Path: callPath, RawQuery: r.URL.RawQuery}
-	q.plain = &contract.PlainCall{Method: r.Method, Path: target.RequestURI(), Header: forwarded(r.Header)}
-	return q.admit(r)
+	q.plain = &contract.PlainCall{Method: r.Method, Path: target.RequestURI(), Header: forwardedHeader(r.Header)}
+	return q.checkService(r)
 }
 
-// admit checks what can be checked once the service is known.
-func (q *request) admit(r *http.Request) *contract.Problem {
-	if p := allowed(q.team, q.service.Name); p != nil {
+// checkService checks what can be checked once the service is known.
+func (q *request) checkService(r *http.Request) *contract.Problem {
+	if p := authorize(q.team, q.service.Name); p != nil {
 		return p
 	}
 	return q.parseTimeout(r.Header)
 }
 
-// bodyTimeout bounds the reading of a request's body: a caller that stops in the middle of it must not
+// bodyReadTimeout bounds the reading of a request's body: a caller that stops in the middle of it must not
 // hold its memory for long.
-const bodyTimeout = 30 * time.Second
+const bodyReadTimeout = 30 * time.Second
 
 // readBody reads the body and takes the request's fingerprint.
 func (q *request) readBody(r *http.Request, w http.ResponseWriter, limit int64) *contract.Problem {
 	control := http.NewResponseController(w)
 	// An error here means that the connection has no deadlines, as in a test's recorder.
-	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
+	_ = control.SetReadDeadline(time.Now().Add(bodyReadTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	_ = control.SetReadDeadline(time.Time{})
 	q.body = body
 	q.fingerprint = contract.Fingerprint(r.Method, r.URL.EscapedPath(), r.URL.RawQuery, r.Header.Get("Content-Type"), string(body))
 	var over *http.MaxBytesError
 	if errors.As(err, &over) {
-		return tooLarge()
+		return bodyTooLarge()
 	}
 	if err != nil {
 		return contract.NewRejection(http.StatusBadRequest, contract.CodeBadRequest, "the body could not be read", "send it again")
@@ -140,21 +140,21 @@
 	return nil
 }
 
-func tooLarge() *contract.Problem {
+func bodyTooLarge() *contract.Problem {
 	return contract.NewRejection(http.StatusRequestEntityTooLarge, contract.CodeBodyTooLarge, "the body is too large", "send less")
 }
 
-// bytesPerToken is the usual rule of thumb for text; defaultTokens stands for an answer of unnamed length.
+// bytesPerToken is the usual rule of thumb for text; defaultAnswerTokens stands for an answer of unnamed length.
 const (
-	bytesPerToken = 4
-	defaultTokens = 256
+	bytesPerToken       = 4
+	defaultAnswerTokens = 256
 )
 
-// estimateWork returns the work that a completion is charged until it is done, and the prompt's part of it.
-func estimateWork(c engine.Completion) (work, prompt int) {
+// estimateTokens returns the work that a completion is charged until it is done, and the prompt's part of it.
+func estimateTokens(c engine.Completion) (work, prompt int) {
 	answer := c.MaxTokens
 	if answer <= 0 {
-		answer = defaultTokens
+		answer = defaultAnswerTokens
 	}
 	for _, m := range c.Messages {
 		prompt += len(m.Content) / bytesPerToken
@@ -170,30 +170,30 @@
 	return xxhash.Sum64String(c.Model + "\x00" + c.Messages[0].Content)
 }
 
-// withheld headers are not handed to backend servers: the team's key, what holds for one connection
+// strippedHeaders headers are not handed to backend servers: the team's key, what holds for one connection
 // only, and the key of the request, for which HTTP clients replay requests by themselves.
-var withheld = []string{
+var strippedHeaders = []string{
 	"Authorization", "Connection", "Keep-Alive", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding",
 	"Upgrade", "Content-Length", "Expect", contract.HeaderIdempotencyKey, "X-Idempotency-Key", contract.HeaderAttempt,
 	contract.HeaderRequestTimeout, contract.HeaderRequestID, contract.HeaderOutcome,
 }
 
-func forwarded(header http.Header) http.Header {
+func forwardedHeader(header http.Header) http.Header {
 	kept := header.Clone()
 	for _, name := range strings.Split(header.Get("Connection"), ",") {
 		kept.Del(strings.TrimSpace(name))
 	}
-	for _, name := range withheld {
+	for _, name := range strippedHeaders {
 		kept.Del(name)
 	}
 	return kept
 }
 
-func (q *request) dispatch(f *Front, left time.Duration) contract.Dispatch {
+func (q *request) newDispatch(f *Front, left time.Duration) contract.Dispatch {
 	return contract.Dispatch{
 		RequestID: q.id, Team: q.team.Name, Service: q.service.Name, Front: f.deps.Self,
-		SettingsVersion: q.snapshot.Version, Timeout: left, Priority: q.team.Priority, EstimatedTokens: q.work, PromptTokens: q.prompt, PrefixHash: q.prefix,
-		AtMostOnce: q.unrepeatable, IdempotencyKey: q.key, KeyFromCaller: q.chosen, AttemptNumber: q.attempt, Fingerprint: q.fingerprint,
+		SettingsVersion: q.snapshot.Version, Timeout: left, Priority: q.team.Priority, EstimatedTokens: q.estimatedTokens, PromptTokens: q.promptTokens, PrefixHash: q.prefixHash,
+		AtMostOnce: q.atMostOnce, IdempotencyKey: q.key, KeyFromCaller: q.keyFromCaller, AttemptNumber: q.attempt, Fingerprint: q.fingerprint,
 		Plain: q.plain, Body: q.body, HLCTime: f.deps.Recorder.Now(),
 	}
 }
--- a/entry/front/lines.go
+++ b/entry/front/lines.go
@@ -11,33 +11,33 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// lineUnanswered is the message of the log line of a request that may not be repeated and was not answered.
-const lineUnanswered = "request ended without an answer"
+// msgUnanswered is the message of the log line of a request that may not be repeated and was not answered.
+const msgUnanswered = "request ended without an answer"
 
-func (d *drive) noteUnanswered(action outcome.Action) {
-	if !d.q.unrepeatable || action.Problem == nil || action.Outcome == contract.OutcomeAnswered {
+func (d *driver) logUnanswered(action outcome.Action) {
+	if !d.q.atMostOnce || action.Problem == nil || action.Outcome == contract.OutcomeAnswered {
 		return
 	}
 	line := d.front.deps.Log.WithFields(logrus.Fields{
 		"request": d.q.id, "team": d.q.team.Name, "service": d.q.service.Name, "key": d.q.key, "attempt": d.q.attempt,
 		"outcome": action.Outcome, "code": action.Problem.Code, "detail": action.Problem.Message,
-		"groups": d.tried, "took_ms": time.Since(d.began).Milliseconds(),
+		"groups": d.tried, "took_ms": time.Since(d.startedAt).Milliseconds(),
 	})
 	if action.Outcome == contract.OutcomeUnknown {
-		line.Warn(lineUnanswered)
+		line.Warn(msgUnanswered)
 		return
 	}
-	line.Info(lineUnanswered)
+	line.Info(msgUnanswered)
 }
 
-func (d *drive) noteLost(err error) {
-	d.front.counts.add("front.home-lost")
+func (d *driver) reportHomeLost(err error) {
+	d.front.metrics.increment("front.home-lost")
 	d.recordEvent(timeline.Event{Kind: timeline.HomeLost, Group: string(d.choice.Group), Detail: err.Error()})
 }
 
-// noteSeal reports the result of a seal: "front.seal.<verdict>" counts them.
-func (d *drive) noteSeal(result attempt.Result) {
-	d.front.counts.add("front.seal." + result.Verdict.String())
+// reportSeal reports the result of a seal: "front.seal.<verdict>" counts them.
+func (d *driver) reportSeal(result attempt.Result) {
+	d.front.metrics.increment("front.seal." + result.Verdict.String())
 	if result.Verdict == attempt.Confirmed {
 		d.record(timeline.RequestSealed, "")
 		return
@@ -45,8 +45,8 @@
 	d.record(timeline.SealUnconfirmed, result.Verdict.String())
 }
 
-// noteHolder reports what the holder of a claim answered: "front.holder.<answer>" counts the answers.
-func (d *drive) noteHolder(claim contract.AttemptRecord, answer outcome.HolderAnswer) {
-	d.front.counts.add("front.holder." + answer.String())
+// reportHolderAnswer reports what the holder of a claim answered: "front.holder.<answer>" counts the answers.
+func (d *driver) reportHolderAnswer(claim contract.AttemptRecord, answer outcome.HolderAnswer) {
+	d.front.metrics.increment("front.holder." + answer.String())
 	d.recordEvent(timeline.Event{Kind: timeline.HolderAsked, Peer: claim.Home, Detail: answer.String()})
 }
--- a/entry/front/plain.go
+++ b/entry/front/plain.go
@@ -8,18 +8,18 @@
 	"github.com/skylarkpond/skylarkpond/contract/outcome"
 )
 
-// plainBuffer is how much of a plain answer is gathered before its beginning is given to the caller. An
+// plainBufferSize is how much of a plain answer is gathered before its beginning is given to the caller. An
 // answer that fits is told with its outcome in the header, and can be tried again when it breaks off;
 // booking confirmations are far below it.
-const plainBuffer = 256 << 10
+const plainBufferSize = 256 << 10
 
 // plainWriter gives the answer of a plain service.
 type plainWriter struct {
-	*caller
-	status int
-	header http.Header
-	held   []byte
-	began  bool
+	*callerConn
+	status   int
+	header   http.Header
+	buffered []byte
+	started  bool
 }
 
 func (s *plainWriter) deliver(f contract.Frame) (bool, error) {
@@ -28,39 +28,39 @@
 		s.header = f.Header
 		return false, nil
 	}
-	if s.began {
+	if s.started {
 		return true, s.write(f.Data)
 	}
-	s.held = append(s.held, f.Data...)
-	if len(s.held) <= plainBuffer {
+	s.buffered = append(s.buffered, f.Data...)
+	if len(s.buffered) <= plainBufferSize {
 		return false, nil
 	}
-	return true, s.begin()
+	return true, s.start()
 }
 
-// begin gives the beginning of an answer that is too long to be held. Its outcome follows as a trailer.
-func (s *plainWriter) begin() error {
-	s.began = true
-	s.answerHeaders()
+// start gives the beginning of an answer that is too long to be held. Its outcome follows as a trailer.
+func (s *plainWriter) start() error {
+	s.started = true
+	s.setAnswerHeaders()
 	s.w.Header().Set("Trailer", contract.HeaderOutcome)
 	s.w.Header().Set(contract.HeaderRequestID, s.q.id)
 	s.w.WriteHeader(s.status)
-	held := s.held
-	s.held = nil
+	held := s.buffered
+	s.buffered = nil
 	return s.write(held)
 }
 
-func (s *plainWriter) answerHeaders() {
+func (s *plainWriter) setAnswerHeaders() {
 	header := s.w.Header()
 	for name, values := range s.header {
-		if !ownHeader(name) {
+		if !reservedHeader(name) {
 			header[name] = values
 		}
 	}
 }
 
-// ownHeader names headers of a backend server's answer that are this front's to set.
-func ownHeader(name string) bool {
+// reservedHeader names headers of a backend server's answer that are this front's to set.
+func reservedHeader(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Transfer-Encoding", "Trailer", "Content-Length", "Upgrade", contract.HeaderIdempotencyKey:
 		return true
@@ -69,14 +69,14 @@
 	}
 }
 
-func (s *plainWriter) restart() {
+func (s *plainWriter) reset() {
 	s.status = 0
 	s.header = nil
-	s.held = nil
+	s.buffered = nil
 }
 
-func (s *plainWriter) tell(a outcome.Action) {
-	if s.began {
+func (s *plainWriter) finish(a outcome.Action) {
+	if s.started {
 		if a.Problem != nil {
 			// The status is out, so the only way left to say that the answer is not whole is to cut it.
 			panic(http.ErrAbortHandler)
@@ -85,16 +85,16 @@
 		return
 	}
 	if a.Problem != nil {
-		s.problem(a)
+		s.writeProblem(a)
 		return
 	}
 	if a.Stored != nil {
 		s.status = a.Stored.Status
 		s.header = a.Stored.Header
-		s.held = a.Stored.Body
+		s.buffered = a.Stored.Body
 	}
-	s.answerHeaders()
-	s.outcomeHeaders(a)
+	s.setAnswerHeaders()
+	s.setOutcomeHeaders(a)
 	s.w.WriteHeader(s.status)
-	_ = s.write(s.held)
+	_ = s.write(s.buffered)
 }
--- a/entry/front/request.go
+++ b/entry/front/request.go
@@ -22,24 +22,24 @@
 	team     settings.Team
 	service  settings.Service
 	// key and attempt are set for requests that may not be repeated; chosen: by the caller.
-	unrepeatable bool
-	key          string
-	chosen       bool
-	attempt      int
-	fingerprint  string
-	timeout      time.Duration
-	plain        *contract.PlainCall
-	body         []byte
+	atMostOnce    bool
+	key           string
+	keyFromCaller bool
+	attempt       int
+	fingerprint   string
+	timeout       time.Duration
+	plain         *contract.PlainCall
+	body          []byte
 	// stream says that the caller of a completion wants server-sent events.
-	stream bool
-	model  string
-	work   int
-	prompt int
-	prefix uint64
+	stream          bool
+	model           string
+	estimatedTokens int
+	promptTokens    int
+	prefixHash      uint64
 }
 
-// maxAttempt bounds Skylarkpond-Attempt.
-const maxAttempt = 1_000_000
+// maxAttemptNumber bounds Skylarkpond-Attempt.
+const maxAttemptNumber = 1_000_000
 
 var keyPattern = regexp.MustCompile(`^[A-Za-z0-9_.:~-]{1,128}$`)
 
@@ -59,7 +59,7 @@
 	return team, nil
 }
 
-func allowed(team settings.Team, service string) *contract.Problem {
+func authorize(team settings.Team, service string) *contract.Problem {
 	if len(team.Services) == 0 || slices.Contains(team.Services, service) {
 		return nil
 	}
@@ -75,14 +75,14 @@
 			return badHeader(contract.HeaderIdempotencyKey, "1 to 128 of the letters, digits and _.:~-")
 		}
 		q.key = key
-		q.chosen = true
+		q.keyFromCaller = true
 	}
 	text := header.Get(contract.HeaderAttempt)
 	if text == "" {
 		return nil
 	}
 	number, err := strconv.Atoi(text)
-	if err != nil || number < 1 || number > maxAttempt {
+	if err != nil || number < 1 || number > maxAttemptNumber {
 		return badHeader(contract.HeaderAttempt, "a number from 1 to 1000000")
 	}
 	q.attempt = number
@@ -111,10 +111,10 @@
 // repeatable says whether a call may run more than once. Where the settings list a path in both lists
 // the safer one counts.
 func repeatable(service settings.Service, method, callPath string) bool {
-	if hasPrefix(service.Unrepeatable, callPath) {
+	if matchesPathPrefix(service.Unrepeatable, callPath) {
 		return false
 	}
-	if service.Kind == settings.Language || hasPrefix(service.Repeatable, callPath) {
+	if service.Kind == settings.Language || matchesPathPrefix(service.Repeatable, callPath) {
 		return true
 	}
 	switch method {
@@ -125,17 +125,17 @@
 	}
 }
 
-// hasPrefix matches whole path segments: /book covers /book and /book/7, not /bookings.
-func hasPrefix(prefixes []string, callPath string) bool {
+// matchesPathPrefix matches whole path segments: /book covers /book and /book/7, not /bookings.
+func matchesPathPrefix(prefixes []string, callPath string) bool {
 	return slices.ContainsFunc(prefixes, func(prefix string) bool {
 		prefix = strings.TrimSuffix(prefix, "/")
 		return callPath == prefix || strings.HasPrefix(callPath, prefix+"/")
 	})
 }
 
-// cleanPath refuses paths that a backend server might read as another one than the settings name. A call
+// checkCanonicalPath refuses paths that a backend server might read as another one than the settings name. A call
 // of /a/../book or /%62ook/ would else slip past the list of paths that may not be repeated.
-func cleanPath(r *http.Request, callPath string) *contract.Problem {
+func checkCanonicalPath(r *http.Request, callPath string) *contract.Problem {
 	trimmed := strings.TrimSuffix(callPath, "/")
 	if r.URL.RawPath == "" && (callPath == "/" || path.Clean(callPath) == trimmed) && !strings.ContainsAny(callPath, "\\;%") {
 		return nil
--- a/entry/front/writer.go
+++ b/entry/front/writer.go
@@ -16,11 +16,11 @@
 // errAnswerTooLarge: an answer that has to be gathered grew beyond maxGathered.
 var errAnswerTooLarge = eris.New("answer too large to be gathered")
 
-// maxGathered bounds the memory that one answer takes at its front. A completion of a hundred thousand
+// maxBufferedCompletion bounds the memory that one answer takes at its front. A completion of a hundred thousand
 // tokens stays below it.
-const maxGathered = 1 << 20
+const maxBufferedCompletion = 1 << 20
 
-func problemAnswerTooLarge() *contract.Problem {
+func answerTooLargeProblem() *contract.Problem {
 	return &contract.Problem{
 		Code: contract.CodeAnswerTruncated, Status: http.StatusBadGateway, Message: "the answer is too large to be given as a whole",
 		Hint: "ask for a stream",
@@ -36,48 +36,48 @@
 	// deliver takes a frame of the answer; began: a byte of it was given to the caller, so that the answer
 	// can't be begun anew. After an error the caller is gone.
 	deliver(f contract.Frame) (began bool, err error)
-	// restart forgets what was taken; it is called only before the answer began.
-	restart()
-	// tell ends the response.
-	tell(a outcome.Action)
+	// reset forgets what was taken; it is called only before the answer began.
+	reset()
+	// finish ends the response.
+	finish(a outcome.Action)
 }
 
 func newWriter(q *request, w http.ResponseWriter) writer {
-	caller := &caller{q: q, w: w, control: http.NewResponseController(w)}
+	caller := &callerConn{q: q, w: w, control: http.NewResponseController(w)}
 	if q.plain != nil {
-		return &plainWriter{caller: caller}
+		return &plainWriter{callerConn: caller}
 	}
 	if q.stream {
-		return &streamWriter{caller: caller}
+		return &streamWriter{callerConn: caller}
 	}
-	return &wholeWriter{caller: caller}
+	return &bufferedWriter{callerConn: caller}
 }
 
-// caller is the connection of one caller.
-type caller struct {
+// callerConn is the connection of one callerConn.
+type callerConn struct {
 	q       *request
 	w       http.ResponseWriter
 	control *http.ResponseController
 }
 
-func (c *caller) write(data []byte) error {
+func (c *callerConn) write(data []byte) error {
 	// An error here means that the connection has no deadlines, as in a test's recorder.
 	_ = c.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := c.w.Write(data)
 	return err
 }
 
-func (c *caller) flush() { _ = c.control.Flush() }
+func (c *callerConn) flush() { _ = c.control.Flush() }
 
-// outcomeHeaders sets what every answer that is not yet begun carries.
-func (c *caller) outcomeHeaders(a outcome.Action) {
+// setOutcomeHeaders sets what every answer that is not yet begun carries.
+func (c *callerConn) setOutcomeHeaders(a outcome.Action) {
 	header := c.w.Header()
 	header.Set(contract.HeaderRequestID, c.q.id)
 	header.Set(contract.HeaderOutcome, string(a.Outcome))
-	if c.q.unrepeatable && a.Outcome != contract.OutcomeNotRun {
+	if c.q.atMostOnce && a.Outcome != contract.OutcomeNotRun {
 		header.Set(contract.HeaderIdempotencyKey, c.q.key)
 	}
-	if a.Attempts > 0 && c.q.chosen {
+	if a.Attempts > 0 && c.q.keyFromCaller {
 		header.Set(contract.HeaderAttempt, strconv.Itoa(a.Attempts))
 	}
 	if a.Problem != nil && a.Problem.RetryAfter > 0 {
@@ -86,15 +86,15 @@
 	}
 }
 
-// problem answers with a Problem as JSON.
-func (c *caller) problem(a outcome.Action) {
-	c.outcomeHeaders(a)
+// writeProblem answers with a Problem as JSON.
+func (c *callerConn) writeProblem(a outcome.Action) {
+	c.setOutcomeHeaders(a)
 	c.w.Header().Set("Content-Type", "application/problem+json")
 	c.w.WriteHeader(a.Problem.Status)
 	_ = c.write(c.problemBody(a))
 }
 
-func (c *caller) problemBody(a outcome.Action) []byte {
+func (c *callerConn) problemBody(a outcome.Action) []byte {
 	told := *a.Problem
 	told.RequestID = c.q.id
 	body, err := json.Marshal(told)
