--- a/entry/front/completion.go
+++ b/entry/front/completion.go
@@ -75,7 +75,7 @@
 		delta.Role = "assistant"
 	}
 	err := s.writeChunk(chunk{
-		ID: s.q.id, Object: "chat.completion.chunk", Created: s.created, Model: s.q.model,
+		ID: s.request.id, Object: "chat.completion.chunk", Created: s.created, Model: s.request.model,
 		Choices: []chunkChoice{{Delta: delta, FinishReason: nullableString(f.FinishReason)}},
 	})
 	return true, err
@@ -91,9 +91,9 @@
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
 	header.Set("Trailer", contract.HeaderOutcome)
-	header.Set(contract.HeaderRequestID, s.q.id)
-	if s.q.atMostOnce {
-		header.Set(contract.HeaderIdempotencyKey, s.q.key)
+	header.Set(contract.HeaderRequestID, s.request.id)
+	if s.request.atMostOnce {
+		header.Set(contract.HeaderIdempotencyKey, s.request.key)
 	}
 	s.w.WriteHeader(http.StatusOK)
 }
@@ -197,7 +197,7 @@
 		_, _ = s.deliver(contract.Frame{Text: event.Text, Tokens: event.Tokens, FinishReason: event.FinishReason})
 	}
 	body, err := json.Marshal(completion{
-		ID: s.q.id, Object: "chat.completion", Created: time.Now().Unix(), Model: s.q.model,
+		ID: s.request.id, Object: "chat.completion", Created: time.Now().Unix(), Model: s.request.model,
 		Choices: []completionChoice{{
 			Message:      engine.Message{Role: "assistant", Content: s.text.String()},
 			FinishReason: nullableString(s.finishReason),
--- a/entry/front/drive.go
+++ b/entry/front/drive.go
@@ -20,7 +20,7 @@
 // driver does what the machine of one request asks for. Only the goroutine of the request uses it.
 type driver struct {
 	front     *Front
-	q         *request
+	request   *request
 	machine   *outcome.Machine
 	writer    writer
 	startedAt time.Time
@@ -51,7 +51,7 @@
 	}
 	now := time.Now()
 	d := &driver{
-		front: f, q: q, writer: newWriter(q, w), startedAt: now, deadline: now.Add(q.timeout),
+		front: f, request: q, writer: newWriter(q, w), startedAt: now, deadline: now.Add(q.timeout),
 		machine: outcome.New(outcome.Request{
 			ID: q.id, Unrepeatable: q.atMostOnce, KeyChosen: q.keyFromCaller, Attempt: q.attempt,
 			Fingerprint: q.fingerprint, Resumable: q.service.CanResume, Plain: q.plain != nil,
@@ -67,7 +67,7 @@
 	if p != nil {
 		action = d.machine.Refuse(p)
 	} else {
-		d.front.deps.Retries.RecordFirstTry(d.q.service.Name)
+		d.front.deps.Retries.RecordFirstTry(d.request.service.Name)
 		action = d.machine.Start()
 	}
 	for {
@@ -84,8 +84,8 @@
 			d.respond(action)
 			return
 		default:
-			var over bool
-			if action, over = d.awaitFrame(ctx); over {
+			var callerGone bool
+			if action, callerGone = d.awaitFrame(ctx); callerGone {
 				return
 			}
 		}
@@ -93,7 +93,7 @@
 }
 
 // awaitFrame takes the next thing that happens to the dispatch under way. over: the caller is gone.
-func (d *driver) awaitFrame(ctx context.Context) (action outcome.Action, over bool) {
+func (d *driver) awaitFrame(ctx context.Context) (action outcome.Action, callerGone bool) {
 	timer := time.NewTimer(time.Until(d.deadline))
 	defer timer.Stop()
 	select {
@@ -101,16 +101,16 @@
 		return action, true
 	case <-timer.C:
 		return d.machine.Deadline(), false
-	case got := <-d.frames:
-		if got.err != nil {
-			d.reportHomeLost(got.err)
-			return d.machine.Lost(errors.Is(got.err, ErrNotSent)), false
+	case result := <-d.frames:
+		if result.err != nil {
+			d.reportHomeLost(result.err)
+			return d.machine.Lost(errors.Is(result.err, ErrNotSent)), false
 		}
-		return d.handleFrame(got.frame)
+		return d.handleFrame(result.frame)
 	}
 }
 
-func (d *driver) handleFrame(f contract.Frame) (action outcome.Action, over bool) {
+func (d *driver) handleFrame(f contract.Frame) (action outcome.Action, callerGone bool) {
 	d.front.deps.Recorder.Observe(f.HLCTime)
 	if f.CrashID != "" {
 		d.crashID = f.CrashID
@@ -120,8 +120,8 @@
 		d.endedByHome = f.Kind == contract.FrameEnd || f.Kind == contract.FrameRefused || f.Kind == contract.FrameRecordExists
 		return action, false
 	}
-	began, err := d.writer.deliver(f)
-	if began {
+	started, err := d.writer.deliver(f)
+	if started {
 		d.machine.Delivered()
 		d.front.metrics.recordDelivery(d)
 	}
@@ -136,7 +136,7 @@
 	if action.Restart {
 		d.writer.reset()
 	}
-	service := d.q.service
+	service := d.request.service
 	if !d.awaitRetry(ctx, time.Until(d.deadline)) {
 		return d.machine.NoDispatch(contract.NewRetryLater(contract.CodeOverloaded, "too many retries are under way", outcome.RetrySoon))
 	}
@@ -144,18 +144,18 @@
 	if left <= 0 {
 		return d.machine.NoDispatch(outcome.TooLate())
 	}
-	choice, p := d.front.deps.Chooser.Choose(GroupQuery{Service: service, PrefixHash: d.q.prefixHash, EstimatedTokens: d.q.estimatedTokens, Tried: d.tried})
+	choice, p := d.front.deps.Chooser.Choose(GroupQuery{Service: service, PrefixHash: d.request.prefixHash, EstimatedTokens: d.request.estimatedTokens, Tried: d.tried})
 	if p != nil {
 		return d.machine.NoDispatch(p)
 	}
 	d.choice = choice
 	d.tried = append(d.tried, choice.Group)
-	order := d.q.newDispatch(d.front, homeTimeout(left))
-	order.Group = choice.Group
-	order.ResumeFrom = action.ResumeFrom
-	order.AbandonedClaims = action.Renounced
-	order.CrashID = d.crashID
-	d.openDispatch(ctx, order)
+	dispatch := d.request.newDispatch(d.front, homeTimeout(left))
+	dispatch.Group = choice.Group
+	dispatch.ResumeFrom = action.ResumeFrom
+	dispatch.AbandonedClaims = action.Renounced
+	dispatch.CrashID = d.crashID
+	d.openDispatch(ctx, dispatch)
 	return outcome.Action{Do: outcome.Wait}
 }
 
@@ -164,7 +164,7 @@
 	if len(d.tried) == 0 {
 		return true
 	}
-	wait, ok := d.front.deps.Retries.AllowRetry(d.q.service, len(d.tried), left)
+	wait, ok := d.front.deps.Retries.AllowRetry(d.request.service, len(d.tried), left)
 	if !ok {
 		return false
 	}
@@ -189,31 +189,31 @@
 
 // openDispatch starts the reader of a dispatch. It holds one frame at a time: what a slow caller does not take
 // stays with the home, within the window of its stream.
-func (d *driver) openDispatch(ctx context.Context, order contract.Dispatch) {
+func (d *driver) openDispatch(ctx context.Context, dispatch contract.Dispatch) {
 	ctx, d.cancel = context.WithCancel(ctx)
-	next := make(chan frameResult)
-	d.frames = next
+	results := make(chan frameResult)
+	d.frames = results
 	dispatcher := d.front.deps.Dispatcher
 	go func() {
-		frames, err := dispatcher.Dispatch(ctx, order)
+		frames, err := dispatcher.Dispatch(ctx, dispatch)
 		if err != nil {
-			sendResult(ctx, next, frameResult{err: err})
+			sendResult(ctx, results, frameResult{err: err})
 			return
 		}
 		defer frames.Close()
 		for err == nil {
 			var frame contract.Frame
 			frame, err = frames.Next()
-			if !sendResult(ctx, next, frameResult{frame: frame, err: err}) {
+			if !sendResult(ctx, results, frameResult{frame: frame, err: err}) {
 				return
 			}
 		}
 	}()
 }
 
-func sendResult(ctx context.Context, next chan<- frameResult, got frameResult) bool {
+func sendResult(ctx context.Context, results chan<- frameResult, result frameResult) bool {
 	select {
-	case next <- got:
+	case results <- result:
 		return true
 	case <-ctx.Done():
 		return false
@@ -237,8 +237,8 @@
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	result := d.front.deps.Attempts.Seal(ctx, attempt.WriteRequest{
-		ID: d.attemptID(), Number: d.q.attempt, Fingerprint: d.q.fingerprint, RequestID: d.q.id,
-		Retention: attempt.Retention(d.q.service), AbandonedClaims: action.Renounced,
+		ID: d.attemptID(), Number: d.request.attempt, Fingerprint: d.request.fingerprint, RequestID: d.request.id,
+		Retention: attempt.Retention(d.request.service), AbandonedClaims: action.Renounced,
 	})
 	d.reportSeal(result)
 	return result
@@ -247,10 +247,12 @@
 func (d *driver) findRecord(ctx context.Context) attempt.Result {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	return d.front.deps.Attempts.Find(ctx, d.attemptID(), d.q.fingerprint)
+	return d.front.deps.Attempts.Find(ctx, d.attemptID(), d.request.fingerprint)
 }
 
-func (d *driver) attemptID() attempt.ID { return attempt.ID{Team: d.q.team.Name, Key: d.q.key} }
+func (d *driver) attemptID() attempt.ID {
+	return attempt.ID{Team: d.request.team.Name, Key: d.request.key}
+}
 
 func (d *driver) askHolder(ctx context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
@@ -277,6 +279,6 @@
 
 // recordEvent records an event of this request.
 func (d *driver) recordEvent(e timeline.Event) {
-	e.Request, e.Team, e.Service = d.q.id, d.q.team.Name, d.q.service.Name
+	e.Request, e.Team, e.Service = d.request.id, d.request.team.Name, d.request.service.Name
 	d.front.deps.Recorder.Record(e)
 }
--- a/entry/front/fakes_test.go
+++ b/entry/front/fakes_test.go
@@ -43,32 +43,32 @@
 
 	mu   sync.Mutex // guards runs, how and sent
 	runs map[string]int
-	// how holds what the next sends meet, in turn; none: all goes well.
-	how []behaviour
+	// behaviours holds what the next sends meet, in turn; none: all goes well.
+	behaviours []sendBehaviour
 	// cancelled counts streams that were closed or ended before their end.
 	cancelled int
 	sent      []engine.Send
 }
 
-// behaviour of one send.
-type behaviour struct {
-	err    error
-	breaks int // events or bytes behind which it breaks off; 0: it doesn't
-	events []engine.Event
-	hold   chan struct{} // it waits for this before its first event
-	body   string
-	status int
+// sendBehaviour of one send.
+type sendBehaviour struct {
+	err        error
+	breakAfter int // events or bytes behind which it breaks off; 0: it doesn't
+	events     []engine.Event
+	hold       chan struct{} // it waits for this before its first event
+	body       string
+	status     int
 }
 
 const answerEvents = 4
 
-func (b *backend) begin(send engine.Send, body string) behaviour {
+func (b *backend) begin(send engine.Send, body string) sendBehaviour {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sent = append(b.sent, send)
-	var h behaviour
-	if len(b.how) > 0 {
-		h, b.how = b.how[0], b.how[1:]
+	var h sendBehaviour
+	if len(b.behaviours) > 0 {
+		h, b.behaviours = b.behaviours[0], b.behaviours[1:]
 	}
 	if h.err == nil || h.err == engine.ErrBroken {
 		b.runs[body]++
@@ -95,12 +95,12 @@
 	return &stream{ctx: ctx, b: b, h: h, id: send.RequestID}, nil
 }
 
-// others is the id of another request, whose texts differ.
-const others = "other"
+// otherRequestID is the id of another request, whose texts differ.
+const otherRequestID = "other"
 
 func event(id string, seq uint64) engine.Event {
 	text := fmt.Sprint("w", seq, " ")
-	if id == others {
+	if id == otherRequestID {
 		text = "another's "
 	}
 	return engine.Event{RequestID: id, Seq: seq, Text: text, Tokens: 1, Final: seq == answerEvents-1}
@@ -109,7 +109,7 @@
 type stream struct {
 	ctx context.Context
 	b   *backend
-	h   behaviour
+	h   sendBehaviour
 	id  string
 	at  int
 }
@@ -122,7 +122,7 @@
 			return engine.Event{}, engine.ErrBroken
 		}
 	}
-	if s.h.breaks > 0 && s.at == s.h.breaks || s.at == len(s.h.events) {
+	if s.h.breakAfter > 0 && s.at == s.h.breakAfter || s.at == len(s.h.events) {
 		return engine.Event{}, engine.ErrBroken
 	}
 	s.at++
@@ -162,15 +162,15 @@
 		StatusCode: max(h.status, http.StatusOK), Header: http.Header{"X-Lot": {"7"}}, ContentLength: int64(len(h.body)),
 		Body: io.NopCloser(strings.NewReader(h.body)),
 	}
-	if h.breaks > 0 {
-		response.Body = io.NopCloser(io.MultiReader(bytes.NewReader([]byte(h.body)[:h.breaks]), broken{}))
+	if h.breakAfter > 0 {
+		response.Body = io.NopCloser(io.MultiReader(bytes.NewReader([]byte(h.body)[:h.breakAfter]), brokenReader{}))
 	}
 	return response, nil
 }
 
-type broken struct{}
+type brokenReader struct{}
 
-func (broken) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (brokenReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
 // fleet is fronts and homes in one process, each with a part of a real entry's links.
 type fleet struct {
@@ -183,16 +183,16 @@
 	settings *settings.Snapshot
 	notWhole map[vm.GroupID]bool
 
-	// passed counts the frames that fronts took.
-	passed atomic.Int64
+	// framesTaken counts the frames that fronts took.
+	framesTaken atomic.Int64
 
 	mu sync.Mutex // guards what follows
 	// fault is what befalls the next dispatch to a group.
 	fault map[vm.GroupID]fault
 	// frozen holds the homes that a fault froze, until wake closes it.
 	frozen chan struct{}
-	// silent: no holder of a claim can be asked.
-	silent bool
+	// holdersSilent: no holder of a claim can be asked.
+	holdersSilent bool
 }
 
 func newFleet(groups ...vm.GroupID) *fleet {
@@ -204,44 +204,44 @@
 	DeferCleanup(f.server.Close)
 	for _, id := range groups {
 		f.homes[id] = home.New(home.Deps{
-			Self: "home-" + string(id), Incarnation: "1", Groups: f, Presence: f, Admission: openDoor{}, Guard: f.guard(),
+			Self: "home-" + string(id), Incarnation: "1", Groups: f, Presence: f, Admission: admitAll{}, Guard: f.newGuard(),
 			Attempts: f.attempts(), Engines: f.backend, Settings: func() *settings.Snapshot { return f.settings },
-			Recorder: timeline.NewRecorder(string(id), nil, time.Now), Metrics: metrics.NewRegistry(), Log: noLog(),
+			Recorder: timeline.NewRecorder(string(id), nil, time.Now), Metrics: metrics.NewRegistry(), Log: discardLog(),
 		})
 	}
 	for range 2 {
-		f.fronts = append(f.fronts, f.front())
+		f.fronts = append(f.fronts, f.newFront())
 	}
 	return f
 }
 
-func (f *fleet) guard() *guard.Guard {
+func (f *fleet) newGuard() *guard.Guard {
 	return guard.New(guard.Deps{
-		Store: platform.NewClient(f.server.URL), Taker: noTaker{}, Engines: f.backend, Metrics: metrics.NewRegistry(),
+		Store: platform.NewClient(f.server.URL), Taker: discardTaker{}, Engines: f.backend, Metrics: metrics.NewRegistry(),
 		Recorder: timeline.NewRecorder("guard", nil, time.Now), Clock: time.Now, Nonce: rand.Text,
 	})
 }
 
-func noLog() logrus.FieldLogger {
+func discardLog() logrus.FieldLogger {
 	log, _ := logtest.NewNullLogger()
 	return log
 }
 
-type noTaker struct{}
+type discardTaker struct{}
 
-func (noTaker) Took(platform.Object) {}
+func (discardTaker) Took(platform.Object) {}
 
 func (f *fleet) attempts() *attempt.Records {
 	return attempt.New(platform.NewClient(f.server.URL, platform.WithCallTimeout(200*time.Millisecond)), time.Now)
 }
 
-func (f *fleet) front() *httptest.Server {
+func (f *fleet) newFront() *httptest.Server {
 	container := restful.NewContainer()
 	service := new(restful.WebService).Path("/v1").Consumes("*/*").Produces("*/*")
 	front.New(front.Deps{
 		Self: "front", Settings: func() *settings.Snapshot { return f.settings }, Dispatcher: f, Holders: f, Chooser: f,
 		Retries: &tenRetries{}, Attempts: f.attempts(), Recorder: timeline.NewRecorder("front", nil, time.Now), Metrics: metrics.NewRegistry(),
-		Log: noLog(),
+		Log: discardLog(),
 	}).Register(service)
 	container.Add(service)
 	server := httptest.NewServer(container)
@@ -287,8 +287,8 @@
 }
 
 const (
-	teamKey    = "team-key"
-	eventually = time.Minute
+	teamKey           = "team-key"
+	eventuallyTimeout = time.Minute
 )
 
 func testSettings() *settings.Snapshot {
@@ -312,8 +312,8 @@
 	return s
 }
 
-// ask sends one request through a front.
-func ask(server *httptest.Server, method, path string, header map[string]string, body string) answer {
+// sendRequest sends one request through a front.
+func sendRequest(server *httptest.Server, method, path string, header map[string]string, body string) answer {
 	GinkgoHelper()
 	request, err := http.NewRequest(method, server.URL+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -347,7 +347,7 @@
 	if key != "" {
 		header[contract.HeaderIdempotencyKey] = key
 	}
-	return ask(server, http.MethodPost, "/v1/services/desk/book", header, "lot-7")
+	return sendRequest(server, http.MethodPost, "/v1/services/desk/book", header, "lot-7")
 }
 
 func complete(server *httptest.Server, stream bool) answer {
@@ -362,7 +362,7 @@
 		header = map[string]string{contract.HeaderIdempotencyKey: key}
 	}
 	body := fmt.Sprintf(`{"model":"small","stream":%t,"messages":[{"role":"user","content":"x"}]}`, stream)
-	return ask(server, http.MethodPost, "/v1/chat/completions", header, body)
+	return sendRequest(server, http.MethodPost, "/v1/chat/completions", header, body)
 }
 
 // tenRetries is a RetryBudget of ten retries without a pause.
@@ -374,20 +374,20 @@
 	return 0, b.used.Add(1) <= 10
 }
 
-// openDoor is an Admission that lets everything in.
-type openDoor struct{}
+// admitAll is an Admission that lets everything in.
+type admitAll struct{}
 
-func (openDoor) Enter(context.Context, home.AdmissionRequest) (home.Permit, *contract.Problem) {
-	return openTurn{}, nil
+func (admitAll) Enter(context.Context, home.AdmissionRequest) (home.Permit, *contract.Problem) {
+	return fakePermit{}, nil
 }
 
-func (openDoor) Load(vm.GroupID) contract.GroupLoad { return contract.GroupLoad{} }
+func (admitAll) Load(vm.GroupID) contract.GroupLoad { return contract.GroupLoad{} }
 
-type openTurn struct{}
+type fakePermit struct{}
 
-func (openTurn) FirstToken() {}
-func (openTurn) Token(int)   {}
-func (openTurn) Done()       {}
+func (fakePermit) FirstToken() {}
+func (fakePermit) Token(int)   {}
+func (fakePermit) Done()       {}
 
 // Probe says that the backend server is alive: what breaks off here is no crash.
 func (b *backend) Probe(context.Context, string) (engine.State, error) { return engine.State{}, nil }
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -66,7 +66,7 @@
 
 // Chooser chooses the group of a dispatch, or says why there is none.
 type Chooser interface {
-	Choose(ask GroupQuery) (Choice, *contract.Problem)
+	Choose(query GroupQuery) (Choice, *contract.Problem)
 }
 
 // RetryBudget bounds tries after the first to a share of first tries.
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -34,55 +34,55 @@
 // hear it. A clerk may be told that it can't be known, or that it runs; never that it did not run when it
 // did, and however often the key is sent again, through whichever front, the lot is booked once at most.
 var _ = DescribeTable("a booking under a fault at each step",
-	func(homes int, at contract.FrameKind, what what, told contract.Outcome, runs int, again contract.Outcome) {
+	func(homes int, at contract.FrameKind, kind faultKind, wantFirst contract.Outcome, wantRuns int, wantRetry contract.Outcome) {
 		for _, key := range []string{"lot-7", ""} {
 			f := newFleet([]vm.GroupID{"desk1", "desk2"}[:homes]...)
-			f.fault["desk1"] = fault{at: at, what: what}
+			f.fault["desk1"] = fault{at: at, kind: kind}
 			hold := make(chan struct{})
-			if told == inProgress {
-				f.backend.how = []behaviour{{hold: hold}}
+			if wantFirst == inProgress {
+				f.backend.behaviours = []sendBehaviour{{hold: hold}}
 			}
 			first := book(f.fronts[0], key, 1)
-			Expect(first.outcome).To(Equal(told), first.body)
-			if told != answered {
+			Expect(first.outcome).To(Equal(wantFirst), first.body)
+			if wantFirst != answered {
 				Expect(first.retry).NotTo(BeEmpty())
 			}
 			close(hold)
-			f.wake()
+			f.clearFaults()
 			if key == "" {
 				key = first.key
 			}
 			if key != "" {
-				Eventually(func() contract.Outcome { return book(f.fronts[1], key, 1).outcome }, eventually).Should(Equal(again))
+				Eventually(func() contract.Outcome { return book(f.fronts[1], key, 1).outcome }, eventuallyTimeout).Should(Equal(wantRetry))
 			}
-			Expect(f.backend.count("lot-7")).To(Equal(runs))
+			Expect(f.backend.count("lot-7")).To(Equal(wantRuns))
 		}
 	},
 	Entry("home not reached, another takes it", 2, contract.FrameKind(0), unreachable, answered, 1, answered),
 	Entry("home not reached, no other", 1, contract.FrameKind(0), unreachable, notRun, 0, notRun),
-	Entry("frozen when queued, another takes it", 2, contract.FrameQueued, freeze, answered, 1, answered),
-	Entry("frozen when queued, no other", 1, contract.FrameQueued, freeze, notRun, 0, notRun),
-	Entry("frozen when claimed", 2, contract.FrameClaimed, freeze, unknown, 1, answered),
-	Entry("frozen when claimed, no other", 1, contract.FrameClaimed, freeze, unknown, 1, answered),
-	Entry("frozen when about to send", 2, contract.FrameSent, freeze, unknown, 1, answered),
-	Entry("frozen with the beginning of the answer", 2, contract.FrameHead, freeze, unknown, 1, answered),
-	Entry("frozen in the middle of the answer", 2, contract.FrameChunk, freeze, unknown, 1, answered),
-	Entry("frozen when the answer was kept", 2, contract.FrameEnd, freeze, answered, 1, answered),
-	Entry("cut when queued, another takes it", 2, contract.FrameQueued, cut, answered, 1, answered),
-	Entry("cut when queued, no other", 1, contract.FrameQueued, cut, notRun, 0, notRun),
-	Entry("cut when claimed", 2, contract.FrameClaimed, cut, inProgress, 1, answered),
-	Entry("cut when about to send", 2, contract.FrameSent, cut, inProgress, 1, answered),
-	Entry("cut when the answer was kept", 2, contract.FrameEnd, cut, answered, 1, answered),
+	Entry("frozen when queued, another takes it", 2, contract.FrameQueued, freezeHome, answered, 1, answered),
+	Entry("frozen when queued, no other", 1, contract.FrameQueued, freezeHome, notRun, 0, notRun),
+	Entry("frozen when claimed", 2, contract.FrameClaimed, freezeHome, unknown, 1, answered),
+	Entry("frozen when claimed, no other", 1, contract.FrameClaimed, freezeHome, unknown, 1, answered),
+	Entry("frozen when about to send", 2, contract.FrameSent, freezeHome, unknown, 1, answered),
+	Entry("frozen with the beginning of the answer", 2, contract.FrameHead, freezeHome, unknown, 1, answered),
+	Entry("frozen in the middle of the answer", 2, contract.FrameChunk, freezeHome, unknown, 1, answered),
+	Entry("frozen when the answer was kept", 2, contract.FrameEnd, freezeHome, answered, 1, answered),
+	Entry("cut when queued, another takes it", 2, contract.FrameQueued, cutLink, answered, 1, answered),
+	Entry("cut when queued, no other", 1, contract.FrameQueued, cutLink, notRun, 0, notRun),
+	Entry("cut when claimed", 2, contract.FrameClaimed, cutLink, inProgress, 1, answered),
+	Entry("cut when about to send", 2, contract.FrameSent, cutLink, inProgress, 1, answered),
+	Entry("cut when the answer was kept", 2, contract.FrameEnd, cutLink, answered, 1, answered),
 )
 
 var _ = Describe("A booking", func() {
 	It("takes a higher attempt after a not-run, and says which", func() {
 		f := newFleet("desk1")
-		f.fault["desk1"] = fault{what: unreachable}
+		f.fault["desk1"] = fault{kind: unreachable}
 		first := book(f.fronts[0], "lot-7", 3)
 		Expect(first.outcome).To(Equal(notRun))
 		Expect(first.attempt).To(Equal("3"))
-		f.wake()
+		f.clearFaults()
 		late := book(f.fronts[1], "lot-7", 2)
 		Expect(late.code).To(Equal(contract.CodeAttemptGivenUp))
 		Expect(book(f.fronts[1], "lot-7", 4).outcome).To(Equal(answered))
@@ -93,7 +93,7 @@
 	It("refuses a key that was used for another request", func() {
 		f := newFleet("desk1")
 		Expect(book(f.fronts[0], "lot-7", 1).outcome).To(Equal(answered))
-		other := ask(f.fronts[1], http.MethodPost, "/v1/services/desk/book", map[string]string{contract.HeaderIdempotencyKey: "lot-7"}, "lot-8")
+		other := sendRequest(f.fronts[1], http.MethodPost, "/v1/services/desk/book", map[string]string{contract.HeaderIdempotencyKey: "lot-7"}, "lot-8")
 		Expect(other.outcome).To(Equal(notRun))
 		Expect(other.code).To(Equal(contract.CodeKeyReused))
 		Expect(f.backend.count("lot-8")).To(BeZero())
@@ -104,9 +104,9 @@
 	DescribeTable("goes to another group when the first gave it up behind its claim",
 		func(refusal error) {
 			f := newFleet("desk1", "desk2")
-			f.backend.how = []behaviour{{err: refusal}}
+			f.backend.behaviours = []sendBehaviour{{err: refusal}}
 			Expect(book(f.fronts[0], "lot-7", 1).outcome).To(Equal(answered))
-			f.backend.how = []behaviour{{err: refusal}, {err: refusal}}
+			f.backend.behaviours = []sendBehaviour{{err: refusal}, {err: refusal}}
 			Expect(book(f.fronts[0], "lot-9", 1).outcome).To(Equal(notRun))
 			Expect(book(f.fronts[0], "lot-9", 2).outcome).To(Equal(answered))
 		},
@@ -116,22 +116,22 @@
 
 	// A claim that is given up must not stand when the refusal is lost on a link that is cut.
 	DescribeTable("is not left unknown when its front never hears that the claim was given up",
-		func(silent bool, first, again contract.Outcome) {
+		func(holderSilent bool, wantFirst, wantRetry contract.Outcome) {
 			for _, key := range []string{"lot-7", ""} {
 				f := newFleet("desk1")
-				f.backend.how = []behaviour{{err: engine.ErrNotSent}}
-				f.fault["desk1"] = fault{at: contract.FrameRefused, what: unheard}
-				f.silent = silent
+				f.backend.behaviours = []sendBehaviour{{err: engine.ErrNotSent}}
+				f.fault["desk1"] = fault{at: contract.FrameRefused, kind: blackholeLink}
+				f.holdersSilent = holderSilent
 				got := book(f.fronts[0], key, 1)
-				Expect(got.outcome).To(Equal(first), got.body)
-				f.wake()
+				Expect(got.outcome).To(Equal(wantFirst), got.body)
+				f.clearFaults()
 				if key == "" {
 					key = got.key
 				}
 				if key == "" {
 					continue
 				}
-				Eventually(func() contract.Outcome { return book(f.fronts[1], key, 1).outcome }, eventually).Should(Equal(again))
+				Eventually(func() contract.Outcome { return book(f.fronts[1], key, 1).outcome }, eventuallyTimeout).Should(Equal(wantRetry))
 			}
 		},
 		Entry("the holder of the claim answers", false, notRun, notRun),
@@ -140,7 +140,7 @@
 
 	It("is unknown when its backend server broke, and does not run again", func() {
 		f := newFleet("desk1", "desk2")
-		f.backend.how = []behaviour{{err: engine.ErrBroken}}
+		f.backend.behaviours = []sendBehaviour{{err: engine.ErrBroken}}
 		for range 2 {
 			got := book(f.fronts[0], "lot-7", 1)
 			Expect(got.outcome).To(Equal(unknown))
@@ -173,46 +173,46 @@
 	It("keeps its answer once the platform is back", func() {
 		f := newFleet("desk1")
 		hold := make(chan struct{})
-		f.backend.how = []behaviour{{hold: hold}}
+		f.backend.behaviours = []sendBehaviour{{hold: hold}}
 		done := make(chan answer, 1)
 		go func() {
 			defer GinkgoRecover()
 			done <- book(f.fronts[0], "lot-7", 1)
 		}()
-		Eventually(func() int { return f.backend.count("lot-7") }, eventually).Should(Equal(1))
+		Eventually(func() int { return f.backend.count("lot-7") }, eventuallyTimeout).Should(Equal(1))
 		Expect(f.platform.Switch(outage(standin.OutageRefuse))).To(Succeed())
 		close(hold)
 		var first answer
-		Eventually(done, eventually).Should(Receive(&first))
+		Eventually(done, eventuallyTimeout).Should(Receive(&first))
 		Expect(first.outcome).To(Equal(answered))
 		Expect(f.platform.Switch(outage(standin.OutageNone))).To(Succeed())
 		Expect(book(f.fronts[1], "lot-7", 1).outcome).To(BeElementOf(inProgress, answered))
-		Eventually(func() string { return book(f.fronts[1], "lot-7", 1).body }, eventually).Should(Equal(first.body))
+		Eventually(func() string { return book(f.fronts[1], "lot-7", 1).body }, eventuallyTimeout).Should(Equal(first.body))
 		Expect(f.backend.count("lot-7")).To(Equal(1))
 	})
 
 	It("goes on when its caller leaves, and gives the answer to who asks again", func() {
 		f := newFleet("desk1")
 		hold := make(chan struct{})
-		f.backend.how = []behaviour{{hold: hold}}
+		f.backend.behaviours = []sendBehaviour{{hold: hold}}
 		ctx, leave := context.WithCancel(context.Background())
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, f.fronts[0].URL+"/v1/services/desk/book", strings.NewReader("lot-7"))
 		Expect(err).NotTo(HaveOccurred())
 		request.Header.Set("Authorization", "Bearer "+teamKey)
 		request.Header.Set(contract.HeaderIdempotencyKey, "lot-7")
 		go func() { _, _ = http.DefaultClient.Do(request) }()
-		Eventually(func() int { return f.backend.count("lot-7") }, eventually).Should(Equal(1))
+		Eventually(func() int { return f.backend.count("lot-7") }, eventuallyTimeout).Should(Equal(1))
 		Expect(book(f.fronts[1], "lot-7", 1).outcome).To(Equal(inProgress))
 		leave()
 		close(hold)
-		Eventually(func() contract.Outcome { return book(f.fronts[1], "lot-7", 1).outcome }, eventually).Should(Equal(answered))
+		Eventually(func() contract.Outcome { return book(f.fronts[1], "lot-7", 1).outcome }, eventuallyTimeout).Should(Equal(answered))
 		Expect(f.backend.count("lot-7")).To(Equal(1))
 	})
 
 	It("tells the fact of an answer that is too large to keep", func() {
 		f := newFleet("desk1")
 		large := strings.Repeat("x", contract.MaxStoredAnswer+1)
-		f.backend.how = []behaviour{{body: large, status: http.StatusCreated}}
+		f.backend.behaviours = []sendBehaviour{{body: large, status: http.StatusCreated}}
 		first := book(f.fronts[0], "lot-7", 1)
 		Expect(first.body).To(Equal(large))
 		Expect(first.status).To(Equal(http.StatusCreated))
@@ -237,27 +237,27 @@
 
 func outage(o standin.Outage) standin.Switches { return standin.Switches{Outage: &o} }
 
-const whole = "w0 w1 w2 w3 "
+const fullText = "w0 w1 w2 w3 "
 
 // An engine breaks in the middle, doubles, crosses or loses events, or the link to the home does. A caller
 // that is shown the rest as if it were whole reads a quote with a hole in it, or somebody else's.
 var _ = DescribeTable("a completion",
-	func(resumes bool, how []behaviour, at contract.FrameKind, what what, streamWhole bool) {
+	func(canResume bool, behaviours []sendBehaviour, at contract.FrameKind, kind faultKind, streamComplete bool) {
 		for _, stream := range []bool{false, true} {
 			f := newFleet("chat1", "chat2")
 			chat := f.settings.Services["chat"]
-			chat.CanResume = resumes
+			chat.CanResume = canResume
 			f.settings.Services["chat"] = chat
-			f.backend.how = append([]behaviour(nil), how...)
-			f.fault["chat1"] = fault{at: at, what: what}
+			f.backend.behaviours = append([]sendBehaviour(nil), behaviours...)
+			f.fault["chat1"] = fault{at: at, kind: kind}
 			got := complete(f.fronts[0], stream)
 			Expect(got.status).To(Equal(http.StatusOK), got.body)
 			switch {
 			case !stream:
-				Expect(got.body).To(ContainSubstring(fmt.Sprintf("%q", whole)))
+				Expect(got.body).To(ContainSubstring(fmt.Sprintf("%q", fullText)))
 				Expect(got.outcome).To(Equal(answered))
-			case streamWhole:
-				Expect(streamed(got.body)).To(Equal(whole))
+			case streamComplete:
+				Expect(streamed(got.body)).To(Equal(fullText))
 				Expect(got.body).To(HaveSuffix("data: [DONE]\n\n"))
 				Expect(got.outcome).To(Equal(answered))
 			default:
@@ -265,23 +265,23 @@
 				Expect(got.body).NotTo(ContainSubstring("[DONE]"))
 				Expect(got.outcome).To(Equal(unknown))
 			}
-			f.wake()
+			f.clearFaults()
 		}
 	},
-	Entry("without a fault", true, nil, contract.FrameKind(0), none, true),
-	Entry("refused by one backend server", true, []behaviour{{err: &engine.Refusal{Status: 503}}}, contract.FrameKind(0), none, true),
-	Entry("broken before the first event", false, []behaviour{{err: engine.ErrBroken}}, contract.FrameKind(0), none, true),
-	Entry("broken in the middle, resumed", true, []behaviour{{breaks: 2}}, contract.FrameKind(0), none, true),
-	Entry("broken in the middle, not to be resumed", false, []behaviour{{breaks: 2}}, contract.FrameKind(0), none, false),
-	Entry("doubled and crossed events", true, []behaviour{{events: []engine.Event{
-		event("", 0), event("", 0), event(others, 1), event("", 1), event("", 2), event("", 1), event("", 3),
-	}}}, contract.FrameKind(0), none, true),
-	Entry("an event lost, resumed", true, []behaviour{{events: []engine.Event{event("", 0), event("", 2), event("", 3)}}}, contract.FrameKind(0), none, true),
-	Entry("an event lost, not to be resumed", false, []behaviour{{events: []engine.Event{event("", 0), event("", 2)}}}, contract.FrameKind(0), none, false),
-	Entry("final event lost, resumed", true, []behaviour{{events: []engine.Event{event("", 0), event("", 1), event("", 2)}}}, contract.FrameKind(0), none, true),
-	Entry("home frozen at the first event", true, nil, contract.FrameEvent, freeze, true),
-	Entry("home cut off at the end", true, nil, contract.FrameEnd, cut, true),
-	Entry("a frame lost on the link", true, nil, contract.FrameEvent, lose, true),
+	Entry("without a fault", true, nil, contract.FrameKind(0), noFault, true),
+	Entry("refused by one backend server", true, []sendBehaviour{{err: &engine.Refusal{Status: 503}}}, contract.FrameKind(0), noFault, true),
+	Entry("broken before the first event", false, []sendBehaviour{{err: engine.ErrBroken}}, contract.FrameKind(0), noFault, true),
+	Entry("broken in the middle, resumed", true, []sendBehaviour{{breakAfter: 2}}, contract.FrameKind(0), noFault, true),
+	Entry("broken in the middle, not to be resumed", false, []sendBehaviour{{breakAfter: 2}}, contract.FrameKind(0), noFault, false),
+	Entry("doubled and crossed events", true, []sendBehaviour{{events: []engine.Event{
+		event("", 0), event("", 0), event(otherRequestID, 1), event("", 1), event("", 2), event("", 1), event("", 3),
+	}}}, contract.FrameKind(0), noFault, true),
+	Entry("an event lost, resumed", true, []sendBehaviour{{events: []engine.Event{event("", 0), event("", 2), event("", 3)}}}, contract.FrameKind(0), noFault, true),
+	Entry("an event lost, not to be resumed", false, []sendBehaviour{{events: []engine.Event{event("", 0), event("", 2)}}}, contract.FrameKind(0), noFault, false),
+	Entry("final event lost, resumed", true, []sendBehaviour{{events: []engine.Event{event("", 0), event("", 1), event("", 2)}}}, contract.FrameKind(0), noFault, true),
+	Entry("home frozen at the first event", true, nil, contract.FrameEvent, freezeHome, true),
+	Entry("home cut off at the end", true, nil, contract.FrameEnd, cutLink, true),
+	Entry("a frame lost on the link", true, nil, contract.FrameEvent, dropFrame, true),
 )
 
 // streamed is the text of a stream.
@@ -300,20 +300,20 @@
 var _ = Describe("A completion's caller", func() {
 	It("cancels it by leaving", func() {
 		f := newFleet("chat1")
-		f.backend.how = []behaviour{{hold: make(chan struct{})}}
+		f.backend.behaviours = []sendBehaviour{{hold: make(chan struct{})}}
 		ctx, leave := context.WithCancel(context.Background())
 		body := `{"model":"small","stream":true,"messages":[]}`
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, f.fronts[0].URL+"/v1/chat/completions", strings.NewReader(body))
 		Expect(err).NotTo(HaveOccurred())
 		request.Header.Set("Authorization", "Bearer "+teamKey)
 		go func() { _, _ = http.DefaultClient.Do(request) }()
-		Eventually(func() int { return f.backend.count(body) }, eventually).Should(Equal(1))
+		Eventually(func() int { return f.backend.count(body) }, eventuallyTimeout).Should(Equal(1))
 		leave()
 		Eventually(func() int {
 			f.backend.mu.Lock()
 			defer f.backend.mu.Unlock()
 			return f.backend.cancelled
-		}, eventually).Should(Equal(1))
+		}, eventuallyTimeout).Should(Equal(1))
 	})
 
 	// An operator declares completions unrepeatable: their tokens are paid for. The key finds the whole text again,
@@ -329,11 +329,11 @@
 				Expect(got.outcome).To(Equal(answered))
 				Expect(got.key).To(Equal("k"))
 				if stream {
-					Expect(streamed(got.body)).To(Equal(whole))
+					Expect(streamed(got.body)).To(Equal(fullText))
 					Expect(got.body).To(HaveSuffix("data: [DONE]\n\n"))
 					continue
 				}
-				Expect(got.body).To(ContainSubstring(fmt.Sprintf("%q", whole)))
+				Expect(got.body).To(ContainSubstring(fmt.Sprintf("%q", fullText)))
 			}
 			Expect(f.backend.sent).To(HaveLen(1))
 		}
@@ -341,8 +341,8 @@
 
 	It("is told at once when its time is over, and that it may send it again", func() {
 		f := newFleet("chat1")
-		f.backend.how = []behaviour{{hold: make(chan struct{})}}
-		got := ask(f.fronts[0], http.MethodPost, "/v1/chat/completions", map[string]string{contract.HeaderRequestTimeout: "0.3"}, `{"model":"small"}`)
+		f.backend.behaviours = []sendBehaviour{{hold: make(chan struct{})}}
+		got := sendRequest(f.fronts[0], http.MethodPost, "/v1/chat/completions", map[string]string{contract.HeaderRequestTimeout: "0.3"}, `{"model":"small"}`)
 		Expect(got.outcome).To(Equal(unknown))
 		Expect(got.retry).NotTo(BeEmpty())
 	})
@@ -351,7 +351,7 @@
 var _ = DescribeTable("what is refused before any dispatch",
 	func(method, path string, header map[string]string, body string, status int, code contract.Code) {
 		f := newFleet("desk1", "chat1")
-		got := ask(f.fronts[0], method, path, header, body)
+		got := sendRequest(f.fronts[0], method, path, header, body)
 		Expect(got.status).To(Equal(status), got.body)
 		Expect(got.code).To(Equal(code))
 		Expect(got.outcome).To(Equal(notRun))
@@ -375,7 +375,7 @@
 var _ = DescribeTable("which calls are claimed",
 	func(method, path string, claimed bool) {
 		f := newFleet("desk1")
-		Expect(ask(f.fronts[0], method, "/v1/services/desk"+path, nil, "x").outcome).To(Equal(answered))
+		Expect(sendRequest(f.fronts[0], method, "/v1/services/desk"+path, nil, "x").outcome).To(Equal(answered))
 		Expect(len(f.platform.Calls()) > 0).To(Equal(claimed))
 	},
 	Entry("a post", "POST", "/other", true),
@@ -393,7 +393,7 @@
 // in this front's memory.
 var _ = It("pulls no more frames than a slow caller takes", func() {
 	f := newFleet("desk1")
-	f.backend.how = []behaviour{{body: strings.Repeat("x", 64<<20)}}
+	f.backend.behaviours = []sendBehaviour{{body: strings.Repeat("x", 64<<20)}}
 	request, err := http.NewRequest(http.MethodGet, f.fronts[0].URL+"/v1/services/desk/other", nil)
 	Expect(err).NotTo(HaveOccurred())
 	request.Header.Set("Authorization", "Bearer "+teamKey)
@@ -402,5 +402,5 @@
 	defer func() { _ = response.Body.Close() }()
 	Expect(response.Header.Get(contract.HeaderOutcome)).To(BeEmpty(), "the outcome is not known before the end")
 	total := (64 << 20) / (16 << 10)
-	Consistently(func() int64 { return f.passed.Load() }, 300*time.Millisecond).Should(BeNumerically("<", total))
+	Consistently(func() int64 { return f.framesTaken.Load() }, 300*time.Millisecond).Should(BeNumerically("<", total))
 })
--- a/entry/front/lines.go
+++ b/entry/front/lines.go
@@ -15,11 +15,11 @@
 const msgUnanswered = "request ended without an answer"
 
 func (d *driver) logUnanswered(action outcome.Action) {
-	if !d.q.atMostOnce || action.Problem == nil || action.Outcome == contract.OutcomeAnswered {
+	if !d.request.atMostOnce || action.Problem == nil || action.Outcome == contract.OutcomeAnswered {
 		return
 	}
 	line := d.front.deps.Log.WithFields(logrus.Fields{
-		"request": d.q.id, "team": d.q.team.Name, "service": d.q.service.Name, "key": d.q.key, "attempt": d.q.attempt,
+		"request": d.request.id, "team": d.request.team.Name, "service": d.request.service.Name, "key": d.request.key, "attempt": d.request.attempt,
 		"outcome": action.Outcome, "code": action.Problem.Code, "detail": action.Problem.Message,
 		"groups": d.tried, "took_ms": time.Since(d.startedAt).Milliseconds(),
 	})
--- a/entry/front/links_test.go
+++ b/entry/front/links_test.go
@@ -15,25 +15,25 @@
 // fault befalls a dispatch at its frame of this kind.
 type fault struct {
 	at   contract.FrameKind
-	what what
+	kind faultKind
 }
 
-type what uint8
+type faultKind uint8
 
 const (
-	none        what = iota
-	unreachable      // the home is not reached
-	cut              // the front hears no more; the home goes on
-	freeze           // the front hears no more; the home stops right there until it is woken
-	lose             // one frame is lost
-	unheard          // the home sends into a dead connection, which looks sent; the front hears no more
+	noFault       faultKind = iota
+	unreachable             // the home is not reached
+	cutLink                 // the front hears no more; the home goes on
+	freezeHome              // the front hears no more; the home stops right there until it is woken
+	dropFrame               // one frame is lost
+	blackholeLink           // the home sends into a dead connection, which looks sent; the front hears no more
 )
 
 // ClaimStatus asks the home, unless it is frozen or can't be reached.
 func (f *fleet) ClaimStatus(_ context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
 	id := vm.GroupID(strings.TrimPrefix(claim.Home, "home-"))
 	f.mu.Lock()
-	silent := f.fault[id].what == freeze || f.silent
+	silent := f.fault[id].kind == freezeHome || f.holdersSilent
 	f.mu.Unlock()
 	if silent {
 		return outcome.HolderSilent
@@ -41,14 +41,14 @@
 	return f.homes[id].ClaimStatus(claim.RequestID, claim.Nonce)
 }
 
-func (f *fleet) wake() {
+func (f *fleet) clearFaults() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fault = make(map[vm.GroupID]fault)
 	close(f.frozen)
 }
 
-type frames struct {
+type frameLink struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 	frames chan contract.Frame
@@ -56,9 +56,9 @@
 	once   sync.Once
 }
 
-func (l *frames) lose() { l.once.Do(func() { close(l.lost) }) }
+func (l *frameLink) cutOff() { l.once.Do(func() { close(l.lost) }) }
 
-func (l *frames) isLost() bool {
+func (l *frameLink) isCutOff() bool {
 	select {
 	case <-l.lost:
 		return true
@@ -67,7 +67,7 @@
 	}
 }
 
-func (l *frames) Next() (contract.Frame, error) {
+func (l *frameLink) Next() (contract.Frame, error) {
 	select {
 	case frame, ok := <-l.frames:
 		if !ok {
@@ -79,35 +79,35 @@
 	}
 }
 
-func (l *frames) Close() { l.cancel() }
+func (l *frameLink) Close() { l.cancel() }
 
 func (f *fleet) Dispatch(ctx context.Context, d contract.Dispatch) (front.FrameStream, error) {
 	f.mu.Lock()
 	fault := f.fault[d.Group]
 	f.mu.Unlock()
-	if fault.what == unreachable {
+	if fault.kind == unreachable {
 		return nil, front.ErrNotSent
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	l := &frames{ctx: ctx, cancel: cancel, frames: make(chan contract.Frame), lost: make(chan struct{})}
+	l := &frameLink{ctx: ctx, cancel: cancel, frames: make(chan contract.Frame), lost: make(chan struct{})}
 	homeCtx := ctx
-	if fault.what == unheard {
+	if fault.kind == blackholeLink {
 		homeCtx = context.WithoutCancel(ctx)
 	}
 	go func() {
 		defer close(l.frames)
 		_ = f.homes[d.Group].Dispatch(homeCtx, d, func(frame contract.Frame) error {
-			if fault.what == unheard && (frame.Kind == fault.at || l.isLost()) {
-				l.lose()
+			if fault.kind == blackholeLink && (frame.Kind == fault.at || l.isCutOff()) {
+				l.cutOff()
 				return nil
 			}
-			if fault.what != none && frame.Kind == fault.at {
-				what := fault.what
-				fault.what = none
-				switch what {
-				case lose:
+			if fault.kind != noFault && frame.Kind == fault.at {
+				kind := fault.kind
+				fault.kind = noFault
+				switch kind {
+				case dropFrame:
 					return nil
-				case freeze:
+				case freezeHome:
 					close(l.lost)
 					<-f.frozen
 					return io.ErrClosedPipe
@@ -118,7 +118,7 @@
 			}
 			select {
 			case l.frames <- frame:
-				f.passed.Add(1)
+				f.framesTaken.Add(1)
 				return nil
 			case <-ctx.Done():
 				return ctx.Err()
--- a/entry/front/plain.go
+++ b/entry/front/plain.go
@@ -43,7 +43,7 @@
 	s.started = true
 	s.setAnswerHeaders()
 	s.w.Header().Set("Trailer", contract.HeaderOutcome)
-	s.w.Header().Set(contract.HeaderRequestID, s.q.id)
+	s.w.Header().Set(contract.HeaderRequestID, s.request.id)
 	s.w.WriteHeader(s.status)
 	held := s.buffered
 	s.buffered = nil
--- a/entry/front/writer.go
+++ b/entry/front/writer.go
@@ -35,7 +35,7 @@
 type writer interface {
 	// deliver takes a frame of the answer; began: a byte of it was given to the caller, so that the answer
 	// can't be begun anew. After an error the caller is gone.
-	deliver(f contract.Frame) (began bool, err error)
+	deliver(f contract.Frame) (started bool, err error)
 	// reset forgets what was taken; it is called only before the answer began.
 	reset()
 	// finish ends the response.
@@ -43,7 +43,7 @@
 }
 
 func newWriter(q *request, w http.ResponseWriter) writer {
-	caller := &callerConn{q: q, w: w, control: http.NewResponseController(w)}
+	caller := &callerConn{request: q, w: w, control: http.NewResponseController(w)}
 	if q.plain != nil {
 		return &plainWriter{callerConn: caller}
 	}
@@ -55,7 +55,7 @@
 
 // callerConn is the connection of one callerConn.
 type callerConn struct {
-	q       *request
+	request *request
 	w       http.ResponseWriter
 	control *http.ResponseController
 }
@@ -72,12 +72,12 @@
 // setOutcomeHeaders sets what every answer that is not yet begun carries.
 func (c *callerConn) setOutcomeHeaders(a outcome.Action) {
 	header := c.w.Header()
-	header.Set(contract.HeaderRequestID, c.q.id)
+	header.Set(contract.HeaderRequestID, c.request.id)
 	header.Set(contract.HeaderOutcome, string(a.Outcome))
-	if c.q.atMostOnce && a.Outcome != contract.OutcomeNotRun {
-		header.Set(contract.HeaderIdempotencyKey, c.q.key)
+	if c.request.atMostOnce && a.Outcome != contract.OutcomeNotRun {
+		header.Set(contract.HeaderIdempotencyKey, c.request.key)
 	}
-	if a.Attempts > 0 && c.q.keyFromCaller {
+	if a.Attempts > 0 && c.request.keyFromCaller {
 		header.Set(contract.HeaderAttempt, strconv.Itoa(a.Attempts))
 	}
 	if a.Problem != nil && a.Problem.RetryAfter > 0 {
@@ -95,9 +95,9 @@
 }
 
 func (c *callerConn) problemBody(a outcome.Action) []byte {
-	told := *a.Problem
-	told.RequestID = c.q.id
-	body, err := json.Marshal(told)
+	problem := *a.Problem
+	problem.RequestID = c.request.id
+	body, err := json.Marshal(problem)
 	if err != nil {
 		return nil
 	}
