--- a/entry/front/completion.go
+++ b/entry/front/completion.go
@@ -13,7 +13,7 @@
 	"github.com/skylarkpond/skylarkpond/link/engine"
 )
 
-// The shapes that callers of chat completions know.
+// JSON shapes of the chat completions API.
 type (
 	chunk struct {
 		ID      string        `json:"id"`
@@ -49,7 +49,7 @@
 	}
 )
 
-// nullableString is a string whose empty value is JSON's null.
+// nullableString is a string that is encoded as null if it is empty.
 type nullableString string
 
 // MarshalJSON implements json.Marshaler.
@@ -60,8 +60,8 @@
 	return json.Marshal(string(s))
 }
 
-// streamWriter gives a completion as server-sent events. [DONE] comes only behind a whole answer; what
-// breaks off ends with an event named error that holds a Problem.
+// streamWriter writes a completion as server-sent events. [DONE] is sent only after a complete answer. An
+// incomplete answer ends with an event named "error" that holds a Problem.
 type streamWriter struct {
 	*callerConn
 	started bool
@@ -119,7 +119,7 @@
 	s.w.Header().Set(contract.HeaderOutcome, string(a.Outcome))
 }
 
-// writeStored gives an answer from the record as a stream of one event.
+// writeStored writes an answer from the attempt record as a stream of one event.
 func (s *streamWriter) writeStored(a outcome.Action) {
 	event, ok := decodeStored(a.Stored)
 	if !ok {
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// bufferedWriter gathers a completion and gives it as one JSON object.
+// bufferedWriter buffers a completion and writes it as one JSON object.
 type bufferedWriter struct {
 	*callerConn
 	text         strings.Builder
@@ -213,14 +213,14 @@
 	_ = s.write(body)
 }
 
-// decodeStored reads an answer as the home keeps it.
+// decodeStored decodes a completion in the form in which the home stores it.
 func decodeStored(stored *contract.StoredAnswer) (engine.Event, bool) {
 	var event engine.Event
 	err := json.Unmarshal(stored.Body, &event)
 	return event, err == nil && event.Final
 }
 
-// unreadableAnswer: the request ran, and its answer is there but can't be shown.
+// unreadableAnswer reports that the request ran, but that its stored answer can't be decoded.
 func unreadableAnswer() outcome.Action {
 	return outcome.Action{Outcome: contract.OutcomeAnswered, Problem: &contract.Problem{
 		Code: contract.CodeAnswerNotStored, Status: http.StatusOK, Outcome: contract.OutcomeAnswered,
--- a/entry/front/counts.go
+++ b/entry/front/counts.go
@@ -8,9 +8,9 @@
 	"github.com/skylarkpond/skylarkpond/contract/outcome"
 )
 
-// frontMetrics are the front's metrics: "front.outcome.<outcome>" and "front.code.<code>" count what callers were
-// told; "front.first" is the time to the first part given to a caller of a stream or a long answer,
-// "front.total" that to the end of any answer.
+// frontMetrics holds the metrics of the front. The counters "front.outcome.<outcome>" and "front.code.<code>"
+// count what callers were told. The timer "front.first" measures the time to the first part delivered to the
+// caller of a stream or a long answer, "front.total" the time to the end of any answer.
 type frontMetrics struct {
 	registry metrics.Registry
 	first    metrics.Timer
@@ -35,7 +35,7 @@
 	c.total.Update(took)
 }
 
-// recordDelivery is called with each part given to a caller; the first counts.
+// recordDelivery is called for each part that is delivered to a caller. It measures the time to the first one.
 func (c *frontMetrics) recordDelivery(d *driver) {
 	if !d.delivered {
 		d.delivered = true
--- a/entry/front/drive.go
+++ b/entry/front/drive.go
@@ -13,11 +13,12 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// recordTimeout bounds a seal, a look-up or a question to a claim's holder. The caller waits for it with
-// nothing else left to wait for, so it is short.
+// recordTimeout bounds a seal, a lookup of the record, or a query to the holder of a claim. It is short because
+// the caller waits for nothing else at that point.
 const recordTimeout = time.Second
 
-// driver does what the machine of one request asks for. Only the goroutine of the request uses it.
+// driver executes the actions of the state machine of one request. It is used only by the goroutine of the
+// request.
 type driver struct {
 	front     *Front
 	request   *request
@@ -26,25 +27,25 @@
 	startedAt time.Time
 	deadline  time.Time
 	tried     []vm.GroupID
-	// delivered: the caller was given a part of the answer.
+	// delivered is set once a part of the answer was delivered to the caller.
 	delivered bool
-	// crashID names the crashID of a backend server that the last try ended in.
+	// crashID identifies the backend server crash that ended the last try, if any.
 	crashID string
 
 	choice Choice
 	cancel context.CancelFunc
 	frames chan frameResult
-	// endedByHome says that the dispatch under way ended by its home's word.
+	// endedByHome is set if the home ended the current dispatch by an answer, a refusal, or an existing record.
 	endedByHome bool
 }
 
-// frameResult is what a dispatch's reader got.
+// frameResult is a frame of a dispatch, or the error that ended the dispatch.
 type frameResult struct {
 	frame contract.Frame
 	err   error
 }
 
-// serve answers one request. p, if set, is why it is refused before any dispatch.
+// serve answers one request. If p is set, the request is rejected without a dispatch.
 func (f *Front) serve(q *request, p *contract.Problem, r *http.Request, w http.ResponseWriter) {
 	if q.atMostOnce && q.key == "" {
 		q.key = f.newID()
@@ -92,7 +93,8 @@
 	}
 }
 
-// awaitFrame takes the next thing that happens to the dispatch under way. over: the caller is gone.
+// awaitFrame waits for the next frame of the current dispatch, its end, or the deadline, and returns the machine's
+// next action. callerGone is set if the caller has disconnected.
 func (d *driver) awaitFrame(ctx context.Context) (action outcome.Action, callerGone bool) {
 	timer := time.NewTimer(time.Until(d.deadline))
 	defer timer.Stop()
@@ -110,6 +112,7 @@
 	}
 }
 
+// handleFrame passes a frame to the machine and delivers it to the caller if the machine asks for that.
 func (d *driver) handleFrame(f contract.Frame) (action outcome.Action, callerGone bool) {
 	d.front.deps.Recorder.Observe(f.HLCTime)
 	if f.CrashID != "" {
@@ -131,6 +134,7 @@
 	return outcome.Action{Do: outcome.Wait}, err != nil
 }
 
+// dispatch ends the current dispatch and starts the next one, unless there is no time, no retry, or no group left.
 func (d *driver) dispatch(ctx context.Context, action outcome.Action) outcome.Action {
 	d.closeDispatch()
 	if action.Restart {
@@ -159,7 +163,8 @@
 	return outcome.Action{Do: outcome.Wait}
 }
 
-// awaitRetry says whether another try may be made, after the pause that it has to keep. A first one always may.
+// awaitRetry waits for the backoff before a retry and reports whether the retry is allowed. The first try is
+// always allowed.
 func (d *driver) awaitRetry(ctx context.Context, left time.Duration) bool {
 	if len(d.tried) == 0 {
 		return true
@@ -177,18 +182,18 @@
 	return true
 }
 
-// homeTimeout leaves the home a little less than the caller's time. What waits in a queue until the end is
-// then refused by the home, which can say that it did not run, before this front has to give it up
-// without knowing.
+// homeTimeout gives the home slightly less than the time left for the caller. A request that stays queued until
+// then is refused by the home, which knows that it did not run, before the front has to give it up without knowing
+// the outcome.
 func homeTimeout(left time.Duration) time.Duration {
 	return left - min(left/10, maxHomeMargin)
 }
 
-// maxHomeMargin covers the way back from the home and a seal.
+// maxHomeMargin covers the network path back from the home and a seal.
 const maxHomeMargin = 200 * time.Millisecond
 
-// openDispatch starts the reader of a dispatch. It holds one frame at a time: what a slow caller does not take
-// stays with the home, within the window of its stream.
+// openDispatch starts the reader of a dispatch. The reader holds one frame at a time, so the frames that a slow
+// caller has not taken stay at the home, limited by the flow-control window of the stream.
 func (d *driver) openDispatch(ctx context.Context, dispatch contract.Dispatch) {
 	ctx, d.cancel = context.WithCancel(ctx)
 	results := make(chan frameResult)
@@ -211,6 +216,7 @@
 	}()
 }
 
+// sendResult returns false if ctx ended before the result was received.
 func sendResult(ctx context.Context, results chan<- frameResult, result frameResult) bool {
 	select {
 	case results <- result:
@@ -220,7 +226,7 @@
 	}
 }
 
-// closeDispatch ends the dispatch under way, if any.
+// closeDispatch ends the current dispatch, if any.
 func (d *driver) closeDispatch() {
 	if d.cancel == nil {
 		return
@@ -262,6 +268,7 @@
 	return answer
 }
 
+// respond records the outcome and ends the response to the caller.
 func (d *driver) respond(action outcome.Action) {
 	detail := string(action.Outcome)
 	if action.Problem != nil {
@@ -277,7 +284,7 @@
 	d.recordEvent(timeline.Event{Kind: kind, Detail: detail})
 }
 
-// recordEvent records an event of this request.
+// recordEvent records a timeline event of this request.
 func (d *driver) recordEvent(e timeline.Event) {
 	e.Request, e.Team, e.Service = d.request.id, d.request.team.Name, d.request.service.Name
 	d.front.deps.Recorder.Record(e)
--- a/entry/front/fakes_test.go
+++ b/entry/front/fakes_test.go
@@ -37,25 +37,26 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// backend is the engines of all groups; its runs are the judge.
+// backend is a fake engine client that serves all groups. The tests check its runs, which count how often each
+// body ran.
 type backend struct {
 	engine.Client
 
-	mu   sync.Mutex // guards runs, how and sent
+	mu   sync.Mutex // guards the fields below
 	runs map[string]int
-	// behaviours holds what the next sends meet, in turn; none: all goes well.
+	// behaviours holds the behaviour of the next sends, in order. Sends beyond the list succeed.
 	behaviours []sendBehaviour
-	// cancelled counts streams that were closed or ended before their end.
+	// cancelled counts the streams that were closed before their last event.
 	cancelled int
 	sent      []engine.Send
 }
 
-// sendBehaviour of one send.
+// sendBehaviour is the behaviour of one send.
 type sendBehaviour struct {
 	err        error
-	breakAfter int // events or bytes behind which it breaks off; 0: it doesn't
+	breakAfter int // events or bytes after which the answer breaks off; 0: never
 	events     []engine.Event
-	hold       chan struct{} // it waits for this before its first event
+	hold       chan struct{} // if set, the first event waits until it is closed
 	body       string
 	status     int
 }
@@ -66,14 +67,14 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sent = append(b.sent, send)
-	var h sendBehaviour
+	var behaviour sendBehaviour
 	if len(b.behaviours) > 0 {
-		h, b.behaviours = b.behaviours[0], b.behaviours[1:]
+		behaviour, b.behaviours = b.behaviours[0], b.behaviours[1:]
 	}
-	if h.err == nil || h.err == engine.ErrBroken {
+	if behaviour.err == nil || behaviour.err == engine.ErrBroken {
 		b.runs[body]++
 	}
-	return h
+	return behaviour
 }
 
 func (b *backend) count(body string) int {
@@ -95,7 +96,7 @@
 	return &stream{ctx: ctx, b: b, h: h, id: send.RequestID}, nil
 }
 
-// otherRequestID is the id of another request, whose texts differ.
+// otherRequestID is the ID of another request, whose events carry a different text.
 const otherRequestID = "other"
 
 func event(id string, seq uint64) engine.Event {
@@ -172,7 +173,7 @@
 
 func (brokenReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// fleet is fronts and homes in one process, each with a part of a real entry's links.
+// fleet runs several fronts and homes in one process and connects them by fake links.
 type fleet struct {
 	backend  *backend
 	platform *standin.Platform
@@ -183,15 +184,15 @@
 	settings *settings.Snapshot
 	notWhole map[vm.GroupID]bool
 
-	// framesTaken counts the frames that fronts took.
+	// framesTaken counts the frames that the fronts have taken.
 	framesTaken atomic.Int64
 
-	mu sync.Mutex // guards what follows
-	// fault is what befalls the next dispatch to a group.
+	mu sync.Mutex // guards the fields below
+	// fault is the fault of the next dispatch to a group.
 	fault map[vm.GroupID]fault
-	// frozen holds the homes that a fault froze, until wake closes it.
+	// frozen blocks the homes that a fault froze, until clearFaults closes it.
 	frozen chan struct{}
-	// holdersSilent: no holder of a claim can be asked.
+	// holdersSilent makes all queries to holders of claims fail.
 	holdersSilent bool
 }
 
@@ -263,17 +264,17 @@
 	return !f.notWhole[id], "a member is missing"
 }
 
-// Choose takes the first group of the service that was not tried.
-func (f *fleet) Choose(ask front.GroupQuery) (front.Choice, *contract.Problem) {
+// Choose returns the first group of the service that was not tried.
+func (f *fleet) Choose(query front.GroupQuery) (front.Choice, *contract.Problem) {
 	for _, id := range f.groups {
-		if strings.HasPrefix(string(id), ask.Service.Name) && !slices.Contains(ask.Tried, id) {
+		if strings.HasPrefix(string(id), query.Service.Name) && !slices.Contains(query.Tried, id) {
 			return front.Choice{Group: id}, nil
 		}
 	}
 	return front.Choice{}, contract.NewRetryLater(contract.CodeNoGroup, "none", time.Second)
 }
 
-// answer is what a caller got.
+// answer is the response that a caller received.
 type answer struct {
 	status  int
 	outcome contract.Outcome
@@ -340,7 +341,7 @@
 	return got
 }
 
-// book books lot 7 under a key; an empty key lets the front make one.
+// book books lot 7 under the given key. If key is empty, the front generates one.
 func book(server *httptest.Server, key string, attempt int) answer {
 	GinkgoHelper()
 	header := map[string]string{contract.HeaderAttempt: fmt.Sprint(attempt)}
@@ -365,7 +366,7 @@
 	return sendRequest(server, http.MethodPost, "/v1/chat/completions", header, body)
 }
 
-// tenRetries is a RetryBudget of ten retries without a pause.
+// tenRetries is a RetryBudget of ten retries without a backoff.
 type tenRetries struct{ used atomic.Int64 }
 
 func (b *tenRetries) RecordFirstTry(string) {}
@@ -374,7 +375,7 @@
 	return 0, b.used.Add(1) <= 10
 }
 
-// admitAll is an Admission that lets everything in.
+// admitAll is an Admission that admits every request at once.
 type admitAll struct{}
 
 func (admitAll) Enter(context.Context, home.AdmissionRequest) (home.Permit, *contract.Problem) {
@@ -389,5 +390,5 @@
 func (fakePermit) Token(int)   {}
 func (fakePermit) Done()       {}
 
-// Probe says that the backend server is alive: what breaks off here is no crash.
+// Probe reports that the backend server is alive, so that a broken answer does not count as a crash.
 func (b *backend) Probe(context.Context, string) (engine.State, error) { return engine.State{}, nil }
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -1,7 +1,8 @@
-// Package front is the part of an entry that callers connect to: it authenticates a request, sends it to
-// the home of a group, hands the answer on, and tells the caller its outcome.
+// Package front implements the role of an entry that callers connect to. It authenticates a request, dispatches it
+// to the home of a group, forwards the answer, and reports the outcome to the caller.
 //
-// What may be told is decided by the machine of package outcome; this package does what the machine asks.
+// The state machine of package outcome decides what a caller may be told. This package executes the actions that
+// the machine returns.
 package front
 
 import (
@@ -23,64 +24,64 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// ErrNotSent is returned by a Dispatcher whose home can't have taken the dispatch. After any other error
-// it may have.
+// ErrNotSent is returned by a Dispatcher if the home can't have received the dispatch. After any other error it
+// may have.
 var ErrNotSent = eris.New("home not reached")
 
-// FrameStream are the frames of one dispatch.
+// FrameStream is the stream of frames of one dispatch.
 type FrameStream interface {
-	// Next returns the next frame, or an error when the home can no longer be heard. After io.EOF, too,
-	// nothing more comes; whether the answer was whole is for the caller to see.
+	// Next returns the next frame, or an error if the home can no longer be reached. No frame follows any error,
+	// including io.EOF. The caller has to determine from the frames whether the answer was complete.
 	Next() (contract.Frame, error)
-	// Close cancels the dispatch if it is not over.
+	// Close cancels the dispatch if it is still in progress.
 	Close()
 }
 
-// Dispatcher sends to the home of d.Group.
+// Dispatcher sends a dispatch to the home of its group.
 type Dispatcher interface {
 	Dispatch(ctx context.Context, d contract.Dispatch) (FrameStream, error)
 }
 
-// ClaimHolders asks the holder of a claim.
+// ClaimHolders queries the entries that hold claims.
 type ClaimHolders interface {
-	// ClaimStatus asks that life of that entry what became of the claim.
+	// ClaimStatus asks the entry and incarnation named in the claim what became of it.
 	ClaimStatus(ctx context.Context, claim contract.AttemptRecord) outcome.HolderAnswer
 }
 
-// GroupQuery is what the choice of a group goes by.
+// GroupQuery holds the properties of a request that determine its group.
 type GroupQuery struct {
 	Service settings.Service
-	// PrefixHash is the hash of the prompt's prefix, 0 if it has none.
+	// PrefixHash is the hash of the prompt's prefix, or 0 if there is none.
 	PrefixHash      uint64
 	EstimatedTokens int
-	// Tried are the groups that had this request already.
+	// Tried lists the groups that this request was already dispatched to.
 	Tried []vm.GroupID
 }
 
-// Choice is a group to send to. Done, if set, is called once when the dispatch is over; well: it ended by
-// the home's word, an answer or a refusal.
+// Choice is the group to dispatch to. If Done is set, it is called once when the dispatch is over. Its argument
+// reports whether the home ended the dispatch itself, by an answer or a refusal.
 type Choice struct {
 	Group vm.GroupID
 	Done  func(well bool)
 }
 
-// Chooser chooses the group of a dispatch, or says why there is none.
+// Chooser chooses the group for a dispatch. It returns a Problem if there is none.
 type Chooser interface {
 	Choose(query GroupQuery) (Choice, *contract.Problem)
 }
 
-// RetryBudget bounds tries after the first to a share of first tries.
+// RetryBudget limits retries to a share of the first tries.
 type RetryBudget interface {
-	// RecordFirstTry counts a first try.
+	// RecordFirstTry counts the first try of a request.
 	RecordFirstTry(service string)
-	// AllowRetry says whether a request may be tried once more after tries so far, and how long to wait before,
-	// with left of its time.
+	// AllowRetry reports whether a request that was tried tries times may be tried once more, and how long to wait
+	// before that. left is the time until the request's deadline.
 	AllowRetry(service settings.Service, tries int, left time.Duration) (wait time.Duration, ok bool)
 }
 
-// Deps is what a front needs.
+// Deps holds the dependencies of a Front.
 type Deps struct {
-	// Self names this entry.
+	// Self is the name of this entry.
 	Self       string
 	Settings   func() *settings.Snapshot
 	Dispatcher Dispatcher
@@ -100,17 +101,17 @@
 	metrics *frontMetrics
 }
 
-// New returns a front.
+// New returns a Front.
 func New(deps Deps) *Front {
 	return &Front{deps: deps, newID: uuid.NewString, metrics: newFrontMetrics(deps.Metrics)}
 }
 
-// plainMethods are those that a plain service may be called with.
+// plainMethods lists the HTTP methods that plain services can be called with.
 var plainMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-// Register adds the front's routes to a web service at root path /v1.
+// Register adds the front's routes to a web service whose root path is /v1.
 func (f *Front) Register(ws *restful.WebService) {
 	ws.Route(ws.POST(completionsPath).To(f.completions))
 	for _, method := range plainMethods {
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -30,9 +30,10 @@
 	unknown    = contract.OutcomeUnknown
 )
 
-// A booking meets a fault at each of its steps: the home freezes and wakes late, or the front can no longer
-// hear it. A clerk may be told that it can't be known, or that it runs; never that it did not run when it
-// did, and however often the key is sent again, through whichever front, the lot is booked once at most.
+// A booking meets a fault at each of its steps: the home freezes and resumes late, or the front loses its link to
+// the home. The caller may be told that the outcome is unknown or that the booking is in progress, but never that
+// it did not run if it did. However often the key is sent again, through whichever front, the lot is booked at
+// most once.
 var _ = DescribeTable("a booking under a fault at each step",
 	func(homes int, at contract.FrameKind, kind faultKind, wantFirst contract.Outcome, wantRuns int, wantRetry contract.Outcome) {
 		for _, key := range []string{"lot-7", ""} {
@@ -67,16 +68,16 @@
 	Entry("frozen when about to send", 2, contract.FrameSent, freezeHome, unknown, 1, answered),
 	Entry("frozen with the beginning of the answer", 2, contract.FrameHead, freezeHome, unknown, 1, answered),
 	Entry("frozen in the middle of the answer", 2, contract.FrameChunk, freezeHome, unknown, 1, answered),
-	Entry("frozen when the answer was kept", 2, contract.FrameEnd, freezeHome, answered, 1, answered),
+	Entry("frozen when the answer was stored", 2, contract.FrameEnd, freezeHome, answered, 1, answered),
 	Entry("cut when queued, another takes it", 2, contract.FrameQueued, cutLink, answered, 1, answered),
 	Entry("cut when queued, no other", 1, contract.FrameQueued, cutLink, notRun, 0, notRun),
 	Entry("cut when claimed", 2, contract.FrameClaimed, cutLink, inProgress, 1, answered),
 	Entry("cut when about to send", 2, contract.FrameSent, cutLink, inProgress, 1, answered),
-	Entry("cut when the answer was kept", 2, contract.FrameEnd, cutLink, answered, 1, answered),
+	Entry("cut when the answer was stored", 2, contract.FrameEnd, cutLink, answered, 1, answered),
 )
 
 var _ = Describe("A booking", func() {
-	It("takes a higher attempt after a not-run, and says which", func() {
+	It("accepts a higher attempt number after not-run, and returns the number", func() {
 		f := newFleet("desk1")
 		f.fault["desk1"] = fault{kind: unreachable}
 		first := book(f.fronts[0], "lot-7", 3)
@@ -99,9 +100,9 @@
 		Expect(f.backend.count("lot-8")).To(BeZero())
 	})
 
-	// The claim went through, and then the group is not whole, or the backend server refuses. Nothing ran, and
-	// the next home may claim over the first one's claim.
-	DescribeTable("goes to another group when the first gave it up behind its claim",
+	// After the claim, the group is no longer whole or the backend server refuses. Nothing ran, and the next home
+	// may replace the claim of the first.
+	DescribeTable("goes to another group when the first refuses it after its claim",
 		func(refusal error) {
 			f := newFleet("desk1", "desk2")
 			f.backend.behaviours = []sendBehaviour{{err: refusal}}
@@ -114,8 +115,8 @@
 		Entry("refused", &engine.Refusal{Status: http.StatusServiceUnavailable}),
 	)
 
-	// A claim that is given up must not stand when the refusal is lost on a link that is cut.
-	DescribeTable("is not left unknown when its front never hears that the claim was given up",
+	// An abandoned claim must not remain if the refusal is lost on a broken link.
+	DescribeTable("is not left unknown when its front never learns that the claim was abandoned",
 		func(holderSilent bool, wantFirst, wantRetry contract.Outcome) {
 			for _, key := range []string{"lot-7", ""} {
 				f := newFleet("desk1")
@@ -149,16 +150,17 @@
 		Expect(f.backend.count("lot-7")).To(Equal(1))
 	})
 
-	// The platform is out, loses the claim's answer, or lets the claim land late. A booking that can't be
-	// claimed does not run; whether a chosen key may be told so depends on whether that could be sealed.
+	// The platform is unavailable, loses the answer to the claim, or applies the claim late. A booking that can't
+	// be claimed does not run. Whether a caller that chose its key may be told so depends on whether the attempt
+	// could be sealed.
 	DescribeTable("with the platform failing at the claim",
-		func(s standin.Switches, chosen, made contract.Outcome, runs int) {
-			for key, told := range map[string]contract.Outcome{"lot-7": chosen, "": made} {
+		func(s standin.Switches, wantCallerKey, wantGeneratedKey contract.Outcome, wantRuns int) {
+			for key, want := range map[string]contract.Outcome{"lot-7": wantCallerKey, "": wantGeneratedKey} {
 				f := newFleet("desk1")
 				Expect(f.platform.Switch(s)).To(Succeed())
 				got := book(f.fronts[0], key, 1)
-				Expect(got.outcome).To(Equal(told), got.body)
-				Expect(f.backend.count("lot-7")).To(Equal(runs))
+				Expect(got.outcome).To(Equal(want), got.body)
+				Expect(f.backend.count("lot-7")).To(Equal(wantRuns))
 			}
 		},
 		Entry("out", outage(standin.OutageRefuse), unknown, notRun, 0),
@@ -168,9 +170,9 @@
 		Entry("effect late", standin.Switches{LateEffects: &standin.LateEffects{Count: 1, DelayMillis: 400}}, answered, answered, 1),
 	)
 
-	// The platform goes out while the backend server books. The caller gets its answer at once; who asks again
-	// is told that it is in progress, and the answer once the platform is back.
-	It("keeps its answer once the platform is back", func() {
+	// The platform becomes unavailable while the backend server books. The caller gets its answer at once. A retry
+	// is told that the request is in progress, and gets the answer once the platform is back.
+	It("stores its answer once the platform is back", func() {
 		f := newFleet("desk1")
 		hold := make(chan struct{})
 		f.backend.behaviours = []sendBehaviour{{hold: hold}}
@@ -191,7 +193,7 @@
 		Expect(f.backend.count("lot-7")).To(Equal(1))
 	})
 
-	It("goes on when its caller leaves, and gives the answer to who asks again", func() {
+	It("continues when its caller disconnects, and a retry gets the answer", func() {
 		f := newFleet("desk1")
 		hold := make(chan struct{})
 		f.backend.behaviours = []sendBehaviour{{hold: hold}}
@@ -209,7 +211,7 @@
 		Expect(f.backend.count("lot-7")).To(Equal(1))
 	})
 
-	It("tells the fact of an answer that is too large to keep", func() {
+	It("reports that it ran when its answer is too large to store", func() {
 		f := newFleet("desk1")
 		large := strings.Repeat("x", contract.MaxStoredAnswer+1)
 		f.backend.behaviours = []sendBehaviour{{body: large, status: http.StatusCreated}}
@@ -239,8 +241,9 @@
 
 const fullText = "w0 w1 w2 w3 "
 
-// An engine breaks in the middle, doubles, crosses or loses events, or the link to the home does. A caller
-// that is shown the rest as if it were whole reads a quote with a hole in it, or somebody else's.
+// An engine breaks off in the middle, or duplicates, mixes up or loses events, or the link to the home does. If
+// the rest were presented as a complete answer, the caller would read a text with a gap, or a part of somebody
+// else's.
 var _ = DescribeTable("a completion",
 	func(canResume bool, behaviours []sendBehaviour, at contract.FrameKind, kind faultKind, streamComplete bool) {
 		for _, stream := range []bool{false, true} {
@@ -272,19 +275,19 @@
 	Entry("refused by one backend server", true, []sendBehaviour{{err: &engine.Refusal{Status: 503}}}, contract.FrameKind(0), noFault, true),
 	Entry("broken before the first event", false, []sendBehaviour{{err: engine.ErrBroken}}, contract.FrameKind(0), noFault, true),
 	Entry("broken in the middle, resumed", true, []sendBehaviour{{breakAfter: 2}}, contract.FrameKind(0), noFault, true),
-	Entry("broken in the middle, not to be resumed", false, []sendBehaviour{{breakAfter: 2}}, contract.FrameKind(0), noFault, false),
-	Entry("doubled and crossed events", true, []sendBehaviour{{events: []engine.Event{
+	Entry("broken in the middle, not resumable", false, []sendBehaviour{{breakAfter: 2}}, contract.FrameKind(0), noFault, false),
+	Entry("duplicate events and an event of another request", true, []sendBehaviour{{events: []engine.Event{
 		event("", 0), event("", 0), event(otherRequestID, 1), event("", 1), event("", 2), event("", 1), event("", 3),
 	}}}, contract.FrameKind(0), noFault, true),
 	Entry("an event lost, resumed", true, []sendBehaviour{{events: []engine.Event{event("", 0), event("", 2), event("", 3)}}}, contract.FrameKind(0), noFault, true),
-	Entry("an event lost, not to be resumed", false, []sendBehaviour{{events: []engine.Event{event("", 0), event("", 2)}}}, contract.FrameKind(0), noFault, false),
+	Entry("an event lost, not resumable", false, []sendBehaviour{{events: []engine.Event{event("", 0), event("", 2)}}}, contract.FrameKind(0), noFault, false),
 	Entry("final event lost, resumed", true, []sendBehaviour{{events: []engine.Event{event("", 0), event("", 1), event("", 2)}}}, contract.FrameKind(0), noFault, true),
 	Entry("home frozen at the first event", true, nil, contract.FrameEvent, freezeHome, true),
 	Entry("home cut off at the end", true, nil, contract.FrameEnd, cutLink, true),
 	Entry("a frame lost on the link", true, nil, contract.FrameEvent, dropFrame, true),
 )
 
-// streamed is the text of a stream.
+// streamed returns the text of a stream of server-sent events.
 func streamed(body string) string {
 	var text strings.Builder
 	for line := range strings.Lines(body) {
@@ -298,7 +301,7 @@
 }
 
 var _ = Describe("A completion's caller", func() {
-	It("cancels it by leaving", func() {
+	It("cancels it by disconnecting", func() {
 		f := newFleet("chat1")
 		f.backend.behaviours = []sendBehaviour{{hold: make(chan struct{})}}
 		ctx, leave := context.WithCancel(context.Background())
@@ -316,9 +319,9 @@
 		}, eventuallyTimeout).Should(Equal(1))
 	})
 
-	// An operator declares completions unrepeatable: their tokens are paid for. The key finds the whole text again,
-	// as it was asked for.
-	It("gets the stored text under its key, where completions may not be repeated", func() {
+	// An operator declares completions unrepeatable, for example because their tokens are paid for. A retry with
+	// the same key gets the complete text in the requested form.
+	It("gets the stored text for its key if completions are unrepeatable", func() {
 		for _, stream := range []bool{true, false} {
 			f := newFleet("chat1")
 			chat := f.settings.Services["chat"]
@@ -339,7 +342,7 @@
 		}
 	})
 
-	It("is told at once when its time is over, and that it may send it again", func() {
+	It("is told at once when its deadline passes, and when to retry", func() {
 		f := newFleet("chat1")
 		f.backend.behaviours = []sendBehaviour{{hold: make(chan struct{})}}
 		got := sendRequest(f.fronts[0], http.MethodPost, "/v1/chat/completions", map[string]string{contract.HeaderRequestTimeout: "0.3"}, `{"model":"small"}`)
@@ -389,8 +392,8 @@
 	Entry("the root", "GET", "", false),
 )
 
-// A caller that stops reading: its answer must wait in the stream between home and front, and not pile up
-// in this front's memory.
+// The answer to a caller that stops reading must wait in the stream between home and front, and must not
+// accumulate in the memory of the front.
 var _ = It("pulls no more frames than a slow caller takes", func() {
 	f := newFleet("desk1")
 	f.backend.behaviours = []sendBehaviour{{body: strings.Repeat("x", 64<<20)}}
--- a/entry/front/handlers.go
+++ b/entry/front/handlers.go
@@ -35,11 +35,11 @@
 	f.serve(q, p, req.Request, resp.ResponseWriter)
 }
 
-// accept reads what all requests have.
+// accept parses what all requests have in common: the team's key and the idempotency key.
 //
-// Until a request is classified, one with a key counts as one that may not be repeated: an entry with
-// newer settings may know the service that this one refuses, and hold a copy of the request. The refusal
-// is sealed as any other.
+// Until a request is classified, a key from the caller makes it a request that may run at most once. Another entry
+// with newer settings may know a service that this entry rejects as unknown, and may hold a copy of the request,
+// so the rejection has to be sealed like any other.
 func (f *Front) accept(r *http.Request) (*request, *contract.Problem) {
 	q := &request{id: f.newID(), snapshot: f.deps.Settings()}
 	var p *contract.Problem
@@ -53,8 +53,8 @@
 	return q, nil
 }
 
-// maxBodyBytes bounds any body, whatever its service allows: a dispatch must fit into one message between
-// entries, of 8 MB.
+// maxBodyBytes bounds the body of any request, whatever its service allows, because a dispatch must fit into one
+// message between entries, which is limited to 8 MB.
 const maxBodyBytes = 7 << 20
 
 func (q *request) parseCompletion(r *http.Request, w http.ResponseWriter) *contract.Problem {
@@ -109,7 +109,7 @@
 	return q.checkService(r)
 }
 
-// checkService checks what can be checked once the service is known.
+// checkService performs the checks that need the request's service: whether the team may call it, and the timeout.
 func (q *request) checkService(r *http.Request) *contract.Problem {
 	if p := authorize(q.team, q.service.Name); p != nil {
 		return p
@@ -117,14 +117,14 @@
 	return q.parseTimeout(r.Header)
 }
 
-// bodyReadTimeout bounds the reading of a request's body: a caller that stops in the middle of it must not
-// hold its memory for long.
+// bodyReadTimeout bounds the time to read the body, so that a caller that stalls in the middle of it does not
+// occupy memory for long.
 const bodyReadTimeout = 30 * time.Second
 
-// readBody reads the body and takes the request's fingerprint.
+// readBody reads the body and computes the request's fingerprint.
 func (q *request) readBody(r *http.Request, w http.ResponseWriter, limit int64) *contract.Problem {
 	control := http.NewResponseController(w)
-	// An error here means that the connection has no deadlines, as in a test's recorder.
+	// SetReadDeadline fails only if the connection has no deadlines, as with a recorder in tests.
 	_ = control.SetReadDeadline(time.Now().Add(bodyReadTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	_ = control.SetReadDeadline(time.Time{})
@@ -144,13 +144,15 @@
 	return contract.NewRejection(http.StatusRequestEntityTooLarge, contract.CodeBodyTooLarge, "the body is too large", "send less")
 }
 
-// bytesPerToken is the usual rule of thumb for text; defaultAnswerTokens stands for an answer of unnamed length.
+// bytesPerToken is the usual estimate for text. defaultAnswerTokens is the estimate for an answer if the request
+// sets no limit.
 const (
 	bytesPerToken       = 4
 	defaultAnswerTokens = 256
 )
 
-// estimateTokens returns the work that a completion is charged until it is done, and the prompt's part of it.
+// estimateTokens returns the tokens that a completion is charged while it is in progress, and the prompt's part of
+// them.
 func estimateTokens(c engine.Completion) (work, prompt int) {
 	answer := c.MaxTokens
 	if answer <= 0 {
@@ -162,7 +164,7 @@
 	return prompt + answer, prompt
 }
 
-// prefixHash is the hash of the first message, which is what conversations of one kind share.
+// prefixHash returns the hash of the model and the first message, which conversations of the same kind share.
 func prefixHash(c engine.Completion) uint64 {
 	if len(c.Messages) == 0 {
 		return 0
@@ -170,14 +172,15 @@
 	return xxhash.Sum64String(c.Model + "\x00" + c.Messages[0].Content)
 }
 
-// strippedHeaders headers are not handed to backend servers: the team's key, what holds for one connection
-// only, and the key of the request, for which HTTP clients replay requests by themselves.
+// strippedHeaders are not forwarded to backend servers: the team's key, hop-by-hop headers, and the headers of
+// this API. Idempotency keys are among them because HTTP clients automatically replay requests that carry one.
 var strippedHeaders = []string{
 	"Authorization", "Connection", "Keep-Alive", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding",
 	"Upgrade", "Content-Length", "Expect", contract.HeaderIdempotencyKey, "X-Idempotency-Key", contract.HeaderAttempt,
 	contract.HeaderRequestTimeout, contract.HeaderRequestID, contract.HeaderOutcome,
 }
 
+// forwardedHeader returns a copy of header without hop-by-hop and stripped headers.
 func forwardedHeader(header http.Header) http.Header {
 	kept := header.Clone()
 	for _, name := range strings.Split(header.Get("Connection"), ",") {
--- a/entry/front/lines.go
+++ b/entry/front/lines.go
@@ -11,9 +11,10 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// msgUnanswered is the message of the log line of a request that may not be repeated and was not answered.
+// msgUnanswered is the log message for a request that may run at most once and did not get an answer.
 const msgUnanswered = "request ended without an answer"
 
+// logUnanswered logs a request that may run at most once and ends with a problem instead of an answer.
 func (d *driver) logUnanswered(action outcome.Action) {
 	if !d.request.atMostOnce || action.Problem == nil || action.Outcome == contract.OutcomeAnswered {
 		return
@@ -30,12 +31,13 @@
 	line.Info(msgUnanswered)
 }
 
+// reportHomeLost records that the home of the dispatch can no longer be reached.
 func (d *driver) reportHomeLost(err error) {
 	d.front.metrics.increment("front.home-lost")
 	d.recordEvent(timeline.Event{Kind: timeline.HomeLost, Group: string(d.choice.Group), Detail: err.Error()})
 }
 
-// reportSeal reports the result of a seal: "front.seal.<verdict>" counts them.
+// reportSeal reports the result of a seal and counts it in the metric "front.seal.<verdict>".
 func (d *driver) reportSeal(result attempt.Result) {
 	d.front.metrics.increment("front.seal." + result.Verdict.String())
 	if result.Verdict == attempt.Confirmed {
@@ -45,7 +47,7 @@
 	d.record(timeline.SealUnconfirmed, result.Verdict.String())
 }
 
-// reportHolderAnswer reports what the holder of a claim answered: "front.holder.<answer>" counts the answers.
+// reportHolderAnswer reports the answer of a claim's holder and counts it in the metric "front.holder.<answer>".
 func (d *driver) reportHolderAnswer(claim contract.AttemptRecord, answer outcome.HolderAnswer) {
 	d.front.metrics.increment("front.holder." + answer.String())
 	d.recordEvent(timeline.Event{Kind: timeline.HolderAsked, Peer: claim.Home, Detail: answer.String()})
--- a/entry/front/links_test.go
+++ b/entry/front/links_test.go
@@ -12,7 +12,7 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// fault befalls a dispatch at its frame of this kind.
+// fault affects a dispatch at its first frame of the kind at.
 type fault struct {
 	at   contract.FrameKind
 	kind faultKind
@@ -22,14 +22,14 @@
 
 const (
 	noFault       faultKind = iota
-	unreachable             // the home is not reached
-	cutLink                 // the front hears no more; the home goes on
-	freezeHome              // the front hears no more; the home stops right there until it is woken
+	unreachable             // the dispatch does not reach the home
+	cutLink                 // the link breaks; the home continues
+	freezeHome              // the link breaks; the home blocks until clearFaults
 	dropFrame               // one frame is lost
-	blackholeLink           // the home sends into a dead connection, which looks sent; the front hears no more
+	blackholeLink           // the link breaks, but the home's writes appear to succeed
 )
 
-// ClaimStatus asks the home, unless it is frozen or can't be reached.
+// ClaimStatus queries the home, unless that is frozen or can't be reached.
 func (f *fleet) ClaimStatus(_ context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
 	id := vm.GroupID(strings.TrimPrefix(claim.Home, "home-"))
 	f.mu.Lock()
--- a/entry/front/plain.go
+++ b/entry/front/plain.go
@@ -8,12 +8,12 @@
 	"github.com/skylarkpond/skylarkpond/contract/outcome"
 )
 
-// plainBufferSize is how much of a plain answer is gathered before its beginning is given to the caller. An
-// answer that fits is told with its outcome in the header, and can be tried again when it breaks off;
-// booking confirmations are far below it.
+// plainBufferSize bounds how much of a plain answer is buffered before it starts to be written to the caller. An
+// answer that fits carries its outcome in the header, and can be retried if the backend server fails in the middle
+// of it. Booking confirmations are far smaller.
 const plainBufferSize = 256 << 10
 
-// plainWriter gives the answer of a plain service.
+// plainWriter writes the answer of a plain service.
 type plainWriter struct {
 	*callerConn
 	status   int
@@ -38,7 +38,7 @@
 	return true, s.start()
 }
 
-// start gives the beginning of an answer that is too long to be held. Its outcome follows as a trailer.
+// start writes the buffered beginning of an answer that is too long to buffer. Its outcome follows as a trailer.
 func (s *plainWriter) start() error {
 	s.started = true
 	s.setAnswerHeaders()
@@ -59,7 +59,8 @@
 	}
 }
 
-// reservedHeader names headers of a backend server's answer that are this front's to set.
+// reservedHeader reports whether the front itself sets the header, so that it is not copied from a backend
+// server's answer.
 func reservedHeader(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Transfer-Encoding", "Trailer", "Content-Length", "Upgrade", contract.HeaderIdempotencyKey:
@@ -78,7 +79,8 @@
 func (s *plainWriter) finish(a outcome.Action) {
 	if s.started {
 		if a.Problem != nil {
-			// The status is out, so the only way left to say that the answer is not whole is to cut it.
+			// The status has already been sent, so aborting the response is the only way left to signal that the
+			// answer is incomplete.
 			panic(http.ErrAbortHandler)
 		}
 		s.w.Header().Set(contract.HeaderOutcome, string(a.Outcome))
--- a/entry/front/request.go
+++ b/entry/front/request.go
@@ -15,13 +15,14 @@
 	"github.com/skylarkpond/skylarkpond/contract/settings"
 )
 
-// request is a caller's request, checked and classified.
+// request is a caller's request after parsing and classification.
 type request struct {
 	id       string
 	snapshot *settings.Snapshot
 	team     settings.Team
 	service  settings.Service
-	// key and attempt are set for requests that may not be repeated; chosen: by the caller.
+	// atMostOnce requests have a key and an attempt number. keyFromCaller is set if the caller chose the key;
+	// otherwise the front generates one.
 	atMostOnce    bool
 	key           string
 	keyFromCaller bool
@@ -30,7 +31,7 @@
 	timeout       time.Duration
 	plain         *contract.PlainCall
 	body          []byte
-	// stream says that the caller of a completion wants server-sent events.
+	// stream is set if the caller of a completion wants server-sent events.
 	stream          bool
 	model           string
 	estimatedTokens int
@@ -38,12 +39,12 @@
 	prefixHash      uint64
 }
 
-// maxAttemptNumber bounds Skylarkpond-Attempt.
+// maxAttemptNumber bounds the header Skylarkpond-Attempt.
 const maxAttemptNumber = 1_000_000
 
 var keyPattern = regexp.MustCompile(`^[A-Za-z0-9_.:~-]{1,128}$`)
 
-// authenticate finds the team by the hash of the bearer key.
+// authenticate looks up the team by the hash of the bearer key.
 func authenticate(snapshot *settings.Snapshot, header http.Header) (settings.Team, *contract.Problem) {
 	scheme, key, ok := strings.Cut(header.Get("Authorization"), " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") {
@@ -59,6 +60,7 @@
 	return team, nil
 }
 
+// authorize checks that the team may call the service. A team without a list of services may call all of them.
 func authorize(team settings.Team, service string) *contract.Problem {
 	if len(team.Services) == 0 || slices.Contains(team.Services, service) {
 		return nil
@@ -67,7 +69,7 @@
 		"the team may not call this service", "ask an operator")
 }
 
-// parseKey reads Idempotency-Key and Skylarkpond-Attempt.
+// parseKey parses the headers Idempotency-Key and Skylarkpond-Attempt.
 func (q *request) parseKey(header http.Header) *contract.Problem {
 	q.attempt = 1
 	if key := header.Get(contract.HeaderIdempotencyKey); key != "" {
@@ -89,7 +91,8 @@
 	return nil
 }
 
-// parseTimeout reads Request-Timeout: seconds, with a fraction if need be.
+// parseTimeout parses the header Request-Timeout, a decimal number of seconds, and caps it at the maximum of the
+// service.
 func (q *request) parseTimeout(header http.Header) *contract.Problem {
 	q.timeout = q.service.RequestTimeout
 	text := header.Get(contract.HeaderRequestTimeout)
@@ -108,8 +111,8 @@
 	return contract.NewRejection(http.StatusBadRequest, contract.CodeBadHeader, "bad header "+name, name+" is "+want)
 }
 
-// repeatable says whether a call may run more than once. Where the settings list a path in both lists
-// the safer one counts.
+// repeatable reports whether a call may run more than once. A path that the settings list both as repeatable and
+// as unrepeatable is unrepeatable, which is the safer choice.
 func repeatable(service settings.Service, method, callPath string) bool {
 	if matchesPathPrefix(service.Unrepeatable, callPath) {
 		return false
@@ -125,7 +128,7 @@
 	}
 }
 
-// matchesPathPrefix matches whole path segments: /book covers /book and /book/7, not /bookings.
+// matchesPathPrefix compares whole path segments: /book covers /book and /book/7 but not /bookings.
 func matchesPathPrefix(prefixes []string, callPath string) bool {
 	return slices.ContainsFunc(prefixes, func(prefix string) bool {
 		prefix = strings.TrimSuffix(prefix, "/")
@@ -133,8 +136,8 @@
 	})
 }
 
-// checkCanonicalPath refuses paths that a backend server might read as another one than the settings name. A call
-// of /a/../book or /%62ook/ would else slip past the list of paths that may not be repeated.
+// checkCanonicalPath rejects paths that a backend server might resolve to a different path than the settings do.
+// Otherwise /a/../book or /%62ook/ would bypass the list of unrepeatable paths.
 func checkCanonicalPath(r *http.Request, callPath string) *contract.Problem {
 	trimmed := strings.TrimSuffix(callPath, "/")
 	if r.URL.RawPath == "" && (callPath == "/" || path.Clean(callPath) == trimmed) && !strings.ContainsAny(callPath, "\\;%") {
--- a/entry/front/writer.go
+++ b/entry/front/writer.go
@@ -13,11 +13,11 @@
 	"github.com/skylarkpond/skylarkpond/contract/outcome"
 )
 
-// errAnswerTooLarge: an answer that has to be gathered grew beyond maxGathered.
-var errAnswerTooLarge = eris.New("answer too large to be gathered")
+// errAnswerTooLarge reports that a completion that has to be buffered is longer than maxBufferedCompletion.
+var errAnswerTooLarge = eris.New("completion too large to buffer")
 
-// maxBufferedCompletion bounds the memory that one answer takes at its front. A completion of a hundred thousand
-// tokens stays below it.
+// maxBufferedCompletion bounds the memory that one completion takes at the front. A completion of a hundred
+// thousand tokens stays below it.
 const maxBufferedCompletion = 1 << 20
 
 func answerTooLargeProblem() *contract.Problem {
@@ -27,16 +27,16 @@
 	}
 }
 
-// writeTimeout bounds one write to the caller. A caller that takes nothing for so long is cut: until then
-// its answer waits in the stream's window between home and front, not in memory that grows.
+// writeTimeout bounds one write to the caller. A caller that accepts no data for that long is disconnected. Until
+// then its answer waits in the flow-control window of the stream between home and front, so memory does not grow.
 const writeTimeout = 10 * time.Second
 
-// writer gives an answer to the caller.
+// writer writes an answer to the caller.
 type writer interface {
-	// deliver takes a frame of the answer; began: a byte of it was given to the caller, so that the answer
-	// can't be begun anew. After an error the caller is gone.
+	// deliver takes a frame of the answer. started reports whether any byte of the answer has been written to the
+	// caller, so that the answer can't be restarted. After an error the caller is gone.
 	deliver(f contract.Frame) (started bool, err error)
-	// reset forgets what was taken; it is called only before the answer began.
+	// reset discards the frames taken so far. It is called only before the answer has started.
 	reset()
 	// finish ends the response.
 	finish(a outcome.Action)
@@ -53,7 +53,7 @@
 	return &bufferedWriter{callerConn: caller}
 }
 
-// callerConn is the connection of one callerConn.
+// callerConn is the connection to one caller.
 type callerConn struct {
 	request *request
 	w       http.ResponseWriter
@@ -61,7 +61,7 @@
 }
 
 func (c *callerConn) write(data []byte) error {
-	// An error here means that the connection has no deadlines, as in a test's recorder.
+	// SetWriteDeadline fails only if the connection has no deadlines, as with a recorder in tests.
 	_ = c.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := c.w.Write(data)
 	return err
@@ -69,7 +69,7 @@
 
 func (c *callerConn) flush() { _ = c.control.Flush() }
 
-// setOutcomeHeaders sets what every answer that is not yet begun carries.
+// setOutcomeHeaders sets the headers of every answer that has not started yet.
 func (c *callerConn) setOutcomeHeaders(a outcome.Action) {
 	header := c.w.Header()
 	header.Set(contract.HeaderRequestID, c.request.id)
