--- a/entry/front/drive.go
+++ b/entry/front/drive.go
@@ -13,61 +13,62 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// recordTimeout bounds a seal, a look-up or a question to a claim's holder. The caller waits for it with
-// nothing else left to wait for, so it is short.
+// recordTimeout bounds a seal, a lookup of the record, or a query to the holder of a claim. It is short because
+// the caller waits for nothing else at that point.
 const recordTimeout = time.Second
 
-// drive does what the machine of one request asks for. Only the goroutine of the request uses it.
-type drive struct {
-	front   *Front
-	q       *request
-	machine *outcome.Machine
-	out     writer
-	began   time.Time
-	until   time.Time
-	tried   []vm.GroupID
-	// delivered: the caller was given a part of the answer.
+// driver executes the actions of the state machine of one request. It is used only by the goroutine of the
+// request.
+type driver struct {
+	front     *Front
+	request   *request
+	machine   *outcome.Machine
+	writer    writer
+	startedAt time.Time
+	deadline  time.Time
+	tried     []vm.GroupID
+	// delivered is set once a part of the answer was delivered to the caller.
 	delivered bool
-	// crash names the crash of a backend server that the last try ended in.
-	crash string
+	// crashID identifies the backend server crash that ended the last try, if any.
+	crashID string
 
 	choice Choice
 	cancel context.CancelFunc
-	next   chan received
-	// well says that the dispatch under way ended by its home's word.
-	well bool
+	frames chan frameResult
+	// endedByHome is set if the home ended the current dispatch by an answer, a refusal, or an existing record.
+	endedByHome bool
 }
 
-// received is what a dispatch's reader got.
-type received struct {
+// frameResult is a frame of a dispatch, or the error that ended the dispatch.
+type frameResult struct {
 	frame contract.Frame
 	err   error
 }
 
-// serve answers one request. p, if set, is why it is refused before any dispatch.
+// serve answers one request. If p is set, the request is rejected without a dispatch.
 func (f *Front) serve(q *request, p *contract.Problem, r *http.Request, w http.ResponseWriter) {
-	if q.unrepeatable && q.key == "" {
+	if q.atMostOnce && q.key == "" {
 		q.key = f.newID()
 	}
 	now := time.Now()
-	d := &drive{
-		front: f, q: q, out: newWriter(q, w), began: now, until: now.Add(q.timeout),
+	d := &driver{
+		front: f, request: q, writer: newWriter(q, w), startedAt: now, deadline: now.Add(q.timeout),
 		machine: outcome.New(outcome.Request{
-			ID: q.id, AtMostOnce: q.unrepeatable, KeyFromCaller: q.chosen, AttemptNumber: q.attempt,
+			ID: q.id, AtMostOnce: q.atMostOnce, KeyFromCaller: q.keyFromCaller, AttemptNumber: q.attempt,
 			Fingerprint: q.fingerprint, Resumable: q.service.CanResume, Plain: q.plain != nil,
 		}),
 	}
-	defer d.close()
+	defer d.closeDispatch()
 	d.record(timeline.RequestAccepted, "")
 	d.run(r.Context(), p)
 }
 
-func (d *drive) run(ctx context.Context, p *contract.Problem) {
+func (d *driver) run(ctx context.Context, p *contract.Problem) {
 	action := outcome.Action{}
 	if p != nil {
 		action = d.machine.Reject(p)
 	} else {
-		d.front.deps.Retries.RecordFirstTry(d.q.service.Name)
+		d.front.deps.Retries.RecordFirstTry(d.request.service.Name)
 		action = d.machine.Start()
 	}
 	for {
@@ -75,96 +76,100 @@
 		case outcome.Dispatch:
 			action = d.dispatch(ctx, action)
 		case outcome.Seal:
-			action = d.machine.HandleSeal(d.seal(ctx, action))
+			action = d.machine.HandleSeal(d.sealAttempt(ctx, action))
 		case outcome.Find:
-			action = d.machine.HandleFind(d.find(ctx))
+			action = d.machine.HandleFind(d.findRecord(ctx))
 		case outcome.AskHolder:
 			action = d.machine.HandleHolderAnswer(d.askHolder(ctx, action.Claim))
 		case outcome.Finish:
-			d.tell(action)
+			d.respond(action)
 			return
 		default:
-			var over bool
-			if action, over = d.wait(ctx); over {
+			var callerGone bool
+			if action, callerGone = d.awaitFrame(ctx); callerGone {
 				return
 			}
 		}
 	}
 }
 
-// wait takes the next thing that happens to the dispatch under way. over: the caller is gone.
-func (d *drive) wait(ctx context.Context) (action outcome.Action, over bool) {
-	timer := time.NewTimer(time.Until(d.until))
+// awaitFrame waits for the next frame of the current dispatch, its end, or the deadline, and returns the machine's
+// next action. callerGone is set if the caller has disconnected.
+func (d *driver) awaitFrame(ctx context.Context) (action outcome.Action, callerGone bool) {
+	timer := time.NewTimer(time.Until(d.deadline))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return action, true
 	case <-timer.C:
 		return d.machine.HandleDeadline(), false
-	case got := <-d.next:
-		if got.err != nil {
-			d.noteLost(got.err)
-			return d.machine.HandleHomeLost(errors.Is(got.err, ErrNotSent)), false
+	case result := <-d.frames:
+		if result.err != nil {
+			d.reportHomeLost(result.err)
+			return d.machine.HandleHomeLost(errors.Is(result.err, ErrNotSent)), false
 		}
-		return d.take(got.frame)
+		return d.handleFrame(result.frame)
 	}
 }
 
-func (d *drive) take(f contract.Frame) (action outcome.Action, over bool) {
+// handleFrame passes a frame to the machine and delivers it to the caller if the machine asks for that.
+func (d *driver) handleFrame(f contract.Frame) (action outcome.Action, callerGone bool) {
 	d.front.deps.Recorder.Observe(f.HLCTime)
 	if f.CrashID != "" {
-		d.crash = f.CrashID
+		d.crashID = f.CrashID
 	}
 	action = d.machine.HandleFrame(f)
 	if action.Kind != outcome.Deliver {
-		d.well = f.Kind == contract.FrameEnd || f.Kind == contract.FrameRefused || f.Kind == contract.FrameRecordExists
+		d.endedByHome = f.Kind == contract.FrameEnd || f.Kind == contract.FrameRefused || f.Kind == contract.FrameRecordExists
 		return action, false
 	}
-	began, err := d.out.deliver(f)
-	if began {
+	started, err := d.writer.deliver(f)
+	if started {
 		d.machine.MarkDelivered()
-		d.front.counts.delivered(d)
+		d.front.metrics.recordDelivery(d)
 	}
 	if errors.Is(err, errAnswerTooLarge) {
-		return d.machine.CancelDispatch(problemAnswerTooLarge()), false
+		return d.machine.CancelDispatch(answerTooLargeProblem()), false
 	}
 	return outcome.Action{Kind: outcome.Wait}, err != nil
 }
 
-func (d *drive) dispatch(ctx context.Context, action outcome.Action) outcome.Action {
-	d.close()
+// dispatch ends the current dispatch and starts the next one, unless there is no time, no retry, or no group left.
+func (d *driver) dispatch(ctx context.Context, action outcome.Action) outcome.Action {
+	d.closeDispatch()
 	if action.Restart {
-		d.out.restart()
+		d.writer.reset()
 	}
-	service := d.q.service
-	if !d.mayTry(ctx, time.Until(d.until)) {
+	service := d.request.service
+	if !d.awaitRetry(ctx, time.Until(d.deadline)) {
 		return d.machine.HandleNoDispatch(contract.NewRetryLater(contract.CodeOverloaded, "too many retries are under way", outcome.RetryAfterShort))
 	}
-	left := time.Until(d.until)
+	left := time.Until(d.deadline)
 	if left <= 0 {
 		return d.machine.HandleNoDispatch(outcome.DeadlineProblem())
 	}
-	choice, p := d.front.deps.Chooser.Choose(GroupQuery{Service: service, PrefixHash: d.q.prefix, EstimatedTokens: d.q.work, Tried: d.tried})
+	choice, p := d.front.deps.Chooser.Choose(GroupQuery{Service: service, PrefixHash: d.request.prefixHash, EstimatedTokens: d.request.estimatedTokens, Tried: d.tried})
 	if p != nil {
 		return d.machine.HandleNoDispatch(p)
 	}
 	d.choice = choice
 	d.tried = append(d.tried, choice.Group)
-	order := d.q.dispatch(d.front, homeTimeout(left))
-	order.Group = choice.Group
-	order.ResumeFrom = action.ResumeFrom
-	order.AbandonedClaims = action.AbandonedClaims
-	order.CrashID = d.crash
-	d.open(ctx, order)
+	dispatch := d.request.newDispatch(d.front, homeTimeout(left))
+	dispatch.Group = choice.Group
+	dispatch.ResumeFrom = action.ResumeFrom
+	dispatch.AbandonedClaims = action.AbandonedClaims
+	dispatch.CrashID = d.crashID
+	d.openDispatch(ctx, dispatch)
 	return outcome.Action{Kind: outcome.Wait}
 }
 
-// mayTry says whether another try may be made, after the pause that it has to keep. A first one always may.
-func (d *drive) mayTry(ctx context.Context, left time.Duration) bool {
+// awaitRetry waits for the backoff before a retry and reports whether the retry is allowed. The first try is
+// always allowed.
+func (d *driver) awaitRetry(ctx context.Context, left time.Duration) bool {
 	if len(d.tried) == 0 {
 		return true
 	}
-	wait, ok := d.front.deps.Retries.AllowRetry(d.q.service, len(d.tried), left)
+	wait, ok := d.front.deps.Retries.AllowRetry(d.request.service, len(d.tried), left)
 	if !ok {
 		return false
 	}
@@ -177,106 +182,110 @@
 	return true
 }
 
-// homeTimeout leaves the home a little less than the caller's time. What waits in a queue until the end is
-// then refused by the home, which can say that it did not run, before this front has to give it up
-// without knowing.
+// homeTimeout gives the home slightly less than the time left for the caller. A request that stays queued until
+// then is refused by the home, which knows that it did not run, before the front has to give it up without knowing
+// the outcome.
 func homeTimeout(left time.Duration) time.Duration {
 	return left - min(left/10, maxHomeMargin)
 }
 
-// maxHomeMargin covers the way back from the home and a seal.
+// maxHomeMargin covers the network path back from the home and a seal.
 const maxHomeMargin = 200 * time.Millisecond
 
-// open starts the reader of a dispatch. It holds one frame at a time: what a slow caller does not take
-// stays with the home, within the window of its stream.
-func (d *drive) open(ctx context.Context, order contract.Dispatch) {
+// openDispatch starts the reader of a dispatch. The reader holds one frame at a time, so the frames that a slow
+// caller has not taken stay at the home, limited by the flow-control window of the stream.
+func (d *driver) openDispatch(ctx context.Context, dispatch contract.Dispatch) {
 	ctx, d.cancel = context.WithCancel(ctx)
-	next := make(chan received)
-	d.next = next
+	results := make(chan frameResult)
+	d.frames = results
 	dispatcher := d.front.deps.Dispatcher
 	go func() {
-		frames, err := dispatcher.Dispatch(ctx, order)
+		frames, err := dispatcher.Dispatch(ctx, dispatch)
 		if err != nil {
-			pass(ctx, next, received{err: err})
+			sendResult(ctx, results, frameResult{err: err})
 			return
 		}
 		defer frames.Close()
 		for err == nil {
 			var frame contract.Frame
 			frame, err = frames.Next()
-			if !pass(ctx, next, received{frame: frame, err: err}) {
+			if !sendResult(ctx, results, frameResult{frame: frame, err: err}) {
 				return
 			}
 		}
 	}()
 }
 
-func pass(ctx context.Context, next chan<- received, got received) bool {
+// sendResult returns false if ctx ended before the result was received.
+func sendResult(ctx context.Context, results chan<- frameResult, result frameResult) bool {
 	select {
-	case next <- got:
+	case results <- result:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// close ends the dispatch under way, if any.
-func (d *drive) close() {
+// closeDispatch ends the current dispatch, if any.
+func (d *driver) closeDispatch() {
 	if d.cancel == nil {
 		return
 	}
 	d.cancel()
 	d.cancel = nil
 	if d.choice.Done != nil {
-		d.choice.Done(d.well)
+		d.choice.Done(d.endedByHome)
 	}
-	d.well = false
+	d.endedByHome = false
 }
 
-func (d *drive) seal(ctx context.Context, action outcome.Action) attempt.Result {
+func (d *driver) sealAttempt(ctx context.Context, action outcome.Action) attempt.Result {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	result := d.front.deps.Attempts.Seal(ctx, attempt.WriteRequest{
-		ID: d.id(), Number: d.q.attempt, Fingerprint: d.q.fingerprint, RequestID: d.q.id,
-		Retention: attempt.Retention(d.q.service), AbandonedClaims: action.AbandonedClaims,
+		ID: d.attemptID(), Number: d.request.attempt, Fingerprint: d.request.fingerprint, RequestID: d.request.id,
+		Retention: attempt.Retention(d.request.service), AbandonedClaims: action.AbandonedClaims,
 	})
-	d.noteSeal(result)
+	d.reportSeal(result)
 	return result
 }
 
-func (d *drive) find(ctx context.Context) attempt.Result {
+func (d *driver) findRecord(ctx context.Context) attempt.Result {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	return d.front.deps.Attempts.Find(ctx, d.id(), d.q.fingerprint)
+	return d.front.deps.Attempts.Find(ctx, d.attemptID(), d.request.fingerprint)
 }
 
-func (d *drive) id() attempt.ID { return attempt.ID{Team: d.q.team.Name, Key: d.q.key} }
+func (d *driver) attemptID() attempt.ID {
+	return attempt.ID{Team: d.request.team.Name, Key: d.request.key}
+}
 
-func (d *drive) askHolder(ctx context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
+func (d *driver) askHolder(ctx context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	answer := d.front.deps.Holders.ClaimStatus(ctx, claim)
-	d.noteHolder(claim, answer)
+	d.reportHolderAnswer(claim, answer)
 	return answer
 }
 
-func (d *drive) tell(action outcome.Action) {
+// respond records the outcome and ends the response to the caller.
+func (d *driver) respond(action outcome.Action) {
 	detail := string(action.Outcome)
 	if action.Problem != nil {
 		detail += " " + string(action.Problem.Code)
 	}
 	d.record(timeline.RequestOutcome, detail)
-	d.front.counts.told(action, time.Since(d.began))
-	d.noteUnanswered(action)
-	d.out.tell(action)
+	d.front.metrics.recordOutcome(action, time.Since(d.startedAt))
+	d.logUnanswered(action)
+	d.writer.finish(action)
 }
 
-func (d *drive) record(kind timeline.Kind, detail string) {
+func (d *driver) record(kind timeline.Kind, detail string) {
 	d.recordEvent(timeline.Event{Kind: kind, Detail: detail})
 }
 
-// recordEvent records an event of this request.
-func (d *drive) recordEvent(e timeline.Event) {
-	e.Request, e.Team, e.Service = d.q.id, d.q.team.Name, d.q.service.Name
+// recordEvent records a timeline event of this request.
+func (d *driver) recordEvent(e timeline.Event) {
+	e.Request, e.Team, e.Service = d.request.id, d.request.team.Name, d.request.service.Name
 	d.front.deps.Recorder.Record(e)
 }
--- a/entry/front/fakes_test.go
+++ b/entry/front/fakes_test.go
@@ -37,43 +37,44 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// backend is the engines of all groups; its runs are the judge.
+// backend is a fake engine client that serves all groups. The tests check its runs, which count how often each
+// body ran.
 type backend struct {
 	engine.Client
 
-	mu   sync.Mutex // guards runs, how and sent
+	mu   sync.Mutex // guards the fields below
 	runs map[string]int
-	// how holds what the next sends meet, in turn; none: all goes well.
-	how []behaviour
-	// cancelled counts streams that were closed or ended before their end.
+	// behaviours holds the behaviour of the next sends, in order. Sends beyond the list succeed.
+	behaviours []sendBehaviour
+	// cancelled counts the streams that were closed before their last event.
 	cancelled int
 	sent      []engine.Send
 }
 
-// behaviour of one send.
-type behaviour struct {
-	err    error
-	breaks int // events or bytes behind which it breaks off; 0: it doesn't
-	events []engine.Event
-	hold   chan struct{} // it waits for this before its first event
-	body   string
-	status int
+// sendBehaviour is the behaviour of one send.
+type sendBehaviour struct {
+	err        error
+	breakAfter int // events or bytes after which the answer breaks off; 0: never
+	events     []engine.Event
+	hold       chan struct{} // if set, the first event waits until it is closed
+	body       string
+	status     int
 }
 
 const answerEvents = 4
 
-func (b *backend) begin(send engine.Send, body string) behaviour {
+func (b *backend) begin(send engine.Send, body string) sendBehaviour {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sent = append(b.sent, send)
-	var h behaviour
-	if len(b.how) > 0 {
-		h, b.how = b.how[0], b.how[1:]
+	var behaviour sendBehaviour
+	if len(b.behaviours) > 0 {
+		behaviour, b.behaviours = b.behaviours[0], b.behaviours[1:]
 	}
-	if h.err == nil || h.err == engine.ErrBroken {
+	if behaviour.err == nil || behaviour.err == engine.ErrBroken {
 		b.runs[body]++
 	}
-	return h
+	return behaviour
 }
 
 func (b *backend) count(body string) int {
@@ -95,12 +96,12 @@
 	return &stream{ctx: ctx, b: b, h: h, id: send.RequestID}, nil
 }
 
-// others is the id of another request, whose texts differ.
-const others = "other"
+// otherRequestID is the ID of another request, whose events carry a different text.
+const otherRequestID = "other"
 
 func event(id string, seq uint64) engine.Event {
 	text := fmt.Sprint("w", seq, " ")
-	if id == others {
+	if id == otherRequestID {
 		text = "another's "
 	}
 	return engine.Event{RequestID: id, Seq: seq, Text: text, Tokens: 1, Final: seq == answerEvents-1}
@@ -109,7 +110,7 @@
 type stream struct {
 	ctx context.Context
 	b   *backend
-	h   behaviour
+	h   sendBehaviour
 	id  string
 	at  int
 }
@@ -122,7 +123,7 @@
 			return engine.Event{}, engine.ErrBroken
 		}
 	}
-	if s.h.breaks > 0 && s.at == s.h.breaks || s.at == len(s.h.events) {
+	if s.h.breakAfter > 0 && s.at == s.h.breakAfter || s.at == len(s.h.events) {
 		return engine.Event{}, engine.ErrBroken
 	}
 	s.at++
@@ -162,17 +163,17 @@
 		StatusCode: max(h.status, http.StatusOK), Header: http.Header{"X-Lot": {"7"}}, ContentLength: int64(len(h.body)),
 		Body: io.NopCloser(strings.NewReader(h.body)),
 	}
-	if h.breaks > 0 {
-		response.Body = io.NopCloser(io.MultiReader(bytes.NewReader([]byte(h.body)[:h.breaks]), broken{}))
+	if h.breakAfter > 0 {
+		response.Body = io.NopCloser(io.MultiReader(bytes.NewReader([]byte(h.body)[:h.breakAfter]), brokenReader{}))
 	}
 	return response, nil
 }
 
-type broken struct{}
+type brokenReader struct{}
 
-func (broken) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (brokenReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// fleet is fronts and homes in one process, each with a part of a real entry's links.
+// fleet runs several fronts and homes in one process and connects them by fake links.
 type fleet struct {
 	backend  *backend
 	platform *standin.Platform
@@ -183,16 +184,16 @@
 	settings *settings.Snapshot
 	notWhole map[vm.GroupID]bool
 
-	// passed counts the frames that fronts took.
-	passed atomic.Int64
+	// framesTaken counts the frames that the fronts have taken.
+	framesTaken atomic.Int64
 
-	mu sync.Mutex // guards what follows
-	// fault is what befalls the next dispatch to a group.
+	mu sync.Mutex // guards the fields below
+	// fault is the fault of the next dispatch to a group.
 	fault map[vm.GroupID]fault
-	// frozen holds the homes that a fault froze, until wake closes it.
+	// frozen blocks the homes that a fault froze, until clearFaults closes it.
 	frozen chan struct{}
-	// silent: no holder of a claim can be asked.
-	silent bool
+	// holdersSilent makes all queries to holders of claims fail.
+	holdersSilent bool
 }
 
 func newFleet(groups ...vm.GroupID) *fleet {
@@ -204,44 +205,44 @@
 	DeferCleanup(f.server.Close)
 	for _, id := range groups {
 		f.homes[id] = home.New(home.Deps{
-			Self: "home-" + string(id), Incarnation: "1", Groups: f, Presence: f, Admission: openDoor{}, Guard: f.guard(),
+			Self: "home-" + string(id), Incarnation: "1", Groups: f, Presence: f, Admission: admitAll{}, Guard: f.newGuard(),
 			Attempts: f.attempts(), Engines: f.backend, Settings: func() *settings.Snapshot { return f.settings },
-			Recorder: timeline.NewRecorder(string(id), nil, time.Now), Metrics: metrics.NewRegistry(), Log: noLog(),
+			Recorder: timeline.NewRecorder(string(id), nil, time.Now), Metrics: metrics.NewRegistry(), Log: discardLog(),
 		})
 	}
 	for range 2 {
-		f.fronts = append(f.fronts, f.front())
+		f.fronts = append(f.fronts, f.newFront())
 	}
 	return f
 }
 
-func (f *fleet) guard() *guard.Guard {
+func (f *fleet) newGuard() *guard.Guard {
 	return guard.New(guard.Deps{
-		Store: platform.NewClient(f.server.URL), Publisher: noTaker{}, Engines: f.backend, Metrics: metrics.NewRegistry(),
+		Store: platform.NewClient(f.server.URL), Publisher: discardTaker{}, Engines: f.backend, Metrics: metrics.NewRegistry(),
 		Recorder: timeline.NewRecorder("guard", nil, time.Now), Clock: time.Now, NewNonce: rand.Text,
 	})
 }
 
-func noLog() logrus.FieldLogger {
+func discardLog() logrus.FieldLogger {
 	log, _ := logtest.NewNullLogger()
 	return log
 }
 
-type noTaker struct{}
+type discardTaker struct{}
 
-func (noTaker) Took(platform.Object) {}
+func (discardTaker) Took(platform.Object) {}
 
 func (f *fleet) attempts() *attempt.Records {
 	return attempt.New(platform.NewClient(f.server.URL, platform.WithCallTimeout(200*time.Millisecond)), time.Now)
 }
 
-func (f *fleet) front() *httptest.Server {
+func (f *fleet) newFront() *httptest.Server {
 	container := restful.NewContainer()
 	service := new(restful.WebService).Path("/v1").Consumes("*/*").Produces("*/*")
 	front.New(front.Deps{
 		Self: "front", Settings: func() *settings.Snapshot { return f.settings }, Dispatcher: f, Holders: f, Chooser: f,
 		Retries: &tenRetries{}, Attempts: f.attempts(), Recorder: timeline.NewRecorder("front", nil, time.Now), Metrics: metrics.NewRegistry(),
-		Log: noLog(),
+		Log: discardLog(),
 	}).Register(service)
 	container.Add(service)
 	server := httptest.NewServer(container)
@@ -263,17 +264,17 @@
 	return !f.notWhole[id], "a member is missing"
 }
 
-// Choose takes the first group of the service that was not tried.
-func (f *fleet) Choose(ask front.GroupQuery) (front.Choice, *contract.Problem) {
+// Choose returns the first group of the service that was not tried.
+func (f *fleet) Choose(query front.GroupQuery) (front.Choice, *contract.Problem) {
 	for _, id := range f.groups {
-		if strings.HasPrefix(string(id), ask.Service.Name) && !slices.Contains(ask.Tried, id) {
+		if strings.HasPrefix(string(id), query.Service.Name) && !slices.Contains(query.Tried, id) {
 			return front.Choice{Group: id}, nil
 		}
 	}
 	return front.Choice{}, contract.NewRetryLater(contract.CodeNoGroup, "none", time.Second)
 }
 
-// answer is what a caller got.
+// answer is the response that a caller received.
 type answer struct {
 	status  int
 	outcome contract.Outcome
@@ -287,8 +288,8 @@
 }
 
 const (
-	teamKey    = "team-key"
-	eventually = time.Minute
+	teamKey           = "team-key"
+	eventuallyTimeout = time.Minute
 )
 
 func testSettings() *settings.Snapshot {
@@ -312,8 +313,8 @@
 	return s
 }
 
-// ask sends one request through a front.
-func ask(server *httptest.Server, method, path string, header map[string]string, body string) answer {
+// sendRequest sends one request through a front.
+func sendRequest(server *httptest.Server, method, path string, header map[string]string, body string) answer {
 	GinkgoHelper()
 	request, err := http.NewRequest(method, server.URL+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -340,14 +341,14 @@
 	return got
 }
 
-// book books lot 7 under a key; an empty key lets the front make one.
+// book books lot 7 under the given key. If key is empty, the front generates one.
 func book(server *httptest.Server, key string, attempt int) answer {
 	GinkgoHelper()
 	header := map[string]string{contract.HeaderAttempt: fmt.Sprint(attempt)}
 	if key != "" {
 		header[contract.HeaderIdempotencyKey] = key
 	}
-	return ask(server, http.MethodPost, "/v1/services/desk/book", header, "lot-7")
+	return sendRequest(server, http.MethodPost, "/v1/services/desk/book", header, "lot-7")
 }
 
 func complete(server *httptest.Server, stream bool) answer {
@@ -362,10 +363,10 @@
 		header = map[string]string{contract.HeaderIdempotencyKey: key}
 	}
 	body := fmt.Sprintf(`{"model":"small","stream":%t,"messages":[{"role":"user","content":"x"}]}`, stream)
-	return ask(server, http.MethodPost, "/v1/chat/completions", header, body)
+	return sendRequest(server, http.MethodPost, "/v1/chat/completions", header, body)
 }
 
-// tenRetries is a RetryBudget of ten retries without a pause.
+// tenRetries is a RetryBudget of ten retries without a backoff.
 type tenRetries struct{ used atomic.Int64 }
 
 func (b *tenRetries) RecordFirstTry(string) {}
@@ -374,20 +375,20 @@
 	return 0, b.used.Add(1) <= 10
 }
 
-// openDoor is an Admission that lets everything in.
-type openDoor struct{}
+// admitAll is an Admission that admits every request at once.
+type admitAll struct{}
 
-func (openDoor) Enter(context.Context, home.AdmissionRequest) (home.Permit, *contract.Problem) {
-	return openTurn{}, nil
+func (admitAll) Enter(context.Context, home.AdmissionRequest) (home.Permit, *contract.Problem) {
+	return fakePermit{}, nil
 }
 
-func (openDoor) Load(vm.GroupID) contract.GroupLoad { return contract.GroupLoad{} }
+func (admitAll) Load(vm.GroupID) contract.GroupLoad { return contract.GroupLoad{} }
 
-type openTurn struct{}
+type fakePermit struct{}
 
-func (openTurn) FirstToken() {}
-func (openTurn) Token(int)   {}
-func (openTurn) Done()       {}
+func (fakePermit) FirstToken() {}
+func (fakePermit) Token(int)   {}
+func (fakePermit) Done()       {}
 
-// Probe says that the backend server is alive: what breaks off here is no crash.
+// Probe reports that the backend server is alive, so that a broken answer does not count as a crash.
 func (b *backend) Probe(context.Context, string) (engine.State, error) { return engine.State{}, nil }
--- a/entry/front/writer.go
+++ b/entry/front/writer.go
@@ -13,71 +13,71 @@
 	"github.com/skylarkpond/skylarkpond/contract/outcome"
 )
 
-// errAnswerTooLarge: an answer that has to be gathered grew beyond maxGathered.
-var errAnswerTooLarge = eris.New("answer too large to be gathered")
+// errAnswerTooLarge reports that a completion that has to be buffered is longer than maxBufferedCompletion.
+var errAnswerTooLarge = eris.New("completion too large to buffer")
 
-// maxGathered bounds the memory that one answer takes at its front. A completion of a hundred thousand
-// tokens stays below it.
-const maxGathered = 1 << 20
+// maxBufferedCompletion bounds the memory that one completion takes at the front. A completion of a hundred
+// thousand tokens stays below it.
+const maxBufferedCompletion = 1 << 20
 
-func problemAnswerTooLarge() *contract.Problem {
+func answerTooLargeProblem() *contract.Problem {
 	return &contract.Problem{
 		Code: contract.CodeAnswerTruncated, Status: http.StatusBadGateway, Message: "the answer is too large to be given as a whole",
 		Hint: "ask for a stream",
 	}
 }
 
-// writeTimeout bounds one write to the caller. A caller that takes nothing for so long is cut: until then
-// its answer waits in the stream's window between home and front, not in memory that grows.
+// writeTimeout bounds one write to the caller. A caller that accepts no data for that long is disconnected. Until
+// then its answer waits in the flow-control window of the stream between home and front, so memory does not grow.
 const writeTimeout = 10 * time.Second
 
-// writer gives an answer to the caller.
+// writer writes an answer to the caller.
 type writer interface {
-	// deliver takes a frame of the answer; began: a byte of it was given to the caller, so that the answer
-	// can't be begun anew. After an error the caller is gone.
-	deliver(f contract.Frame) (began bool, err error)
-	// restart forgets what was taken; it is called only before the answer began.
-	restart()
-	// tell ends the response.
-	tell(a outcome.Action)
+	// deliver takes a frame of the answer. started reports whether any byte of the answer has been written to the
+	// caller, so that the answer can't be restarted. After an error the caller is gone.
+	deliver(f contract.Frame) (started bool, err error)
+	// reset discards the frames taken so far. It is called only before the answer has started.
+	reset()
+	// finish ends the response.
+	finish(a outcome.Action)
 }
 
 func newWriter(q *request, w http.ResponseWriter) writer {
-	caller := &caller{q: q, w: w, control: http.NewResponseController(w)}
+	caller := &callerConn{request: q, w: w, control: http.NewResponseController(w)}
 	if q.plain != nil {
-		return &plainWriter{caller: caller}
+		return &plainWriter{callerConn: caller}
 	}
 	if q.stream {
-		return &streamWriter{caller: caller}
+		return &streamWriter{callerConn: caller}
 	}
-	return &wholeWriter{caller: caller}
+	return &bufferedWriter{callerConn: caller}
 }
 
-// caller is the connection of one caller.
-type caller struct {
-	q       *request
+// callerConn is the connection to one caller.
+type callerConn struct {
+	request *request
 	w       http.ResponseWriter
 	control *http.ResponseController
 }
 
-func (c *caller) write(data []byte) error {
-	// An error here means that the connection has no deadlines, as in a test's recorder.
+func (c *callerConn) write(data []byte) error {
+	// SetWriteDeadline fails only if the connection has no deadlines, as with a recorder in tests.
 	_ = c.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := c.w.Write(data)
 	return err
 }
 
-func (c *caller) flush() { _ = c.control.Flush() }
+func (c *callerConn) flush() { _ = c.control.Flush() }
 
-// outcomeHeaders sets what every answer that is not yet begun carries.
-func (c *caller) outcomeHeaders(a outcome.Action) {
+// setOutcomeHeaders sets the headers of every answer that has not started yet.
+func (c *callerConn) setOutcomeHeaders(a outcome.Action) {
 	header := c.w.Header()
-	header.Set(contract.HeaderRequestID, c.q.id)
+	header.Set(contract.HeaderRequestID, c.request.id)
 	header.Set(contract.HeaderOutcome, string(a.Outcome))
-	if c.q.unrepeatable && a.Outcome != contract.OutcomeNotRun {
-		header.Set(contract.HeaderIdempotencyKey, c.q.key)
+	if c.request.atMostOnce && a.Outcome != contract.OutcomeNotRun {
+		header.Set(contract.HeaderIdempotencyKey, c.request.key)
 	}
-	if a.SealedThrough > 0 && c.q.chosen {
+	if a.SealedThrough > 0 && c.request.keyFromCaller {
 		header.Set(contract.HeaderAttempt, strconv.Itoa(a.SealedThrough))
 	}
 	if a.Problem != nil && a.Problem.RetryAfter > 0 {
@@ -86,18 +86,18 @@
 	}
 }
 
-// problem answers with a Problem as JSON.
-func (c *caller) problem(a outcome.Action) {
-	c.outcomeHeaders(a)
+// writeProblem answers with a Problem as JSON.
+func (c *callerConn) writeProblem(a outcome.Action) {
+	c.setOutcomeHeaders(a)
 	c.w.Header().Set("Content-Type", "application/problem+json")
 	c.w.WriteHeader(a.Problem.Status)
 	_ = c.write(c.problemBody(a))
 }
 
-func (c *caller) problemBody(a outcome.Action) []byte {
-	told := *a.Problem
-	told.RequestID = c.q.id
-	body, err := json.Marshal(told)
+func (c *callerConn) problemBody(a outcome.Action) []byte {
+	problem := *a.Problem
+	problem.RequestID = c.request.id
+	body, err := json.Marshal(problem)
 	if err != nil {
 		return nil
 	}
