--- a/link/leader/client.go
+++ b/link/leader/client.go
@@ -14,13 +14,11 @@
 // Link is a follower's end of a connection to the leader.
 type Link struct{ stream *stream }
 
-// pinnedFingerprint trusts only the certificate with this fingerprint.
-type pinnedFingerprint string
+// pinned trusts only the certificate with this fingerprint.
+type pinned string
 
 // Trusted implements peer.Trust.
-func (p pinnedFingerprint) Trusted(fingerprint string) (string, bool) {
-	return "leader", fingerprint == string(p)
-}
+func (p pinned) Trusted(fingerprint string) (string, bool) { return "leader", fingerprint == string(p) }
 
 // Dial connects to the leader at address, whose certificate must have the fingerprint, and sends hello. The local
 // address is source.
@@ -35,7 +33,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "socket")
 	}
-	conn, err := quic.Dial(ctx, socket, to, peer.TLSConfig(identity, pinnedFingerprint(fingerprint), protocol), config())
+	conn, err := quic.Dial(ctx, socket, to, peer.TLSConfig(identity, pinned(fingerprint), protocol), config())
 	if err != nil {
 		_ = socket.Close()
 		return nil, eris.Wrap(err, "dialling the leader")
