--- a/contract/admin/admin.go
+++ b/contract/admin/admin.go
@@ -42,17 +42,17 @@
 
 // Explanation answers GET ExplainPath?path=.
 type Explanation struct {
-	Path     settings.Path        `json:"path"`
-	Version  uint64               `json:"version"`
-	Revision uint64               `json:"revision"`
-	Values   []settings.Explained `json:"values"`
+	Path     settings.Path             `json:"path"`
+	Version  uint64                    `json:"version"`
+	Revision uint64                    `json:"revision"`
+	Values   []settings.EffectiveValue `json:"values"`
 }
 
 // History answers GET HistoryPath, latest change first.
 type History struct {
-	Version  uint64             `json:"version"`
-	Revision uint64             `json:"revision"`
-	Changes  []settings.Applied `json:"changes"`
+	Version  uint64                   `json:"version"`
+	Revision uint64                   `json:"revision"`
+	Changes  []settings.AppliedChange `json:"changes"`
 }
 
 // Status answers GET StatusPath: what one entry knows of all.
--- a/contract/settings/bench_test.go
+++ b/contract/settings/bench_test.go
@@ -32,7 +32,7 @@
 		}
 	}
 	for i := range settings.MaxRecentChanges {
-		tree.Changes = append(tree.Changes, settings.Applied{
+		tree.Changes = append(tree.Changes, settings.AppliedChange{
 			ID: fmt.Sprintf("%064x", i), Revision: 1, Author: "somebody", At: 1e12, NodeCount: 1,
 			Nodes: []settings.Path{"/places/north/services/s0-0"},
 		})
--- a/contract/settings/change.go
+++ b/contract/settings/change.go
@@ -63,10 +63,10 @@
 		values, wrong := parseValues(node.Node, node.Values)
 		faults = append(faults, wrong...)
 		if seen[node.Node] {
-			faults = append(faults, Fault{Node: node.Node, Problem: "changed twice in one change", Want: "each node once"})
+			faults = append(faults, Fault{Node: node.Node, Problem: "changed twice in one change", Expected: "each node once"})
 		}
 		if node.Remove && len(values) > 0 {
-			faults = append(faults, Fault{Node: node.Node, Problem: "both removed and declared", Want: "one of the two"})
+			faults = append(faults, Fault{Node: node.Node, Problem: "both removed and declared", Expected: "one of the two"})
 		}
 		seen[node.Node] = true
 		change.Nodes = append(change.Nodes, NodeChange{Node: node.Node, Base: node.Base, Values: values, Remove: node.Remove})
@@ -80,10 +80,10 @@
 func (c *Change) checkHead() Faults {
 	var faults Faults
 	if len(c.ID) == 0 || len(c.ID) > MaxIDBytes {
-		faults = append(faults, Fault{Problem: "bad change id", Want: fmt.Sprintf("1 to %d bytes", MaxIDBytes)})
+		faults = append(faults, Fault{Problem: "bad change id", Expected: fmt.Sprintf("1 to %d bytes", MaxIDBytes)})
 	}
 	if len(c.Author) > MaxAuthorBytes {
-		faults = append(faults, Fault{Problem: "author too long", Want: fmt.Sprintf("at most %d bytes", MaxAuthorBytes)})
+		faults = append(faults, Fault{Problem: "author too long", Expected: fmt.Sprintf("at most %d bytes", MaxAuthorBytes)})
 	}
 	return faults
 }
--- a/contract/settings/check.go
+++ b/contract/settings/check.go
@@ -33,12 +33,12 @@
 }
 
 func (c *checker) add(node Path, key, want, problem string, args ...any) {
-	c.faults = append(c.faults, Fault{Node: node, Key: key, Problem: fmt.Sprintf(problem, args...), Want: want})
+	c.faults = append(c.faults, Fault{Node: node, Key: key, Problem: fmt.Sprintf(problem, args...), Expected: want})
 }
 
 // addFrom names the node that the value in force comes from, since that is the one to mend.
 func (c *checker) addFrom(node Path, name, want, problem string, args ...any) {
-	key, _ := KeyNamed(name)
+	key, _ := LookupKey(name)
 	if _, from := c.tree.lookUp(key, node); from != "" {
 		node = from
 	}
@@ -47,7 +47,7 @@
 
 func (c *checker) checkNode(path Path) {
 	level := path.Level()
-	if level == NoLevel {
+	if level == InvalidLevel {
 		c.faults = append(c.faults, badPath(path))
 		return
 	}
@@ -70,18 +70,18 @@
 		}
 		value, ok := c.tree.Nodes[path].Values[key.Name]
 		if !ok || (key.Kind == ListValue && len(value.List) == 0) {
-			c.add(path, key.Name, key.Want(), "not set")
+			c.add(path, key.Name, key.Constraint(), "not set")
 		}
 	}
 }
 
 func (c *checker) checkService(path Path) {
 	s := c.tree.service(path)
-	if s.Kind == Language {
+	if s.Kind == LanguageService {
 		c.checkModelSet(path, "model", s.Model)
 		c.checkModelSet(path, "model_version", s.ModelVersion)
 	}
-	if s.Kind == Plain {
+	if s.Kind == PlainService {
 		c.checkModelUnset(path, "model", s.Model)
 		c.checkModelUnset(path, "model_version", s.ModelVersion)
 	}
@@ -178,7 +178,7 @@
 // checkShares: shares that add up to nothing would leave the fair queue nothing to divide by. Each node
 // that sets one of them is named.
 func (c *checker) checkShares() {
-	key, _ := KeyNamed("share")
+	key, _ := LookupKey("share")
 	sum := 0.0
 	named := make(map[Path]bool)
 	for _, path := range c.paths {
--- a/contract/settings/fabric.go
+++ b/contract/settings/fabric.go
@@ -7,12 +7,12 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// CheckFabric finds services whose group can't fit into any fabric domain of their place. Groups never
+// CheckFabricCapacity finds services whose group can't fit into any fabric domain of their place. Groups never
 // cross a fabric domain, so such a service would wait for ever for its first replica. Places of which no VM
 // is listed are passed over: their settings may be declared before their VMs exist.
-func (t *Tree) CheckFabric(lists []vm.List) Faults {
+func (t *Tree) CheckFabricCapacity(lists []vm.List) Faults {
 	var faults Faults
-	key, _ := KeyNamed("group_size")
+	key, _ := LookupKey("group_size")
 	for _, path := range t.Paths() {
 		if path.Level() != ServiceLevel {
 			continue
@@ -29,7 +29,7 @@
 			Node: from, Key: key.Name,
 			Problem: fmt.Sprintf("service %s wants groups of %d VMs, and no fabric domain of %s has so many for it",
 				path.Name(), size.Integer, path.Place()),
-			Want: fmt.Sprintf("at most %d", largest),
+			Expected: fmt.Sprintf("at most %d", largest),
 		})
 	}
 	return faults
--- a/contract/settings/fault.go
+++ b/contract/settings/fault.go
@@ -15,8 +15,8 @@
 	Node Path   `json:"node,omitempty"`
 	Key  string `json:"key,omitempty"`
 	// Problem says what is wrong, Want what would be right.
-	Problem string `json:"problem"`
-	Want    string `json:"want,omitempty"`
+	Problem  string `json:"problem"`
+	Expected string `json:"want,omitempty"`
 }
 
 // String is one line: place, node, key, problem, and what would be right.
@@ -32,8 +32,8 @@
 		fmt.Fprintf(&b, "key %s: ", f.Key)
 	}
 	b.WriteString(f.Problem)
-	if f.Want != "" {
-		fmt.Fprintf(&b, "; want %s", f.Want)
+	if f.Expected != "" {
+		fmt.Fprintf(&b, "; want %s", f.Expected)
 	}
 	return b.String()
 }
--- a/contract/settings/fuzz_test.go
+++ b/contract/settings/fuzz_test.go
@@ -73,7 +73,7 @@
 		declared, err := settings.LoadFS(fsys, "decl")
 		if err != nil {
 			for _, fault := range checkFaults(t, err) {
-				if fault.File == "" || fault.Line < 1 || fault.Want == "" {
+				if fault.File == "" || fault.Line < 1 || fault.Expected == "" {
 					t.Fatalf("a fault of files without its place or what would be right: %+v", fault)
 				}
 			}
--- a/contract/settings/keys.go
+++ b/contract/settings/keys.go
@@ -54,8 +54,8 @@
 // Keys returns all keys in the order in which they are shown.
 func Keys() []*Key { return keys }
 
-// KeyNamed finds a key.
-func KeyNamed(name string) (*Key, bool) {
+// LookupKey finds a key.
+func LookupKey(name string) (*Key, bool) {
 	key, ok := keyByName[name]
 	return key, ok
 }
@@ -114,10 +114,10 @@
 		func(s *Service, v Value) { s.DrainTimeout = v.Duration }),
 	serviceKey(duration("first_token", ofService, 640*time.Millisecond, time.Millisecond, time.Minute,
 		"objective for the first token; the concurrency limit adapts to it"),
-		func(s *Service, v Value) { s.FirstToken = v.Duration }),
+		func(s *Service, v Value) { s.FirstTokenObjective = v.Duration }),
 	serviceKey(duration("token_gap", ofService, 79*time.Millisecond, time.Millisecond, time.Minute,
 		"objective for the time between tokens; the concurrency limit adapts to it"),
-		func(s *Service, v Value) { s.TokenGap = v.Duration }),
+		func(s *Service, v Value) { s.TokenGapObjective = v.Duration }),
 	serviceKey(integer("max_concurrency", ofService, 64, 1, 10_000,
 		"cap on the requests at work on one group"),
 		func(s *Service, v Value) { s.MaxConcurrency = int(v.Integer) }),
@@ -132,10 +132,10 @@
 		func(s *Service, v Value) { s.Repeatable = v.List }),
 	serviceKey(flag("checks_fence", ofService,
 		"the engines refuse an order with an old fencing number"),
-		func(s *Service, v Value) { s.ChecksFence = v.Flag }),
+		func(s *Service, v Value) { s.ChecksFence = v.Bool }),
 	serviceKey(flag("can_resume", ofService,
 		"the engines resume a stream at an offset"),
-		func(s *Service, v Value) { s.CanResume = v.Flag }),
+		func(s *Service, v Value) { s.CanResume = v.Bool }),
 	serviceKey(integer("loads_per_minute", ofService, 60, 1, 100_000,
 		"members loaded a minute, below the weight store's rate"),
 		func(s *Service, v Value) { s.LoadsPerMinute = int(v.Integer) }),
@@ -193,7 +193,7 @@
 }
 
 func flag(name string, levels Level, doc string) *Key {
-	return &Key{Name: name, Kind: FlagValue, Levels: levels, Doc: doc, Default: Value{Kind: FlagValue}}
+	return &Key{Name: name, Kind: BoolValue, Levels: levels, Doc: doc, Default: Value{Kind: BoolValue}}
 }
 
 func required(k *Key) *Key {
@@ -216,8 +216,8 @@
 	return k
 }
 
-// Want says in words what the key takes.
-func (k *Key) Want() string {
+// Constraint says in words what the key takes.
+func (k *Key) Constraint() string {
 	switch k.Kind {
 	case IntegerValue:
 		return fmt.Sprintf("a whole number from %.0f to %.0f", k.Min, k.Max)
@@ -225,7 +225,7 @@
 		return fmt.Sprintf("a number from %s to %s", formatFloat(k.Min), formatFloat(k.Max))
 	case DurationValue:
 		return fmt.Sprintf(`a duration such as "9s", from %s to %s`, time.Duration(k.Min), time.Duration(k.Max))
-	case FlagValue:
+	case BoolValue:
 		return "true or false"
 	case ListValue:
 		return "a list of " + k.formText
--- a/contract/settings/load.go
+++ b/contract/settings/load.go
@@ -44,7 +44,7 @@
 		return nil, fmt.Errorf("read declarations in %s: %w", shown, err)
 	}
 	if len(l.faults) == 0 && len(l.declared.Nodes) == 0 {
-		l.faults = Faults{{File: shown, Problem: "no declarations here", Want: RootFile + " and places/P.yaml"}}
+		l.faults = Faults{{File: shown, Problem: "no declarations here", Expected: RootFile + " and places/P.yaml"}}
 	}
 	// Cross checks over nodes that could not be read whole would name faults that aren't there.
 	if len(l.faults) == 0 {
@@ -111,9 +111,9 @@
 		return nil
 	}
 	node := pathOfFile(name)
-	if extension != fileSuffix || node.Level() == NoLevel || node.File() != name {
+	if extension != fileSuffix || node.Level() == InvalidLevel || node.File() != name {
 		l.faults = append(l.faults, Fault{
-			File: l.file(name), Line: 1, Problem: "no node has its declaration here", Want: fileForm,
+			File: l.file(name), Line: 1, Problem: "no node has its declaration here", Expected: fileForm,
 		})
 		return nil
 	}
@@ -134,7 +134,7 @@
 	}
 	l.declared.files[node] = l.file(name)
 	if len(data) > MaxFileBytes {
-		l.fault(node, 1, Fault{Problem: "file too large", Want: fmt.Sprintf("at most %d bytes", MaxFileBytes)})
+		l.fault(node, 1, Fault{Problem: "file too large", Expected: fmt.Sprintf("at most %d bytes", MaxFileBytes)})
 		return nil
 	}
 	l.parse(node, data)
@@ -159,11 +159,11 @@
 		return
 	}
 	if err != nil {
-		l.fault(node, 1, Fault{Problem: "not YAML: " + err.Error(), Want: "lines of the form key: value"})
+		l.fault(node, 1, Fault{Problem: "not YAML: " + err.Error(), Expected: "lines of the form key: value"})
 		return
 	}
 	if decoder.Decode(new(yaml.Node)) != io.EOF {
-		l.fault(node, 1, Fault{Problem: "more than one document", Want: "one node a file"})
+		l.fault(node, 1, Fault{Problem: "more than one document", Expected: "one node a file"})
 		return
 	}
 	if len(document.Content) != 1 {
@@ -177,7 +177,7 @@
 		return
 	}
 	if content.Kind != yaml.MappingNode {
-		l.fault(node, content.Line, Fault{Problem: "not a mapping", Want: "lines of the form key: value"})
+		l.fault(node, content.Line, Fault{Problem: "not a mapping", Expected: "lines of the form key: value"})
 		return
 	}
 	for i := 0; i+1 < len(content.Content); i += 2 {
@@ -188,23 +188,23 @@
 func (l *loader) pair(node Path, key, item *yaml.Node) {
 	name := key.Value
 	if key.Kind != yaml.ScalarNode {
-		l.fault(node, key.Line, Fault{Problem: "a key that is not text", Want: "one of " + keysOf(node.Level())})
+		l.fault(node, key.Line, Fault{Problem: "a key that is not text", Expected: "one of " + keysOf(node.Level())})
 		return
 	}
 	if line, ok := l.declared.lines[node][name]; ok {
 		l.fault(node, key.Line, Fault{
-			Key: name, Problem: fmt.Sprintf("set already on line %d", line), Want: "each key once",
+			Key: name, Problem: fmt.Sprintf("set already on line %d", line), Expected: "each key once",
 		})
 		return
 	}
 	l.declared.lines[node][name] = key.Line
 	if usesAlias(item) {
-		l.fault(node, item.Line, Fault{Key: name, Problem: "YAML aliases are not taken", Want: "the value itself"})
+		l.fault(node, item.Line, Fault{Key: name, Problem: "YAML aliases are not taken", Expected: "the value itself"})
 		return
 	}
 	var raw any
 	if err := item.Decode(&raw); err != nil {
-		l.fault(node, item.Line, Fault{Key: name, Problem: "not YAML: " + err.Error(), Want: "a value"})
+		l.fault(node, item.Line, Fault{Key: name, Problem: "not YAML: " + err.Error(), Expected: "a value"})
 		return
 	}
 	value, fault := parseValue(node.Level(), name, raw)
--- a/contract/settings/load_test.go
+++ b/contract/settings/load_test.go
@@ -111,7 +111,7 @@
 			Expect(fault.Line).To(Equal(line))
 			Expect(fault.Key).To(Equal(key))
 			Expect(fault.Problem).To(ContainSubstring(problem))
-			Expect(fault.Want).To(ContainSubstring(want))
+			Expect(fault.Expected).To(ContainSubstring(want))
 		},
 		Entry("unknown key", "root.yaml", "\nqueue_time: 9s\n", 2, "queue_time", "unknown key", "queue_timeout"),
 		Entry("key of another level", "places/pampa.yaml", "group_size: 4\nkind: plain\n", 2, "kind", "can't set it", "service"),
--- a/contract/settings/merge.go
+++ b/contract/settings/merge.go
@@ -39,7 +39,7 @@
 	// Theirs is the node as it is now; nil: there is none.
 	Theirs *Node `json:"theirs"`
 	// By is the recorded change that made Theirs, if it is still recorded.
-	By *Applied `json:"by,omitempty"`
+	By *AppliedChange `json:"by,omitempty"`
 }
 
 // Merge takes a change into a tree. It never writes to current: next is a new tree if the status is
@@ -77,10 +77,10 @@
 
 // repeated answers a change id that the tree has seen. Another change under the same id would be told
 // "accepted" although it never was; the digest tells it.
-func repeated(current *Tree, change *Change, applied Applied, digest string) Result {
+func repeated(current *Tree, change *Change, applied AppliedChange, digest string) Result {
 	if cmp.Or(applied.Digest, applied.ID) != digest {
 		return Result{Status: Refused, Revision: current.Revision, Faults: Faults{{
-			Problem: "the change id " + change.ID + " was used for another change", Want: "a new id",
+			Problem: "the change id " + change.ID + " was used for another change", Expected: "a new id",
 		}}}
 	}
 	result := Result{Status: AlreadyApplied, Revision: applied.Revision}
@@ -122,7 +122,7 @@
 	return found
 }
 
-func (t *Tree) changeAt(revision uint64) *Applied {
+func (t *Tree) changeAt(revision uint64) *AppliedChange {
 	for _, applied := range t.Changes {
 		if applied.Revision == revision {
 			return &applied
@@ -149,17 +149,17 @@
 func (t *Tree) acceptable() Faults {
 	faults, _ := t.Check().(Faults)
 	if len(t.Nodes[Root].Values["operator_key_hashes"].List) == 0 {
-		key, _ := KeyNamed("operator_key_hashes")
+		key, _ := LookupKey("operator_key_hashes")
 		faults = append(faults, Fault{
 			Node: Root, Key: key.Name, Problem: "no operator's token is left: nobody could change the settings again",
-			Want: key.Want(),
+			Expected: key.Constraint(),
 		})
 	}
 	return faults
 }
 
 func (t *Tree) record(change *Change, digest string, nodes []NodeChange) {
-	applied := Applied{
+	applied := AppliedChange{
 		ID: change.ID, Revision: t.Revision, Author: change.Author, At: change.At, NodeCount: len(nodes),
 	}
 	if digest != change.ID {
--- a/contract/settings/path.go
+++ b/contract/settings/path.go
@@ -35,9 +35,9 @@
 	PlaceLevel
 	ServiceLevel
 	TeamLevel
-	// NoLevel is that of a path which no node can have.
-	NoLevel  Level = 0
-	anyLevel       = RootLevel | PlaceLevel | ServiceLevel | TeamLevel
+	// InvalidLevel is that of a path which no node can have.
+	InvalidLevel Level = 0
+	anyLevel           = RootLevel | PlaceLevel | ServiceLevel | TeamLevel
 )
 
 // String lists the levels in words.
@@ -82,13 +82,13 @@
 	}
 	parts := strings.Split(string(p), "/")
 	if len(parts) < 3 || parts[0] != "" || parts[1] != placesPart || !nodeName.MatchString(parts[2]) {
-		return NoLevel
+		return InvalidLevel
 	}
 	if len(parts) == 3 {
 		return PlaceLevel
 	}
 	if len(parts) != 5 || !nodeName.MatchString(parts[4]) {
-		return NoLevel
+		return InvalidLevel
 	}
 	switch parts[3] {
 	case servicesPart:
@@ -96,7 +96,7 @@
 	case teamsPart:
 		return TeamLevel
 	}
-	return NoLevel
+	return InvalidLevel
 }
 
 // Name is the last part of the path: the name of the place, service or team.
--- a/contract/settings/property_test.go
+++ b/contract/settings/property_test.go
@@ -56,8 +56,8 @@
 		value.Number = rapid.Float64Range(key.Min, key.Max).Draw(t, key.Name)
 	case settings.DurationValue:
 		value.Duration = key.Default.Duration + time.Duration(rapid.IntRange(0, 1000).Draw(t, key.Name))
-	case settings.FlagValue:
-		value.Flag = rapid.Bool().Draw(t, key.Name)
+	case settings.BoolValue:
+		value.Bool = rapid.Bool().Draw(t, key.Name)
 	case settings.ListValue:
 		value.List = []string{fmt.Sprintf("/p%d", rapid.IntRange(0, 9).Draw(t, key.Name))}
 	}
@@ -218,7 +218,7 @@
 
 // nearest is told by the length of paths alone: of the nodes whose path is a prefix, the longest.
 func nearest(tree *settings.Tree, path settings.Path, name string) (value settings.Value, from settings.Path) {
-	key, _ := settings.KeyNamed(name)
+	key, _ := settings.LookupKey(name)
 	value = key.Default
 	for _, other := range tree.Paths() {
 		above := other == settings.Root || other == path || strings.HasPrefix(string(path), string(other)+"/")
--- a/contract/settings/resolve.go
+++ b/contract/settings/resolve.go
@@ -1,7 +1,7 @@
 package settings
 
-// Explained is one value in force at a node, and where it comes from.
-type Explained struct {
+// EffectiveValue is one value in force at a node, and where it comes from.
+type EffectiveValue struct {
 	Key   string `json:"key"`
 	Value Value  `json:"value"`
 	// From is the node that sets the value; empty if it is the built-in default.
@@ -10,7 +10,7 @@
 }
 
 // UnmarshalJSON reads the value by the type of its key.
-func (e *Explained) UnmarshalJSON(data []byte) error {
+func (e *EffectiveValue) UnmarshalJSON(data []byte) error {
 	var raw struct {
 		Key   string `json:"key"`
 		Value any    `json:"value"`
@@ -20,14 +20,14 @@
 	if err := decodeStrict(data, &raw); err != nil {
 		return err
 	}
-	*e = Explained{Key: raw.Key, From: raw.From, Doc: raw.Doc}
-	key, ok := KeyNamed(raw.Key)
+	*e = EffectiveValue{Key: raw.Key, From: raw.From, Doc: raw.Doc}
+	key, ok := LookupKey(raw.Key)
 	if !ok {
 		return Faults{{Key: raw.Key, Problem: "unknown key"}}
 	}
 	var problem string
 	if e.Value, problem = key.typed(raw.Value); problem != "" {
-		return Faults{{Key: raw.Key, Problem: problem, Want: key.Want()}}
+		return Faults{{Key: raw.Key, Problem: problem, Expected: key.Constraint()}}
 	}
 	return nil
 }
@@ -35,7 +35,7 @@
 // Explain returns the values in force at a node, in the order of the table, each with the node that it
 // comes from: the nearest of the node and those above it that sets the key. ok is false if
 // the tree has no such node.
-func (t *Tree) Explain(path Path) (explained []Explained, ok bool) {
+func (t *Tree) Explain(path Path) (explained []EffectiveValue, ok bool) {
 	if _, ok := t.Nodes[path]; !ok && path != Root {
 		return nil, false
 	}
@@ -44,7 +44,7 @@
 			continue
 		}
 		value, from := t.lookUp(key, path)
-		explained = append(explained, Explained{Key: key.Name, Value: value, From: from, Doc: key.Doc})
+		explained = append(explained, EffectiveValue{Key: key.Name, Value: value, From: from, Doc: key.Doc})
 	}
 	return explained, true
 }
@@ -70,7 +70,7 @@
 	}
 	snapshot := t.snapshot()
 	snapshot.Version = version
-	snapshot.Index()
+	snapshot.BuildIndex()
 	return snapshot, nil
 }
 
--- a/contract/settings/settings.go
+++ b/contract/settings/settings.go
@@ -13,8 +13,8 @@
 
 // The kinds of service.
 const (
-	Language ServiceKind = "language"
-	Plain    ServiceKind = "plain"
+	LanguageService ServiceKind = "language"
+	PlainService    ServiceKind = "plain"
 )
 
 // Service is one service with every value resolved.
@@ -39,9 +39,9 @@
 	QueueTimeout time.Duration `json:"queue_timeout"`
 	// DrainTimeout bounds how long a draining group waits for requests in progress.
 	DrainTimeout time.Duration `json:"drain_timeout"`
-	// FirstToken and TokenGap are the objectives the concurrency limit adapts to.
-	FirstToken time.Duration `json:"first_token"`
-	TokenGap   time.Duration `json:"token_gap"`
+	// FirstTokenObjective and TokenGap are the objectives the concurrency limit adapts to.
+	FirstTokenObjective time.Duration `json:"first_token"`
+	TokenGapObjective   time.Duration `json:"token_gap"`
 	// MaxConcurrency caps the requests at work on one group.
 	MaxConcurrency int `json:"max_concurrency"`
 	// MaxBodyBytes bounds a request's body.
@@ -90,8 +90,8 @@
 	serviceByModel map[string]string
 }
 
-// Index prepares the look-ups; whoever builds a Snapshot calls it once, before sharing it.
-func (s *Snapshot) Index() {
+// BuildIndex prepares the look-ups; whoever builds a Snapshot calls it once, before sharing it.
+func (s *Snapshot) BuildIndex() {
 	s.teamByKey = make(map[string]string)
 	for name, team := range s.Teams {
 		for _, hash := range team.KeyHashes {
@@ -100,7 +100,7 @@
 	}
 	s.serviceByModel = make(map[string]string)
 	for name, service := range s.Services {
-		if service.Kind == Language && service.Model != "" {
+		if service.Kind == LanguageService && service.Model != "" {
 			s.serviceByModel[service.Model] = name
 		}
 	}
--- a/contract/settings/tree.go
+++ b/contract/settings/tree.go
@@ -16,8 +16,8 @@
 	Values   Values `json:"values,omitempty"`
 }
 
-// Applied is the record of an accepted change.
-type Applied struct {
+// AppliedChange is the record of an accepted change.
+type AppliedChange struct {
 	ID string `json:"id"`
 	// Digest is that of the change, to tell a repeated change from another one under the same id; empty
 	// if it is the id.
@@ -50,7 +50,7 @@
 	Revision uint64        `json:"revision"`
 	Nodes    map[Path]Node `json:"nodes"`
 	// Changes are the latest accepted changes, oldest first, at most MaxRecentChanges.
-	Changes []Applied `json:"changes,omitempty"`
+	Changes []AppliedChange `json:"changes,omitempty"`
 }
 
 // rawTree and rawNode are a tree before its values are checked against their keys.
@@ -58,7 +58,7 @@
 	Nonce    string           `json:"nonce"`
 	Revision uint64           `json:"revision"`
 	Nodes    map[Path]rawNode `json:"nodes"`
-	Changes  []Applied        `json:"changes"`
+	Changes  []AppliedChange  `json:"changes"`
 }
 
 type rawNode struct {
@@ -118,7 +118,7 @@
 // parseValues checks decoded values of one node against the table of keys.
 func parseValues(path Path, raw map[string]any) (Values, Faults) {
 	var faults Faults
-	if path.Level() == NoLevel {
+	if path.Level() == InvalidLevel {
 		return nil, Faults{badPath(path)}
 	}
 	values := make(Values, len(raw))
@@ -136,14 +136,14 @@
 
 // parseValue checks one decoded value; the fault lacks the node.
 func parseValue(level Level, name string, raw any) (Value, *Fault) {
-	key, ok := KeyNamed(name)
+	key, ok := LookupKey(name)
 	if !ok {
-		return Value{}, &Fault{Key: name, Problem: "unknown key", Want: "one of " + keysOf(level)}
+		return Value{}, &Fault{Key: name, Problem: "unknown key", Expected: "one of " + keysOf(level)}
 	}
 	if key.Levels&level == 0 {
 		return Value{}, &Fault{
 			Key: name, Problem: fmt.Sprintf("a %s node can't set it", level),
-			Want: "it at one of these levels: " + key.Levels.String(),
+			Expected: "it at one of these levels: " + key.Levels.String(),
 		}
 	}
 	return key.decode(raw)
@@ -152,7 +152,7 @@
 func badPath(path Path) Fault {
 	return Fault{
 		Node: path, Problem: "no node can have this path",
-		Want: "/, /places/P, /places/P/services/S or /places/P/teams/T, each name " + nodeNameForm,
+		Expected: "/, /places/P, /places/P/services/S or /places/P/teams/T, each name " + nodeNameForm,
 	}
 }
 
--- a/contract/settings/value.go
+++ b/contract/settings/value.go
@@ -19,7 +19,7 @@
 	IntegerValue
 	NumberValue
 	DurationValue
-	FlagValue
+	BoolValue
 	ListValue
 )
 
@@ -30,7 +30,7 @@
 	Integer  int64
 	Number   float64
 	Duration time.Duration
-	Flag     bool
+	Bool     bool
 	List     []string
 }
 
@@ -40,7 +40,7 @@
 // Equal compares values by what they say; an empty list equals a missing one.
 func (v Value) Equal(other Value) bool {
 	return v.Kind == other.Kind && v.Text == other.Text && v.Integer == other.Integer &&
-		v.Number == other.Number && v.Duration == other.Duration && v.Flag == other.Flag &&
+		v.Number == other.Number && v.Duration == other.Duration && v.Bool == other.Bool &&
 		slices.Equal(v.List, other.List)
 }
 
@@ -66,23 +66,23 @@
 		return strconv.FormatFloat(v.Number, 'g', -1, 64)
 	case DurationValue:
 		return v.Duration.String()
-	case FlagValue:
-		return strconv.FormatBool(v.Flag)
+	case BoolValue:
+		return strconv.FormatBool(v.Bool)
 	case ListValue:
 		return "[" + strings.Join(v.List, ", ") + "]"
 	}
 	return v.Text
 }
 
-// Plain is the value as a Go string, number, bool or list, as YAML and JSON write it.
-func (v Value) Plain() any {
+// Native is the value as a Go string, number, bool or list, as YAML and JSON write it.
+func (v Value) Native() any {
 	switch v.Kind {
 	case IntegerValue:
 		return v.Integer
 	case NumberValue:
 		return v.Number
-	case FlagValue:
-		return v.Flag
+	case BoolValue:
+		return v.Bool
 	case ListValue:
 		return append([]string{}, v.List...) // never nil: null would be read back as a missing value
 	}
@@ -90,7 +90,7 @@
 }
 
 // MarshalJSON writes the value plainly; its key tells the type to the reader.
-func (v Value) MarshalJSON() ([]byte, error) { return json.Marshal(v.Plain()) }
+func (v Value) MarshalJSON() ([]byte, error) { return json.Marshal(v.Native()) }
 
 // UnmarshalJSON reads values by the types of their keys; at which level they may stand it doesn't check.
 func (v *Values) UnmarshalJSON(data []byte) error {
@@ -119,7 +119,7 @@
 		problem = k.outside(value)
 	}
 	if problem != "" {
-		return Value{}, &Fault{Key: k.Name, Problem: problem, Want: k.Want()}
+		return Value{}, &Fault{Key: k.Name, Problem: problem, Expected: k.Constraint()}
 	}
 	return value, nil
 }
@@ -134,8 +134,8 @@
 		value.Integer, ok = toInteger(raw)
 	case NumberValue:
 		value.Number, ok = toNumber(raw)
-	case FlagValue:
-		value.Flag, ok = raw.(bool)
+	case BoolValue:
+		value.Bool, ok = raw.(bool)
 	case DurationValue:
 		text, isText := raw.(string)
 		duration, err := time.ParseDuration(text)
--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -104,7 +104,7 @@
 	g := a.group(item)
 	t := &turn{
 		admission: a, group: g, id: strconv.FormatUint(a.ids.Add(1), 10),
-		plain: item.Service.Kind == settings.Plain, promptTokens: item.PromptTokens,
+		plain: item.Service.Kind == settings.PlainService, promptTokens: item.PromptTokens,
 	}
 	verdict := g.offer(a.now(), item, t)
 	switch verdict.Decision {
@@ -163,8 +163,8 @@
 func newGroup(service settings.Service) *group {
 	g := &group{waiting: make(map[string]*turn)}
 	config := fairqueue.Config{MaxWait: service.QueueTimeout}
-	if service.Kind == settings.Plain {
-		config = config.ForPlain(service.FirstToken)
+	if service.Kind == settings.PlainService {
+		config = config.ForPlain(service.FirstTokenObjective)
 	}
 	g.queue = fairqueue.New(config)
 	g.setConfig(service)
@@ -175,8 +175,8 @@
 // be called with g.mu held, or before the group is shared.
 func (g *group) setConfig(service settings.Service) {
 	config := limit.Config{
-		TokenGap: service.TokenGap, FirstToken: service.FirstToken,
-		Max: service.MaxConcurrency, NonStreaming: service.Kind == settings.Plain,
+		TokenGap: service.TokenGapObjective, FirstToken: service.FirstTokenObjective,
+		Max: service.MaxConcurrency, NonStreaming: service.Kind == settings.PlainService,
 	}
 	if g.limit != nil && config == g.config {
 		return
@@ -212,7 +212,7 @@
 		ID: id, Team: item.Team.Name, Share: item.Team.Share, Priority: item.Priority, Work: fairqueue.PlainWork,
 		Deadline: now + item.Timeout, Jitter: rand.Float64(),
 	}
-	if item.Service.Kind == settings.Language {
+	if item.Service.Kind == settings.LanguageService {
 		q.Work = item.EstimatedTokens
 		q.MinWork = item.PromptTokens + min(minAnswerTokens, item.EstimatedTokens-item.PromptTokens)
 	}
--- a/entry/admission/admission_test.go
+++ b/entry/admission/admission_test.go
@@ -22,8 +22,8 @@
 	return home.AdmissionRequest{
 		Group: "g", Team: settings.Team{Name: team, Share: 1}, EstimatedTokens: 10, Timeout: timeout,
 		Service: settings.Service{
-			Kind: settings.Language, MaxConcurrency: 1, QueueTimeout: time.Minute,
-			FirstToken: time.Second, TokenGap: time.Second,
+			Kind: settings.LanguageService, MaxConcurrency: 1, QueueTimeout: time.Minute,
+			FirstTokenObjective: time.Second, TokenGapObjective: time.Second,
 		},
 	}
 }
--- a/entry/controller/fakes_test.go
+++ b/entry/controller/fakes_test.go
@@ -84,7 +84,7 @@
 	w.mustSet(platform.KindVMs, list)
 	w.mustSet(platform.KindPlacement, vm.Placement{})
 	w.services["chat"] = settings.Service{
-		Name: "chat", Place: "pampa", Kind: settings.Language, Model: "m", ModelVersion: "1", GroupSize: 2, Replicas: 1,
+		Name: "chat", Place: "pampa", Kind: settings.LanguageService, Model: "m", ModelVersion: "1", GroupSize: 2, Replicas: 1,
 		DrainTimeout: time.Minute, ChecksFence: true,
 	}
 	return w
--- a/entry/controller/view.go
+++ b/entry/controller/view.go
@@ -106,7 +106,7 @@
 func viewService(s settings.Service) forming.Service {
 	return forming.Service{
 		Name: s.Name, Version: versionOf(s.Model, s.ModelVersion), GroupSize: s.GroupSize, Replicas: s.Replicas,
-		Spares: s.Spares, Dedicated: s.Kind == settings.Plain, DowntimeWeight: s.DowntimeWeight,
+		Spares: s.Spares, Dedicated: s.Kind == settings.PlainService, DowntimeWeight: s.DowntimeWeight,
 		StrandedWeight: s.StrandedWeight, LoadsPerMinute: s.LoadsPerMinute, DrainTimeout: s.DrainTimeout,
 	}
 }
--- a/entry/front/fakes_test.go
+++ b/entry/front/fakes_test.go
@@ -298,9 +298,9 @@
 		AttemptRetention: time.Hour, MaxConcurrency: 4,
 	}
 	desk, chat, hidden := common, common, common
-	desk.Name, desk.Kind, desk.Unrepeatable, desk.Repeatable = "desk", settings.Plain, []string{"/book"}, []string{"/quote"}
-	chat.Name, chat.Kind, chat.Model, chat.CanResume = "chat", settings.Language, "small", true
-	hidden.Name, hidden.Kind = "hidden", settings.Plain
+	desk.Name, desk.Kind, desk.Unrepeatable, desk.Repeatable = "desk", settings.PlainService, []string{"/book"}, []string{"/quote"}
+	chat.Name, chat.Kind, chat.Model, chat.CanResume = "chat", settings.LanguageService, "small", true
+	hidden.Name, hidden.Kind = "hidden", settings.PlainService
 	s := &settings.Snapshot{
 		Version:  1,
 		Services: map[string]settings.Service{"desk": desk, "chat": chat, "hidden": hidden},
@@ -308,7 +308,7 @@
 			Name: "dairy", KeyHashes: []string{hex.EncodeToString(sum[:])}, Share: 1, Services: []string{"desk", "chat"},
 		}},
 	}
-	s.Index()
+	s.BuildIndex()
 	return s
 }
 
--- a/entry/front/handlers.go
+++ b/entry/front/handlers.go
@@ -83,7 +83,7 @@
 
 func (q *request) parseCall(r *http.Request, w http.ResponseWriter, name string) *contract.Problem {
 	service, ok := q.snapshot.Services[name]
-	ok = ok && service.Kind == settings.Plain
+	ok = ok && service.Kind == settings.PlainService
 	limit := int64(maxBody)
 	if ok {
 		limit = min(limit, service.MaxBodyBytes)
--- a/entry/front/request.go
+++ b/entry/front/request.go
@@ -114,7 +114,7 @@
 	if hasPrefix(service.Unrepeatable, callPath) {
 		return false
 	}
-	if service.Kind == settings.Language || hasPrefix(service.Repeatable, callPath) {
+	if service.Kind == settings.LanguageService || hasPrefix(service.Repeatable, callPath) {
 		return true
 	}
 	switch method {
--- a/entry/inforce.go
+++ b/entry/inforce.go
@@ -32,7 +32,7 @@
 func newSettingsInForce(recorder *timeline.Recorder, log *logrus.Entry) *settingsInForce {
 	f := &settingsInForce{recorder: recorder, log: log}
 	empty := &settings.Snapshot{}
-	empty.Index()
+	empty.BuildIndex()
 	f.current.Store(empty)
 	return f
 }
--- a/entry/operator/apply.go
+++ b/entry/operator/apply.go
@@ -151,8 +151,8 @@
 
 func tooLarge(size int, revision uint64) settings.Result {
 	return settings.Result{Status: settings.Refused, Revision: revision, Faults: settings.Faults{{
-		Problem: eris.Errorf("the tree would have %d bytes", size).Error(),
-		Want:    eris.Errorf("at most %d", platform.MaxValueBytes).Error(),
+		Problem:  eris.Errorf("the tree would have %d bytes", size).Error(),
+		Expected: eris.Errorf("at most %d", platform.MaxValueBytes).Error(),
 	}}}
 }
 
@@ -189,11 +189,11 @@
 		return nil
 	}
 	old := make(map[settings.Fault]bool)
-	for _, fault := range current.CheckFabric(lists) {
+	for _, fault := range current.CheckFabricCapacity(lists) {
 		old[fault] = true
 	}
 	var faults settings.Faults
-	for _, fault := range next.CheckFabric(lists) {
+	for _, fault := range next.CheckFabricCapacity(lists) {
 		if !old[fault] {
 			faults = append(faults, fault)
 		}
--- a/entry/operator/operator_test.go
+++ b/entry/operator/operator_test.go
@@ -242,7 +242,7 @@
 		status, answer := r.apply(bad)
 		Expect(status).To(Equal(http.StatusUnprocessableEntity))
 		Expect(answer.Faults).To(ConsistOf(SatisfyAll(HaveField("Node", chat), HaveField("Key", "group_size"),
-			HaveField("Want", ContainSubstring("from 1 to 64")))))
+			HaveField("Expected", ContainSubstring("from 1 to 64")))))
 		Expect(r.store.puts).To(BeZero())
 	})
 
@@ -260,7 +260,7 @@
 		larger.Nodes[0].Values["group_size"] = settings.Value{Kind: settings.IntegerValue, Integer: 5}
 		status, answer := r.apply(larger)
 		Expect(status).To(Equal(http.StatusUnprocessableEntity))
-		Expect(answer.Faults).To(ConsistOf(HaveField("Want", "at most 3")))
+		Expect(answer.Faults).To(ConsistOf(HaveField("Expected", "at most 3")))
 		r.entry.listsErr = platform.ErrUnavailable
 		status, _ = r.apply(larger)
 		Expect(status).To(Equal(http.StatusOK), "the VM list is not known")
--- a/entry/routing/routing.go
+++ b/entry/routing/routing.go
@@ -94,8 +94,8 @@
 	defer r.mu.Unlock()
 	for name, declared := range snapshot.Services {
 		config := balance.DefaultConfig()
-		config.FirstTokenObjective = declared.FirstToken
-		config.TokenGapObjective = declared.TokenGap
+		config.FirstTokenObjective = declared.FirstTokenObjective
+		config.TokenGapObjective = declared.TokenGapObjective
 		r.service(name).table.ApplyConfig(config)
 	}
 }
@@ -170,8 +170,8 @@
 func (r *Router) AllowRetry(service settings.Service, tries int, left time.Duration) (time.Duration, bool) {
 	now := r.now()
 	try := retry.Try{Result: retry.NotRun, Number: tries, TimeLeft: left}
-	if service.Kind == settings.Language {
-		try.MinTime = service.FirstToken
+	if service.Kind == settings.LanguageService {
+		try.MinTime = service.FirstTokenObjective
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -51,7 +51,7 @@
 			Expect(snapshot.Services).To(HaveLen(2))
 			Expect(snapshot.Services[model].Replicas).To(Equal(50))
 			Expect(snapshot.Services[desk].Replicas).To(Equal(3))
-			Expect(snapshot.Services[desk].Kind).To(Equal(settings.Plain))
+			Expect(snapshot.Services[desk].Kind).To(Equal(settings.PlainService))
 			for _, service := range snapshot.Services {
 				Expect(service.DowntimeWeight > service.StrandedWeight).To(Equal(downtimeFirst))
 			}
--- a/pondctl/diff.go
+++ b/pondctl/diff.go
@@ -164,7 +164,7 @@
 	}
 }
 
-func by(applied *settings.Applied) string {
+func by(applied *settings.AppliedChange) string {
 	if applied == nil {
 		return ""
 	}
--- a/pondctl/show.go
+++ b/pondctl/show.go
@@ -73,7 +73,7 @@
 	})
 }
 
-func nodesOf(applied settings.Applied) string {
+func nodesOf(applied settings.AppliedChange) string {
 	var names []string
 	for _, path := range applied.Nodes {
 		names = append(names, string(path))
--- a/pondctl/yaml.go
+++ b/pondctl/yaml.go
@@ -77,7 +77,7 @@
 
 func valueNode(value settings.Value) (*yaml.Node, error) {
 	node := new(yaml.Node)
-	if err := node.Encode(value.Plain()); err != nil {
+	if err := node.Encode(value.Native()); err != nil {
 		return nil, eris.Wrap(err, "encode a value")
 	}
 	if node.Kind == yaml.SequenceNode {
