--- a/contract/settings/bench_test.go
+++ b/contract/settings/bench_test.go
@@ -8,7 +8,8 @@
 	"github.com/skylarkpond/skylarkpond/contract/settings"
 )
 
-// largeTree has 2 places with services and teams each, and a full record of changes.
+// largeTree returns a tree of 2 places, each with the given numbers of services and teams, and with
+// MaxRecentChanges recorded changes.
 func largeTree(services, teams int) *settings.Tree {
 	text := func(s string) settings.Value { return settings.Value{Kind: settings.TextValue, Text: s} }
 	hash := func(i int) settings.Value {
@@ -40,8 +41,9 @@
 	return tree
 }
 
-// BenchmarkTakeIn is what an entry does with a new version: read, check and resolve the whole.
-func BenchmarkTakeIn(b *testing.B) {
+// BenchmarkParseAndResolve measures what an entry does with a new version of the tree: parse, validate and
+// resolve all of it.
+func BenchmarkParseAndResolve(b *testing.B) {
 	for _, size := range []struct{ services, teams int }{{2, 5}, {20, 100}, {40, 500}} {
 		stored, err := json.Marshal(largeTree(size.services, size.teams))
 		if err != nil {
@@ -63,10 +65,11 @@
 	}
 }
 
-// maxTakeInAllocs is about a third above the 18,989 allocations measured for 40 services and 200 teams.
-const maxTakeInAllocs = 25_000
+// maxParseResolveAllocs is about a third above the 18,989 allocations measured for a tree of 40 services and
+// 200 teams.
+const maxParseResolveAllocs = 25_000
 
-func TestTakeInStaysCheap(t *testing.T) {
+func TestParseAndResolveAllocations(t *testing.T) {
 	stored, err := json.Marshal(largeTree(20, 100))
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +83,7 @@
 			t.Fatal(err)
 		}
 	})
-	if allocs > maxTakeInAllocs {
-		t.Fatalf("%.0f allocations to take in a tree of 243 nodes; at most %d", allocs, maxTakeInAllocs)
+	if allocs > maxParseResolveAllocs {
+		t.Fatalf("%.0f allocations to parse and resolve a tree of 243 nodes; want at most %d", allocs, maxParseResolveAllocs)
 	}
 }
--- a/contract/settings/check.go
+++ b/contract/settings/check.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Check makes the checks that take more than one value or node: what each value alone can't show. The
-// error is Faults, with every fault found.
+// Check runs the checks that span several values or nodes and that ParseTree cannot make on a single
+// value. The error is a Faults that holds every fault found.
 func (t *Tree) Check() error {
 	c := checker{tree: t, paths: t.Paths(), services: make(map[string]bool)}
 	for _, path := range c.paths {
@@ -32,27 +32,28 @@
 	faults   Faults
 }
 
-func (c *checker) add(node Path, key, want, problem string, args ...any) {
+func (c *checker) addFault(node Path, key, want, problem string, args ...any) {
 	c.faults = append(c.faults, Fault{Node: node, Key: key, Problem: fmt.Sprintf(problem, args...), Expected: want})
 }
 
-// addFrom names the node that the value in force comes from, since that is the one to mend.
-func (c *checker) addFrom(node Path, name, want, problem string, args ...any) {
+// addFaultAtSource reports a fault at the node that sets the effective value of the key, because that is
+// where to correct it. For a built-in default it reports the given node.
+func (c *checker) addFaultAtSource(node Path, name, want, problem string, args ...any) {
 	key, _ := LookupKey(name)
-	if _, from := c.tree.lookUp(key, node); from != "" {
+	if _, from := c.tree.lookup(key, node); from != "" {
 		node = from
 	}
-	c.add(node, name, want, problem, args...)
+	c.addFault(node, name, want, problem, args...)
 }
 
 func (c *checker) checkNode(path Path) {
 	level := path.Level()
 	if level == InvalidLevel {
-		c.faults = append(c.faults, badPath(path))
+		c.faults = append(c.faults, invalidPathFault(path))
 		return
 	}
 	if _, ok := c.tree.Nodes[path.Parent()]; !ok && path.Parent() != Root {
-		c.add(path, "", "the node "+string(path.Parent())+", which may be empty", "its place is not declared")
+		c.addFault(path, "", "the node "+string(path.Parent())+", which may be empty", "its place is not declared")
 	}
 	c.checkRequired(path, level)
 	switch level {
@@ -70,7 +71,7 @@
 		}
 		value, ok := c.tree.Nodes[path].Values[key.Name]
 		if !ok || (key.Kind == ListValue && len(value.List) == 0) {
-			c.add(path, key.Name, key.Constraint(), "not set")
+			c.addFault(path, key.Name, key.Constraint(), "not set")
 		}
 	}
 }
@@ -86,33 +87,33 @@
 		c.checkModelUnset(path, "model_version", s.ModelVersion)
 	}
 	if s.RequestTimeout > s.MaxRequestTimeout {
-		c.addFrom(path, "request_timeout", "at most max_request_timeout", "%s is above max_request_timeout, %s",
+		c.addFaultAtSource(path, "request_timeout", "at most max_request_timeout", "%s is above max_request_timeout, %s",
 			s.RequestTimeout, s.MaxRequestTimeout)
 	}
 	if s.QueueTimeout > s.MaxRequestTimeout {
-		c.addFrom(path, "queue_timeout", "at most max_request_timeout", "%s is above max_request_timeout, %s",
+		c.addFaultAtSource(path, "queue_timeout", "at most max_request_timeout", "%s is above max_request_timeout, %s",
 			s.QueueTimeout, s.MaxRequestTimeout)
 	}
 	if s.DowntimeWeight == 0 && s.StrandedWeight == 0 {
-		c.addFrom(path, "downtime_weight", "one of downtime_weight and stranded_weight above 0",
+		c.addFaultAtSource(path, "downtime_weight", "one of downtime_weight and stranded_weight above 0",
 			"both weights are 0")
 	}
 	for _, prefix := range s.Repeatable {
 		if slices.Contains(s.Unrepeatable, prefix) {
-			c.add(path, "repeatable", "each path in one of the two lists", "%q stands in unrepeatable too", prefix)
+			c.addFault(path, "repeatable", "each path in one of the two lists", "%q stands in unrepeatable too", prefix)
 		}
 	}
 }
 
 func (c *checker) checkModelSet(path Path, key, value string) {
 	if value == "" {
-		c.add(path, key, "text in quotes: "+modelText, "not set, and the service is a language service")
+		c.addFault(path, key, "text in quotes: "+modelDescription, "not set, and the service is a language service")
 	}
 }
 
 func (c *checker) checkModelUnset(path Path, key, value string) {
 	if value != "" {
-		c.add(path, key, "no such key, or kind: language", "a plain service has no model")
+		c.addFault(path, key, "no such key, or kind: language", "a plain service has no model")
 	}
 }
 
@@ -120,12 +121,13 @@
 	team := c.tree.team(path)
 	for _, service := range team.Services {
 		if !c.services[service] {
-			c.addFrom(path, "services", "names of declared services", "there is no service %q", service)
+			c.addFaultAtSource(path, "services", "names of declared services", "there is no service %q", service)
 		}
 	}
 }
 
-// checkUnique: callers name a service, and records name a team, without the place.
+// checkUnique checks that names are unique across places: callers refer to a service, and records to a
+// team, by name without the place.
 func (c *checker) checkUnique(level Level) {
 	first := make(map[string]Path)
 	for _, path := range c.paths {
@@ -133,14 +135,15 @@
 			continue
 		}
 		if other, ok := first[path.Name()]; ok {
-			c.add(path, "", "another name", "there is a %s of this name already: %s", level, other)
+			c.addFault(path, "", "another name", "there is a %s of this name already: %s", level, other)
 			continue
 		}
 		first[path.Name()] = path
 	}
 }
 
-// checkModels: a request names a model; which service would it go to if two served it?
+// checkModels checks that no two services serve the same model. Requests are routed by model name, which
+// would be ambiguous.
 func (c *checker) checkModels() {
 	first := make(map[string]Path)
 	for _, path := range c.paths {
@@ -149,14 +152,14 @@
 			continue
 		}
 		if other, ok := first[model]; ok {
-			c.add(path, "model", "a model that no other service serves", "%q is served by %s already", model, other)
+			c.addFault(path, "model", "a model that no other service serves", "%q is served by %s already", model, other)
 			continue
 		}
 		first[model] = path
 	}
 }
 
-// checkKeyHashes: a key must tell one team, and never be an operator's token.
+// checkKeyHashes checks that each key identifies a single team and is not an operator token.
 func (c *checker) checkKeyHashes() {
 	holder := make(map[string]Path)
 	for _, hash := range c.tree.Nodes[Root].Values["operator_key_hashes"].List {
@@ -166,24 +169,24 @@
 		for _, hash := range c.tree.Nodes[path].Values["key_hashes"].List {
 			other, ok := holder[hash]
 			if ok && other == Root {
-				c.add(path, "key_hashes", "a key of its own", "%s... is an operator's token", hash[:8])
+				c.addFault(path, "key_hashes", "a key of its own", "%s... is an operator's token", hash[:8])
 			} else if ok && other != path {
-				c.add(path, "key_hashes", "a key of its own", "%s... is a key of %s already", hash[:8], other)
+				c.addFault(path, "key_hashes", "a key of its own", "%s... is a key of %s already", hash[:8], other)
 			}
 			holder[hash] = path
 		}
 	}
 }
 
-// checkShares: shares that add up to nothing would leave the fair queue nothing to divide by. Each node
-// that sets one of them is named.
+// checkShares checks that the shares of all teams do not sum to zero, because the fair queue divides by
+// the sum. It reports each node that sets one of the shares.
 func (c *checker) checkShares() {
 	key, _ := LookupKey("share")
 	sum := 0.0
 	named := make(map[Path]bool)
 	for _, path := range c.paths {
 		if path.Level() == TeamLevel {
-			value, from := c.tree.lookUp(key, path)
+			value, from := c.tree.lookup(key, path)
 			sum += value.Number
 			named[from] = true
 		}
@@ -192,6 +195,6 @@
 		return
 	}
 	for path := range named {
-		c.add(path, "share", "at least one team with a share above 0", "the shares of all teams add up to nothing")
+		c.addFault(path, "share", "at least one team with a share above 0", "the shares of all teams add up to nothing")
 	}
 }
--- a/contract/settings/fabric.go
+++ b/contract/settings/fabric.go
@@ -7,9 +7,9 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// CheckFabricCapacity finds services whose group can't fit into any fabric domain of their place. Groups never
-// cross a fabric domain, so such a service would wait for ever for its first replica. Places of which no VM
-// is listed are passed over: their settings may be declared before their VMs exist.
+// CheckFabricCapacity reports services whose groups fit into no fabric domain of their place. A group never
+// spans fabric domains, so such a service would wait forever for its first replica. Places without a
+// listed VM are skipped, because settings may be declared before the VMs exist.
 func (t *Tree) CheckFabricCapacity(lists []vm.List) Faults {
 	var faults Faults
 	key, _ := LookupKey("group_size")
@@ -17,8 +17,8 @@
 		if path.Level() != ServiceLevel {
 			continue
 		}
-		largest, known := largestFabric(lists, path)
-		size, from := t.lookUp(key, path)
+		largest, known := largestFabricDomain(lists, path)
+		size, from := t.lookup(key, path)
 		if !known || int(size.Integer) <= largest {
 			continue
 		}
@@ -35,9 +35,10 @@
 	return faults
 }
 
-// largestFabric counts the VMs that the service may use in the place's largest fabric domain. Leaving VMs
-// count: others come in their place.
-func largestFabric(lists []vm.List, service Path) (largest int, known bool) {
+// largestFabricDomain returns the largest number of VMs that the service may use within one fabric domain
+// of its place. VMs that are about to leave count, because others replace them. known is false if no VM of
+// the place is listed.
+func largestFabricDomain(lists []vm.List, service Path) (largest int, known bool) {
 	for _, list := range lists {
 		usable := make(map[domain.FabricDomain]int)
 		for _, machine := range list.VMs {
--- a/contract/settings/fault.go
+++ b/contract/settings/fault.go
@@ -7,19 +7,20 @@
 	"strings"
 )
 
-// Fault is one thing wrong with declarations: where it stands and what would be right.
+// Fault is one validation error in declarations, a stored tree or a change: where it is, what is wrong and
+// what is expected instead.
 type Fault struct {
-	// File and Line are set if the node was read from files.
+	// File and Line are set if the node was read from a file.
 	File string `json:"file,omitempty"`
 	Line int    `json:"line,omitempty"`
 	Node Path   `json:"node,omitempty"`
 	Key  string `json:"key,omitempty"`
-	// Problem says what is wrong, Want what would be right.
+	// Problem describes what is wrong, Expected what is accepted instead.
 	Problem  string `json:"problem"`
 	Expected string `json:"want,omitempty"`
 }
 
-// String is one line: place, node, key, problem, and what would be right.
+// String formats the fault as one line: location, node, key, problem and what is expected instead.
 func (f Fault) String() string {
 	var b strings.Builder
 	if f.File != "" {
@@ -38,10 +39,10 @@
 	return b.String()
 }
 
-// Faults is the error of a check: every fault that was found, not only the first.
+// Faults is the error returned by validation. It holds every fault found, not only the first.
 type Faults []Fault
 
-// Error lists the faults, one a line.
+// Error lists the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, fault := range f {
@@ -50,8 +51,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// err sorts the faults and drops doubles: a bad value near the root shows at each node that inherits it.
-// It is nil if there are none, so that an empty Faults never becomes a non-nil error.
+// err returns the faults as an error, sorted and without duplicates: a bad value near the root is reported
+// once by each node that inherits it. It returns nil if there are none, because an empty Faults in an error
+// interface would not be nil.
 func (f Faults) err() error {
 	if len(f) == 0 {
 		return nil
--- a/contract/settings/fuzz_test.go
+++ b/contract/settings/fuzz_test.go
@@ -9,23 +9,23 @@
 	"github.com/skylarkpond/skylarkpond/contract/settings"
 )
 
-// checkFaults: every refusal is Faults, and each says what is wrong.
+// checkFaults checks that the error is a Faults and that each fault states its problem.
 func checkFaults(t *testing.T, err error) settings.Faults {
 	t.Helper()
 	var faults settings.Faults
 	if !errors.As(err, &faults) {
-		t.Fatalf("not Faults: %v", err)
+		t.Fatalf("error is not Faults: %v", err)
 	}
 	for _, fault := range faults {
 		if fault.Problem == "" {
-			t.Fatalf("a fault without a problem: %+v", fault)
+			t.Fatalf("fault without a problem: %+v", fault)
 		}
 	}
 	return faults
 }
 
-// checkTree: what was accepted can be stored and read back as it was, and resolves or is refused with
-// reasons.
+// checkTree checks that an accepted tree survives a round trip through its stored form, and that it either
+// resolves or is rejected with Faults.
 func checkTree(t *testing.T, tree *settings.Tree) {
 	t.Helper()
 	stored, err := json.Marshal(tree)
@@ -34,7 +34,7 @@
 	}
 	read, err := settings.ParseTree(stored)
 	if err != nil {
-		t.Fatalf("can't read what was stored: %v\n%s", err, stored)
+		t.Fatalf("cannot parse the stored tree: %v\n%s", err, stored)
 	}
 	if !sameNodes(tree, read) {
 		t.Fatalf("%v became %v", tree, read)
@@ -63,18 +63,18 @@
 	})
 }
 
-// FuzzDeclaration reads one file as each level's declaration, beside a valid rest.
+// FuzzDeclaration loads arbitrary data as the declaration of a node at each level; all other files are valid.
 func FuzzDeclaration(f *testing.F) {
 	files := []string{"root.yaml", "places/pampa.yaml", llmFile, southFile}
 	f.Fuzz(func(t *testing.T, data []byte, level uint8) {
 		file := files[int(level)%len(files)]
-		fsys := good()
+		fsys := validFiles()
 		fsys[file] = &fstest.MapFile{Data: data}
 		declared, err := settings.LoadFS(fsys, "decl")
 		if err != nil {
 			for _, fault := range checkFaults(t, err) {
 				if fault.File == "" || fault.Line < 1 || fault.Expected == "" {
-					t.Fatalf("a fault of files without its place or what would be right: %+v", fault)
+					t.Fatalf("fault without file, line or expected value: %+v", fault)
 				}
 			}
 			return
@@ -83,7 +83,7 @@
 	})
 }
 
-// FuzzMerge takes an arbitrary change into a valid tree, twice.
+// FuzzMerge merges an arbitrary change into a valid tree, twice.
 func FuzzMerge(f *testing.F) {
 	f.Fuzz(func(t *testing.T, data []byte) {
 		change, err := settings.ParseChange(data)
@@ -91,17 +91,17 @@
 			checkFaults(t, err)
 			return
 		}
-		declared, err := settings.LoadFS(good(), "decl")
+		declared, err := settings.LoadFS(validFiles(), "decl")
 		if err != nil {
 			t.Fatal(err)
 		}
 		tree := declared.Tree("n")
 		next, result := settings.Merge(tree, change)
 		if (next != tree) != (result.Status == settings.Accepted) {
-			t.Fatalf("%s, and the tree changed: %v", result.Status, next != tree)
+			t.Fatalf("status %s, but tree changed: %v", result.Status, next != tree)
 		}
 		if next.Check() != nil {
-			t.Fatalf("%s left a tree that fails its checks: %v", result.Status, next.Check())
+			t.Fatalf("status %s, and the tree is invalid: %v", result.Status, next.Check())
 		}
 		again, repeat := settings.Merge(next, change)
 		if again != next {
--- a/contract/settings/keys.go
+++ b/contract/settings/keys.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// Key describes one key: its type, range and default, the levels that may set it, and where its resolved
-// value goes. The table keys is the only place that knows them.
+// Key describes one settings key: its type, range and default, the levels that may set it, and the field
+// that receives its resolved value. The table keys is the single source of this information.
 type Key struct {
 	Name   string
 	Kind   ValueKind
 	Levels Level
-	// Default holds where no node sets the key. Required keys have none.
+	// Default applies where no node sets the key. It has no meaning for required keys.
 	Default  Value
 	Required bool
-	// Min and Max bound integers and numbers, and durations in nanoseconds.
+	// Min and Max are the inclusive bounds of integers and numbers, and of durations in nanoseconds.
 	Min, Max float64
-	// form is what each text must match; formText says it in words.
-	form     *regexp.Regexp
-	formText string
-	// Doc says what the key does, for operators.
+	// pattern is what a text, or each item of a list, must match; patternDescription describes it in messages.
+	pattern            *regexp.Regexp
+	patternDescription string
+	// Doc describes the key to operators.
 	Doc string
 
 	setService func(*Service, Value)
@@ -32,29 +32,29 @@
 }
 
 const (
-	inherited = RootLevel | PlaceLevel
-	ofService = inherited | ServiceLevel
-	ofTeam    = inherited | TeamLevel
+	sharedLevels  = RootLevel | PlaceLevel
+	serviceLevels = sharedLevels | ServiceLevel
+	teamLevels    = sharedLevels | TeamLevel
 )
 
 var (
-	hashForm  = regexp.MustCompile(`^[0-9a-f]{64}$`)
-	pathForm  = regexp.MustCompile(`^/[!-~]{0,255}$`)
-	modelForm = regexp.MustCompile(`^[!-~]{1,128}$`)
-	kindForm  = regexp.MustCompile(`^(language|plain)$`)
+	hashPattern  = regexp.MustCompile(`^[0-9a-f]{64}$`)
+	pathPattern  = regexp.MustCompile(`^/[!-~]{0,255}$`)
+	modelPattern = regexp.MustCompile(`^[!-~]{1,128}$`)
+	kindPattern  = regexp.MustCompile(`^(language|plain)$`)
 )
 
 const (
-	hashText  = "SHA-256 hashes of 64 hex digits (pondctl hash-key prints one)"
-	pathText  = "path prefixes that start with /"
-	modelText = "1 to 128 printable characters without spaces"
-	kindText  = "language or plain"
+	hashDescription  = "SHA-256 hashes of 64 hex digits (pondctl hash-key prints one)"
+	pathDescription  = "path prefixes that start with /"
+	modelDescription = "1 to 128 printable characters without spaces"
+	kindDescription  = "language or plain"
 )
 
-// Keys returns all keys in the order in which they are shown.
+// Keys returns all keys in display order. The caller must not modify the slice.
 func Keys() []*Key { return keys }
 
-// LookupKey finds a key.
+// LookupKey returns the key with the given name.
 func LookupKey(name string) (*Key, bool) {
 	key, ok := keyByName[name]
 	return key, ok
@@ -69,130 +69,130 @@
 }()
 
 var keys = []*Key{
-	rootKey(list("operator_key_hashes", RootLevel, hashForm, hashText,
+	rootKey(list("operator_key_hashes", RootLevel, hashPattern, hashDescription,
 		"hashes of the tokens that the admin address accepts"),
 		func(s *Snapshot, v Value) { s.OperatorKeyHashes = v.List }),
 	rootKey(duration("address_ttl", RootLevel, 5*time.Second, time.Second, time.Minute,
 		"how long a caller may keep the directory's answer"),
 		func(s *Snapshot, v Value) { s.AddressTTL = v.Duration }),
 
-	serviceKey(required(text("kind", ServiceLevel, kindForm, kindText,
+	serviceKey(required(text("kind", ServiceLevel, kindPattern, kindDescription,
 		"language: a model whose replicas are groups of VMs; plain: an HTTP service")),
 		func(s *Service, v Value) { s.Kind = ServiceKind(v.Text) }),
-	serviceKey(text("model", ServiceLevel, modelForm, modelText,
+	serviceKey(text("model", ServiceLevel, modelPattern, modelDescription,
 		"the name that callers use; language services only"),
 		func(s *Service, v Value) { s.Model = v.Text }),
-	serviceKey(text("model_version", ServiceLevel, modelForm, modelText,
+	serviceKey(text("model_version", ServiceLevel, modelPattern, modelDescription,
 		"what engines load; a change is rolled out group by group"),
 		func(s *Service, v Value) { s.ModelVersion = v.Text }),
-	serviceKey(integer("group_size", ofService, 1, 1, 64,
+	serviceKey(integer("group_size", serviceLevels, 1, 1, 64,
 		"VMs of a replica, all of one fabric domain"),
 		func(s *Service, v Value) { s.GroupSize = int(v.Integer) }),
-	serviceKey(integer("replicas", ofService, 1, 0, 10_000,
+	serviceKey(integer("replicas", serviceLevels, 1, 0, 10_000,
 		"replicas wanted"),
 		func(s *Service, v Value) { s.Replicas = int(v.Integer) }),
-	serviceKey(integer("spares", ofService, 0, 0, 1_000,
+	serviceKey(integer("spares", serviceLevels, 0, 0, 1_000,
 		"free VMs kept for replacing members"),
 		func(s *Service, v Value) { s.Spares = int(v.Integer) }),
-	serviceKey(number("downtime_weight", ofService, 1, 0, 1e6,
+	serviceKey(number("downtime_weight", serviceLevels, 1, 0, 1e6,
 		"cost of a second of a missing replica"),
 		func(s *Service, v Value) { s.DowntimeWeight = v.Number }),
-	serviceKey(number("stranded_weight", ofService, 1, 0, 1e6,
+	serviceKey(number("stranded_weight", serviceLevels, 1, 0, 1e6,
 		"cost of an accelerator-second outside any serving group"),
 		func(s *Service, v Value) { s.StrandedWeight = v.Number }),
-	serviceKey(duration("request_timeout", ofService, time.Minute, 10*time.Millisecond, time.Hour,
+	serviceKey(duration("request_timeout", serviceLevels, time.Minute, 10*time.Millisecond, time.Hour,
 		"deadline of a request whose caller names none"),
 		func(s *Service, v Value) { s.RequestTimeout = v.Duration }),
-	serviceKey(duration("max_request_timeout", ofService, 10*time.Minute, 10*time.Millisecond, 24*time.Hour,
+	serviceKey(duration("max_request_timeout", serviceLevels, 10*time.Minute, 10*time.Millisecond, 24*time.Hour,
 		"the longest deadline that a caller may name"),
 		func(s *Service, v Value) { s.MaxRequestTimeout = v.Duration }),
-	serviceKey(duration("queue_timeout", ofService, 5*time.Second, time.Millisecond, time.Hour,
+	serviceKey(duration("queue_timeout", serviceLevels, 5*time.Second, time.Millisecond, time.Hour,
 		"the longest wait in a queue; a request that would wait longer is refused at once"),
 		func(s *Service, v Value) { s.QueueTimeout = v.Duration }),
-	serviceKey(duration("drain_timeout", ofService, 10*time.Minute, time.Second, 24*time.Hour,
+	serviceKey(duration("drain_timeout", serviceLevels, 10*time.Minute, time.Second, 24*time.Hour,
 		"how long a draining group waits for requests in progress"),
 		func(s *Service, v Value) { s.DrainTimeout = v.Duration }),
-	serviceKey(duration("first_token", ofService, 640*time.Millisecond, time.Millisecond, time.Minute,
+	serviceKey(duration("first_token", serviceLevels, 640*time.Millisecond, time.Millisecond, time.Minute,
 		"objective for the first token; the concurrency limit adapts to it"),
 		func(s *Service, v Value) { s.FirstTokenObjective = v.Duration }),
-	serviceKey(duration("token_gap", ofService, 79*time.Millisecond, time.Millisecond, time.Minute,
+	serviceKey(duration("token_gap", serviceLevels, 79*time.Millisecond, time.Millisecond, time.Minute,
 		"objective for the time between tokens; the concurrency limit adapts to it"),
 		func(s *Service, v Value) { s.TokenGapObjective = v.Duration }),
-	serviceKey(integer("max_concurrency", ofService, 64, 1, 10_000,
+	serviceKey(integer("max_concurrency", serviceLevels, 64, 1, 10_000,
 		"cap on the requests at work on one group"),
 		func(s *Service, v Value) { s.MaxConcurrency = int(v.Integer) }),
-	serviceKey(integer("max_body_bytes", ofService, 1<<20, 1, 64<<20,
+	serviceKey(integer("max_body_bytes", serviceLevels, 1<<20, 1, 64<<20,
 		"the largest request body"),
 		func(s *Service, v Value) { s.MaxBodyBytes = v.Integer }),
-	serviceKey(list("unrepeatable", ServiceLevel, pathForm, pathText,
+	serviceKey(list("unrepeatable", ServiceLevel, pathPattern, pathDescription,
 		"paths whose calls may not be repeated, whatever their method"),
 		func(s *Service, v Value) { s.Unrepeatable = v.List }),
-	serviceKey(list("repeatable", ServiceLevel, pathForm, pathText,
+	serviceKey(list("repeatable", ServiceLevel, pathPattern, pathDescription,
 		"paths whose calls may be repeated, whatever their method"),
 		func(s *Service, v Value) { s.Repeatable = v.List }),
-	serviceKey(flag("checks_fence", ofService,
+	serviceKey(boolean("checks_fence", serviceLevels,
 		"the engines refuse an order with an old fencing number"),
 		func(s *Service, v Value) { s.ChecksFence = v.Bool }),
-	serviceKey(flag("can_resume", ofService,
+	serviceKey(boolean("can_resume", serviceLevels,
 		"the engines resume a stream at an offset"),
 		func(s *Service, v Value) { s.CanResume = v.Bool }),
-	serviceKey(integer("loads_per_minute", ofService, 60, 1, 100_000,
+	serviceKey(integer("loads_per_minute", serviceLevels, 60, 1, 100_000,
 		"members loaded a minute, below the weight store's rate"),
 		func(s *Service, v Value) { s.LoadsPerMinute = int(v.Integer) }),
-	serviceKey(duration("attempt_retention", ofService, 24*time.Hour, time.Minute, 30*24*time.Hour,
+	serviceKey(duration("attempt_retention", serviceLevels, 24*time.Hour, time.Minute, 30*24*time.Hour,
 		"how long the record of an unrepeatable request is kept"),
 		func(s *Service, v Value) { s.AttemptRetention = v.Duration }),
 
-	teamKey(required(list("key_hashes", TeamLevel, hashForm, hashText,
+	teamKey(required(list("key_hashes", TeamLevel, hashPattern, hashDescription,
 		"hashes of the team's bearer keys")),
 		func(t *Team, v Value) { t.KeyHashes = v.List }),
-	teamKey(number("share", ofTeam, 1, 0, 1_000,
+	teamKey(number("share", teamLevels, 1, 0, 1_000,
 		"weight in the fair queue; a team with 0 is served when no other waits"),
 		func(t *Team, v Value) { t.Share = v.Number }),
-	teamKey(integer("priority", ofTeam, 5, 0, 9,
+	teamKey(integer("priority", teamLevels, 5, 0, 9,
 		"handed to the engines, 0 lowest"),
 		func(t *Team, v Value) { t.Priority = int(v.Integer) }),
-	teamKey(list("services", ofTeam, nodeName, "names of services, each "+nodeNameForm,
+	teamKey(list("services", teamLevels, nodeNamePattern, "names of services, each "+nodeNameDescription,
 		"the services that the team may call; empty: all"),
 		func(t *Team, v Value) { t.Services = v.List }),
 }
 
-func text(name string, levels Level, form *regexp.Regexp, formText, doc string) *Key {
+func text(name string, levels Level, pattern *regexp.Regexp, patternDescription, doc string) *Key {
 	return &Key{
-		Name: name, Kind: TextValue, Levels: levels, form: form, formText: formText, Doc: doc,
+		Name: name, Kind: TextValue, Levels: levels, pattern: pattern, patternDescription: patternDescription, Doc: doc,
 		Default: Value{Kind: TextValue},
 	}
 }
 
-func list(name string, levels Level, form *regexp.Regexp, formText, doc string) *Key {
+func list(name string, levels Level, pattern *regexp.Regexp, patternDescription, doc string) *Key {
 	return &Key{
-		Name: name, Kind: ListValue, Levels: levels, form: form, formText: formText, Doc: doc,
+		Name: name, Kind: ListValue, Levels: levels, pattern: pattern, patternDescription: patternDescription, Doc: doc,
 		Default: Value{Kind: ListValue},
 	}
 }
 
-func integer(name string, levels Level, value, least, most int64, doc string) *Key {
+func integer(name string, levels Level, defaultValue, minimum, maximum int64, doc string) *Key {
 	return &Key{
-		Name: name, Kind: IntegerValue, Levels: levels, Min: float64(least), Max: float64(most), Doc: doc,
-		Default: Value{Kind: IntegerValue, Integer: value},
+		Name: name, Kind: IntegerValue, Levels: levels, Min: float64(minimum), Max: float64(maximum), Doc: doc,
+		Default: Value{Kind: IntegerValue, Integer: defaultValue},
 	}
 }
 
-func number(name string, levels Level, value, least, most float64, doc string) *Key {
+func number(name string, levels Level, defaultValue, minimum, maximum float64, doc string) *Key {
 	return &Key{
-		Name: name, Kind: NumberValue, Levels: levels, Min: least, Max: most, Doc: doc,
-		Default: Value{Kind: NumberValue, Number: value},
+		Name: name, Kind: NumberValue, Levels: levels, Min: minimum, Max: maximum, Doc: doc,
+		Default: Value{Kind: NumberValue, Number: defaultValue},
 	}
 }
 
-func duration(name string, levels Level, value, least, most time.Duration, doc string) *Key {
+func duration(name string, levels Level, defaultValue, minimum, maximum time.Duration, doc string) *Key {
 	return &Key{
-		Name: name, Kind: DurationValue, Levels: levels, Min: float64(least), Max: float64(most), Doc: doc,
-		Default: Value{Kind: DurationValue, Duration: value},
+		Name: name, Kind: DurationValue, Levels: levels, Min: float64(minimum), Max: float64(maximum), Doc: doc,
+		Default: Value{Kind: DurationValue, Duration: defaultValue},
 	}
 }
 
-func flag(name string, levels Level, doc string) *Key {
+func boolean(name string, levels Level, doc string) *Key {
 	return &Key{Name: name, Kind: BoolValue, Levels: levels, Doc: doc, Default: Value{Kind: BoolValue}}
 }
 
@@ -216,7 +216,7 @@
 	return k
 }
 
-// Constraint says in words what the key takes.
+// Constraint describes the values that the key accepts.
 func (k *Key) Constraint() string {
 	switch k.Kind {
 	case IntegerValue:
@@ -228,42 +228,43 @@
 	case BoolValue:
 		return "true or false"
 	case ListValue:
-		return "a list of " + k.formText
+		return "a list of " + k.patternDescription
 	}
-	return "text in quotes: " + k.formText
+	return "text in quotes: " + k.patternDescription
 }
 
 func formatFloat(f float64) string { return strconv.FormatFloat(f, 'f', -1, 64) }
 
-// outside says why a value of the right type is out of range, or "".
-func (k *Key) outside(v Value) string {
+// rangeProblem describes why a value of the right type is out of range or malformed. It returns "" if the
+// value is valid.
+func (k *Key) rangeProblem(v Value) string {
 	switch k.Kind {
 	case IntegerValue:
-		return k.outOfRange(float64(v.Integer), v)
+		return k.boundsProblem(float64(v.Integer), v)
 	case NumberValue:
-		return k.outOfRange(v.Number, v)
+		return k.boundsProblem(v.Number, v)
 	case DurationValue:
-		return k.outOfRange(float64(v.Duration), v)
+		return k.boundsProblem(float64(v.Duration), v)
 	case TextValue:
-		if !k.form.MatchString(v.Text) {
+		if !k.pattern.MatchString(v.Text) {
 			return fmt.Sprintf("%s has the wrong form", describe(v.Text))
 		}
 	case ListValue:
-		return k.badItem(v.List)
+		return k.listProblem(v.List)
 	}
 	return ""
 }
 
-func (k *Key) outOfRange(n float64, v Value) string {
+func (k *Key) boundsProblem(n float64, v Value) string {
 	if n >= k.Min && n <= k.Max {
 		return ""
 	}
 	return v.String() + " is out of range"
 }
 
-func (k *Key) badItem(items []string) string {
+func (k *Key) listProblem(items []string) string {
 	for i, item := range items {
-		if !k.form.MatchString(item) {
+		if !k.pattern.MatchString(item) {
 			return fmt.Sprintf("%s has the wrong form", describe(item))
 		}
 		if slices.Contains(items[:i], item) {
@@ -273,8 +274,8 @@
 	return ""
 }
 
-// keysOf names the keys that a level may set, for messages.
-func keysOf(level Level) string {
+// keyNamesAt returns the names of the keys that may be set at a level, separated by commas, for messages.
+func keyNamesAt(level Level) string {
 	var names []string
 	for _, key := range keys {
 		if key.Levels&level != 0 {
--- a/contract/settings/load.go
+++ b/contract/settings/load.go
@@ -14,39 +14,41 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// MaxFileBytes bounds one file of declarations: a node is a few hundred bytes.
+// MaxFileBytes bounds the size of a declaration file. A typical node takes a few hundred bytes.
 const MaxFileBytes = 256 << 10
 
-const fileForm = RootFile + ", places/P.yaml, places/P/services/S.yaml or places/P/teams/T.yaml, each name " + nodeNameForm
+const expectedFiles = RootFile + ", places/P.yaml, places/P/services/S.yaml or places/P/teams/T.yaml, each name " +
+	nodeNameDescription
 
-// Declarations are the nodes declared by a directory of YAML files, one node a file: root.yaml,
-// places/P.yaml, places/P/services/S.yaml, places/P/teams/T.yaml.
+// Declarations holds the nodes declared by a directory of YAML files, one node per file: root.yaml,
+// places/P.yaml, places/P/services/S.yaml and places/P/teams/T.yaml.
 type Declarations struct {
 	Nodes map[Path]Values
 
-	// lines and files say where each key stands, for faults; line 1 stands for the whole file.
+	// lines and files locate each key for faults; line 1 stands for the whole file.
 	lines map[Path]map[string]int
 	files map[Path]string
 }
 
-// LoadDir reads and checks the declarations below dir. The error is Faults, with every fault found, or
-// wraps that of the file system.
+// LoadDir reads and validates the declarations in dir and its subdirectories. The error is a Faults that
+// holds every fault found, or wraps an error of the file system.
 func LoadDir(dir string) (*Declarations, error) {
 	return LoadFS(os.DirFS(dir), dir)
 }
 
-// LoadFS is LoadDir for any file system; shown is put before file names in faults.
-func LoadFS(fsys fs.FS, shown string) (*Declarations, error) {
-	l := loader{fsys: fsys, shown: shown, declared: &Declarations{
+// LoadFS is like LoadDir but reads from any file system. Faults show file names with displayDir prepended.
+func LoadFS(fsys fs.FS, displayDir string) (*Declarations, error) {
+	l := loader{fsys: fsys, displayDir: displayDir, declared: &Declarations{
 		Nodes: make(map[Path]Values), lines: make(map[Path]map[string]int), files: make(map[Path]string),
 	}}
 	if err := fs.WalkDir(fsys, ".", l.visit); err != nil {
-		return nil, fmt.Errorf("read declarations in %s: %w", shown, err)
+		return nil, fmt.Errorf("read declarations in %s: %w", displayDir, err)
 	}
 	if len(l.faults) == 0 && len(l.declared.Nodes) == 0 {
-		l.faults = Faults{{File: shown, Problem: "no declarations here", Expected: RootFile + " and places/P.yaml"}}
+		l.faults = Faults{{File: displayDir, Problem: "no declarations here", Expected: RootFile + " and places/P.yaml"}}
 	}
-	// Cross checks over nodes that could not be read whole would name faults that aren't there.
+	// Checks across nodes are skipped after parse errors: on partially read nodes they would report faults
+	// that do not exist.
 	if len(l.faults) == 0 {
 		l.faults = l.declared.crossCheck()
 	}
@@ -56,7 +58,7 @@
 	return l.declared, nil
 }
 
-// Tree returns the declarations as a tree that nobody has changed yet: what the first apply would store.
+// Tree returns the declarations as an initial tree: the one that the first apply would store.
 func (d *Declarations) Tree(nonce string) *Tree {
 	tree := &Tree{Nonce: nonce, Revision: 1, Nodes: make(map[Path]Node, len(d.Nodes))}
 	for path, values := range d.Nodes {
@@ -65,6 +67,7 @@
 	return tree
 }
 
+// crossCheck runs the checks that span several values or nodes and adds file and line to their faults.
 func (d *Declarations) crossCheck() Faults {
 	var faults Faults
 	if !errors.As(d.Tree("").Check(), &faults) {
@@ -76,7 +79,7 @@
 	return faults
 }
 
-// Locate adds file and line to a fault that names a node, if the node is declared here.
+// Locate adds file and line to a fault whose node is declared here. Other faults are returned unchanged.
 func (d *Declarations) Locate(fault Fault) Fault {
 	file, ok := d.files[fault.Node]
 	if !ok {
@@ -88,14 +91,15 @@
 }
 
 type loader struct {
-	fsys     fs.FS
-	shown    string
-	declared *Declarations
-	faults   Faults
+	fsys       fs.FS
+	displayDir string
+	declared   *Declarations
+	faults     Faults
 }
 
-// visit takes in files named .yaml. Hidden files and folders and files of other kinds (the lock file, a
-// page) are passed over; a .yaml or .yml file that would be passed over by mistake is a fault.
+// visit loads a .yaml file. It ignores hidden files and directories and files with other extensions, such
+// as the lock file or documentation. A .yml file, or a .yaml file that declares no possible node, is
+// reported as a fault, because ignoring it would hide a mistake.
 func (l *loader) visit(name string, entry fs.DirEntry, err error) error {
 	if err != nil {
 		return err
@@ -113,16 +117,16 @@
 	node := pathOfFile(name)
 	if extension != fileSuffix || node.Level() == InvalidLevel || node.File() != name {
 		l.faults = append(l.faults, Fault{
-			File: l.file(name), Line: 1, Problem: "no node has its declaration here", Expected: fileForm,
+			File: l.displayPath(name), Line: 1, Problem: "no node has its declaration here", Expected: expectedFiles,
 		})
 		return nil
 	}
-	return l.load(name, node)
+	return l.loadFile(name, node)
 }
 
-func (l *loader) file(name string) string { return filepath.Join(l.shown, name) }
+func (l *loader) displayPath(name string) string { return filepath.Join(l.displayDir, name) }
 
-func (l *loader) load(name string, node Path) error {
+func (l *loader) loadFile(name string, node Path) error {
 	file, err := l.fsys.Open(name)
 	if err != nil {
 		return err
@@ -132,23 +136,23 @@
 	if err != nil {
 		return err
 	}
-	l.declared.files[node] = l.file(name)
+	l.declared.files[node] = l.displayPath(name)
 	if len(data) > MaxFileBytes {
-		l.fault(node, 1, Fault{Problem: "file too large", Expected: fmt.Sprintf("at most %d bytes", MaxFileBytes)})
+		l.addFault(node, 1, Fault{Problem: "file too large", Expected: fmt.Sprintf("at most %d bytes", MaxFileBytes)})
 		return nil
 	}
 	l.parse(node, data)
 	return nil
 }
 
-func (l *loader) fault(node Path, line int, fault Fault) {
+func (l *loader) addFault(node Path, line int, fault Fault) {
 	fault.File = l.declared.files[node]
 	fault.Line = line
 	fault.Node = node
 	l.faults = append(l.faults, fault)
 }
 
-// parse reads one file as a mapping of keys to values. An empty file declares a node without values.
+// parse decodes one file as a mapping of keys to values. An empty file declares a node without values.
 func (l *loader) parse(node Path, data []byte) {
 	l.declared.Nodes[node] = make(Values)
 	l.declared.lines[node] = make(map[string]int)
@@ -159,57 +163,57 @@
 		return
 	}
 	if err != nil {
-		l.fault(node, 1, Fault{Problem: "not YAML: " + err.Error(), Expected: "lines of the form key: value"})
+		l.addFault(node, 1, Fault{Problem: "not YAML: " + err.Error(), Expected: "lines of the form key: value"})
 		return
 	}
 	if decoder.Decode(new(yaml.Node)) != io.EOF {
-		l.fault(node, 1, Fault{Problem: "more than one document", Expected: "one node a file"})
+		l.addFault(node, 1, Fault{Problem: "more than one document", Expected: "one node a file"})
 		return
 	}
 	if len(document.Content) != 1 {
 		return
 	}
-	l.mapping(node, document.Content[0])
+	l.parseMapping(node, document.Content[0])
 }
 
-func (l *loader) mapping(node Path, content *yaml.Node) {
+func (l *loader) parseMapping(node Path, content *yaml.Node) {
 	if content.Kind == yaml.ScalarNode && content.Tag == "!!null" {
 		return
 	}
 	if content.Kind != yaml.MappingNode {
-		l.fault(node, content.Line, Fault{Problem: "not a mapping", Expected: "lines of the form key: value"})
+		l.addFault(node, content.Line, Fault{Problem: "not a mapping", Expected: "lines of the form key: value"})
 		return
 	}
 	for i := 0; i+1 < len(content.Content); i += 2 {
-		l.pair(node, content.Content[i], content.Content[i+1])
+		l.parseEntry(node, content.Content[i], content.Content[i+1])
 	}
 }
 
-func (l *loader) pair(node Path, key, item *yaml.Node) {
+func (l *loader) parseEntry(node Path, key, item *yaml.Node) {
 	name := key.Value
 	if key.Kind != yaml.ScalarNode {
-		l.fault(node, key.Line, Fault{Problem: "a key that is not text", Expected: "one of " + keysOf(node.Level())})
+		l.addFault(node, key.Line, Fault{Problem: "a key that is not text", Expected: "one of " + keyNamesAt(node.Level())})
 		return
 	}
 	if line, ok := l.declared.lines[node][name]; ok {
-		l.fault(node, key.Line, Fault{
+		l.addFault(node, key.Line, Fault{
 			Key: name, Problem: fmt.Sprintf("set already on line %d", line), Expected: "each key once",
 		})
 		return
 	}
 	l.declared.lines[node][name] = key.Line
 	if usesAlias(item) {
-		l.fault(node, item.Line, Fault{Key: name, Problem: "YAML aliases are not taken", Expected: "the value itself"})
+		l.addFault(node, item.Line, Fault{Key: name, Problem: "YAML aliases are not taken", Expected: "the value itself"})
 		return
 	}
 	var raw any
 	if err := item.Decode(&raw); err != nil {
-		l.fault(node, item.Line, Fault{Key: name, Problem: "not YAML: " + err.Error(), Expected: "a value"})
+		l.addFault(node, item.Line, Fault{Key: name, Problem: "not YAML: " + err.Error(), Expected: "a value"})
 		return
 	}
 	value, fault := parseValue(node.Level(), name, raw)
 	if fault != nil {
-		l.fault(node, item.Line, *fault)
+		l.addFault(node, item.Line, *fault)
 		return
 	}
 	l.declared.Nodes[node][name] = value
--- a/contract/settings/load_test.go
+++ b/contract/settings/load_test.go
@@ -24,8 +24,9 @@
 	southFile = "places/pampa/teams/south.yaml"
 )
 
-// good returns the files of a valid tree, with some replaced or added; an empty name adds nothing.
-func good(replace ...string) fstest.MapFS {
+// validFiles returns the files of a valid tree. The arguments are pairs of a file name and its content, which
+// replace or add files.
+func validFiles(replace ...string) fstest.MapFS {
 	files := map[string]string{
 		"root.yaml":         "operator_key_hashes: [" + hashC + "]\nqueue_timeout: 9s\n",
 		"places/pampa.yaml": "group_size: 4\nshare: 2\n",
@@ -44,13 +45,13 @@
 	return fsys
 }
 
-func load(replace ...string) (*settings.Declarations, error) {
-	return settings.LoadFS(good(replace...), "decl")
+func loadFiles(replace ...string) (*settings.Declarations, error) {
+	return settings.LoadFS(validFiles(replace...), "decl")
 }
 
 var _ = Describe("Declarations", func() {
 	It("resolves values from the nearest node that sets them", func() {
-		declared, err := load()
+		declared, err := loadFiles()
 		Expect(err).NotTo(HaveOccurred())
 		snapshot, err := declared.Tree("n").Resolve(7)
 		Expect(err).NotTo(HaveOccurred())
@@ -70,8 +71,8 @@
 		Expect(team.Name).To(Equal("south"))
 	})
 
-	It("explains each value by the node that it comes from", func() {
-		declared, err := load()
+	It("explains each value with the node that sets it", func() {
+		declared, err := loadFiles()
 		Expect(err).NotTo(HaveOccurred())
 		explained, ok := declared.Tree("n").Explain("/places/pampa/services/llm")
 		Expect(ok).To(BeTrue())
@@ -88,8 +89,8 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("comes back from its stored form as it was", func() {
-		declared, err := load()
+	It("survives a round trip through its stored form", func() {
+		declared, err := loadFiles()
 		Expect(err).NotTo(HaveOccurred())
 		tree := declared.Tree("n")
 		stored, err := json.Marshal(tree)
@@ -100,9 +101,9 @@
 		Expect(read).To(Equal(tree))
 	})
 
-	DescribeTable("refuses a fault, naming file, line, node, key and what would be right",
+	DescribeTable("rejects a fault and reports file, line, node, key and the expected value",
 		func(file, text string, line int, key, problem, want string) {
-			_, err := load(file, text)
+			_, err := loadFiles(file, text)
 			var faults settings.Faults
 			Expect(errors.As(err, &faults)).To(BeTrue(), "%v", err)
 			Expect(faults).To(HaveLen(1), "%v", err)
@@ -128,14 +129,14 @@
 		Entry("two documents", "root.yaml", "replicas: 1\n---\nspares: 1\n", 1, "", "more than one", "one node"),
 		Entry("not a mapping", "root.yaml", "- replicas\n", 1, "", "not a mapping", "key: value"),
 		Entry("bad hash", "root.yaml", "operator_key_hashes: [12ab]\n", 1, "operator_key_hashes", "wrong form", "64 hex"),
-		Entry("file nobody reads", "places/pampa/service/llm.yaml", "kind: plain\n", 1, "", "no node", "places/P/services/S.yaml"),
+		Entry("file that declares no node", "places/pampa/service/llm.yaml", "kind: plain\n", 1, "", "no node", "places/P/services/S.yaml"),
 		Entry("other suffix", "places/pampa.yml", "", 1, "", "no node", "places/P.yaml"),
 		Entry("place not declared", "places/lima/services/x.yaml", "kind: plain\n", 1, "", "place is not declared", "/places/lima"),
 		Entry("no kind", deskFile, "replicas: 3\n", 1, "kind", "not set", "language or plain"),
 		Entry("language without a version", llmFile, "kind: language\nmodel: m\n", 1, "model_version", "not set", "text"),
 		Entry("plain with a model", deskFile, "kind: plain\nmodel: n\n", 2, "model", "no model", "language"),
-		Entry("timeouts crossed, set above", "root.yaml", "max_request_timeout: 61s\nrequest_timeout: 62s\n", 2, "request_timeout", "above max_request_timeout", "at most"),
-		Entry("no weight at all", llmFile, "kind: language\nmodel: m\nmodel_version: v\nstranded_weight: 0\ndowntime_weight: 0\n", 5, "downtime_weight", "both weights", "above 0"),
+		Entry("request timeout above its maximum, both set at an ancestor", "root.yaml", "max_request_timeout: 61s\nrequest_timeout: 62s\n", 2, "request_timeout", "above max_request_timeout", "at most"),
+		Entry("both weights zero", llmFile, "kind: language\nmodel: m\nmodel_version: v\nstranded_weight: 0\ndowntime_weight: 0\n", 5, "downtime_weight", "both weights", "above 0"),
 		Entry("path in both lists", deskFile, "kind: plain\nunrepeatable: [/a]\nrepeatable: [/b, /a]\n", 3, "repeatable", `"/a"`, "one of the two"),
 		Entry("unknown service", southFile, "key_hashes: ["+hashB+"]\nservices: [nope]\n", 2, "services", `"nope"`, "declared services"),
 		Entry("team without keys", southFile, "key_hashes: []\n", 1, "key_hashes", "not set", "64 hex"),
@@ -144,17 +145,17 @@
 		Entry("model of two services", "places/pampa/services/two.yaml", "kind: language\nmodel: m\nmodel_version: v\n", 2, "model", "/services/llm already", "no other"),
 	)
 
-	It("tells the same name in two places, and shares that add up to nothing at each node that sets one", func() {
-		_, err := load("places/lima.yaml", "", "places/lima/teams/north.yaml", "key_hashes: ["+strings.Repeat("d", 64)+"]\n")
+	It("reports a name used in two places, and zero total shares at each node that sets a share", func() {
+		_, err := loadFiles("places/lima.yaml", "", "places/lima/teams/north.yaml", "key_hashes: ["+strings.Repeat("d", 64)+"]\n")
 		Expect(err).To(MatchError(ContainSubstring("a team of this name already: /places/lima/teams/north")))
-		_, err = load("places/pampa.yaml", "share: 0\n", northFile, "key_hashes: ["+hashA+"]\nshare: 0\n")
+		_, err = loadFiles("places/pampa.yaml", "share: 0\n", northFile, "key_hashes: ["+hashA+"]\nshare: 0\n")
 		Expect(err).To(MatchError(SatisfyAll(
 			ContainSubstring("decl/places/pampa.yaml:1: node /places/pampa: key share: the shares of all teams add up to nothing"),
 			ContainSubstring("decl/places/pampa/teams/north.yaml:2:"))))
 	})
 
-	It("tells all faults at once, in the order of the files", func() {
-		_, err := load("root.yaml", "replicas: x\nspares: -1\nzzz: 1\n", northFile, "share: -2\nkey_hashes: 7\n")
+	It("reports all faults at once, in the order of the files", func() {
+		_, err := loadFiles("root.yaml", "replicas: x\nspares: -1\nzzz: 1\n", northFile, "share: -2\nkey_hashes: 7\n")
 		var faults settings.Faults
 		Expect(errors.As(err, &faults)).To(BeTrue())
 		Expect(faults).To(HaveLen(5))
@@ -162,17 +163,17 @@
 		Expect(faults[4].String()).To(HavePrefix("decl/root.yaml:3: node /: key zzz: unknown key; want one of operator_key_hashes, "))
 	})
 
-	DescribeTable("refuses a stored tree that it does not understand whole",
+	DescribeTable("rejects a stored tree that contains anything it does not understand",
 		func(stored, problem string) {
 			_, err := settings.ParseTree([]byte(stored))
 			Expect(err).To(MatchError(ContainSubstring(problem)))
 		},
-		Entry("cut off", `{"nonce":"n","nodes":{`, "not a tree"),
+		Entry("truncated", `{"nonce":"n","nodes":{`, "not a tree"),
 		Entry("unknown field", `{"nonce":"n","colour":1}`, "colour"),
-		Entry("something behind", `{"nonce":"n"}{}`, "more than one JSON value"),
+		Entry("trailing data", `{"nonce":"n"}{}`, "more than one JSON value"),
 		Entry("unknown key", `{"revision":1,"nodes":{"/":{"revision":1,"values":{"x":1}}}}`, "node /: key x: unknown key"),
 		Entry("bad path", `{"revision":1,"nodes":{"/x":{"revision":1}}}`, "no node can have this path"),
 		Entry("value of another type", `{"revision":1,"nodes":{"/":{"revision":1,"values":{"replicas":"1"}}}}`, "key replicas: wrong type"),
-		Entry("revision from the future", `{"revision":1,"nodes":{"/":{"revision":2}}}`, "above the tree's"),
+		Entry("node revision above the tree's", `{"revision":1,"nodes":{"/":{"revision":2}}}`, "above the tree's"),
 	)
 })
--- a/contract/settings/merge.go
+++ b/contract/settings/merge.go
@@ -2,96 +2,98 @@
 
 import "cmp"
 
-// Status is what became of a change.
+// Status is the result of merging a change.
 type Status string
 
 // The statuses.
 const (
-	// Accepted: the tree that Merge returns has the change. It counts once that tree is written.
+	// Accepted means that the tree returned by Merge contains the change. The change takes effect once
+	// that tree is written.
 	Accepted Status = "accepted"
-	// AlreadyApplied: the tree has taken in this change before, at Result.Revision.
+	// AlreadyApplied means that the tree accepted this change before, at Result.Revision.
 	AlreadyApplied Status = "already-applied"
-	// Unchanged: every node says already what the change wants.
+	// Unchanged means that every node already has the requested values.
 	Unchanged Status = "unchanged"
-	// Conflicted: a node moved since its base; nothing was changed.
+	// Conflicted means that a node has changed since the base of the change; nothing was changed.
 	Conflicted Status = "conflict"
-	// Refused: the tree with the change would fail its checks; nothing was changed.
+	// Refused means that the resulting tree would fail validation, or that the id belongs to a
+	// different change; nothing was changed.
 	Refused Status = "refused"
 )
 
-// Result tells what became of a change, and why.
+// Result reports the outcome of merging a change and the reasons for it.
 type Result struct {
 	Status Status `json:"status"`
-	// Revision is the tree's revision that has the change, or that was found.
+	// Revision is the revision of the tree that introduced the change, or the current one if the change
+	// was not applied.
 	Revision  uint64     `json:"revision"`
 	Conflicts []Conflict `json:"conflicts,omitempty"`
 	Faults    Faults     `json:"faults,omitempty"`
-	// Superseded lists, for AlreadyApplied, the nodes that have changed again since.
+	// Superseded lists, for AlreadyApplied, the nodes that have been changed again since.
 	Superseded []Path `json:"superseded,omitempty"`
 }
 
-// Conflict shows both sides of a node that moved since the base of a change.
+// Conflict holds both sides of a node that has changed since the base of a change.
 type Conflict struct {
 	Node Path   `json:"node"`
 	Base uint64 `json:"base"`
-	// Ours is what the change wants; nil: that the node be removed.
+	// Ours holds the requested values; nil if the change removes the node.
 	Ours *Values `json:"ours"`
-	// Theirs is the node as it is now; nil: there is none.
+	// Theirs is the current node; nil if there is none.
 	Theirs *Node `json:"theirs"`
-	// By is the recorded change that made Theirs, if it is still recorded.
+	// By is the change that produced Theirs, if it is still recorded.
 	By *AppliedChange `json:"by,omitempty"`
 }
 
-// Merge takes a change into a tree. It never writes to current: next is a new tree if the status is
-// Accepted, and current itself otherwise. The caller sets next's Nonce before it writes it.
+// Merge applies a change to a tree. It does not modify current: next is a new tree if the status is
+// Accepted, and current itself otherwise. The caller sets the Nonce of next before writing it.
 //
-// Changes to different nodes merge whichever comes first. A node that moved since its base is a
-// conflict, unless it moved to just what the change wants: two operators who apply the same checkout
-// don't disagree.
+// Changes to different nodes merge in any order. A node that has changed since its base is a conflict,
+// unless it already has the requested values: two operators who apply the same checkout do not conflict.
 func Merge(current *Tree, change *Change) (next *Tree, result Result) {
 	digest := change.Digest()
 	for _, applied := range current.Changes {
 		if applied.ID == change.ID {
-			return current, repeated(current, change, applied, digest)
+			return current, resultOfRepeat(current, change, applied, digest)
 		}
 	}
-	moved := pending(current, change)
+	pending := unsatisfied(current, change)
 	result.Revision = current.Revision
-	result.Conflicts = conflicts(current, moved)
+	result.Conflicts = findConflicts(current, pending)
 	if len(result.Conflicts) > 0 {
 		result.Status = Conflicted
 		return current, result
 	}
-	if len(moved) == 0 {
+	if len(pending) == 0 {
 		result.Status = Unchanged
 		return current, result
 	}
-	next = current.with(moved)
-	if result.Faults = next.acceptable(); len(result.Faults) > 0 {
+	next = current.withChanges(pending)
+	if result.Faults = next.validate(); len(result.Faults) > 0 {
 		result.Status = Refused
 		return current, result
 	}
-	next.record(change, digest, moved)
+	next.recordChange(change, digest, pending)
 	return next, Result{Status: Accepted, Revision: next.Revision}
 }
 
-// repeated answers a change id that the tree has seen. Another change under the same id would be told
-// "accepted" although it never was; the digest tells it.
-func repeated(current *Tree, change *Change, applied AppliedChange, digest string) Result {
+// resultOfRepeat returns the result for a change whose id the tree has recorded. The digest detects a
+// different change with the same id, which would otherwise be reported as applied although it never was.
+func resultOfRepeat(current *Tree, change *Change, applied AppliedChange, digest string) Result {
 	if cmp.Or(applied.Digest, applied.ID) != digest {
 		return Result{Status: Refused, Revision: current.Revision, Faults: Faults{{
 			Problem: "the change id " + change.ID + " was used for another change", Expected: "a new id",
 		}}}
 	}
 	result := Result{Status: AlreadyApplied, Revision: applied.Revision}
-	for _, node := range pending(current, change) {
+	for _, node := range unsatisfied(current, change) {
 		result.Superseded = append(result.Superseded, node.Node)
 	}
 	return result
 }
 
-// pending are the nodes that don't yet say what the change wants.
-func pending(current *Tree, change *Change) []NodeChange {
+// unsatisfied returns the node changes whose node does not yet have the requested values.
+func unsatisfied(current *Tree, change *Change) []NodeChange {
 	var nodes []NodeChange
 	for _, node := range change.Nodes {
 		if !node.satisfiedBy(current) {
@@ -101,7 +103,8 @@
 	return nodes
 }
 
-func conflicts(current *Tree, nodes []NodeChange) []Conflict {
+// findConflicts returns a Conflict for each node whose current revision differs from the base of its change.
+func findConflicts(current *Tree, nodes []NodeChange) []Conflict {
 	var found []Conflict
 	for _, node := range nodes {
 		theirs, exists := current.Nodes[node.Node]
@@ -115,14 +118,15 @@
 		}
 		if exists {
 			conflict.Theirs = &theirs
-			conflict.By = current.changeAt(theirs.Revision)
+			conflict.By = current.changeAtRevision(theirs.Revision)
 		}
 		found = append(found, conflict)
 	}
 	return found
 }
 
-func (t *Tree) changeAt(revision uint64) *AppliedChange {
+// changeAtRevision returns the recorded change that produced a revision, or nil if it is no longer recorded.
+func (t *Tree) changeAtRevision(revision uint64) *AppliedChange {
 	for _, applied := range t.Changes {
 		if applied.Revision == revision {
 			return &applied
@@ -131,7 +135,8 @@
 	return nil
 }
 
-func (t *Tree) with(nodes []NodeChange) *Tree {
+// withChanges returns a copy of the tree, one revision later, with the node changes made.
+func (t *Tree) withChanges(nodes []NodeChange) *Tree {
 	next := t.Clone()
 	next.Revision++
 	for _, node := range nodes {
@@ -144,9 +149,9 @@
 	return next
 }
 
-// acceptable makes the cross checks, and refuses a tree without an operator's token: nobody could ever
-// change it again.
-func (t *Tree) acceptable() Faults {
+// validate runs Check and also rejects a tree without an operator token, because nobody could change such
+// a tree again.
+func (t *Tree) validate() Faults {
 	faults, _ := t.Check().(Faults)
 	if len(t.Nodes[Root].Values["operator_key_hashes"].List) == 0 {
 		key, _ := LookupKey("operator_key_hashes")
@@ -158,7 +163,9 @@
 	return faults
 }
 
-func (t *Tree) record(change *Change, digest string, nodes []NodeChange) {
+// recordChange appends a change to the record of recent changes and drops the oldest beyond
+// MaxRecentChanges.
+func (t *Tree) recordChange(change *Change, digest string, nodes []NodeChange) {
 	applied := AppliedChange{
 		ID: change.ID, Revision: t.Revision, Author: change.Author, At: change.At, NodeCount: len(nodes),
 	}
--- a/contract/settings/merge_test.go
+++ b/contract/settings/merge_test.go
@@ -14,16 +14,16 @@
 	deskNode = settings.Path("/places/pampa/services/desk")
 )
 
-// startTree is the tree of good, at revision 1.
-func startTree() *settings.Tree {
+// initialTree is the tree of good, at revision 1.
+func initialTree() *settings.Tree {
 	GinkgoHelper()
-	declared, err := load()
+	declared, err := loadFiles()
 	Expect(err).NotTo(HaveOccurred())
 	return declared.Tree("n")
 }
 
-// change builds a change of one node from its JSON.
-func change(id string, node settings.Path, base uint64, values string) *settings.Change {
+// newChange builds a newChange of one node from its JSON.
+func newChange(id string, node settings.Path, base uint64, values string) *settings.Change {
 	GinkgoHelper()
 	data, err := json.Marshal(map[string]any{
 		"id": id, "nodes": []any{map[string]any{"node": node, "base": base, "values": json.RawMessage(values)}},
@@ -34,13 +34,13 @@
 	return parsed
 }
 
-func deskWith(more string) string { return `{"kind":"plain"` + more + `}` }
+func deskValues(more string) string { return `{"kind":"plain"` + more + `}` }
 
 var _ = Describe("Merge", func() {
 	It("merges changes that two operators make to different nodes from the same checkout", func() {
-		first, result := settings.Merge(startTree(), change("a", deskNode, 1, deskWith(`,"replicas":3`)))
+		first, result := settings.Merge(initialTree(), newChange("a", deskNode, 1, deskValues(`,"replicas":3`)))
 		Expect(result).To(Equal(settings.Result{Status: settings.Accepted, Revision: 2}))
-		second, result := settings.Merge(first, change("b", "/places/pampa", 1, `{"group_size":2}`))
+		second, result := settings.Merge(first, newChange("b", "/places/pampa", 1, `{"group_size":2}`))
 		Expect(result).To(Equal(settings.Result{Status: settings.Accepted, Revision: 3}))
 		snapshot, err := second.Resolve(9)
 		Expect(err).NotTo(HaveOccurred())
@@ -48,12 +48,12 @@
 		Expect(snapshot.Services["llm"].GroupSize).To(Equal(2))
 	})
 
-	// Two operators take the same checkout and change the same node. The one who comes second would
-	// otherwise undo the first's accepted change without either of them noticing.
-	It("shows both sides of a node that moved, and changes nothing, also the other nodes", func() {
-		first, _ := settings.Merge(startTree(), change("a", deskNode, 1, deskWith(`,"replicas":3`)))
-		late := change("b", deskNode, 1, deskWith(`,"replicas":5`))
-		late.Nodes = append(late.Nodes, change("b", "/places/pampa", 1, `{}`).Nodes...)
+	// Two operators change the same node from the same checkout. Without the conflict, the second change
+	// would silently overwrite the first, which was accepted.
+	It("reports both sides of a conflicting node and changes no node at all", func() {
+		first, _ := settings.Merge(initialTree(), newChange("a", deskNode, 1, deskValues(`,"replicas":3`)))
+		late := newChange("b", deskNode, 1, deskValues(`,"replicas":5`))
+		late.Nodes = append(late.Nodes, newChange("b", "/places/pampa", 1, `{}`).Nodes...)
 		next, result := settings.Merge(first, late)
 		Expect(next).To(BeIdenticalTo(first))
 		Expect(result.Status).To(Equal(settings.Conflicted))
@@ -71,72 +71,72 @@
 		Expect(read).To(Equal(result))
 	})
 
-	It("shows a removal on either side as a conflict", func() {
+	It("reports a removal on either side as a conflict", func() {
 		remove := &settings.Change{ID: "r", Nodes: []settings.NodeChange{{Node: deskNode, Base: 1, Remove: true}}}
-		tree := startTree()
+		tree := initialTree()
 		south := tree.Nodes["/places/pampa/teams/south"].Values
 		delete(south, "services")
 		removed, result := settings.Merge(tree, remove)
 		Expect(result.Status).To(Equal(settings.Accepted))
-		_, result = settings.Merge(removed, change("b", deskNode, 1, deskWith("")))
+		_, result = settings.Merge(removed, newChange("b", deskNode, 1, deskValues("")))
 		Expect(result.Status).To(Equal(settings.Conflicted))
 		Expect(result.Conflicts[0].Theirs).To(BeNil())
 
-		moved, _ := settings.Merge(tree, change("a", deskNode, 1, deskWith(`,"replicas":3`)))
+		moved, _ := settings.Merge(tree, newChange("a", deskNode, 1, deskValues(`,"replicas":3`)))
 		_, result = settings.Merge(moved, remove)
 		Expect(result.Status).To(Equal(settings.Conflicted))
 		Expect(result.Conflicts[0].Ours).To(BeNil())
 	})
 
-	// The node is removed and declared anew while an operator works on an old checkout. Were revisions
-	// counted per node, the new node would carry the old one's number and be overwritten.
-	It("does not take a node that was declared anew for the one it replaced", func() {
-		tree := startTree()
+	// A node is removed and declared again while an operator works on an old checkout. If revisions were
+	// counted per node, the new node would have the revision of the old one and would be overwritten.
+	It("distinguishes a node that was declared again from the removed one", func() {
+		tree := initialTree()
 		delete(tree.Nodes["/places/pampa/teams/south"].Values, "services")
 		removed, _ := settings.Merge(tree, &settings.Change{ID: "r", Nodes: []settings.NodeChange{{Node: deskNode, Base: 1, Remove: true}}})
-		anew, result := settings.Merge(removed, change("n", deskNode, 0, deskWith("")))
+		anew, result := settings.Merge(removed, newChange("n", deskNode, 0, deskValues("")))
 		Expect(result.Status).To(Equal(settings.Accepted))
-		_, result = settings.Merge(anew, change("old", deskNode, 1, deskWith(`,"replicas":7`)))
+		_, result = settings.Merge(anew, newChange("old", deskNode, 1, deskValues(`,"replicas":7`)))
 		Expect(result.Status).To(Equal(settings.Conflicted))
 	})
 
-	// The answer of an apply is lost and the operator applies again; meanwhile somebody else has
-	// changed the node. Taking the repeat for a new change would undo the newer one.
-	It("takes a repeated change id as the same apply, and tells what changed since", func() {
-		mine := change("a", deskNode, 1, deskWith(`,"replicas":3`))
-		first, _ := settings.Merge(startTree(), mine)
+	// The response to an apply is lost and the operator retries it after another operator has changed the
+	// node. Treating the retry as a new change would undo the newer change.
+	It("treats a repeated change id as the same apply and reports the nodes changed since", func() {
+		mine := newChange("a", deskNode, 1, deskValues(`,"replicas":3`))
+		first, _ := settings.Merge(initialTree(), mine)
 		again, result := settings.Merge(first, mine)
 		Expect(again).To(BeIdenticalTo(first))
 		Expect(result).To(Equal(settings.Result{Status: settings.AlreadyApplied, Revision: 2}))
-		newer, _ := settings.Merge(first, change("b", deskNode, 2, deskWith(`,"replicas":4`)))
+		newer, _ := settings.Merge(first, newChange("b", deskNode, 2, deskValues(`,"replicas":4`)))
 		again, result = settings.Merge(newer, mine)
 		Expect(again).To(BeIdenticalTo(newer))
 		Expect(result.Superseded).To(ConsistOf(deskNode))
 
-		_, result = settings.Merge(newer, change("a", "/places/pampa", 1, `{}`))
-		Expect(result.Status).To(Equal(settings.Refused), "another change under the same id")
+		_, result = settings.Merge(newer, newChange("a", "/places/pampa", 1, `{}`))
+		Expect(result.Status).To(Equal(settings.Refused), "different change with the same id")
 	})
 
-	It("does not call it a conflict when both sides want the same", func() {
-		first, _ := settings.Merge(startTree(), change("a", deskNode, 1, deskWith(`,"replicas":3`)))
-		next, result := settings.Merge(first, change("other operator", deskNode, 1, deskWith(`,"replicas":3`)))
+	It("reports no conflict when both sides request the same values", func() {
+		first, _ := settings.Merge(initialTree(), newChange("a", deskNode, 1, deskValues(`,"replicas":3`)))
+		next, result := settings.Merge(first, newChange("other operator", deskNode, 1, deskValues(`,"replicas":3`)))
 		Expect(next).To(BeIdenticalTo(first))
 		Expect(result).To(Equal(settings.Result{Status: settings.Unchanged, Revision: 2}))
 	})
 
-	DescribeTable("refuses what leaves a bad tree, and changes nothing",
+	DescribeTable("refuses a change that results in an invalid tree, and changes nothing",
 		func(node settings.Path, values, key string) {
-			tree := startTree()
-			next, result := settings.Merge(tree, change("a", node, 1, values))
+			tree := initialTree()
+			next, result := settings.Merge(tree, newChange("a", node, 1, values))
 			Expect(next).To(BeIdenticalTo(tree))
 			Expect(result.Status).To(Equal(settings.Refused))
 			Expect(result.Faults).To(ContainElement(HaveField("Key", key)))
 		},
-		Entry("no operator's token left", settings.Root, `{}`, "operator_key_hashes"),
-		Entry("timeouts crossed", llmNode, `{"kind":"language","model":"m","model_version":"v","request_timeout":"20m"}`, "request_timeout"),
+		Entry("no operator token left", settings.Root, `{}`, "operator_key_hashes"),
+		Entry("request timeout above its maximum", llmNode, `{"kind":"language","model":"m","model_version":"v","request_timeout":"20m"}`, "request_timeout"),
 	)
 
-	DescribeTable("refuses a change that can't be understood whole",
+	DescribeTable("rejects a change that contains anything it does not understand",
 		func(data, problem string) {
 			_, err := settings.ParseChange([]byte(data))
 			Expect(err).To(MatchError(ContainSubstring(problem)))
@@ -148,13 +148,13 @@
 		Entry("unknown field", `{"id":"a","force":true}`, "force"),
 	)
 
-	It("keeps a bounded number of change ids", func() {
-		tree := startTree()
+	It("records a bounded number of changes", func() {
+		tree := initialTree()
 		for i := range settings.MaxRecentChanges + 5 {
 			base := tree.Nodes[deskNode].Revision
 			values, _ := json.Marshal(map[string]any{"kind": "plain", "replicas": i + 10})
 			var result settings.Result
-			tree, result = settings.Merge(tree, change(string(values), deskNode, base, string(values)))
+			tree, result = settings.Merge(tree, newChange(string(values), deskNode, base, string(values)))
 			Expect(result.Status).To(Equal(settings.Accepted))
 		}
 		Expect(tree.Changes).To(HaveLen(settings.MaxRecentChanges))
--- a/contract/settings/path.go
+++ b/contract/settings/path.go
@@ -8,25 +8,26 @@
 	"github.com/skylarkpond/skylarkpond/domain"
 )
 
-// Path names a node of the tree: "/", "/places/P", "/places/P/services/S" or "/places/P/teams/T". It is
-// also the place of the node's file below the directory of declarations, with ".yaml" appended;
-// the root's file is RootFile.
+// Path identifies a node of the tree: "/", "/places/P", "/places/P/services/S" or "/places/P/teams/T".
+// With ".yaml" appended it is also the path of the node's file within the directory of declarations; the
+// file of the root is RootFile.
 type Path string
 
-// Root is the path of the node that all others inherit from.
+// Root is the path of the root node, from which all others inherit.
 const Root Path = "/"
 
-// RootFile is the file that declares the root.
+// RootFile is the name of the file that declares the root node.
 const RootFile = "root.yaml"
 
 const (
-	fileSuffix   = ".yaml"
-	placesPart   = "places"
-	servicesPart = "services"
-	teamsPart    = "teams"
+	fileSuffix      = ".yaml"
+	placesSegment   = "places"
+	servicesSegment = "services"
+	teamsSegment    = "teams"
 )
 
-// Level is the depth and kind of a node. Levels are bits, so that a key can name several.
+// Level is the kind of a node, given by its path. Levels are bits, so that a Level can also hold the set
+// of levels at which a key may be set.
 type Level uint8
 
 // The levels.
@@ -35,12 +36,12 @@
 	PlaceLevel
 	ServiceLevel
 	TeamLevel
-	// InvalidLevel is that of a path which no node can have.
+	// InvalidLevel is the level of a path that no node can have.
 	InvalidLevel Level = 0
 	anyLevel           = RootLevel | PlaceLevel | ServiceLevel | TeamLevel
 )
 
-// String lists the levels in words.
+// String returns the names of the levels in l, separated by commas.
 func (l Level) String() string {
 	var words []string
 	for _, named := range []struct {
@@ -54,55 +55,55 @@
 	return strings.Join(words, ", ")
 }
 
-// nodeName is the form of the name of a place, service or team. Names appear in URLs, in platform
-// object names and in file names, also of file systems that ignore case.
-var nodeName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
+// nodeNamePattern matches the name of a place, service or team. Names appear in URLs, in platform
+// object names and in file names, including those of case-insensitive file systems.
+var nodeNamePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-const nodeNameForm = "1 to 63 of a-z, 0-9 and -, not starting with -"
+const nodeNameDescription = "1 to 63 of a-z, 0-9 and -, not starting with -"
 
-// PlacePath, ServicePath and TeamPath build paths.
+// PlacePath returns the path of a place.
 func PlacePath(place domain.Place) Path {
-	return Path("/" + placesPart + "/" + string(place))
+	return Path("/" + placesSegment + "/" + string(place))
 }
 
-// ServicePath is the path of a service.
+// ServicePath returns the path of a service.
 func ServicePath(place domain.Place, service string) Path {
-	return PlacePath(place) + Path("/"+servicesPart+"/"+service)
+	return PlacePath(place) + Path("/"+servicesSegment+"/"+service)
 }
 
-// TeamPath is the path of a team.
+// TeamPath returns the path of a team.
 func TeamPath(place domain.Place, team string) Path {
-	return PlacePath(place) + Path("/"+teamsPart+"/"+team)
+	return PlacePath(place) + Path("/"+teamsSegment+"/"+team)
 }
 
-// Level returns the level of p, or NoLevel if no node can have this path.
+// Level returns the level of p, or InvalidLevel if p is not the path of a possible node.
 func (p Path) Level() Level {
 	if p == Root {
 		return RootLevel
 	}
 	parts := strings.Split(string(p), "/")
-	if len(parts) < 3 || parts[0] != "" || parts[1] != placesPart || !nodeName.MatchString(parts[2]) {
+	if len(parts) < 3 || parts[0] != "" || parts[1] != placesSegment || !nodeNamePattern.MatchString(parts[2]) {
 		return InvalidLevel
 	}
 	if len(parts) == 3 {
 		return PlaceLevel
 	}
-	if len(parts) != 5 || !nodeName.MatchString(parts[4]) {
+	if len(parts) != 5 || !nodeNamePattern.MatchString(parts[4]) {
 		return InvalidLevel
 	}
 	switch parts[3] {
-	case servicesPart:
+	case servicesSegment:
 		return ServiceLevel
-	case teamsPart:
+	case teamsSegment:
 		return TeamLevel
 	}
 	return InvalidLevel
 }
 
-// Name is the last part of the path: the name of the place, service or team.
+// Name returns the last segment of the path: the name of the place, service or team.
 func (p Path) Name() string { return path.Base(string(p)) }
 
-// Place is the place that the node is or lies in; empty for the root.
+// Place returns the place that the node declares or belongs to; it is empty for the root.
 func (p Path) Place() domain.Place {
 	if p == Root {
 		return ""
@@ -110,7 +111,7 @@
 	return domain.Place(strings.Split(string(p), "/")[2])
 }
 
-// Parent is the node that p inherits from; the root's parent is the root.
+// Parent returns the path of the node that p inherits from. The parent of the root is the root.
 func (p Path) Parent() Path {
 	if p.Level()&(ServiceLevel|TeamLevel) != 0 {
 		return PlacePath(p.Place())
@@ -118,7 +119,7 @@
 	return Root
 }
 
-// File is the file that declares the node, relative to the directory of declarations.
+// File returns the name of the file that declares the node, relative to the directory of declarations.
 func (p Path) File() string {
 	if p == Root {
 		return RootFile
@@ -126,7 +127,7 @@
 	return strings.TrimPrefix(string(p), "/") + fileSuffix
 }
 
-// pathOfFile is the reverse of File.
+// pathOfFile is the inverse of File.
 func pathOfFile(file string) Path {
 	if file == RootFile {
 		return Root
--- a/contract/settings/property_test.go
+++ b/contract/settings/property_test.go
@@ -13,7 +13,7 @@
 	"github.com/skylarkpond/skylarkpond/contract/settings"
 )
 
-// genValues draws values that a level may set, each of the right type and in range.
+// genValues draws valid values for some of the keys that may be set at the path's level.
 func genValues(t *rapid.T, path settings.Path) settings.Values {
 	values := make(settings.Values)
 	for _, key := range settings.Keys() {
@@ -22,12 +22,13 @@
 			values[key.Name] = genValue(t, key)
 		}
 	}
-	fill(path, values)
+	completeValues(path, values)
 	return values
 }
 
-// fill sets what a node needs to be valid on its own.
-func fill(path settings.Path, values settings.Values) {
+// completeValues sets the required keys of a node and removes those that could conflict with other nodes or
+// values.
+func completeValues(path settings.Path, values settings.Values) {
 	text := func(s string) settings.Value { return settings.Value{Kind: settings.TextValue, Text: s} }
 	hash := func(s string) settings.Value {
 		return settings.Value{Kind: settings.ListValue, List: []string{strings.Repeat(s, 64)}}
@@ -85,7 +86,7 @@
 	return tree
 }
 
-// genChange draws a change of some of the paths, based on what tree has.
+// genChange draws a change of the given paths, based on their current revisions in tree.
 func genChange(t *rapid.T, tree *settings.Tree, paths []settings.Path, id string) *settings.Change {
 	change := &settings.Change{ID: id}
 	for _, path := range paths {
@@ -113,8 +114,8 @@
 	return true
 }
 
-// drawSplit draws two sets of paths that share none.
-func drawSplit(t *rapid.T) (mine, theirs []settings.Path) {
+// genDisjointPaths draws two disjoint sets of paths.
+func genDisjointPaths(t *rapid.T) (mine, theirs []settings.Path) {
 	for _, path := range allPaths {
 		switch rapid.IntRange(0, 3).Draw(t, "side") {
 		case 0:
@@ -129,7 +130,7 @@
 func TestMergeCommutesForDifferentNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := genTree(t)
-		mine, theirs := drawSplit(t)
+		mine, theirs := genDisjointPaths(t)
 		a := genChange(t, tree, mine, "a")
 		b := genChange(t, tree, theirs, "b")
 		ab, abResults := mergeAll(tree, a, b)
@@ -139,7 +140,7 @@
 				t.Fatalf("changes to different nodes conflict: %+v", result)
 			}
 		}
-		if refused(abResults) || refused(baResults) {
+		if anyRefused(abResults) || anyRefused(baResults) {
 			t.Skip("the checks refuse one of them")
 		}
 		if !sameNodes(ab, ba) {
@@ -158,18 +159,18 @@
 	return tree, results
 }
 
-func refused(results []settings.Result) bool {
+func anyRefused(results []settings.Result) bool {
 	return slices.ContainsFunc(results, func(r settings.Result) bool { return r.Status == settings.Refused })
 }
 
 func TestRepeatedChangeChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := genTree(t)
-		mine, _ := drawSplit(t)
+		mine, _ := genDisjointPaths(t)
 		change := genChange(t, tree, mine, "a")
 		tree, first := settings.Merge(tree, change)
 		for i := range rapid.IntRange(0, 5).Draw(t, "others") {
-			_, others := drawSplit(t)
+			_, others := genDisjointPaths(t)
 			tree, _ = settings.Merge(tree, genChange(t, tree, others, fmt.Sprint("o", i)))
 		}
 		next, again := settings.Merge(tree, change)
@@ -182,7 +183,8 @@
 	})
 }
 
-// A change whose id has been dropped from the record, or was never kept, may still only do what it did.
+// A change based on an outdated revision must not overwrite a newer one, even if its id is not recorded,
+// whether because the record was dropped or because the change was never accepted.
 func TestStaleBaseNeverOverwrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := genTree(t)
@@ -190,11 +192,11 @@
 		old := genChange(t, tree, []settings.Path{path}, "old")
 		moved, result := settings.Merge(tree, genChange(t, tree, []settings.Path{path}, "new"))
 		if result.Status != settings.Accepted {
-			t.Skip("not moved")
+			t.Skip("first change not accepted")
 		}
 		next, result := settings.Merge(moved, old)
 		if next != moved || (result.Status != settings.Conflicted && result.Status != settings.Unchanged) {
-			t.Fatalf("a stale change gave %+v", result)
+			t.Fatalf("change with a stale base: %+v", result)
 		}
 	})
 }
@@ -208,7 +210,7 @@
 			t.Fatalf("no node %s", path)
 		}
 		for _, e := range explained {
-			want, from := nearest(tree, path, e.Key)
+			want, from := nearestValue(tree, path, e.Key)
 			if !e.Value.Equal(want) || e.From != from {
 				t.Fatalf("%s at %s: %v from %q, want %v from %q", e.Key, path, e.Value, e.From, want, from)
 			}
@@ -216,8 +218,9 @@
 	})
 }
 
-// nearest is told by the length of paths alone: of the nodes whose path is a prefix, the longest.
-func nearest(tree *settings.Tree, path settings.Path, name string) (value settings.Value, from settings.Path) {
+// nearestValue computes the effective value independently of Path.Parent: among the nodes that set the key
+// and whose path is a prefix of path, the longest path wins.
+func nearestValue(tree *settings.Tree, path settings.Path, name string) (value settings.Value, from settings.Path) {
 	key, _ := settings.LookupKey(name)
 	value = key.Default
 	for _, other := range tree.Paths() {
--- a/contract/settings/resolve.go
+++ b/contract/settings/resolve.go
@@ -1,15 +1,15 @@
 package settings
 
-// EffectiveValue is one value in force at a node, and where it comes from.
+// EffectiveValue is a resolved value of a node, together with the node that sets it.
 type EffectiveValue struct {
 	Key   string `json:"key"`
 	Value Value  `json:"value"`
-	// From is the node that sets the value; empty if it is the built-in default.
+	// From is the node that sets the value; empty for the built-in default.
 	From Path   `json:"from,omitempty"`
 	Doc  string `json:"doc,omitempty"`
 }
 
-// UnmarshalJSON reads the value by the type of its key.
+// UnmarshalJSON decodes the value by the type of its key.
 func (e *EffectiveValue) UnmarshalJSON(data []byte) error {
 	var raw struct {
 		Key   string `json:"key"`
@@ -26,15 +26,15 @@
 		return Faults{{Key: raw.Key, Problem: "unknown key"}}
 	}
 	var problem string
-	if e.Value, problem = key.typed(raw.Value); problem != "" {
+	if e.Value, problem = key.convert(raw.Value); problem != "" {
 		return Faults{{Key: raw.Key, Problem: problem, Expected: key.Constraint()}}
 	}
 	return nil
 }
 
-// Explain returns the values in force at a node, in the order of the table, each with the node that it
-// comes from: the nearest of the node and those above it that sets the key. ok is false if
-// the tree has no such node.
+// Explain returns the effective values of a node in the order of Keys, each with the node that sets it:
+// the nearest one that sets the key among the node and its ancestors. ok is false if the tree has no such
+// node; the root always exists.
 func (t *Tree) Explain(path Path) (explained []EffectiveValue, ok bool) {
 	if _, ok := t.Nodes[path]; !ok && path != Root {
 		return nil, false
@@ -43,14 +43,15 @@
 		if key.Levels&path.Level() == 0 {
 			continue
 		}
-		value, from := t.lookUp(key, path)
+		value, from := t.lookup(key, path)
 		explained = append(explained, EffectiveValue{Key: key.Name, Value: value, From: from, Doc: key.Doc})
 	}
 	return explained, true
 }
 
-// lookUp walks from path to the root; the nearest node that sets the key wins, else its default.
-func (t *Tree) lookUp(key *Key, path Path) (Value, Path) {
+// lookup returns the value of a key at a node and the node that sets it. It walks from path up to the
+// root; the nearest node that sets the key wins. If none does, it returns the default and an empty path.
+func (t *Tree) lookup(key *Key, path Path) (Value, Path) {
 	for {
 		if value, ok := t.Nodes[path].Values[key.Name]; ok {
 			return value, path
@@ -62,8 +63,8 @@
 	}
 }
 
-// Resolve checks the tree as a whole and returns it as a snapshot of the given platform version. The
-// error is Faults.
+// Resolve validates the whole tree and returns it as a Snapshot with the given platform version. The error
+// is of type Faults.
 func (t *Tree) Resolve(version uint64) (*Snapshot, error) {
 	if err := t.Check(); err != nil {
 		return nil, err
@@ -74,7 +75,7 @@
 	return snapshot, nil
 }
 
-// snapshot resolves every service and team.
+// snapshot resolves the root settings and every service and team.
 func (t *Tree) snapshot() *Snapshot {
 	snapshot := &Snapshot{Services: make(map[string]Service), Teams: make(map[string]Team)}
 	t.resolveRoot(snapshot)
@@ -92,7 +93,7 @@
 func (t *Tree) resolveRoot(snapshot *Snapshot) {
 	for _, key := range keys {
 		if key.setRoot != nil {
-			value, _ := t.lookUp(key, Root)
+			value, _ := t.lookup(key, Root)
 			key.setRoot(snapshot, value)
 		}
 	}
@@ -102,7 +103,7 @@
 	service := Service{Name: path.Name(), Place: path.Place()}
 	for _, key := range keys {
 		if key.setService != nil {
-			value, _ := t.lookUp(key, path)
+			value, _ := t.lookup(key, path)
 			key.setService(&service, value)
 		}
 	}
@@ -113,7 +114,7 @@
 	team := Team{Name: path.Name()}
 	for _, key := range keys {
 		if key.setTeam != nil {
-			value, _ := t.lookUp(key, path)
+			value, _ := t.lookup(key, path)
 			key.setTeam(&team, value)
 		}
 	}
--- a/contract/settings/tree.go
+++ b/contract/settings/tree.go
@@ -9,51 +9,53 @@
 	"slices"
 )
 
-// Node is one node as it is stored.
+// Node is a stored node of the tree.
 type Node struct {
-	// Revision is the tree's revision at the node's last change.
+	// Revision is the revision of the tree that last changed the node.
 	Revision uint64 `json:"revision"`
 	Values   Values `json:"values,omitempty"`
 }
 
-// AppliedChange is the record of an accepted change.
+// AppliedChange records an accepted change.
 type AppliedChange struct {
 	ID string `json:"id"`
-	// Digest is that of the change, to tell a repeated change from another one under the same id; empty
-	// if it is the id.
+	// Digest is the digest of the change. It distinguishes a repeated change from a different one with
+	// the same id. It is empty if it equals ID.
 	Digest   string `json:"digest,omitempty"`
 	Revision uint64 `json:"revision"`
-	// Author is who applied it, as that operator's tool said; it is not proof of anything.
+	// Author is the operator's name as reported by its client. It is not authenticated.
 	Author string `json:"author,omitempty"`
-	// At is the accepting entry's clock, in Unix milliseconds; for display only.
+	// At is the time on the clock of the entry that accepted the change, in Unix milliseconds. It is for
+	// display only.
 	At int64 `json:"at_ms,omitempty"`
-	// Nodes lists the first MaxRecordedNodes nodes that it changed, NodeCount counts them all.
+	// Nodes lists the first MaxRecordedNodes nodes that the change modified; NodeCount counts all of them.
 	Nodes     []Path `json:"nodes,omitempty"`
 	NodeCount int    `json:"node_count"`
 }
 
-// MaxRecentChanges bounds the change ids that the tree keeps, and MaxRecordedNodes the nodes that each
-// names: together some 60 KB at most. A lost answer is followed up within minutes; a change repeated
-// after its id was dropped is still recognised, because its nodes say already what it wants.
+// MaxRecentChanges bounds the applied changes that the tree records, and MaxRecordedNodes the nodes listed
+// in each record; together they take at most about 60 KB. An operator whose response was lost retries
+// within minutes. A change that is retried after its record was dropped is still recognized, because its
+// nodes already have the requested values.
 const (
 	MaxRecentChanges = 100
 	MaxRecordedNodes = 8
 )
 
-// Tree is the value of the platform object settings/tree: the whole of the settings as declared.
+// Tree holds all settings as declared. It is the content of the platform object settings/tree.
 //
-// Revision grows by one with each accepted change and is never reused, so that a node which was removed
-// and declared anew never carries a revision that it had before.
+// Revision increases by one with each accepted change and is never reused. A node that was removed and
+// declared again therefore never gets a revision that it had before.
 type Tree struct {
-	// Nonce is the writer's own mark for this write.
+	// Nonce identifies this write; the writer chooses it.
 	Nonce    string        `json:"nonce"`
 	Revision uint64        `json:"revision"`
 	Nodes    map[Path]Node `json:"nodes"`
-	// Changes are the latest accepted changes, oldest first, at most MaxRecentChanges.
+	// Changes holds the last MaxRecentChanges accepted changes, oldest first.
 	Changes []AppliedChange `json:"changes,omitempty"`
 }
 
-// rawTree and rawNode are a tree before its values are checked against their keys.
+// rawTree is a decoded tree whose values have not yet been converted and checked by key.
 type rawTree struct {
 	Nonce    string           `json:"nonce"`
 	Revision uint64           `json:"revision"`
@@ -66,8 +68,10 @@
 	Values   map[string]any `json:"values"`
 }
 
-// ParseTree reads a stored tree. Unknown keys, wrong types and values out of range are refused whole; the
-// error is then Faults. It doesn't make the cross checks: Resolve does.
+// ParseTree decodes a stored tree. It rejects the whole tree if it contains an unknown key, a value of the
+// wrong type or out of range, an invalid path, or a node revision above the tree's; the error is of type
+// Faults. Checks that span several values or nodes are
+// left to Check and Resolve.
 func ParseTree(data []byte) (*Tree, error) {
 	var raw rawTree
 	if err := decodeStrict(data, &raw); err != nil {
@@ -77,8 +81,8 @@
 	tree.Nodes = make(map[Path]Node, len(raw.Nodes))
 	var faults Faults
 	for path, node := range raw.Nodes {
-		values, wrong := parseValues(path, node.Values)
-		faults = append(faults, wrong...)
+		values, nodeFaults := parseValues(path, node.Values)
+		faults = append(faults, nodeFaults...)
 		if node.Revision > raw.Revision {
 			faults = append(faults, Fault{Node: path, Problem: fmt.Sprintf(
 				"revision %d is above the tree's, %d", node.Revision, raw.Revision)})
@@ -91,7 +95,7 @@
 	return tree, nil
 }
 
-// UnmarshalJSON is ParseTree, so that a tree within another message is checked as strictly.
+// UnmarshalJSON calls ParseTree, so that a tree embedded in another message is validated as strictly.
 func (t *Tree) UnmarshalJSON(data []byte) error {
 	tree, err := ParseTree(data)
 	if err != nil {
@@ -101,7 +105,7 @@
 	return nil
 }
 
-// decodeStrict decodes one JSON value, and refuses unknown fields and whatever follows it.
+// decodeStrict decodes a single JSON value. It rejects unknown fields and trailing data.
 func decodeStrict(data []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
@@ -115,11 +119,11 @@
 	return nil
 }
 
-// parseValues checks decoded values of one node against the table of keys.
+// parseValues converts and checks the decoded values of one node by the table of keys.
 func parseValues(path Path, raw map[string]any) (Values, Faults) {
 	var faults Faults
 	if path.Level() == InvalidLevel {
-		return nil, Faults{badPath(path)}
+		return nil, Faults{invalidPathFault(path)}
 	}
 	values := make(Values, len(raw))
 	for name, item := range raw {
@@ -134,11 +138,11 @@
 	return values, faults
 }
 
-// parseValue checks one decoded value; the fault lacks the node.
+// parseValue converts and checks one decoded value. The fault's Node is not set.
 func parseValue(level Level, name string, raw any) (Value, *Fault) {
 	key, ok := LookupKey(name)
 	if !ok {
-		return Value{}, &Fault{Key: name, Problem: "unknown key", Expected: "one of " + keysOf(level)}
+		return Value{}, &Fault{Key: name, Problem: "unknown key", Expected: "one of " + keyNamesAt(level)}
 	}
 	if key.Levels&level == 0 {
 		return Value{}, &Fault{
@@ -149,20 +153,20 @@
 	return key.decode(raw)
 }
 
-func badPath(path Path) Fault {
+func invalidPathFault(path Path) Fault {
 	return Fault{
 		Node: path, Problem: "no node can have this path",
-		Expected: "/, /places/P, /places/P/services/S or /places/P/teams/T, each name " + nodeNameForm,
+		Expected: "/, /places/P, /places/P/services/S or /places/P/teams/T, each name " + nodeNameDescription,
 	}
 }
 
-// Paths returns the paths of all nodes, sorted: parents come before their children.
+// Paths returns the paths of all nodes in sorted order, so that parents precede their children.
 func (t *Tree) Paths() []Path {
 	return slices.Sorted(maps.Keys(t.Nodes))
 }
 
-// Clone returns a copy whose nodes and changes can be replaced without touching t. Values are shared and
-// must not be written to.
+// Clone returns a copy whose Nodes and Changes can be modified without affecting t. The Values of the
+// nodes are shared and must not be modified.
 func (t *Tree) Clone() *Tree {
 	copied := *t
 	copied.Nodes = maps.Clone(t.Nodes)
--- a/contract/settings/value.go
+++ b/contract/settings/value.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// ValueKind is the type of a value.
+// ValueKind is the data type of a value.
 type ValueKind uint8
 
-// The types.
+// The data types.
 const (
 	TextValue ValueKind = iota + 1
 	IntegerValue
@@ -23,7 +23,7 @@
 	ListValue
 )
 
-// Value is one typed value of a node. Kind says which field holds it.
+// Value is a typed setting value. Kind determines which of the other fields holds it.
 type Value struct {
 	Kind     ValueKind
 	Text     string
@@ -34,30 +34,30 @@
 	List     []string
 }
 
-// Values are the values that a node sets itself, by key.
+// Values holds the values that a node itself sets, by key. Inherited values are not included.
 type Values map[string]Value
 
-// Equal compares values by what they say; an empty list equals a missing one.
+// Equal reports whether v and other have the same kind and value. A nil list equals an empty one.
 func (v Value) Equal(other Value) bool {
 	return v.Kind == other.Kind && v.Text == other.Text && v.Integer == other.Integer &&
 		v.Number == other.Number && v.Duration == other.Duration && v.Bool == other.Bool &&
 		slices.Equal(v.List, other.List)
 }
 
-// Equal says whether both set the same keys to the same values.
+// Equal reports whether v and other set the same keys to equal values.
 func (v Values) Equal(other Values) bool {
 	if len(v) != len(other) {
 		return false
 	}
 	for key, value := range v {
-		if theirs, ok := other[key]; !ok || !value.Equal(theirs) {
+		if otherValue, ok := other[key]; !ok || !value.Equal(otherValue) {
 			return false
 		}
 	}
 	return true
 }
 
-// String is the value as it would stand in a declaration.
+// String formats the value as it is written in a declaration.
 func (v Value) String() string {
 	switch v.Kind {
 	case IntegerValue:
@@ -74,7 +74,8 @@
 	return v.Text
 }
 
-// Native is the value as a Go string, number, bool or list, as YAML and JSON write it.
+// Native returns the value as the Go string, number, bool or slice that YAML and JSON encode. Durations
+// become strings.
 func (v Value) Native() any {
 	switch v.Kind {
 	case IntegerValue:
@@ -84,15 +85,16 @@
 	case BoolValue:
 		return v.Bool
 	case ListValue:
-		return append([]string{}, v.List...) // never nil: null would be read back as a missing value
+		return append([]string{}, v.List...) // never nil: a null would be read back as a missing value
 	}
 	return v.String()
 }
 
-// MarshalJSON writes the value plainly; its key tells the type to the reader.
+// MarshalJSON encodes the value without its kind, which a reader derives from the key.
 func (v Value) MarshalJSON() ([]byte, error) { return json.Marshal(v.Native()) }
 
-// UnmarshalJSON reads values by the types of their keys; at which level they may stand it doesn't check.
+// UnmarshalJSON decodes each value by the type of its key. It does not check at which levels the keys may
+// be set.
 func (v *Values) UnmarshalJSON(data []byte) error {
 	var raw map[string]any
 	if err := decodeStrict(data, &raw); err != nil {
@@ -111,12 +113,12 @@
 	return faults.err()
 }
 
-// decode reads raw, as a YAML or JSON decoder returns it, as a value of the key's type and range. The
-// fault has Problem and Want set.
+// decode converts raw, as returned by a YAML or JSON decoder, to a value of the key's type and checks its
+// range. The fault has only Key, Problem and Expected set.
 func (k *Key) decode(raw any) (Value, *Fault) {
-	value, problem := k.typed(raw)
+	value, problem := k.convert(raw)
 	if problem == "" {
-		problem = k.outside(value)
+		problem = k.rangeProblem(value)
 	}
 	if problem != "" {
 		return Value{}, &Fault{Key: k.Name, Problem: problem, Expected: k.Constraint()}
@@ -124,7 +126,8 @@
 	return value, nil
 }
 
-func (k *Key) typed(raw any) (value Value, problem string) {
+// convert converts raw to the key's type without checking its range. The problem is empty on success.
+func (k *Key) convert(raw any) (value Value, problem string) {
 	value.Kind = k.Kind
 	ok := false
 	switch k.Kind {
@@ -156,8 +159,8 @@
 	case int64:
 		return n, true
 	case json.Number:
-		whole, err := n.Int64()
-		return whole, err == nil
+		integer, err := n.Int64()
+		return integer, err == nil
 	}
 	return 0, false
 }
@@ -193,9 +196,10 @@
 	return list, true
 }
 
-const describedBytes = 80
+// maxDescriptionBytes bounds the text of a bad value that a fault quotes.
+const maxDescriptionBytes = 80
 
-// describe shows what was found, with its type, shortened.
+// describe formats a decoded value with its type for a message, truncated to maxDescriptionBytes.
 func describe(raw any) string {
 	var text string
 	switch r := raw.(type) {
@@ -212,8 +216,8 @@
 	default:
 		text = fmt.Sprintf("the number %v", r)
 	}
-	if len(text) > describedBytes {
-		text = strings.ToValidUTF8(text[:describedBytes], "") + "..."
+	if len(text) > maxDescriptionBytes {
+		text = strings.ToValidUTF8(text[:maxDescriptionBytes], "") + "..."
 	}
 	return text
 }
