--- a/contract/settings/check.go
+++ b/contract/settings/check.go
@@ -32,18 +32,18 @@
 	faults   Faults
 }
 
-func (c *checker) addFault(node Path, key, want, problem string, args ...any) {
-	c.faults = append(c.faults, Fault{Node: node, Key: key, Problem: fmt.Sprintf(problem, args...), Expected: want})
+func (c *checker) addFault(node Path, key, expected, problem string, args ...any) {
+	c.faults = append(c.faults, Fault{Node: node, Key: key, Problem: fmt.Sprintf(problem, args...), Expected: expected})
 }
 
 // addFaultAtSource reports a fault at the node that sets the effective value of the key, because that is
 // where to correct it. For a built-in default it reports the given node.
-func (c *checker) addFaultAtSource(node Path, name, want, problem string, args ...any) {
+func (c *checker) addFaultAtSource(node Path, name, expected, problem string, args ...any) {
 	key, _ := LookupKey(name)
 	if _, from := c.tree.lookup(key, node); from != "" {
 		node = from
 	}
-	c.addFault(node, name, want, problem, args...)
+	c.addFault(node, name, expected, problem, args...)
 }
 
 func (c *checker) checkNode(path Path) {
@@ -161,19 +161,19 @@
 
 // checkKeyHashes checks that each key identifies a single team and is not an operator token.
 func (c *checker) checkKeyHashes() {
-	holder := make(map[string]Path)
+	owner := make(map[string]Path)
 	for _, hash := range c.tree.Nodes[Root].Values["operator_key_hashes"].List {
-		holder[hash] = Root
+		owner[hash] = Root
 	}
 	for _, path := range c.paths {
 		for _, hash := range c.tree.Nodes[path].Values["key_hashes"].List {
-			other, ok := holder[hash]
+			other, ok := owner[hash]
 			if ok && other == Root {
 				c.addFault(path, "key_hashes", "a key of its own", "%s... is an operator's token", hash[:8])
 			} else if ok && other != path {
 				c.addFault(path, "key_hashes", "a key of its own", "%s... is a key of %s already", hash[:8], other)
 			}
-			holder[hash] = path
+			owner[hash] = path
 		}
 	}
 }
@@ -183,18 +183,18 @@
 func (c *checker) checkShares() {
 	key, _ := LookupKey("share")
 	sum := 0.0
-	named := make(map[Path]bool)
+	sources := make(map[Path]bool)
 	for _, path := range c.paths {
 		if path.Level() == TeamLevel {
 			value, from := c.tree.lookup(key, path)
 			sum += value.Number
-			named[from] = true
+			sources[from] = true
 		}
 	}
 	if sum > 0 {
 		return
 	}
-	for path := range named {
+	for path := range sources {
 		c.addFault(path, "share", "at least one team with a share above 0", "the shares of all teams add up to nothing")
 	}
 }
--- a/contract/settings/load_test.go
+++ b/contract/settings/load_test.go
@@ -25,7 +25,7 @@
 )
 
 // validFiles returns the files of a valid tree. The arguments are pairs of a file name and its content, which
-// replace or add files.
+// replace or add files; a pair with an empty name has no effect.
 func validFiles(replace ...string) fstest.MapFS {
 	files := map[string]string{
 		"root.yaml":         "operator_key_hashes: [" + hashC + "]\nqueue_timeout: 9s\n",
--- a/contract/settings/merge_test.go
+++ b/contract/settings/merge_test.go
@@ -14,7 +14,7 @@
 	deskNode = settings.Path("/places/pampa/services/desk")
 )
 
-// initialTree is the tree of good, at revision 1.
+// initialTree returns the tree of validFiles, at revision 1.
 func initialTree() *settings.Tree {
 	GinkgoHelper()
 	declared, err := loadFiles()
@@ -22,7 +22,7 @@
 	return declared.Tree("n")
 }
 
-// newChange builds a newChange of one node from its JSON.
+// newChange returns a change of one node to the given values, which are JSON.
 func newChange(id string, node settings.Path, base uint64, values string) *settings.Change {
 	GinkgoHelper()
 	data, err := json.Marshal(map[string]any{
--- a/contract/settings/tree.go
+++ b/contract/settings/tree.go
@@ -70,8 +70,7 @@
 
 // ParseTree decodes a stored tree. It rejects the whole tree if it contains an unknown key, a value of the
 // wrong type or out of range, an invalid path, or a node revision above the tree's; the error is of type
-// Faults. Checks that span several values or nodes are
-// left to Check and Resolve.
+// Faults. Checks that span several values or nodes are left to Check and Resolve.
 func ParseTree(data []byte) (*Tree, error) {
 	var raw rawTree
 	if err := decodeStrict(data, &raw); err != nil {
