--- a/contract/admin/admin.go
+++ b/contract/admin/admin.go
@@ -45,17 +45,17 @@
 
 // Explanation is the response to GET ExplainPath?path=.
 type Explanation struct {
-	Path     settings.Path        `json:"path"`
-	Version  uint64               `json:"version"`
-	Revision uint64               `json:"revision"`
-	Values   []settings.Explained `json:"values"`
+	Path     settings.Path             `json:"path"`
+	Version  uint64                    `json:"version"`
+	Revision uint64                    `json:"revision"`
+	Values   []settings.EffectiveValue `json:"values"`
 }
 
 // History is the response to GET HistoryPath, latest change first.
 type History struct {
-	Version  uint64             `json:"version"`
-	Revision uint64             `json:"revision"`
-	Changes  []settings.Applied `json:"changes"`
+	Version  uint64                   `json:"version"`
+	Revision uint64                   `json:"revision"`
+	Changes  []settings.AppliedChange `json:"changes"`
 }
 
 // Status is the response to GET StatusPath: what one entry knows about all entries, groups and services.
--- a/entry/front/request.go
+++ b/entry/front/request.go
@@ -117,7 +117,7 @@
 	if matchesPathPrefix(service.Unrepeatable, callPath) {
 		return false
 	}
-	if service.Kind == settings.Language || matchesPathPrefix(service.Repeatable, callPath) {
+	if service.Kind == settings.LanguageService || matchesPathPrefix(service.Repeatable, callPath) {
 		return true
 	}
 	switch method {
