--- a/entry/front/drive.go
+++ b/entry/front/drive.go
@@ -243,7 +243,7 @@
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	result := d.front.deps.Attempts.Seal(ctx, attempt.WriteRequest{
-		ID: d.attemptID(), Number: d.request.attempt, Fingerprint: d.request.fingerprint, RequestID: d.request.id,
+		ID: d.id(), Number: d.request.attempt, Fingerprint: d.request.fingerprint, RequestID: d.request.id,
 		Retention: attempt.Retention(d.request.service), AbandonedClaims: action.Renounced,
 	})
 	d.reportSeal(result)
@@ -253,12 +253,11 @@
 func (d *driver) findRecord(ctx context.Context) attempt.Result {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	return d.front.deps.Attempts.Find(ctx, d.attemptID(), d.request.fingerprint)
+	return d.front.deps.Attempts.Find(ctx, d.id(), d.request.fingerprint)
 }
 
-func (d *driver) attemptID() attempt.ID {
-	return attempt.ID{Team: d.request.team.Name, Key: d.request.key}
-}
+// id returns the ID of the attempt record.
+func (d *driver) id() attempt.ID { return attempt.ID{Team: d.request.team.Name, Key: d.request.key} }
 
 func (d *driver) askHolder(ctx context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
--- a/entry/front/fakes_test.go
+++ b/entry/front/fakes_test.go
@@ -276,15 +276,15 @@
 
 // answer is the response that a caller received.
 type answer struct {
-	status  int
-	outcome contract.Outcome
-	code    contract.Code
-	retry   string
-	attempt string
-	key     string
-	body    string
-	header  http.Header
-	err     error
+	status     int
+	outcome    contract.Outcome
+	code       contract.Code
+	retryAfter string
+	attempt    string
+	key        string
+	body       string
+	header     http.Header
+	err        error
 }
 
 const (
@@ -328,7 +328,7 @@
 	text, err := io.ReadAll(response.Body)
 	got := answer{
 		status: response.StatusCode, outcome: contract.Outcome(response.Header.Get(contract.HeaderOutcome)),
-		retry: response.Header.Get(contract.HeaderRetryAfter), attempt: response.Header.Get(contract.HeaderAttempt),
+		retryAfter: response.Header.Get(contract.HeaderRetryAfter), attempt: response.Header.Get(contract.HeaderAttempt),
 		key: response.Header.Get(contract.HeaderIdempotencyKey), body: string(text), header: response.Header, err: err,
 	}
 	if got.outcome == "" {
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -46,7 +46,7 @@
 			first := book(f.fronts[0], key, 1)
 			Expect(first.outcome).To(Equal(wantFirst), first.body)
 			if wantFirst != answered {
-				Expect(first.retry).NotTo(BeEmpty())
+				Expect(first.retryAfter).NotTo(BeEmpty())
 			}
 			close(hold)
 			f.clearFaults()
@@ -84,8 +84,8 @@
 		Expect(first.outcome).To(Equal(notRun))
 		Expect(first.attempt).To(Equal("3"))
 		f.clearFaults()
-		late := book(f.fronts[1], "lot-7", 2)
-		Expect(late.code).To(Equal(contract.CodeAttemptGivenUp))
+		lower := book(f.fronts[1], "lot-7", 2)
+		Expect(lower.code).To(Equal(contract.CodeAttemptGivenUp))
 		Expect(book(f.fronts[1], "lot-7", 4).outcome).To(Equal(answered))
 		Expect(book(f.fronts[0], "lot-7", 3).outcome).To(Equal(answered))
 		Expect(f.backend.count("lot-7")).To(Equal(1))
@@ -145,7 +145,7 @@
 		for range 2 {
 			got := book(f.fronts[0], "lot-7", 1)
 			Expect(got.outcome).To(Equal(unknown))
-			Expect(got.retry).NotTo(BeEmpty())
+			Expect(got.retryAfter).NotTo(BeEmpty())
 		}
 		Expect(f.backend.count("lot-7")).To(Equal(1))
 	})
@@ -347,7 +347,7 @@
 		f.backend.behaviours = []sendBehaviour{{hold: make(chan struct{})}}
 		got := sendRequest(f.fronts[0], http.MethodPost, "/v1/chat/completions", map[string]string{contract.HeaderRequestTimeout: "0.3"}, `{"model":"small"}`)
 		Expect(got.outcome).To(Equal(unknown))
-		Expect(got.retry).NotTo(BeEmpty())
+		Expect(got.retryAfter).NotTo(BeEmpty())
 	})
 })
 
--- a/entry/home/keep.go
+++ b/entry/home/keep.go
@@ -76,40 +76,40 @@
 	completion engine.Event
 }
 
-func (k *answerRecorder) recordHead(status int, header http.Header) {
-	k.answer.Status = status
-	k.answer.Header = header
+func (a *answerRecorder) recordHead(status int, header http.Header) {
+	a.answer.Status = status
+	a.answer.Header = header
 }
 
-func (k *answerRecorder) recordChunk(data []byte) {
-	if k.answer.TooLarge || len(k.answer.Body)+len(data) > contract.MaxStoredAnswer {
-		k.answer.TooLarge = true
-		k.answer.Body = nil
+func (a *answerRecorder) recordChunk(data []byte) {
+	if a.answer.TooLarge || len(a.answer.Body)+len(data) > contract.MaxStoredAnswer {
+		a.answer.TooLarge = true
+		a.answer.Body = nil
 		return
 	}
-	k.answer.Body = append(k.answer.Body, data...)
+	a.answer.Body = append(a.answer.Body, data...)
 }
 
-func (k *answerRecorder) recordEvent(e engine.Event) {
-	if len(k.completion.Text)+len(e.Text) > contract.MaxStoredAnswer {
-		k.answer.TooLarge = true
-		k.completion.Text = ""
+func (a *answerRecorder) recordEvent(e engine.Event) {
+	if len(a.completion.Text)+len(e.Text) > contract.MaxStoredAnswer {
+		a.answer.TooLarge = true
+		a.completion.Text = ""
 		return
 	}
-	k.completion.RequestID = e.RequestID
-	k.completion.Text += e.Text
-	k.completion.Tokens += e.Tokens
-	k.completion.Final = e.Final
-	k.completion.FinishReason = e.FinishReason
+	a.completion.RequestID = e.RequestID
+	a.completion.Text += e.Text
+	a.completion.Tokens += e.Tokens
+	a.completion.Final = e.Final
+	a.completion.FinishReason = e.FinishReason
 }
 
 // stored returns the answer in the form in which it is stored. A completion is stored as one event with its entire
 // text.
-func (k *answerRecorder) stored(plain bool) contract.StoredAnswer {
-	if plain || k.answer.TooLarge {
-		return k.answer
+func (a *answerRecorder) stored(plain bool) contract.StoredAnswer {
+	if plain || a.answer.TooLarge {
+		return a.answer
 	}
-	body, err := json.Marshal(k.completion)
+	body, err := json.Marshal(a.completion)
 	if err != nil {
 		return contract.StoredAnswer{Status: http.StatusOK, TooLarge: true}
 	}
--- a/entry/home/run.go
+++ b/entry/home/run.go
@@ -33,8 +33,8 @@
 	frontCtx context.Context
 }
 
-func newRun(front context.Context, h *Home, d contract.Dispatch, send func(contract.Frame) error) *run {
-	return &run{home: h, d: d, send: send, frontCtx: front, receivedAt: h.deps.Clock()}
+func newRun(frontCtx context.Context, h *Home, d contract.Dispatch, send func(contract.Frame) error) *run {
+	return &run{home: h, d: d, send: send, frontCtx: frontCtx, receivedAt: h.deps.Clock()}
 }
 
 // execute runs the steps of the dispatch. A step that fails reports the failure to the front and ends the
@@ -67,12 +67,12 @@
 		return false
 	}
 	r.record(timeline.RequestQueued, describeLoad(load))
-	turn, p := r.home.deps.Admission.Enter(ctx, r.admissionRequest(ctx))
+	permit, p := r.home.deps.Admission.Enter(ctx, r.admissionRequest(ctx))
 	if p != nil {
 		r.refuse(p)
 		return false
 	}
-	r.permit = turn
+	r.permit = permit
 	return true
 }
 
@@ -96,7 +96,7 @@
 
 // acquireClaim claims a request that may run at most once. It returns the context to work under until end is
 // called.
-func (r *run) acquireClaim(ctx context.Context) (work context.Context, end func(), ok bool) {
+func (r *run) acquireClaim(ctx context.Context) (workCtx context.Context, end func(), ok bool) {
 	if !r.d.AtMostOnce {
 		return ctx, func() {}, true
 	}
@@ -105,8 +105,8 @@
 	if !r.writeClaim(ctx) {
 		return ctx, remove, false
 	}
-	work, cancel := r.detach(ctx)
-	return work, func() { cancel(); remove() }, true
+	workCtx, cancel := r.detach(ctx)
+	return workCtx, func() { cancel(); remove() }, true
 }
 
 // forward sends the request to the backend server. It checks the group once more because the claim took time;
