--- a/contract/settings/fabric.go
+++ b/contract/settings/fabric.go
@@ -7,18 +7,18 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// CheckFabric finds services whose group can't fit into any fabric domain of their place. Groups never
-// cross a fabric domain, so such a service would wait for ever for its first replica. Places of which no VM
-// is listed are passed over: their settings may be declared before their VMs exist.
-func (t *Tree) CheckFabric(lists []vm.List) Faults {
+// CheckFabricCapacity reports services whose groups fit into no fabric domain of their place. A group never
+// spans fabric domains, so such a service would wait forever for its first replica. Places without a
+// listed VM are skipped, because settings may be declared before the VMs exist.
+func (t *Tree) CheckFabricCapacity(lists []vm.List) Faults {
 	var faults Faults
-	key, _ := KeyNamed("group_size")
+	key, _ := LookupKey("group_size")
 	for _, path := range t.Paths() {
 		if path.Level() != ServiceLevel {
 			continue
 		}
-		largest, known := largestFabric(lists, path)
-		size, from := t.lookUp(key, path)
+		largest, known := largestFabricDomain(lists, path)
+		size, from := t.lookup(key, path)
 		if !known || int(size.Integer) <= largest {
 			continue
 		}
@@ -29,15 +29,16 @@
 			Node: from, Key: key.Name,
 			Problem: fmt.Sprintf("service %s wants groups of %d VMs, and no fabric domain of %s has so many for it",
 				path.Name(), size.Integer, path.Place()),
-			Want: fmt.Sprintf("at most %d", largest),
+			Expected: fmt.Sprintf("at most %d", largest),
 		})
 	}
 	return faults
 }
 
-// largestFabric counts the VMs that the service may use in the place's largest fabric domain. Leaving VMs
-// count: others come in their place.
-func largestFabric(lists []vm.List, service Path) (largest int, known bool) {
+// largestFabricDomain returns the largest number of VMs that the service may use within one fabric domain
+// of its place. VMs that are about to leave count, because others replace them. known is false if no VM of
+// the place is listed.
+func largestFabricDomain(lists []vm.List, service Path) (largest int, known bool) {
 	for _, list := range lists {
 		usable := make(map[domain.FabricDomain]int)
 		for _, machine := range list.VMs {
--- a/entry/controller/discover.go
+++ b/entry/controller/discover.go
@@ -11,20 +11,20 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// DiscoverEvery is how many rounds pass between two looks for new fabric domains. They come with new
-// racks, so half a minute is soon enough; the list of all VMs is the largest read there is.
-const DiscoverEvery = 30
+// DiscoverEveryRounds is the number of rounds between two searches for new fabric domains. New domains come with
+// new racks, so half a minute is soon enough, and the list of all VMs is the largest read of all.
+const DiscoverEveryRounds = 30
 
-// Discover looks for fabric domains that have no placement yet, and creates an empty one for each. One
-// entry does it for all, so that the list of all VMs is read once, not by every entry; the placement
-// objects, which all entries mirror, then name the domains.
+// Discover creates an empty placement for each fabric domain that has none. One entry does this for all, so that
+// not every entry reads the list of all VMs. The others learn of the domains from the placement objects,
+// which every entry mirrors.
 func (c *Controller) Discover(ctx context.Context) {
-	if domain.Owner("controller/discover", c.Owners.Live()) != c.Owners.Self() || !c.discoverNow() {
+	if domain.Owner("controller/discover", c.Membership.Live()) != c.Membership.Self() || !c.discoveryDue() {
 		return
 	}
 	changes, err := c.Store.List(ctx, platform.KindVMs)
 	if err != nil {
-		c.discoverAgain()
+		c.retryDiscovery()
 		c.Log.WithError(err).Warn("can't list the VMs to look for new fabric domains")
 		return
 	}
@@ -34,38 +34,38 @@
 	}
 	for _, object := range changes.Objects {
 		if !known[object.Name] {
-			c.create(ctx, object.Name)
+			c.createPlacement(ctx, object.Name)
 		}
 	}
 }
 
-func (c *Controller) discoverNow() bool {
+func (c *Controller) discoveryDue() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	due := c.rounds%DiscoverEvery == 0
-	c.rounds++
+	due := c.discoveryRounds%DiscoverEveryRounds == 0
+	c.discoveryRounds++
 	return due
 }
 
-func (c *Controller) discoverAgain() {
+func (c *Controller) retryDiscovery() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rounds = 0
+	c.discoveryRounds = 0
 }
 
-// create writes an empty placement that nobody holds. It exists already if another entry was faster.
-func (c *Controller) create(ctx context.Context, name string) {
+// createPlacement writes an empty placement without an owner. A conflict means that another entry was faster.
+func (c *Controller) createPlacement(ctx context.Context, name string) {
 	value, err := json.Marshal(vm.Placement{Nonce: c.NewID()})
 	if err != nil {
 		return
 	}
 	version, err := c.Store.Put(ctx, platform.KindPlacement, name, 0, value)
 	if err == nil {
-		c.Took(platform.Object{Kind: platform.KindPlacement, Name: name, Version: version, Value: value})
+		c.OnPlacement(platform.Object{Kind: platform.KindPlacement, Name: name, Version: version, Value: value})
 		return
 	}
 	if !eris.Is(err, platform.ErrConflict) {
-		c.discoverAgain()
+		c.retryDiscovery()
 		c.Log.WithError(err).WithField("domain", name).Warn("can't create the placement of a new fabric domain")
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -173,7 +173,7 @@
 			}()
 		},
 		InProgress: func() int {
-			return int(e.dispatcher.serving.Load()) + e.dispatcher.home.Releasing() + max(e.gate.InProgress(), unfinished(closed))
+			return int(e.dispatcher.serving.Load()) + e.dispatcher.home.PendingReleases() + max(e.gate.InProgress(), unfinished(closed))
 		},
 		Entered: e.recordPhase,
 	}
@@ -231,7 +231,7 @@
 func (e *Entry) watchMembers(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.Pause(ctx, membersCheck)
-		e.router.SetFronts(len(e.members.Live()))
+		e.router.SetFrontCount(len(e.members.Live()))
 		if e.members.Superseded() {
 			return ErrSuperseded
 		}
--- a/entry/gateway/follow.go
+++ b/entry/gateway/follow.go
@@ -21,7 +21,7 @@
 	for ctx.Err() == nil {
 		holder, known := g.lease.Holder()
 		switch {
-		case g.lease.InOffice():
+		case g.lease.IsLeader():
 			g.followSelf(ctx)
 		case known && holder.Entry != g.config.Name:
 			g.followOther(ctx, holder)
@@ -52,7 +52,7 @@
 	self := &selfLink{queue: make(chan link.Down, selfQueue)}
 	send := func(message link.Up) { g.leader.Receive(g.config.Name, self, message) }
 	version, _ := g.catalog.Config()
-	g.leader.SetGroups()
+	g.leader.RefreshGroups()
 	g.leader.Join(g.config.Name, self, link.Hello{
 		Entry: g.config.Name, ConfigVersion: version, Crashes: g.suspects.Reports(),
 	})
@@ -66,7 +66,7 @@
 		case message := <-self.queue:
 			g.fromLeader(ctx, send, message)
 		case <-check.C:
-			if !g.lease.InOffice() {
+			if !g.lease.IsLeader() {
 				return
 			}
 		case <-ctx.Done():
@@ -88,13 +88,13 @@
 	to, err := link.Dial(dialling, g.identity, sourceOf(g.config.Callers), holder.Address, holder.Fingerprint, hello)
 	if err != nil {
 		g.log.WithError(err).WithField("leader", holder.Entry).Debug("no link to the leader")
-		g.lease.Doubt()
+		g.lease.HolderUnreachable()
 		return
 	}
 	g.log.WithField("leader", holder.Entry).Info(logline.Linked)
 	g.remote.Attach(to.Send)
 	g.following.newLeader()
-	g.catalog.NewLeader()
+	g.catalog.LeaderChanged()
 	defer g.remote.Attach(nil)
 	defer to.Close("over")
 	stopDialling()
@@ -104,7 +104,7 @@
 	context.AfterFunc(ctx, func() { to.Close("stopping") })
 	err = to.Receive(func(message link.Down) { g.fromLeader(ctx, to.Send, message) })
 	g.log.WithError(err).WithField("leader", holder.Entry).Info(logline.LinkEnded)
-	if link.Silent(err) {
+	if link.IsIdleTimeout(err) {
 		g.following.lost(holder.Entry)
 	}
 }
@@ -125,60 +125,60 @@
 
 // fromLeader handles one message of the leader.
 func (g *Gateway) fromLeader(ctx context.Context, send func(link.Up), message link.Down) {
-	g.remote.Heard()
+	g.remote.LeaderAlive()
 	switch {
-	case message.Grant != nil || message.Refuse != nil || message.Queued != 0:
-		g.remote.Answered(message)
+	case message.Grant != nil || message.Refusal != nil || message.Queued != 0:
+		g.remote.HandleReply(message)
 	case message.Config != nil:
-		g.catalog.TakeConfig(message.Config.Spec)
-	case message.Renewed != nil:
-		g.leaderRenewed(send, *message.Renewed)
-	case message.News != nil:
-		g.catalog.Feed(*message.News)
-	case message.Held != nil:
-		g.suspects.Take(*message.Held)
-	case message.Look != nil:
-		go g.look(ctx, send, *message.Look)
+		g.catalog.UpdateConfig(message.Config.Spec)
+	case message.Renewal != nil:
+		g.leaderRenewed(send, *message.Renewal)
+	case message.ChangeSet != nil:
+		g.catalog.ApplyNews(*message.ChangeSet)
+	case message.Quarantine != nil:
+		g.suspects.Take(*message.Quarantine)
+	case message.Probe != nil:
+		go g.look(ctx, send, *message.Probe)
 	}
 }
 
-func (g *Gateway) leaderRenewed(send func(link.Up), renewed link.Renewed) {
-	g.lease.Heard(renewed.Version)
+func (g *Gateway) leaderRenewed(send func(link.Up), renewed link.Renewal) {
+	g.lease.ObserveRenewal(renewed.Version)
 	g.following.renewed(renewed, g.roster.Names())
-	g.catalog.Confirm(renewed.Ages)
+	g.catalog.ConfirmAges(renewed.Ages)
 	version, spec := g.catalog.Config()
 	switch {
 	case version > renewed.ConfigVersion && spec != nil:
 		send(link.Up{Config: &link.Config{Spec: spec}})
 	case g.following.stillBehind(version < renewed.ConfigVersion):
-		send(link.Up{Has: max(1, version)})
+		send(link.Up{ConfigVersion: max(1, version)})
 	}
 }
 
 // look answers the leader's question whether this entry reaches a server.
-func (g *Gateway) look(ctx context.Context, send func(link.Up), asked link.Look) {
-	seen := link.Seen{Server: asked.Server}
-	report, err := g.controller.Look(ctx, &backend.Server{ID: asked.Server, Address: asked.Address})
+func (g *Gateway) look(ctx context.Context, send func(link.Up), asked link.Probe) {
+	seen := link.ProbeResult{Server: asked.Server}
+	report, err := g.controller.Report(ctx, &backend.Server{ID: asked.Server, Address: asked.Address})
 	if err == nil {
 		seen.Answered = true
 		seen.Group = report.Group.GroupKey
 		seen.Serving = report.Group.State.Serving()
 	}
-	send(link.Up{Seen: &seen})
+	send(link.Up{ProbeResult: &seen})
 }
 
 // reached asks the other entries whether a server that this one does not reach serves a group.
 func (s *shell) reached(ctx context.Context, server *backend.Server, key backend.GroupKey) bool {
-	seen, answered := s.parts.leader.Reached(ctx, server)
+	seen, answered := s.parts.leader.ProbeIndirectly(ctx, server)
 	serving := answered && seen.Group == key && seen.Serving
 	s.log.WithFields(logrus.Fields{
-		"vm": server.ID, "group": key.String(), "answered": answered, "serving": serving, "asked_of": s.parts.leader.Followers(),
+		"vm": server.ID, "group": key.String(), "answered": answered, "serving": serving, "asked_of": s.parts.leader.FollowerCount(),
 	}).Info(logline.AskedOthers)
 	return serving
 }
 
 // answers asks the other entries whether they reach a server that this one does not reach.
 func (s *shell) answers(ctx context.Context, server *backend.Server) bool {
-	_, answered := s.parts.leader.Reached(ctx, server)
+	_, answered := s.parts.leader.ProbeIndirectly(ctx, server)
 	return answered
 }
--- a/entry/gateway/lines.go
+++ b/entry/gateway/lines.go
@@ -49,7 +49,7 @@
 	}
 	s.log.WithFields(logrus.Fields{
 		"request": rejection.Request, "vm": rejection.Server.ID, "status": rejection.Status, "leaving": leaving,
-		"by_leader": rejection.Basis.Leader, "basis_revision": rejection.Basis.Revision, "basis_age_ms": rejection.Basis.Age.Milliseconds(),
+		"by_leader": rejection.Basis.FromLeader, "basis_revision": rejection.Basis.Revision, "basis_age_ms": rejection.Basis.Age.Milliseconds(),
 		"list_revision": listing.Revision, "list_age_ms": s.parts.catalog.ServersAge().Milliseconds(),
 	}).Info(logline.RequestRejected)
 }
@@ -61,7 +61,7 @@
 func (s *shell) leaseRefused() { s.log.Info(logline.LeaseRefused) }
 
 func (s *shell) groupEvent(event grouping.Event) {
-	if event.Kind == grouping.FleetSeen {
+	if event.Kind == grouping.FleetReport {
 		s.log.WithFields(logrus.Fields{"service": event.Service, "detail": event.Detail}).Info(string(event.Kind))
 		return
 	}
@@ -71,7 +71,7 @@
 	}).Info(string(event.Kind))
 }
 
-func (s *shell) heldBack(held link.Held) {
+func (s *shell) heldBack(held link.Quarantine) {
 	s.log.WithFields(logrus.Fields{"service": held.Service, "fingerprints": held.Fingerprints}).Warn(logline.RequestsHeldBack)
 }
 
--- a/entry/leader/demand_test.go
+++ b/entry/leader/demand_test.go
@@ -15,21 +15,22 @@
 	"github.com/skylarkpond/skylarkpond/policy/turns"
 )
 
-var _ = Describe("The demand of a model", func() {
-	// Both models are asked equally often, and no group of either stands. Reckoned by places, the one with long prompts would get as many groups as the
-	// other, and its callers would wait for their prompts to be read.
-	It("is reckoned by the work that its requests ask for, also while none of its groups stands", func() {
-		models := []route.Model{{Name: "long", Size: 4, Pace: 1}, {Name: "short", Size: 4, Pace: 1}}
+var _ = Describe("Demand", func() {
+	// Both models get equally many requests, and no group serves either of them. Estimated from slots alone, the model
+	// with long prompts would get as many groups as the other, and its callers would wait for the prefill of their
+	// prompts.
+	It("is estimated from the work of the requests, even while the model has no group", func() {
+		models := []route.Model{{Name: "long", Size: 4, TimeFactor: 1}, {Name: "short", Size: 4, TimeFactor: 1}}
 		table := &route.Table{Version: 1, Services: map[string]route.Service{"chat": {Name: "chat", Engine: &route.Engine{
-			Slots: 8, Step: 6 * time.Millisecond, PerSequence: 100 * time.Microsecond, ReadPerSecond: 50_000, Models: models,
+			Slots: 8, StepTime: 6 * time.Millisecond, StepTimePerSequence: 100 * time.Microsecond, PrefillTokensPerSecond: 50_000, Models: models,
 		}}}}
 		l := leader.New(leader.Deps{
-			InOffice: func() bool { return true },
-			Listing:  func() *backend.Listing { return backend.NewListing(1, nil) },
-			ListAge:  func() time.Duration { return 0 },
-			Table:    func() *route.Table { return table },
-			Closed:   func(backend.GroupKey) bool { return false },
-			Demand:   func(turns.Demand) {},
+			IsLeader:     func() bool { return true },
+			Listing:      func() *backend.Listing { return backend.NewListing(1, nil) },
+			ListAge:      func() time.Duration { return 0 },
+			Table:        func() *route.Table { return table },
+			Dissolving:   func(backend.GroupKey) bool { return false },
+			ReportDemand: func(turns.Demand) {},
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -49,11 +50,11 @@
 				if model.Name == "long" {
 					prompt = 4000
 				}
-				l.Receive("e-1", &follower{}, link.Up{Ask: &link.Ask{
-					Key: asked, Service: "chat", Model: model.Name, Prompt: prompt, Answer: 50, Fingerprint: asked,
+				l.Receive("e-1", &follower{}, link.Up{TurnRequest: &link.TurnRequest{
+					Key: asked, Service: "chat", Model: model.Name, PromptTokens: prompt, OutputTokens: 50, Fingerprint: asked,
 				}})
 			}
-			long, short := l.Wanted("chat", "long"), l.Wanted("chat", "short")
+			long, short := l.GroupsNeeded("chat", "long"), l.GroupsNeeded("chat", "short")
 			g.Expect(short).To(BeNumerically(">", 0), fmt.Sprint("asked ", asked))
 			g.Expect(long).To(BeNumerically(">", 1.5*short))
 		}, "20s", "20ms").Should(Succeed())
--- a/pondctl/diff.go
+++ b/pondctl/diff.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	if current.Copy {
+	if current.FromLocalCopy {
 		c.progress("warning: the platform can't be asked; this is compared with the entry's own copy, which may be old")
 	}
 	difference := compare(locked, change, current)
@@ -164,7 +164,7 @@
 	}
 }
 
-func by(applied *settings.Applied) string {
+func by(applied *settings.AppliedChange) string {
 	if applied == nil {
 		return ""
 	}
