--- a/entry/front/fakes_test.go
+++ b/entry/front/fakes_test.go
@@ -229,7 +229,7 @@
 
 type noTaker struct{}
 
-func (noTaker) Took(platform.Object) {}
+func (noTaker) Publish(platform.Object) {}
 
 func (f *fleet) attempts() *attempt.Records {
 	return attempt.New(platform.NewClient(f.server.URL, platform.WithCallTimeout(200*time.Millisecond)), time.Now)
--- a/entry/guard/guard.go
+++ b/entry/guard/guard.go
@@ -39,7 +39,7 @@
 
 // ObjectPublisher adds an object that this entry wrote to its mirror and spreads it to the other entries.
 type ObjectPublisher interface {
-	Took(object platform.Object)
+	Publish(object platform.Object)
 }
 
 // Deps holds the dependencies of a Guard.
@@ -220,7 +220,7 @@
 		return err
 	}
 	g.mergeRegister(service, next)
-	g.deps.Publisher.Took(platform.Object{Kind: platform.KindQuarantine, Name: service, Version: version, Value: value})
+	g.deps.Publisher.Publish(platform.Object{Kind: platform.KindQuarantine, Name: service, Version: version, Value: value})
 	return nil
 }
 
--- a/entry/mirror/follow.go
+++ b/entry/mirror/follow.go
@@ -81,8 +81,9 @@
 	return nil
 }
 
-// Took takes in an object that this entry itself wrote or read, and spreads it if it is news.
-func (f *Follower) Took(object platform.Object) {
+// Publish stores an object that this entry wrote or read, and broadcasts it to the other entries if it is newer than
+// the mirrored copy.
+func (f *Follower) Publish(object platform.Object) {
 	f.spread(f.mirror.Offer(object))
 }
 
--- a/entry/operator/apply.go
+++ b/entry/operator/apply.go
@@ -18,15 +18,15 @@
 
 // Errors of an apply beside those of the platform.
 var (
-	// ErrNotAllowed: the token is not one of the tree that would be changed.
-	ErrNotAllowed = eris.New("token not accepted")
-	// ErrUncertain: a write was sent and neither confirmed nor excluded. Sending the same change again
+	// ErrUnauthorized: the token is not one of the tree that would be changed.
+	ErrUnauthorized = eris.New("token not accepted")
+	// ErrOutcomeUnknown: a write was sent and neither confirmed nor excluded. Sending the same change again
 	// settles it.
-	ErrUncertain = eris.New("it is not known whether the change was taken")
-	// ErrStale: the platform answers with an older tree than this entry has seen.
-	ErrStale = eris.New("the platform answered with an older tree than was seen before")
-	// ErrUnreadable: the tree in the platform is not one that this build understands.
-	ErrUnreadable = eris.New("the tree in the platform can't be read")
+	ErrOutcomeUnknown = eris.New("it is not known whether the change was taken")
+	// ErrStaleRead: the platform answers with an older tree than this entry has seen.
+	ErrStaleRead = eris.New("the platform answered with an older tree than was seen before")
+	// ErrUnreadableTree: the tree in the platform is not one that this build understands.
+	ErrUnreadableTree = eris.New("the tree in the platform can't be read")
 )
 
 const (
@@ -63,7 +63,7 @@
 		}
 	}
 	if sent {
-		return admin.Applied{}, eris.Wrapf(ErrUncertain, "last try: %v", err)
+		return admin.Applied{}, eris.Wrapf(ErrOutcomeUnknown, "last try: %v", err)
 	}
 	return admin.Applied{}, err
 }
@@ -79,7 +79,7 @@
 // mayPass says whether another try can help.
 func mayPass(err error) bool {
 	for _, passing := range []error{
-		platform.ErrConflict, platform.ErrUnconfirmed, platform.ErrUnavailable, platform.ErrThrottled, ErrStale,
+		platform.ErrConflict, platform.ErrUnconfirmed, platform.ErrUnavailable, platform.ErrThrottled, ErrStaleRead,
 	} {
 		if errors.Is(err, passing) {
 			return true
@@ -100,7 +100,7 @@
 		return admin.Applied{}, err
 	}
 	if !s.mayChange(current, version, tokenHash) {
-		return admin.Applied{}, ErrNotAllowed
+		return admin.Applied{}, ErrUnauthorized
 	}
 	next, result := settings.Merge(current, change)
 	if result.Status == settings.Accepted && !sent {
@@ -119,7 +119,7 @@
 }
 
 func (s *Server) write(ctx context.Context, version platform.Version, next *settings.Tree, result settings.Result, change *settings.Change) (admin.Applied, error) {
-	next.Nonce = s.deps.Nonce()
+	next.Nonce = s.deps.NewNonce()
 	value, err := json.Marshal(next)
 	if err != nil {
 		return admin.Applied{}, eris.Wrap(err, "encode the tree")
@@ -132,7 +132,7 @@
 		return admin.Applied{}, writeError(err)
 	}
 	s.deps.Recorder.Record(timeline.Event{Kind: timeline.SettingsAccepted, Entry: s.deps.Entry, Version: uint64(written), Detail: change.ID})
-	s.deps.Taker.Took(platform.Object{Kind: platform.KindSettings, Name: platform.SettingsName, Version: written, Value: value})
+	s.deps.Publisher.Publish(platform.Object{Kind: platform.KindSettings, Name: platform.SettingsName, Version: written, Value: value})
 	return admin.Applied{Result: result, Version: uint64(written)}, nil
 }
 
@@ -160,7 +160,7 @@
 // replica that lags, a platform restored from a backup) is not built upon: "unchanged" or "conflict"
 // would be told about a state that is past.
 func (s *Server) readTree(ctx context.Context) (*settings.Tree, platform.Version, error) {
-	seen := s.deps.Copies.Version(platform.KindSettings, platform.SettingsName)
+	seen := s.deps.Mirror.Version(platform.KindSettings, platform.SettingsName)
 	object, err := s.deps.Store.Get(ctx, platform.KindSettings, platform.SettingsName)
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		return nil, 0, err
@@ -169,14 +169,14 @@
 		object = platform.Object{}
 	}
 	if object.Version < seen {
-		return nil, 0, eris.Wrapf(ErrStale, "version %d, seen before: %d", object.Version, seen)
+		return nil, 0, eris.Wrapf(ErrStaleRead, "version %d, seen before: %d", object.Version, seen)
 	}
 	if object.Version == 0 {
 		return &settings.Tree{Nodes: make(map[settings.Path]settings.Node)}, 0, nil
 	}
 	tree, err := settings.ParseTree(object.Value)
 	if err != nil {
-		return nil, 0, eris.Wrap(ErrUnreadable, err.Error())
+		return nil, 0, eris.Wrap(ErrUnreadableTree, err.Error())
 	}
 	return tree, object.Version, nil
 }
--- a/entry/operator/deps.go
+++ b/entry/operator/deps.go
@@ -26,16 +26,16 @@
 	Snapshot() *settings.Snapshot
 }
 
-// Copies is this entry's mirror of the platform's objects.
-type Copies interface {
+// Mirror is this entry's mirror of the platform's objects.
+type Mirror interface {
 	Get(kind platform.Kind, name string) (platform.Object, bool)
 	// Version is the highest version seen of the object, 0 if none.
 	Version(kind platform.Kind, name string) platform.Version
 }
 
-// Taker takes in an object that this entry wrote or read, and spreads it.
-type Taker interface {
-	Took(object platform.Object)
+// Publisher takes in an object that this entry wrote or read, and spreads it.
+type Publisher interface {
+	Publish(object platform.Object)
 }
 
 // StatusSource reports all entries and groups, as this entry knows them or finds out. It leaves
@@ -72,8 +72,8 @@
 	Entry      string
 	Store      platform.Store
 	Snapshots  Snapshots
-	Copies     Copies
-	Taker      Taker
+	Mirror     Mirror
+	Publisher  Publisher
 	Status     StatusSource
 	Timeline   TimelineSource
 	Quarantine QuarantineSource
@@ -83,8 +83,8 @@
 	Metrics metrics.Registry
 	Log     logrus.FieldLogger
 	Clock   func() time.Time
-	// Nonce makes the writer's mark of each write; no two may be equal.
-	Nonce func() string
+	// NewNonce makes the writer's mark of each write; no two may be equal.
+	NewNonce func() string
 	// BootstrapKeyHash is the hash of the token accepted while the platform holds no tree; empty: none.
 	BootstrapKeyHash string
 }
--- a/entry/operator/fakes_test.go
+++ b/entry/operator/fakes_test.go
@@ -122,7 +122,7 @@
 	return f.copied.Version
 }
 
-func (f *fakeEntry) Took(object platform.Object) {
+func (f *fakeEntry) Publish(object platform.Object) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if object.Version > f.copied.Version {
--- a/entry/operator/operator_test.go
+++ b/entry/operator/operator_test.go
@@ -50,9 +50,9 @@
 	var mu sync.Mutex
 	nonces := 0
 	r.server = httptest.NewServer(operator.New(operator.Deps{
-		Entry: "e1", Store: store, Snapshots: r.entry, Copies: r.entry, Taker: r.entry, Status: r.entry,
+		Entry: "e1", Store: store, Snapshots: r.entry, Mirror: r.entry, Publisher: r.entry, Status: r.entry,
 		Timeline: r.entry, Quarantine: r.entry, VMs: r.entry, Recorder: r.entry, Log: log, Clock: time.Now,
-		Nonce: func() string {
+		NewNonce: func() string {
 			mu.Lock()
 			defer mu.Unlock()
 			nonces++
--- a/entry/operator/problem.go
+++ b/entry/operator/problem.go
@@ -27,18 +27,18 @@
 	switch {
 	case errors.As(err, &problem):
 		return problem
-	case errors.Is(err, ErrUncertain), errors.Is(err, platform.ErrUnconfirmed):
+	case errors.Is(err, ErrOutcomeUnknown), errors.Is(err, platform.ErrUnconfirmed):
 		return &contract.Problem{
 			Code: contract.CodeUnknownOutcome, Status: http.StatusServiceUnavailable, Outcome: contract.OutcomeUnknown,
 			Message: err.Error(), Hint: "send the same change again: it is taken at most once", RetryAfter: retryAfter,
 		}
-	case errors.Is(err, ErrNotAllowed):
+	case errors.Is(err, ErrUnauthorized):
 		return unauthorized()
 	case errors.Is(err, ErrNotQuarantined):
 		return contract.NewRejection(http.StatusNotFound, contract.CodeUnknownPath, err.Error(), "list the quarantine for what is in it")
 	case errors.Is(err, platform.ErrConflict):
 		return contract.NewRetryLater(contract.CodeConflict, "others kept changing the settings at the same time", retryAfter)
-	case errors.Is(err, platform.ErrUnavailable), errors.Is(err, platform.ErrThrottled), errors.Is(err, ErrStale),
+	case errors.Is(err, platform.ErrUnavailable), errors.Is(err, platform.ErrThrottled), errors.Is(err, ErrStaleRead),
 		errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
 		return contract.NewRetryLater(contract.CodePlatformUnavailable, err.Error(), retryAfter)
 	}
--- a/entry/operator/server.go
+++ b/entry/operator/server.go
@@ -106,7 +106,7 @@
 	if err == nil {
 		return admin.Settings{Version: uint64(version), Tree: tree}, nil
 	}
-	object, ok := s.deps.Copies.Get(platform.KindSettings, platform.SettingsName)
+	object, ok := s.deps.Mirror.Get(platform.KindSettings, platform.SettingsName)
 	if !ok {
 		return admin.Settings{}, err
 	}
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -208,7 +208,7 @@
 	return controller.New(controller.Deps{
 		Store: reach.Watched(store), Engines: engines, Membership: reaching{owners, reach}, Placements: placements{m}, GroupReports: reports{table},
 		Settings: snapshots{inForce}.Snapshot, Incarnation: self.entry.Incarnation, Recorder: recorder,
-		Metrics: measures.registry, Log: log, OnPlacement: follower.Took,
+		Metrics: measures.registry, Log: log, OnPlacement: follower.Publish,
 	})
 }
 
@@ -239,13 +239,13 @@
 	overview *overview, recorder *timeline.Recorder, measures *measures, log *logrus.Entry, guard *guard.Guard,
 ) *operator.Server {
 	return operator.New(operator.Deps{
-		Entry: config.Name, Store: store, Snapshots: snapshots{inForce}, Copies: m, Taker: follower, Status: overview,
+		Entry: config.Name, Store: store, Snapshots: snapshots{inForce}, Mirror: m, Publisher: follower, Status: overview,
 		Timeline: overview, Quarantine: heldRequests{guard}, VMs: vmLists{store}, Recorder: recorder,
-		Metrics: measures.registry, Log: log, Clock: time.Now, Nonce: uuid.NewString,
+		Metrics: measures.registry, Log: log, Clock: time.Now, NewNonce: uuid.NewString,
 		BootstrapKeyHash: config.BootstrapKeyHash,
 	})
 }
 
 func provideRegistration(self registered, store platform.Store, follower *mirror.Follower) *registration {
-	return &registration{store: store, took: follower.Took, self: self.entry}
+	return &registration{store: store, took: follower.Publish, self: self.entry}
 }
--- a/pondctl/rig_test.go
+++ b/pondctl/rig_test.go
@@ -100,7 +100,7 @@
 	return f.snapshot
 }
 
-func (f *fakeSide) Took(object platform.Object) {
+func (f *fakeSide) Publish(object platform.Object) {
 	tree, err := settings.ParseTree(object.Value)
 	if err != nil {
 		panic(err)
@@ -186,9 +186,9 @@
 	log.SetOutput(io.Discard)
 	var nonce int
 	api := operator.New(operator.Deps{
-		Entry: "e1", Store: r.side, Snapshots: r.side, Copies: noCopies{}, Taker: r.side, Status: r.side, Timeline: r.side,
+		Entry: "e1", Store: r.side, Snapshots: r.side, Mirror: noCopies{}, Publisher: r.side, Status: r.side, Timeline: r.side,
 		Quarantine: r.side, VMs: r.side, Recorder: r.side, Log: log, Clock: time.Now,
-		Nonce:            func() string { nonce++; return fmt.Sprint(nonce) },
+		NewNonce:            func() string { nonce++; return fmt.Sprint(nonce) },
 		BootstrapKeyHash: operator.HashKey(examples.DevOperatorKey),
 	}).Handler()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
