--- a/entry/operator/apply.go
+++ b/entry/operator/apply.go
@@ -16,49 +16,51 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// Errors of an apply beside those of the platform.
+// Errors of an apply, in addition to those of the platform.
 var (
-	// ErrUnauthorized: the token is not one of the tree that would be changed.
+	// ErrUnauthorized means that the token is not listed in the settings tree that would be changed.
 	ErrUnauthorized = eris.New("token not accepted")
-	// ErrOutcomeUnknown: a write was sent and neither confirmed nor excluded. Sending the same change again
-	// settles it.
+	// ErrOutcomeUnknown means that a write was sent and could neither be confirmed nor ruled out. Sending the same
+	// change again resolves it.
 	ErrOutcomeUnknown = eris.New("it is not known whether the change was taken")
-	// ErrStaleRead: the platform answers with an older tree than this entry has seen.
+	// ErrStaleRead means that the platform returned an older tree than this entry has already seen.
 	ErrStaleRead = eris.New("the platform answered with an older tree than was seen before")
-	// ErrUnreadableTree: the tree in the platform is not one that this build understands.
+	// ErrUnreadableTree means that this build cannot parse the tree stored in the platform.
 	ErrUnreadableTree = eris.New("the tree in the platform can't be read")
 )
 
 const (
-	// applyTries bounds how often a lost race or a failed call is tried again: some 2 s of pauses. With 1,700
-	// changes a day races are rare, and an operator would rather be told of an outage than wait it out.
-	applyTries = 20
-	// applyTime bounds an apply whose calls hang. It is below the time that pondctl waits for the answer.
-	applyTime = 15 * time.Second
-	// applyPause is the mean pause before the next try. Operators that race pause differently.
-	applyPause = 100 * time.Millisecond
+	// maxApplyAttempts limits the retries after a lost race or a failed call, to about 2 s of pauses. At 1,700
+	// changes a day races are rare, and an operator prefers an error to waiting out a platform outage.
+	maxApplyAttempts = 20
+	// applyTimeout limits an apply whose calls hang. It is shorter than the time pondctl waits for the response.
+	applyTimeout = 15 * time.Second
+	// meanRetryDelay is the mean delay before a retry. The delay is random, so that competing operators do not
+	// collide again.
+	meanRetryDelay = 100 * time.Millisecond
 )
 
-// apply makes a change last and returns what became of it. tokenHash is the hash of the operator's token.
+// apply merges a change into the settings tree, writes the tree to the platform and returns the result. tokenHash
+// is the hash of the operator's token.
 //
-// What can go wrong: the answer of the write is lost. The operator would then be told of a failure while
-// the change is in force, or would send it again and undo somebody's newer change. So an unconfirmed write
-// is followed by a new read, and the change id in the tree tells whether it was taken. A delayed write
-// can't come through later: it names a version that the next write has replaced.
+// The response to a write can be lost. Reporting a failure would then be wrong, because the change may be in
+// force, and writing it again could undo a newer change by someone else. After an unconfirmed write the tree is
+// therefore read again, and the change ID recorded in it shows whether the write succeeded. A delayed write cannot
+// succeed later, because it is conditional on a version that the next write has replaced.
 func (s *Server) apply(ctx context.Context, change *settings.Change, tokenHash string) (admin.Applied, error) {
-	ctx, cancel := context.WithTimeout(ctx, applyTime)
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	change.At = s.deps.Clock().UnixMilli()
 	sent := false
 	var err error
-	for range applyTries {
+	for range maxApplyAttempts {
 		var answer admin.Applied
 		answer, err = s.applyOnce(ctx, change, tokenHash, sent)
 		if err == nil {
-			return told(answer, sent), nil
+			return resolveOwnWrite(answer, sent), nil
 		}
 		sent = sent || errors.Is(err, platform.ErrUnconfirmed)
-		if !mayPass(err) || !pause(ctx) {
+		if !isRetryable(err) || !waitBeforeRetry(ctx) {
 			break
 		}
 	}
@@ -68,38 +70,40 @@
 	return admin.Applied{}, err
 }
 
-// told: a change found in the tree after an own unconfirmed write was accepted by this very apply.
-func told(answer admin.Applied, sent bool) admin.Applied {
+// resolveOwnWrite reports a change as accepted if it is found in the tree after this apply sent an unconfirmed
+// write of it.
+func resolveOwnWrite(answer admin.Applied, sent bool) admin.Applied {
 	if sent && answer.Status == settings.AlreadyApplied {
 		answer.Status = settings.Accepted
 	}
 	return answer
 }
 
-// mayPass says whether another try can help.
-func mayPass(err error) bool {
-	for _, passing := range []error{
+// isRetryable reports whether another attempt can succeed.
+func isRetryable(err error) bool {
+	for _, retryable := range []error{
 		platform.ErrConflict, platform.ErrUnconfirmed, platform.ErrUnavailable, platform.ErrThrottled, ErrStaleRead,
 	} {
-		if errors.Is(err, passing) {
+		if errors.Is(err, retryable) {
 			return true
 		}
 	}
 	return false
 }
 
-func pause(ctx context.Context) bool {
-	return wait.Pause(ctx, applyPause/2+rand.N(applyPause))
+func waitBeforeRetry(ctx context.Context) bool {
+	return wait.Pause(ctx, meanRetryDelay/2+rand.N(meanRetryDelay))
 }
 
-// applyOnce reads, merges, checks and writes once. Once a write was sent the VM list is not consulted
-// again: if it changed its mind, "refused" would be told of a write that may yet come through.
+// applyOnce reads the tree, merges the change, checks the result and writes it, once. After a write has been sent
+// the VM list is no longer consulted: if it had changed, the operator would be told "refused" about a write that
+// may still succeed.
 func (s *Server) applyOnce(ctx context.Context, change *settings.Change, tokenHash string, sent bool) (admin.Applied, error) {
 	current, version, err := s.readTree(ctx)
 	if err != nil {
 		return admin.Applied{}, err
 	}
-	if !s.mayChange(current, version, tokenHash) {
+	if !s.isAuthorized(current, version, tokenHash) {
 		return admin.Applied{}, ErrUnauthorized
 	}
 	next, result := settings.Merge(current, change)
@@ -110,7 +114,7 @@
 	}
 	switch result.Status {
 	case settings.Accepted:
-		return s.write(ctx, version, next, result, change)
+		return s.writeTree(ctx, version, next, result, change)
 	case settings.AlreadyApplied, settings.Unchanged:
 		return admin.Applied{Result: result, Version: uint64(version)}, nil
 	default:
@@ -118,14 +122,14 @@
 	}
 }
 
-func (s *Server) write(ctx context.Context, version platform.Version, next *settings.Tree, result settings.Result, change *settings.Change) (admin.Applied, error) {
+func (s *Server) writeTree(ctx context.Context, version platform.Version, next *settings.Tree, result settings.Result, change *settings.Change) (admin.Applied, error) {
 	next.Nonce = s.deps.NewNonce()
 	value, err := json.Marshal(next)
 	if err != nil {
 		return admin.Applied{}, eris.Wrap(err, "encode the tree")
 	}
 	if len(value) > platform.MaxValueBytes {
-		return admin.Applied{Result: tooLarge(len(value), result.Revision)}, nil
+		return admin.Applied{Result: treeTooLarge(len(value), result.Revision)}, nil
 	}
 	written, err := s.deps.Store.Put(ctx, platform.KindSettings, platform.SettingsName, version, value)
 	if err != nil {
@@ -136,29 +140,28 @@
 	return admin.Applied{Result: result, Version: uint64(written)}, nil
 }
 
-// writeError takes every failure that doesn't say that nothing was changed for one after which the write may
-// have taken effect.
+// writeError maps every error that does not guarantee an unchanged tree to ErrUnconfirmed.
 func writeError(err error) error {
-	for _, harmless := range []error{
+	for _, notWritten := range []error{
 		platform.ErrConflict, platform.ErrUnavailable, platform.ErrThrottled, platform.ErrTooLarge, platform.ErrNotFound,
 	} {
-		if errors.Is(err, harmless) {
+		if errors.Is(err, notWritten) {
 			return err
 		}
 	}
 	return eris.Wrap(platform.ErrUnconfirmed, err.Error())
 }
 
-func tooLarge(size int, revision uint64) settings.Result {
+func treeTooLarge(size int, revision uint64) settings.Result {
 	return settings.Result{Status: settings.Refused, Revision: revision, Faults: settings.Faults{{
 		Problem: eris.Errorf("the tree would have %d bytes", size).Error(),
 		Want:    eris.Errorf("at most %d", platform.MaxValueBytes).Error(),
 	}}}
 }
 
-// readTree reads the tree from the platform. An answer that is older than what this entry has seen (a
-// replica that lags, a platform restored from a backup) is not built upon: "unchanged" or "conflict"
-// would be told about a state that is past.
+// readTree reads the tree from the platform. It rejects a tree older than the one this entry has seen (from a
+// lagging replica, or a platform restored from a backup): "unchanged" or "conflict" would then be reported about
+// an outdated state.
 func (s *Server) readTree(ctx context.Context) (*settings.Tree, platform.Version, error) {
 	seen := s.deps.Mirror.Version(platform.KindSettings, platform.SettingsName)
 	object, err := s.deps.Store.Get(ctx, platform.KindSettings, platform.SettingsName)
@@ -181,8 +184,8 @@
 	return tree, object.Version, nil
 }
 
-// newFabricFaults are the groups that fit no fabric domain because of this change. Faults that the tree
-// had before don't hold up changes to other nodes; an unknown list of VMs holds up nothing.
+// newFabricFaults returns the groups that fit no fabric domain because of this change. Faults that the tree
+// already had do not block changes to other nodes, and an unavailable VM list blocks nothing.
 func (s *Server) newFabricFaults(ctx context.Context, current, next *settings.Tree) settings.Faults {
 	lists, err := s.deps.VMs.VMLists(ctx)
 	if err != nil {
--- a/entry/operator/auth.go
+++ b/entry/operator/auth.go
@@ -15,14 +15,14 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// HashKey is the form in which tokens and keys stand in settings: SHA-256 in hex. Settings lie in version
-// control, and a hash of a random key gives nothing away.
+// HashKey returns the hex-encoded SHA-256 hash of a key, the form in which the settings store tokens and keys.
+// Settings are kept in version control, and the hash of a random key does not reveal the key.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// tokenHash returns the hash of the bearer token, or "" if there is none.
+// tokenHash returns the hash of the request's bearer token, or "" if it has none.
 func tokenHash(r *http.Request) string {
 	scheme, token, ok := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") || token == "" {
@@ -31,9 +31,9 @@
 	return HashKey(token)
 }
 
-// accepted compares with every hash in constant time: the time taken tells neither how much of a hash
-// matched nor which one.
-func accepted(hash string, hashes []string) bool {
+// matchesAny reports whether hash is one of hashes. It compares with all of them in constant time, so that the
+// duration reveals neither how much of a hash matched nor which one.
+func matchesAny(hash string, hashes []string) bool {
 	found := 0
 	for _, known := range hashes {
 		found |= subtle.ConstantTimeCompare([]byte(hash), []byte(known))
@@ -41,45 +41,45 @@
 	return hash != "" && found == 1
 }
 
-// authorize lets a request pass if its token is an operator's by the settings in force here, or the
-// bootstrap token while the platform holds no tree.
+// authorize passes a request on if its token belongs to an operator according to the settings in force at this
+// entry, or if it is the bootstrap token and the platform holds no settings tree yet.
 func (s *Server) authorize(req *restful.Request, resp *restful.Response, chain *restful.FilterChain) {
 	hash := tokenHash(req.Request)
 	if snapshot := s.deps.Snapshots.Snapshot(); snapshot != nil && snapshot.Version > 0 {
-		if accepted(hash, snapshot.OperatorKeyHashes) {
+		if matchesAny(hash, snapshot.OperatorKeyHashes) {
 			chain.ProcessFilter(req, resp)
 			return
 		}
-		refuse(resp, unauthorized())
+		writeProblem(resp, unauthorized())
 		return
 	}
-	if !s.isBootstrap(hash) {
-		refuse(resp, unauthorized())
+	if !s.isBootstrapToken(hash) {
+		writeProblem(resp, unauthorized())
 		return
 	}
-	// An entry that started during an outage has no snapshot either, although there is a tree.
+	// An entry that started during a platform outage has no snapshot either, although a tree may exist.
 	_, err := s.deps.Store.Get(req.Request.Context(), platform.KindSettings, platform.SettingsName)
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
 		chain.ProcessFilter(req, resp)
 	case err == nil:
-		refuse(resp, unauthorized())
+		writeProblem(resp, unauthorized())
 	default:
-		refuse(resp, problemOf(err))
+		writeProblem(resp, problemOf(err))
 	}
 }
 
-func (s *Server) isBootstrap(hash string) bool {
-	return accepted(hash, []string{s.deps.BootstrapKeyHash})
+func (s *Server) isBootstrapToken(hash string) bool {
+	return matchesAny(hash, []string{s.deps.BootstrapKeyHash})
 }
 
-// mayChange is asked with the very tree that would be replaced, so that a token which was just taken out
-// can't change settings through an entry that has not heard of it yet.
-func (s *Server) mayChange(tree *settings.Tree, version platform.Version, hash string) bool {
+// isAuthorized checks the token against the tree that is about to be replaced, so that a revoked token cannot
+// change settings through an entry that has not yet received the revocation.
+func (s *Server) isAuthorized(tree *settings.Tree, version platform.Version, hash string) bool {
 	if version == 0 {
-		return s.isBootstrap(hash)
+		return s.isBootstrapToken(hash)
 	}
-	return accepted(hash, tree.Nodes[settings.Root].Values["operator_key_hashes"].List)
+	return matchesAny(hash, tree.Nodes[settings.Root].Values["operator_key_hashes"].List)
 }
 
 func unauthorized() *contract.Problem {
--- a/entry/operator/deps.go
+++ b/entry/operator/deps.go
@@ -1,9 +1,9 @@
-// Package operator is the operators' side of an entry: the HTTP API on the admin address, and the apply
-// that makes a change of settings last.
+// Package operator implements the operators' HTTP API on an entry's admin address, including the apply operation
+// that changes the settings.
 //
-// The flow of an apply: read the tree from the platform, merge the change into it, check the whole, write it
-// on the condition that it is still at the version read, and only then say "accepted". Any entry can
-// do it at any time; two that race are told apart by the platform's condition.
+// An apply reads the settings tree from the platform, merges the change into it, validates the result, writes it
+// on condition that the tree is still at the version that was read, and only then reports "accepted". Every entry
+// can do this at any time; the conditional write serializes concurrent applies.
 package operator
 
 import (
@@ -20,53 +20,54 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// Snapshots gives the settings in force at this entry.
+// Snapshots provides the settings in force at this entry.
 type Snapshots interface {
-	// Snapshot returns nil, or one of version 0, before the first.
+	// Snapshot returns nil or a snapshot of version 0 until the first settings are in force.
 	Snapshot() *settings.Snapshot
 }
 
-// Mirror is this entry's mirror of the platform's objects.
+// Mirror is this entry's local copy of the platform's objects.
 type Mirror interface {
 	Get(kind platform.Kind, name string) (platform.Object, bool)
-	// Version is the highest version seen of the object, 0 if none.
+	// Version returns the highest version seen of the object, or 0 if it is unknown.
 	Version(kind platform.Kind, name string) platform.Version
 }
 
-// Publisher takes in an object that this entry wrote or read, and spreads it.
+// Publisher stores an object that this entry wrote or read in the mirror and sends it to the other entries.
 type Publisher interface {
 	Publish(object platform.Object)
 }
 
-// StatusSource reports all entries and groups, as this entry knows them or finds out. It leaves
-// Status.Services to this package.
+// StatusSource reports the status of all entries and groups. It leaves Status.Services empty; this package fills
+// it in.
 type StatusSource interface {
 	Status(ctx context.Context) (admin.Status, error)
 }
 
-// TimelineSource collects events over all entries, oldest first.
+// TimelineSource collects time line events from all entries, oldest first.
 type TimelineSource interface {
 	Timeline(ctx context.Context, query admin.TimelineQuery) (admin.Timeline, error)
 }
 
-// QuarantineSource lists and lifts quarantined requests. Lift returns ErrNotQuarantined, or an error of the
-// platform.
+// QuarantineSource lists quarantined requests and releases them. Lift returns ErrNotQuarantined if there is no
+// such request, or an error of the platform.
 type QuarantineSource interface {
 	Quarantined(ctx context.Context) ([]admin.QuarantinedRequest, error)
 	Lift(ctx context.Context, service, fingerprint string) error
 }
 
-// VMLists gives the VMs as the platform lists them; they lag. An error means that they are not known.
+// VMLists provides the platform's lists of VMs, which lag behind the actual state. An error means that the lists
+// are unavailable.
 type VMLists interface {
 	VMLists(ctx context.Context) ([]vm.List, error)
 }
 
-// Recorder records events of the time line.
+// Recorder records time line events.
 type Recorder interface {
 	Record(e timeline.Event)
 }
 
-// Deps is what a Server works with. All are required but BootstrapKeyHash.
+// Deps holds the dependencies of a Server. All are required except BootstrapKeyHash.
 type Deps struct {
 	// Entry is this entry's name.
 	Entry      string
@@ -79,12 +80,13 @@
 	Quarantine QuarantineSource
 	VMs        VMLists
 	Recorder   Recorder
-	// Metrics are the process's metrics, shown as JSON.
+	// Metrics holds the process's metrics, which the API returns as JSON.
 	Metrics metrics.Registry
 	Log     logrus.FieldLogger
 	Clock   func() time.Time
-	// NewNonce makes the writer's mark of each write; no two may be equal.
+	// NewNonce returns a unique value that identifies each write.
 	NewNonce func() string
-	// BootstrapKeyHash is the hash of the token accepted while the platform holds no tree; empty: none.
+	// BootstrapKeyHash is the hash of the token accepted while the platform holds no settings tree. If it is
+	// empty, no such token is accepted.
 	BootstrapKeyHash string
 }
--- a/entry/operator/fakes_test.go
+++ b/entry/operator/fakes_test.go
@@ -13,7 +13,7 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// fakeStore holds the one object settings/tree. Each Put takes the next of faults, if there is one.
+// fakeStore holds a single object, the settings tree. Each Put consumes the next element of faults, if any.
 type fakeStore struct {
 	platform.Store
 
@@ -21,13 +21,14 @@
 	object  platform.Object
 	version platform.Version
 	puts    int
-	// faults of the next puts: "lost-answer" writes and says unconfirmed, "lost" only says so,
-	// "delayed" writes right before the next put is judged, "down" refuses.
-	faults  []string
-	delayed func()
-	getErr  error
-	stale   *platform.Object
-	onGet   func()
+	// faults holds the faults of the next puts: "lost-answer" writes but returns ErrUnconfirmed, "lost" only
+	// returns ErrUnconfirmed, "delayed" returns ErrUnconfirmed and writes just before the next Put checks its
+	// version, and "down" returns ErrUnavailable.
+	faults       []string
+	delayedWrite func()
+	getErr       error
+	stale        *platform.Object
+	onGet        func()
 }
 
 func (f *fakeStore) Get(context.Context, platform.Kind, string) (platform.Object, error) {
@@ -52,9 +53,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.puts++
-	if f.delayed != nil {
-		f.delayed()
-		f.delayed = nil
+	if f.delayedWrite != nil {
+		f.delayedWrite()
+		f.delayedWrite = nil
 	}
 	fault := ""
 	if len(f.faults) > 0 {
@@ -70,7 +71,7 @@
 	case "lost":
 		return 0, platform.ErrUnconfirmed
 	case "delayed":
-		f.delayed = set
+		f.delayedWrite = set
 		return 0, platform.ErrUnconfirmed
 	case "down":
 		return 0, platform.ErrUnavailable
@@ -95,11 +96,11 @@
 	return tree
 }
 
-// fakeEntry stands for the rest of the entry.
+// fakeEntry implements the server's dependencies on the rest of the entry.
 type fakeEntry struct {
 	mu       sync.Mutex
 	snapshot *settings.Snapshot
-	copied   platform.Object
+	mirrored platform.Object
 	status   admin.Status
 	lists    []vm.List
 	listsErr error
@@ -113,20 +114,20 @@
 func (f *fakeEntry) Get(platform.Kind, string) (platform.Object, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.copied, f.copied.Version > 0
+	return f.mirrored, f.mirrored.Version > 0
 }
 
 func (f *fakeEntry) Version(platform.Kind, string) platform.Version {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.copied.Version
+	return f.mirrored.Version
 }
 
 func (f *fakeEntry) Publish(object platform.Object) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if object.Version > f.copied.Version {
-		f.copied = object
+	if object.Version > f.mirrored.Version {
+		f.mirrored = object
 	}
 }
 
--- a/entry/operator/operator_test.go
+++ b/entry/operator/operator_test.go
@@ -36,16 +36,16 @@
 	desk = settings.Path("/places/local/services/desk")
 )
 
-// rig is one entry's admin address over a platform that may be shared.
-type rig struct {
+// testServer is one entry's admin address on top of a platform that other test servers may share.
+type testServer struct {
 	store  *fakeStore
 	entry  *fakeEntry
 	server *httptest.Server
 	token  string
 }
 
-func newRig(store *fakeStore) *rig {
-	r := &rig{store: store, entry: &fakeEntry{}, token: examples.DevOperatorKey}
+func newTestServer(store *fakeStore) *testServer {
+	r := &testServer{store: store, entry: &fakeEntry{}, token: examples.DevOperatorKey}
 	log, _ := logtest.NewNullLogger()
 	var mu sync.Mutex
 	nonces := 0
@@ -64,8 +64,8 @@
 	return r
 }
 
-// devRig is a rig over a platform that holds the dev declarations at version 10.
-func devRig() *rig {
+// newDevTestServer returns a test server whose platform holds the dev settings at version 10.
+func newDevTestServer() *testServer {
 	GinkgoHelper()
 	declared, err := settings.LoadFS(examples.Dev(), "dev")
 	Expect(err).NotTo(HaveOccurred())
@@ -73,14 +73,14 @@
 	value, err := json.Marshal(tree)
 	Expect(err).NotTo(HaveOccurred())
 	object := platform.Object{Kind: platform.KindSettings, Name: platform.SettingsName, Version: 10, Value: value}
-	r := newRig(&fakeStore{object: object, version: 10})
-	r.entry.copied = object
+	r := newTestServer(&fakeStore{object: object, version: 10})
+	r.entry.mirrored = object
 	r.entry.snapshot, err = tree.Resolve(10)
 	Expect(err).NotTo(HaveOccurred())
 	return r
 }
 
-func (r *rig) call(method, path string, body, into any) int {
+func (r *testServer) call(method, path string, body, into any) int {
 	GinkgoHelper()
 	data, err := json.Marshal(body)
 	Expect(err).NotTo(HaveOccurred())
@@ -99,14 +99,14 @@
 	return resp.StatusCode
 }
 
-func (r *rig) apply(change settings.Change) (status int, answer admin.Applied) {
+func (r *testServer) apply(change settings.Change) (status int, answer admin.Applied) {
 	GinkgoHelper()
 	status = r.call(http.MethodPost, admin.ApplyPath, change, &answer)
 	return status, answer
 }
 
-// replicas changes one service's replicas, on the base given.
-func replicas(id string, node settings.Path, base uint64, count int64) settings.Change {
+// replicasChange returns a change of one service's replica count, based on the given revision.
+func replicasChange(id string, node settings.Path, base uint64, count int64) settings.Change {
 	GinkgoHelper()
 	declared, err := settings.LoadFS(examples.Dev(), "dev")
 	Expect(err).NotTo(HaveOccurred())
@@ -121,30 +121,30 @@
 
 var _ = Describe("Apply", func() {
 	It("says accepted after the write, spreads the tree, and records the event", func() {
-		r := devRig()
-		status, answer := r.apply(replicas("a", chat, 1, 3))
+		r := newDevTestServer()
+		status, answer := r.apply(replicasChange("a", chat, 1, 3))
 		Expect(status).To(Equal(http.StatusOK))
 		Expect(answer.Status).To(Equal(settings.Accepted))
 		Expect(answer.Version).To(Equal(uint64(20)))
 		Expect(r.store.replicas(chat)).To(Equal(int64(3)))
-		Expect(r.entry.copied.Version).To(Equal(platform.Version(20)))
+		Expect(r.entry.mirrored.Version).To(Equal(platform.Version(20)))
 		Expect(r.entry.events).To(ConsistOf(SatisfyAll(
 			HaveField("Kind", timeline.SettingsAccepted), HaveField("Version", uint64(20)), HaveField("Detail", "a"))))
 	})
 
-	// The platform takes the write and its answer is lost. Telling the operator of a failure would be
-	// untrue, and writing again would undo whatever somebody else changed in between.
+	// The platform performs the write, but its response is lost. Reporting a failure would be wrong, and writing
+	// again would undo changes that others made in the meantime.
 	DescribeTable("settles a write whose answer was lost",
 		func(faults []string, puts int) {
-			r := devRig()
+			r := newDevTestServer()
 			r.store.faults = faults
-			status, answer := r.apply(replicas("a", chat, 1, 3))
+			status, answer := r.apply(replicasChange("a", chat, 1, 3))
 			Expect(status).To(Equal(http.StatusOK))
 			Expect(answer.Status).To(Equal(settings.Accepted))
 			Expect(r.store.replicas(chat)).To(Equal(int64(3)))
 			Expect(r.store.tree().Changes).To(HaveLen(1))
 			Expect(r.store.puts).To(Equal(puts))
-			again, answer := r.apply(replicas("a", chat, 1, 3))
+			again, answer := r.apply(replicasChange("a", chat, 1, 3))
 			Expect(again).To(Equal(http.StatusOK))
 			Expect(answer.Status).To(Equal(settings.AlreadyApplied))
 			Expect(r.store.tree().Changes).To(HaveLen(1))
@@ -155,12 +155,12 @@
 		Entry("the platform was down and then lost an answer", []string{"down", "lost-answer"}, 2),
 	)
 
-	// Both operators have the same checkout. The second one's answer would otherwise silently undo the
-	// first's accepted change.
+	// Both operators start from the same revision. Without the conflict, the second change would silently undo the
+	// first, which was already accepted.
 	It("tells a conflict with both sides and writes nothing", func() {
-		r := devRig()
-		_, _ = r.apply(replicas("a", chat, 1, 3))
-		status, answer := r.apply(replicas("b", chat, 1, 5))
+		r := newDevTestServer()
+		_, _ = r.apply(replicasChange("a", chat, 1, 3))
+		status, answer := r.apply(replicasChange("b", chat, 1, 5))
 		Expect(status).To(Equal(http.StatusConflict))
 		Expect(answer.Conflicts).To(HaveLen(1))
 		Expect(answer.Conflicts[0].Theirs.Values["replicas"].Integer).To(Equal(int64(3)))
@@ -169,15 +169,15 @@
 		Expect(r.store.puts).To(Equal(1))
 	})
 
-	// Many operators apply at once through different entries, half of them to the same node. Each accepted
-	// change must still be there at the end, and of those on one node just one may be accepted.
+	// Many operators apply concurrently through different entries, half of them to the same node. Every accepted
+	// change must be present at the end, and exactly one of those to the shared node may be accepted.
 	It("keeps every accepted change when operators race through several entries", func() {
-		first := devRig()
-		rigs := []*rig{first}
+		first := newDevTestServer()
+		servers := []*testServer{first}
 		for range 3 {
-			other := newRig(first.store)
-			other.entry.snapshot, other.entry.copied = first.entry.snapshot, first.entry.copied
-			rigs = append(rigs, other)
+			other := newTestServer(first.store)
+			other.entry.snapshot, other.entry.mirrored = first.entry.snapshot, first.entry.mirrored
+			servers = append(servers, other)
 		}
 		var wg sync.WaitGroup
 		answers := make([]admin.Applied, 8)
@@ -186,49 +186,49 @@
 			go func() {
 				defer wg.Done()
 				defer GinkgoRecover()
-				change := replicas(fmt.Sprint(i), chat, 1, int64(10+i))
+				change := replicasChange(fmt.Sprint(i), chat, 1, int64(10+i))
 				if i%2 == 1 {
 					team := settings.TeamPath("local", fmt.Sprint("t", i))
 					hash := settings.Value{Kind: settings.ListValue, List: []string{operator.HashKey(string(team))}}
 					change.Nodes = []settings.NodeChange{{Node: team, Values: settings.Values{"key_hashes": hash}}}
 				}
-				_, answers[i] = rigs[i%len(rigs)].apply(change)
+				_, answers[i] = servers[i%len(servers)].apply(change)
 			}()
 		}
 		wg.Wait()
 		tree := first.store.tree()
-		won := 0
+		accepted := 0
 		for i, answer := range answers {
 			if i%2 == 1 {
 				Expect(answer.Status).To(Equal(settings.Accepted))
 				Expect(tree.Nodes).To(HaveKey(settings.TeamPath("local", fmt.Sprint("t", i))))
 			} else if answer.Status == settings.Accepted {
-				won++
+				accepted++
 				Expect(first.store.replicas(chat)).To(Equal(int64(10 + i)))
 			} else {
 				Expect(answer.Status).To(Equal(settings.Conflicted))
 			}
 		}
-		Expect(won).To(Equal(1))
+		Expect(accepted).To(Equal(1))
 		Expect(tree.Changes).To(HaveLen(5))
 	})
 
 	DescribeTable("tells what an outage means for the change",
-		func(prepare func(*rig), outcome contract.Outcome, code contract.Code) {
-			r := devRig()
+		func(prepare func(*testServer), outcome contract.Outcome, code contract.Code) {
+			r := newDevTestServer()
 			prepare(r)
 			var problem contract.Problem
-			Expect(r.call(http.MethodPost, admin.ApplyPath, replicas("a", chat, 1, 3), &problem)).To(Equal(http.StatusServiceUnavailable))
+			Expect(r.call(http.MethodPost, admin.ApplyPath, replicasChange("a", chat, 1, 3), &problem)).To(Equal(http.StatusServiceUnavailable))
 			Expect(problem.Outcome).To(Equal(outcome))
 			Expect(problem.Code).To(Equal(code))
 		},
-		Entry("down all the time: nothing was changed", func(r *rig) { r.store.getErr = platform.ErrUnavailable },
+		Entry("down all the time: nothing was changed", func(r *testServer) { r.store.getErr = platform.ErrUnavailable },
 			contract.OutcomeNotRun, contract.CodePlatformUnavailable),
-		Entry("down right after the write: it may have been taken", func(r *rig) {
+		Entry("down right after the write: it may have been taken", func(r *testServer) {
 			r.store.faults = []string{"lost-answer"}
 			r.store.onGet = func() { r.store.getErr = platform.ErrUnavailable }
 		}, contract.OutcomeUnknown, contract.CodeUnknownOutcome),
-		Entry("answers from an older state than was seen", func(r *rig) {
+		Entry("answers from an older state than was seen", func(r *testServer) {
 			old := r.store.object
 			old.Version = 3
 			r.store.stale = &old
@@ -236,8 +236,8 @@
 	)
 
 	It("refuses faults, naming node, key and what would be right", func() {
-		r := devRig()
-		bad := replicas("a", chat, 1, 3)
+		r := newDevTestServer()
+		bad := replicasChange("a", chat, 1, 3)
 		bad.Nodes[0].Values["group_size"] = settings.Value{Kind: settings.IntegerValue, Integer: 0}
 		status, answer := r.apply(bad)
 		Expect(status).To(Equal(http.StatusUnprocessableEntity))
@@ -246,17 +246,17 @@
 		Expect(r.store.puts).To(BeZero())
 	})
 
-	// A group that fits no fabric domain would never be formed: its service would silently have no
-	// replica. Another change must not be held up by VMs that went away since.
+	// A group that fits no fabric domain would never be formed, and its service would silently have no replica.
+	// VMs that have since disappeared must not block an unrelated change.
 	It("refuses a group larger than any fabric domain, and only what this change brings", func() {
-		r := devRig()
+		r := newDevTestServer()
 		machine := func(n int) vm.VM {
 			return vm.VM{Name: vm.Name(fmt.Sprint(n)), Position: domain.Position{Place: "local", FabricDomain: "f1"}}
 		}
 		r.entry.lists = []vm.List{{VMs: []vm.VM{machine(1), machine(2), machine(3)}}}
-		status, _ := r.apply(replicas("a", desk, 1, 3))
+		status, _ := r.apply(replicasChange("a", desk, 1, 3))
 		Expect(status).To(Equal(http.StatusOK), "chat's group of 4 fits nowhere, but was declared before")
-		larger := replicas("b", chat, 1, 3)
+		larger := replicasChange("b", chat, 1, 3)
 		larger.Nodes[0].Values["group_size"] = settings.Value{Kind: settings.IntegerValue, Integer: 5}
 		status, answer := r.apply(larger)
 		Expect(status).To(Equal(http.StatusUnprocessableEntity))
@@ -270,7 +270,7 @@
 var _ = Describe("Tokens", func() {
 	DescribeTable("lets nobody in but operators",
 		func(token string, status int) {
-			r := devRig()
+			r := newDevTestServer()
 			r.token = token
 			Expect(r.call(http.MethodGet, admin.SettingsPath, nil, nil)).To(Equal(status))
 		},
@@ -288,7 +288,7 @@
 		for path, values := range declared.Nodes {
 			change.Nodes = append(change.Nodes, settings.NodeChange{Node: path, Values: values})
 		}
-		r := newRig(&fakeStore{})
+		r := newTestServer(&fakeStore{})
 		r.entry.snapshot = &settings.Snapshot{}
 		Expect(r.call(http.MethodPost, admin.ApplyPath, change, nil)).To(Equal(http.StatusUnauthorized), "dev token")
 		r.token = "bootstrap"
@@ -298,26 +298,26 @@
 		Expect(r.call(http.MethodGet, admin.SettingsPath, nil, nil)).To(Equal(http.StatusUnauthorized), "the entry has no snapshot yet")
 	})
 
-	// A token was taken out, and this entry has not heard of it. Its holder must not be able to put it
-	// back.
+	// A token was revoked, and this entry has not yet received the revocation. The token's holder must not be able
+	// to restore it.
 	It("does not let a token change the tree that no longer names it", func() {
-		r := devRig()
+		r := newDevTestServer()
 		tree := r.store.tree()
 		values := tree.Nodes[settings.Root].Values
 		values["operator_key_hashes"] = settings.Value{Kind: settings.ListValue, List: []string{operator.HashKey("new")}}
 		value, err := json.Marshal(tree)
 		Expect(err).NotTo(HaveOccurred())
 		r.store.object.Value, r.store.object.Version = value, 30
-		Expect(r.call(http.MethodPost, admin.ApplyPath, replicas("a", chat, 1, 3), nil)).To(Equal(http.StatusUnauthorized))
+		Expect(r.call(http.MethodPost, admin.ApplyPath, replicasChange("a", chat, 1, 3), nil)).To(Equal(http.StatusUnauthorized))
 		Expect(r.store.puts).To(BeZero())
 	})
 })
 
 var _ = Describe("Reading", func() {
 	It("gives the tree, an explanation and the history", func() {
-		r := devRig()
-		_, _ = r.apply(replicas("a", chat, 1, 3))
-		_, _ = r.apply(replicas("b", desk, 1, 4))
+		r := newDevTestServer()
+		_, _ = r.apply(replicasChange("a", chat, 1, 3))
+		_, _ = r.apply(replicasChange("b", desk, 1, 4))
 		var current admin.Settings
 		Expect(r.call(http.MethodGet, admin.SettingsPath, nil, &current)).To(Equal(http.StatusOK))
 		Expect(current.Version).To(Equal(uint64(30)))
@@ -333,7 +333,7 @@
 	})
 
 	It("shows the entry's own copy while the platform is out", func() {
-		r := devRig()
+		r := newDevTestServer()
 		r.store.getErr = platform.ErrUnavailable
 		var current admin.Settings
 		Expect(r.call(http.MethodGet, admin.SettingsPath, nil, &current)).To(Equal(http.StatusOK))
@@ -342,7 +342,7 @@
 	})
 
 	It("counts how far the groups are from what the settings want", func() {
-		r := devRig()
+		r := newDevTestServer()
 		group := func(service string, state vm.GroupState, whole bool, members int, version string) admin.GroupStatus {
 			return admin.GroupStatus{Whole: whole, Group: vm.Group{
 				Service: service, State: state, ModelVersion: version, Members: make([]vm.Member, members),
@@ -367,7 +367,7 @@
 	})
 
 	It("passes the time line's query on, and lifts a quarantine", func() {
-		r := devRig()
+		r := newDevTestServer()
 		Expect(r.call(http.MethodGet, admin.TimelinePath+"?since=5&kind=group-state&limit=7", nil, nil)).To(Equal(http.StatusOK))
 		Expect(r.entry.query).To(Equal(admin.TimelineQuery{Filter: timeline.Filter{Since: 5, Kind: timeline.GroupState}, Limit: 7}))
 		Expect(r.call(http.MethodGet, admin.TimelinePath+"?limit=0", nil, nil)).To(Equal(http.StatusBadRequest))
--- a/entry/operator/problem.go
+++ b/entry/operator/problem.go
@@ -14,14 +14,14 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// ErrNotQuarantined: there is no such fingerprint in the service's quarantine.
+// ErrNotQuarantined means that the service's quarantine does not contain the fingerprint.
 var ErrNotQuarantined = eris.New("this request is not in quarantine")
 
-// retryAfter is when an operator may come back after an outage of the platform or a lost race.
+// retryAfter is the retry delay suggested to operators after a platform outage or a lost race.
 const retryAfter = 2 * time.Second
 
-// problemOf tells an operator what an error means for the change: "not-run" is a promise that nothing
-// was changed, "unknown" that only the same change sent again will tell.
+// problemOf converts an error to a problem that states the outcome of the change: "not-run" guarantees that
+// nothing was changed, and "unknown" means that only sending the same change again will tell.
 func problemOf(err error) *contract.Problem {
 	var problem *contract.Problem
 	switch {
@@ -48,7 +48,7 @@
 	}
 }
 
-func refuse(resp *restful.Response, problem *contract.Problem) {
+func writeProblem(resp *restful.Response, problem *contract.Problem) {
 	if problem.RetryAfter > 0 {
 		resp.Header().Set(contract.HeaderRetryAfter, strconv.Itoa(int(problem.RetryAfter.Round(time.Second)/time.Second)))
 	}
@@ -56,5 +56,5 @@
 	if problem.Status == http.StatusUnauthorized {
 		resp.Header().Set("WWW-Authenticate", "Bearer")
 	}
-	write(resp, problem.Status, problem)
+	writeJSON(resp, problem.Status, problem)
 }
--- a/entry/operator/progress.go
+++ b/entry/operator/progress.go
@@ -11,9 +11,9 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// progress compares the groups that exist with those that the settings want, service by service, sorted
-// by name. Services that are no longer declared are listed while groups of theirs remain.
-func progress(snapshot *settings.Snapshot, groups []admin.GroupStatus, held []admin.BlockedAction) []admin.ServiceStatus {
+// serviceProgress compares the existing groups with those that the settings ask for, per service and sorted by
+// name. Services that are no longer declared are listed while they still have groups.
+func serviceProgress(snapshot *settings.Snapshot, groups []admin.GroupStatus, blocked []admin.BlockedAction) []admin.ServiceStatus {
 	rows := make(map[string]*admin.ServiceStatus)
 	if snapshot != nil {
 		for name, service := range snapshot.Services {
@@ -26,17 +26,17 @@
 			row = &admin.ServiceStatus{Name: group.Service}
 			rows[group.Service] = row
 		}
-		count(row, group, snapshot)
+		countGroup(row, group, snapshot)
 	}
 	services := make([]admin.ServiceStatus, 0, len(rows))
 	for _, name := range slices.Sorted(maps.Keys(rows)) {
-		rows[name].Note = noteOf(name, held)
+		rows[name].Note = blockedNote(name, blocked)
 		services = append(services, *rows[name])
 	}
 	return services
 }
 
-func count(row *admin.ServiceStatus, group admin.GroupStatus, snapshot *settings.Snapshot) {
+func countGroup(row *admin.ServiceStatus, group admin.GroupStatus, snapshot *settings.Snapshot) {
 	if group.State != vm.Serving {
 		row.Changing++
 		return
@@ -54,21 +54,23 @@
 	}
 }
 
-// namedDomains bounds the fabric domains that a note names for one reason: a roll may wait in hundreds.
-const namedDomains = 3
+// maxNamedDomains limits the fabric domains that a note names for one reason; a rollout can be blocked in hundreds
+// of them.
+const maxNamedDomains = 3
 
-// noteOf says why more is not done for a service: each reason once, with the fabric domains it holds in.
-func noteOf(service string, held []admin.BlockedAction) string {
+// blockedNote describes why no further action is taken for a service: each reason once, with the fabric domains it
+// applies to.
+func blockedNote(service string, blocked []admin.BlockedAction) string {
 	domains := make(map[string][]string)
-	for _, h := range held {
-		if h.Service == service && !slices.Contains(domains[h.Reason], h.FabricDomain) {
-			domains[h.Reason] = append(domains[h.Reason], h.FabricDomain)
+	for _, action := range blocked {
+		if action.Service == service && !slices.Contains(domains[action.Reason], action.FabricDomain) {
+			domains[action.Reason] = append(domains[action.Reason], action.FabricDomain)
 		}
 	}
 	var notes []string
 	for _, reason := range slices.Sorted(maps.Keys(domains)) {
 		slices.Sort(domains[reason])
-		named := domains[reason][:min(namedDomains, len(domains[reason]))]
+		named := domains[reason][:min(maxNamedDomains, len(domains[reason]))]
 		note := reason + " (" + strings.Join(named, ", ")
 		if more := len(domains[reason]) - len(named); more > 0 {
 			note += fmt.Sprintf(" and %d more", more)
--- a/entry/operator/server.go
+++ b/entry/operator/server.go
@@ -19,15 +19,15 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// Server is the operators' API of one entry. It holds no state of its own.
+// Server implements the operators' API of one entry. It is stateless.
 type Server struct {
 	deps Deps
 }
 
-// New returns a server.
+// New returns a Server.
 func New(deps Deps) *Server { return &Server{deps: deps} }
 
-// Handler serves the API under admin.Prefix.
+// Handler returns the HTTP handler of the API, which is rooted at admin.Prefix.
 func (s *Server) Handler() http.Handler {
 	service := new(restful.WebService)
 	service.Path(admin.Prefix).Produces(restful.MIME_JSON)
@@ -57,7 +57,7 @@
 func (s *Server) postChange(req *restful.Request, resp *restful.Response) {
 	body, err := io.ReadAll(http.MaxBytesReader(resp.ResponseWriter, req.Request.Body, admin.MaxChangeBytes))
 	if err != nil {
-		refuse(resp, contract.NewRejection(http.StatusRequestEntityTooLarge, contract.CodeBodyTooLarge,
+		writeProblem(resp, contract.NewRejection(http.StatusRequestEntityTooLarge, contract.CodeBodyTooLarge,
 			"the change can't be read whole: "+err.Error(), "send at most a megabyte"))
 		return
 	}
@@ -65,16 +65,16 @@
 	if err != nil {
 		var faults settings.Faults
 		errors.As(err, &faults)
-		write(resp, http.StatusUnprocessableEntity, admin.Applied{Result: settings.Result{Status: settings.Refused, Faults: faults}})
+		writeJSON(resp, http.StatusUnprocessableEntity, admin.Applied{Result: settings.Result{Status: settings.Refused, Faults: faults}})
 		return
 	}
 	answer, err := s.apply(req.Request.Context(), change, tokenHash(req.Request))
 	s.logApply(change, answer, err)
 	if err != nil {
-		refuse(resp, problemOf(err))
+		writeProblem(resp, problemOf(err))
 		return
 	}
-	write(resp, statusOf(answer.Status), answer)
+	writeJSON(resp, httpStatus(answer.Status), answer)
 }
 
 func (s *Server) logApply(change *settings.Change, answer admin.Applied, err error) {
@@ -89,7 +89,7 @@
 	log.Info("settings: apply")
 }
 
-func statusOf(status settings.Status) int {
+func httpStatus(status settings.Status) int {
 	switch status {
 	case settings.Conflicted:
 		return http.StatusConflict
@@ -99,8 +99,8 @@
 	return http.StatusOK
 }
 
-// currentTree reads from the platform, and falls back to this entry's copy, so that an operator can look
-// during an outage.
+// currentTree reads the tree from the platform and falls back to this entry's local copy, so that operators can
+// read the settings during a platform outage.
 func (s *Server) currentTree(req *restful.Request) (admin.Settings, error) {
 	tree, version, err := s.readTree(req.Request.Context())
 	if err == nil {
@@ -119,34 +119,34 @@
 
 func (s *Server) getSettings(req *restful.Request, resp *restful.Response) {
 	current, err := s.currentTree(req)
-	answer(resp, current, err)
+	respond(resp, current, err)
 }
 
 func (s *Server) getHistory(req *restful.Request, resp *restful.Response) {
 	current, err := s.currentTree(req)
 	if err != nil {
-		refuse(resp, problemOf(err))
+		writeProblem(resp, problemOf(err))
 		return
 	}
 	changes := slices.Clone(current.Tree.Changes)
 	slices.Reverse(changes)
-	write(resp, http.StatusOK, admin.History{Version: current.Version, Revision: current.Tree.Revision, Changes: changes})
+	writeJSON(resp, http.StatusOK, admin.History{Version: current.Version, Revision: current.Tree.Revision, Changes: changes})
 }
 
 func (s *Server) getExplanation(req *restful.Request, resp *restful.Response) {
 	current, err := s.currentTree(req)
 	if err != nil {
-		refuse(resp, problemOf(err))
+		writeProblem(resp, problemOf(err))
 		return
 	}
 	path := settings.Path(req.QueryParameter("path"))
 	values, ok := current.Tree.Explain(path)
 	if !ok {
-		refuse(resp, contract.NewRejection(http.StatusNotFound, contract.CodeUnknownPath,
+		writeProblem(resp, contract.NewRejection(http.StatusNotFound, contract.CodeUnknownPath,
 			"the settings have no node "+strconv.Quote(string(path)), "ask for one of the nodes that GET "+admin.SettingsPath+" lists"))
 		return
 	}
-	write(resp, http.StatusOK, admin.Explanation{
+	writeJSON(resp, http.StatusOK, admin.Explanation{
 		Path: path, Version: current.Version, Revision: current.Tree.Nodes[path].Revision, Values: values,
 	})
 }
@@ -154,22 +154,22 @@
 func (s *Server) getStatus(req *restful.Request, resp *restful.Response) {
 	status, err := s.deps.Status.Status(req.Request.Context())
 	if err == nil {
-		status.Services = progress(s.deps.Snapshots.Snapshot(), status.Groups, status.BlockedActions)
+		status.Services = serviceProgress(s.deps.Snapshots.Snapshot(), status.Groups, status.BlockedActions)
 	}
-	answer(resp, status, err)
+	respond(resp, status, err)
 }
 
 func (s *Server) getTimeline(req *restful.Request, resp *restful.Response) {
-	query, problem := parseQuery(req)
+	query, problem := parseTimelineQuery(req)
 	if problem != nil {
-		refuse(resp, problem)
+		writeProblem(resp, problem)
 		return
 	}
 	events, err := s.deps.Timeline.Timeline(req.Request.Context(), query)
-	answer(resp, events, err)
+	respond(resp, events, err)
 }
 
-func parseQuery(req *restful.Request) (admin.TimelineQuery, *contract.Problem) {
+func parseTimelineQuery(req *restful.Request) (admin.TimelineQuery, *contract.Problem) {
 	query := admin.TimelineQuery{Limit: admin.DefaultTimelineLimit, Filter: timeline.Filter{
 		Kind: timeline.Kind(req.QueryParameter("kind")), Request: req.QueryParameter("request"),
 		Group: req.QueryParameter("group"), VM: req.QueryParameter("vm"), Entry: req.QueryParameter("entry"),
@@ -201,7 +201,7 @@
 
 func (s *Server) getQuarantine(req *restful.Request, resp *restful.Response) {
 	requests, err := s.deps.Quarantine.Quarantined(req.Request.Context())
-	answer(resp, admin.Quarantine{Requests: requests}, err)
+	respond(resp, admin.Quarantine{Requests: requests}, err)
 }
 
 func (s *Server) liftQuarantine(req *restful.Request, resp *restful.Response) {
@@ -209,22 +209,22 @@
 	err := s.deps.Quarantine.Lift(req.Request.Context(), service, fingerprint)
 	s.deps.Log.WithFields(logrus.Fields{"service": service, "fingerprint": fingerprint, "error": err}).Info("quarantine: lift")
 	if err != nil {
-		refuse(resp, problemOf(err))
+		writeProblem(resp, problemOf(err))
 		return
 	}
 	resp.WriteHeader(http.StatusNoContent)
 }
 
-func answer(resp *restful.Response, value any, err error) {
+func respond(resp *restful.Response, value any, err error) {
 	if err != nil {
-		refuse(resp, problemOf(err))
+		writeProblem(resp, problemOf(err))
 		return
 	}
-	write(resp, http.StatusOK, value)
+	writeJSON(resp, http.StatusOK, value)
 }
 
-// write sends JSON without relying on the Accept header, which curl and scripts leave out.
-func write(resp *restful.Response, status int, value any) {
+// writeJSON sends JSON regardless of the Accept header, which curl and scripts often omit.
+func writeJSON(resp *restful.Response, status int, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
 		status = http.StatusInternalServerError
