--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -64,12 +64,12 @@
 	return &Directory{deps: deps, overload: policy.NewOverloadDetector(deps.Overload), rand: deps.Rand}
 }
 
-// Answer is the body of the answer.
-type Answer struct {
+// Response is the body of the response.
+type Response struct {
 	// Entries are to be tried in this order.
 	Entries []Endpoint `json:"entries"`
-	// KeepSeconds is how long the answer may be kept.
-	KeepSeconds int `json:"keep_seconds"`
+	// MaxAgeSeconds is how long the answer may be kept.
+	MaxAgeSeconds int `json:"keep_seconds"`
 }
 
 // Endpoint is one address to use.
@@ -87,11 +87,11 @@
 func (d *Directory) serve(request *restful.Request, response *restful.Response) {
 	asked, problem := d.parse(request)
 	if problem == nil {
-		var answer Answer
+		var answer Response
 		answer, problem = d.answer(asked)
 		if problem == nil {
 			// private: an answer is drawn for one caller, and a shared cache would give it to all.
-			response.AddHeader("Cache-Control", fmt.Sprintf("private, max-age=%d", answer.KeepSeconds))
+			response.AddHeader("Cache-Control", fmt.Sprintf("private, max-age=%d", answer.MaxAgeSeconds))
 			_ = response.WriteHeaderAndJson(http.StatusOK, answer, restful.MIME_JSON)
 			return
 		}
@@ -144,12 +144,12 @@
 
 // answer chooses. When nobody else is known to live this entry names itself, also while it does not yet
 // count itself as an owner: to take requests in, it need not be one.
-func (d *Directory) answer(ask asked) (Answer, *contract.Problem) {
+func (d *Directory) answer(ask asked) (Response, *contract.Problem) {
 	peers := d.deps.Members.Live()
 	if len(peers) == 0 {
 		self := d.deps.Members.Self()
 		if self.Leaving {
-			return Answer{}, contract.NewRetryLater(contract.CodeLeaving, "this entry is leaving and knows no other", time.Second)
+			return Response{}, contract.NewRetryLater(contract.CodeLeaving, "this entry is leaving and knows no other", time.Second)
 		}
 		peers = []member.Peer{self}
 	}
@@ -164,7 +164,7 @@
 	choice := d.deps.Choice
 	choice.Count = ask.count
 	chosen, keep := d.draw(choice, candidates, ask.caller)
-	answer := Answer{KeepSeconds: int(keep.Seconds())}
+	answer := Response{MaxAgeSeconds: int(keep.Seconds())}
 	for _, c := range chosen {
 		p := byName[c.Name]
 		answer.Entries = append(answer.Entries, Endpoint{Address: p.PublicAddress, Place: p.Place, FailureDomain: p.FailureDomain})
@@ -183,9 +183,9 @@
 	return policy.Choose(choice, candidates, caller, d.rand), policy.JitterTTL(choice, ttl, d.rand)
 }
 
-// KeptUntil returns until when an answer given before now may be kept. A shorter time to live in newer
+// LatestExpiry returns the time until when an answer given before now may be kept. A shorter time to live in newer
 // settings does not shorten what callers were told under the older ones.
-func (d *Directory) KeptUntil() time.Time {
+func (d *Directory) LatestExpiry() time.Time {
 	until := d.deps.Clock().Add(d.deps.TTL())
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/entry/directory/directory_test.go
+++ b/entry/directory/directory_test.go
@@ -73,10 +73,10 @@
 	return answer
 }
 
-func (b *bench) entries(query string) Answer {
+func (b *bench) entries(query string) Response {
 	got := b.get(query)
 	Expect(got.Code).To(Equal(http.StatusOK), got.Body.String())
-	var answer Answer
+	var answer Response
 	Expect(json.Unmarshal(got.Body.Bytes(), &answer)).To(Succeed())
 	return answer
 }
@@ -85,12 +85,12 @@
 	It("names live entries of the caller's place first, and how long to keep them", func() {
 		b := newBench()
 		got := b.get("")
-		var answer Answer
+		var answer Response
 		Expect(json.Unmarshal(got.Body.Bytes(), &answer)).To(Succeed())
 		Expect(answer.Entries).To(HaveLen(4))
 		Expect(answer.Entries[3].Place).To(Equal("aotearoa"))
-		Expect(answer.KeepSeconds).To(And(BeNumerically("<=", 60), BeNumerically(">=", 47)))
-		Expect(got.Header().Get("Cache-Control")).To(Equal("private, max-age=" + strconv.Itoa(answer.KeepSeconds)))
+		Expect(answer.MaxAgeSeconds).To(And(BeNumerically("<=", 60), BeNumerically(">=", 47)))
+		Expect(got.Header().Get("Cache-Control")).To(Equal("private, max-age=" + strconv.Itoa(answer.MaxAgeSeconds)))
 		Expect(b.entries("?place=aotearoa").Entries[0].Address).To(Equal("c1:8080"))
 		Expect(b.entries("?failure_domain=b&count=1").Entries).To(ConsistOf(HaveField("FailureDomain", "b")))
 	})
@@ -142,8 +142,8 @@
 		b := newBench()
 		b.entries("")
 		b.ttl = time.Second
-		Expect(b.KeptUntil()).To(Equal(b.now.Add(time.Minute)))
+		Expect(b.LatestExpiry()).To(Equal(b.now.Add(time.Minute)))
 		b.now = b.now.Add(2 * time.Minute)
-		Expect(b.KeptUntil()).To(Equal(b.now.Add(time.Second)))
+		Expect(b.LatestExpiry()).To(Equal(b.now.Add(time.Second)))
 	})
 })
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -165,7 +165,7 @@
 			e.gate.Leave()
 		},
 		Publish:   func(ctx context.Context) error { return e.registration.publish(ctx, true) },
-		KeptUntil: e.directory.KeptUntil,
+		KeptUntil: e.directory.LatestExpiry,
 		Close: func() {
 			go func() {
 				defer close(closed)
