--- a/entry/directory/directory.go
+++ b/entry/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory answers GET /v1/entries: which entries a caller should use, and for how long it may
-// keep the answer. Every entry answers; policy/directory decides.
+// Package directory serves GET /v1/entries, which tells callers which entries to use and for how long they may
+// cache the response. Every entry serves it; policy/directory chooses the entries.
 package directory
 
 import (
@@ -19,28 +19,28 @@
 	policy "github.com/skylarkpond/skylarkpond/policy/directory"
 )
 
-// Path is where the directory answers, below /v1.
+// Path is the path of the directory below /v1.
 const Path = "/entries"
 
-// Bounds of the parameter count.
+// maxCount is the upper bound of the count parameter.
 const maxCount = 32
 
-// observePeriod is how often the own load is judged.
-const observePeriod = time.Second
+// observeInterval is how often this entry's own load is sampled to detect overload.
+const observeInterval = time.Second
 
-// Members is what the directory needs of member.Members.
+// Members is the part of member.Members that the directory uses.
 type Members interface {
 	Live() []member.Peer
 	Self() member.Peer
 	SetOverloaded(overloaded bool)
 }
 
-// Deps is what a Directory works with.
+// Deps holds the dependencies of a Directory.
 type Deps struct {
 	Members Members
-	// TTL is how long callers may keep an answer, by the settings in force.
+	// TTL returns how long callers may cache a response, according to the settings in force.
 	TTL func() time.Duration
-	// InProgress counts the callers' requests that this entry works on.
+	// InProgress returns the number of callers' requests in progress at this entry.
 	InProgress func() int
 	Rand       *rand.Rand
 	Choice     policy.Config
@@ -51,12 +51,12 @@
 // Directory is safe for concurrent use.
 type Directory struct {
 	deps     Deps
-	overload *policy.OverloadDetector // used by Run alone
+	overload *policy.OverloadDetector // accessed only by Run
 
-	mu   sync.Mutex // guards what follows; a leaf lock
+	mu   sync.Mutex // guards the fields below; no other lock is taken while it is held
 	rand *rand.Rand
-	// keptUntil is the latest time until which a caller may keep an answer given so far.
-	keptUntil time.Time
+	// latestExpiry is the latest time until which a caller may cache a response sent so far.
+	latestExpiry time.Time
 }
 
 // New returns a Directory.
@@ -64,15 +64,15 @@
 	return &Directory{deps: deps, overload: policy.NewOverloadDetector(deps.Overload), rand: deps.Rand}
 }
 
-// Response is the body of the response.
+// Response is the body of a successful response.
 type Response struct {
-	// Entries are to be tried in this order.
+	// Entries lists the entries in the order in which callers should try them.
 	Entries []Endpoint `json:"entries"`
-	// MaxAgeSeconds is how long the answer may be kept.
+	// MaxAgeSeconds is how long the response may be cached.
 	MaxAgeSeconds int `json:"keep_seconds"`
 }
 
-// Endpoint is one address to use.
+// Endpoint is the address and location of one entry.
 type Endpoint struct {
 	Address       string `json:"address"`
 	Place         string `json:"place"`
@@ -81,18 +81,19 @@
 
 // Register adds the directory's route to a service rooted at /v1.
 func (d *Directory) Register(service *restful.WebService) {
-	service.Route(service.GET(Path).To(d.serve))
+	service.Route(service.GET(Path).To(d.handleEntries))
 }
 
-func (d *Directory) serve(request *restful.Request, response *restful.Response) {
-	asked, problem := d.parse(request)
+func (d *Directory) handleEntries(request *restful.Request, response *restful.Response) {
+	q, problem := d.parse(request)
 	if problem == nil {
-		var answer Response
-		answer, problem = d.answer(asked)
+		var body Response
+		body, problem = d.choose(q)
 		if problem == nil {
-			// private: an answer is drawn for one caller, and a shared cache would give it to all.
-			response.AddHeader("Cache-Control", fmt.Sprintf("private, max-age=%d", answer.MaxAgeSeconds))
-			_ = response.WriteHeaderAndJson(http.StatusOK, answer, restful.MIME_JSON)
+			// private: a response is chosen at random for one caller, and a shared cache would hand the same one
+			// to all.
+			response.AddHeader("Cache-Control", fmt.Sprintf("private, max-age=%d", body.MaxAgeSeconds))
+			_ = response.WriteHeaderAndJson(http.StatusOK, body, restful.MIME_JSON)
 			return
 		}
 	}
@@ -104,47 +105,47 @@
 	_ = response.WriteHeaderAndJson(problem.Status, problem, restful.MIME_JSON)
 }
 
-// asked is what a caller asked for.
-type asked struct {
+// query holds the parsed parameters of a request.
+type query struct {
 	caller policy.Caller
 	count  int
 }
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// parse reads where the caller says it is. One that does not say is taken to be in this entry's place,
-// but in no failure domain: callers often start from one address for all of them, and would all be taken
-// to be next to it.
-func (d *Directory) parse(request *restful.Request) (asked, *contract.Problem) {
-	ask := asked{
+// parse reads the caller's location and the number of entries it asks for. A caller that does not give its
+// location is assumed to be in this entry's place, but in no particular failure domain: callers often bootstrap
+// from one common address, and would otherwise all be taken to share that entry's failure domain.
+func (d *Directory) parse(request *restful.Request) (query, *contract.Problem) {
+	q := query{
 		caller: policy.Caller{Place: request.QueryParameter("place"), FailureDomain: request.QueryParameter("failure_domain")},
 		count:  d.deps.Choice.Count,
 	}
 	for _, name := range []string{"place", "failure_domain"} {
 		if value := request.QueryParameter(name); value != "" && !namePattern.MatchString(value) {
-			return ask, badParameter(name, "1 to 63 of a-z, 0-9, '-' and '.'")
+			return q, badParameter(name, "1 to 63 of a-z, 0-9, '-' and '.'")
 		}
 	}
 	if text := request.QueryParameter("count"); text != "" {
 		count, err := strconv.Atoi(text)
 		if err != nil || count < 1 || count > maxCount {
-			return ask, badParameter("count", "a whole number from 1 to "+strconv.Itoa(maxCount))
+			return q, badParameter("count", "a whole number from 1 to "+strconv.Itoa(maxCount))
 		}
-		ask.count = count
+		q.count = count
 	}
-	if ask.caller.Place == "" {
-		ask.caller.Place = d.deps.Members.Self().Place
+	if q.caller.Place == "" {
+		q.caller.Place = d.deps.Members.Self().Place
 	}
-	return ask, nil
+	return q, nil
 }
 
 func badParameter(name, want string) *contract.Problem {
 	return contract.NewRejection(http.StatusBadRequest, contract.CodeBadRequest, "bad parameter "+name, "send "+want)
 }
 
-// answer chooses. When nobody else is known to live this entry names itself, also while it does not yet
-// count itself as an owner: to take requests in, it need not be one.
-func (d *Directory) answer(ask asked) (Response, *contract.Problem) {
+// choose picks the entries to return. If no other entry is known to be live, this entry returns itself, even while
+// it does not yet count itself as an owner: accepting requests does not require ownership.
+func (d *Directory) choose(q query) (Response, *contract.Problem) {
 	peers := d.deps.Members.Live()
 	if len(peers) == 0 {
 		self := d.deps.Members.Self()
@@ -162,54 +163,54 @@
 		}
 	}
 	choice := d.deps.Choice
-	choice.Count = ask.count
-	chosen, keep := d.draw(choice, candidates, ask.caller)
-	answer := Response{MaxAgeSeconds: int(keep.Seconds())}
+	choice.Count = q.count
+	chosen, maxAge := d.chooseFrom(choice, candidates, q.caller)
+	body := Response{MaxAgeSeconds: int(maxAge.Seconds())}
 	for _, c := range chosen {
 		p := byName[c.Name]
-		answer.Entries = append(answer.Entries, Endpoint{Address: p.PublicAddress, Place: p.Place, FailureDomain: p.FailureDomain})
+		body.Entries = append(body.Entries, Endpoint{Address: p.PublicAddress, Place: p.Place, FailureDomain: p.FailureDomain})
 	}
-	return answer, nil
+	return body, nil
 }
 
-func (d *Directory) draw(choice policy.Config, candidates []policy.Candidate, caller policy.Caller) ([]policy.Candidate, time.Duration) {
+func (d *Directory) chooseFrom(choice policy.Config, candidates []policy.Candidate, caller policy.Caller) ([]policy.Candidate, time.Duration) {
 	ttl := d.deps.TTL()
 	now := d.deps.Clock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if until := now.Add(ttl); until.After(d.keptUntil) {
-		d.keptUntil = until
+	if until := now.Add(ttl); until.After(d.latestExpiry) {
+		d.latestExpiry = until
 	}
 	return policy.Choose(choice, candidates, caller, d.rand), policy.JitterTTL(choice, ttl, d.rand)
 }
 
-// LatestExpiry returns the time until when an answer given before now may be kept. A shorter time to live in newer
+// LatestExpiry returns the time until which a response sent before now may be cached. A shorter TTL in newer
 // settings does not shorten what callers were told under the older ones.
 func (d *Directory) LatestExpiry() time.Time {
 	until := d.deps.Clock().Add(d.deps.TTL())
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.keptUntil.After(until) {
-		return d.keptUntil
+	if d.latestExpiry.After(until) {
+		return d.latestExpiry
 	}
 	return until
 }
 
-// Run judges the own load until ctx ends.
+// Run samples this entry's load until ctx ends.
 func (d *Directory) Run(ctx context.Context) {
 	start := d.deps.Clock()
-	ticker := time.NewTicker(observePeriod)
+	ticker := time.NewTicker(observeInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			d.observe(d.deps.Clock().Sub(start))
+			d.observeLoad(d.deps.Clock().Sub(start))
 		}
 	}
 }
 
-func (d *Directory) observe(now time.Duration) {
+func (d *Directory) observeLoad(now time.Duration) {
 	d.deps.Members.SetOverloaded(d.overload.Observe(now, d.deps.InProgress()))
 }
--- a/entry/directory/directory_test.go
+++ b/entry/directory/directory_test.go
@@ -38,7 +38,7 @@
 	return member.Peer{Entry: platform.Entry{Name: name, PublicAddress: name + ":8080", Place: place, FailureDomain: domain}}
 }
 
-type bench struct {
+type fixture struct {
 	*Directory
 	members    *fakeMembers
 	ttl        time.Duration
@@ -46,8 +46,8 @@
 	inProgress int
 }
 
-func newBench() *bench {
-	b := &bench{ttl: time.Minute, now: time.Unix(1_700_000_000, 0), members: &fakeMembers{
+func newFixture() *fixture {
+	b := &fixture{ttl: time.Minute, now: time.Unix(1_700_000_000, 0), members: &fakeMembers{
 		self: peerAt("a1", "pampa", "a"),
 		live: []member.Peer{
 			peerAt("a1", "pampa", "a"), peerAt("a2", "pampa", "a"), peerAt("b1", "pampa", "b"), peerAt("c1", "aotearoa", "c"),
@@ -62,7 +62,7 @@
 	return b
 }
 
-func (b *bench) get(query string) *httptest.ResponseRecorder {
+func (b *fixture) get(query string) *httptest.ResponseRecorder {
 	service := new(restful.WebService)
 	service.Path("/v1")
 	b.Register(service)
@@ -73,7 +73,7 @@
 	return answer
 }
 
-func (b *bench) entries(query string) Response {
+func (b *fixture) entries(query string) Response {
 	got := b.get(query)
 	Expect(got.Code).To(Equal(http.StatusOK), got.Body.String())
 	var answer Response
@@ -83,7 +83,7 @@
 
 var _ = Describe("GET /v1/entries", func() {
 	It("names live entries of the caller's place first, and how long to keep them", func() {
-		b := newBench()
+		b := newFixture()
 		got := b.get("")
 		var answer Response
 		Expect(json.Unmarshal(got.Body.Bytes(), &answer)).To(Succeed())
@@ -96,7 +96,7 @@
 	})
 
 	It("refuses parameters that make no sense", func() {
-		b := newBench()
+		b := newFixture()
 		for _, query := range []string{"?count=0", "?count=33", "?count=x", "?place=A%20B", "?failure_domain=-"} {
 			got := b.get(query)
 			Expect(got.Code).To(Equal(http.StatusBadRequest), query)
@@ -107,10 +107,10 @@
 		}
 	})
 
-	// An entry that has just started has not spoken with a peer yet and owns nothing. A caller that is sent
-	// away by it would have nowhere to go, while it could well be served.
+	// An entry that has just started has not contacted a peer yet and owns nothing. If it returned no entries, its
+	// callers would have nowhere to go, although it could serve them.
 	It("names itself while it knows nobody, unless it is leaving", func() {
-		b := newBench()
+		b := newFixture()
 		b.members.live = nil
 		Expect(b.entries("").Entries).To(ConsistOf(HaveField("Address", "a1:8080")))
 		b.members.self.Leaving = true
@@ -120,26 +120,26 @@
 	})
 
 	It("leaves out an overloaded entry, and says so of itself", func() {
-		b := newBench()
+		b := newFixture()
 		b.members.live[2].Overloaded = true
 		for range 20 {
 			Expect(b.entries("").Entries).NotTo(ContainElement(HaveField("Address", "b1:8080")))
 		}
 		b.inProgress = 10
-		b.observe(0)
+		b.observeLoad(0)
 		Expect(b.members.overloaded).To(BeFalse())
-		b.observe(time.Second)
+		b.observeLoad(time.Second)
 		Expect(b.members.overloaded).To(BeTrue())
 		b.inProgress = 0
-		b.observe(2 * time.Second)
-		b.observe(3 * time.Second)
+		b.observeLoad(2 * time.Second)
+		b.observeLoad(3 * time.Second)
 		Expect(b.members.overloaded).To(BeFalse())
 	})
 
-	// Operators shorten the time to live right before an entry is stopped. Callers that were told the
-	// longer one still come.
+	// Operators shorten the TTL right before an entry is stopped. Callers that were given the longer TTL keep
+	// using the entry's address.
 	It("remembers the longest time that it told a caller", func() {
-		b := newBench()
+		b := newFixture()
 		b.entries("")
 		b.ttl = time.Second
 		Expect(b.LatestExpiry()).To(Equal(b.now.Add(time.Minute)))
