--- a/entry/fleet/bench_test.go
+++ b/entry/fleet/bench_test.go
@@ -47,7 +47,7 @@
 		b.Run("Homed"+at, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				table.Homed("entry-007")
+				table.GroupsHomedAt("entry-007")
 			}
 		})
 		b.Run("Candidate"+at, func(b *testing.B) {
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -23,8 +23,8 @@
 // group that ever was.
 type Report struct {
 	Home string `cbor:"1,keyasint"`
-	// At orders the reports about a group: the sender's hybrid logical time.
-	At       int64    `cbor:"2,keyasint"`
+	// HLCTime orders the reports about a group: the sender's hybrid logical time.
+	HLCTime  int64    `cbor:"2,keyasint"`
 	Statuses []Status `cbor:"3,keyasint"`
 }
 
@@ -32,8 +32,8 @@
 type Status struct {
 	Group vm.GroupID `cbor:"1,keyasint"`
 	// Home and At are those of the report.
-	Home string `cbor:"-"`
-	At   int64  `cbor:"-"`
+	Home    string `cbor:"-"`
+	HLCTime int64  `cbor:"-"`
 	// Epoch is the group's epoch that the home probed for.
 	Epoch uint64 `cbor:"3,keyasint"`
 	// Whole says that every member was present when this was sent.
@@ -53,19 +53,19 @@
 	Position domain.Position
 	Home     string
 	Status   Status
-	// Heard is when the status was taken in, by the own monotonic clock; zero if never.
-	Heard time.Time
-	// Report counts the loads heard of the group, so that one that is told again is not taken for a new one.
-	Report uint64
-	// ServingSince is when this entry first saw the group whole.
-	ServingSince time.Time
+	// ReceivedAt is when the status was taken in, by the own monotonic clock; zero if never.
+	ReceivedAt time.Time
+	// LoadReports counts the loads heard of the group, so that one that is told again is not taken for a new one.
+	LoadReports uint64
+	// WholeSince is when this entry first saw the group whole.
+	WholeSince time.Time
 }
 
-// MayServe says whether a front may send here: the home called the group whole, or has not been heard yet.
+// Routable says whether a front may send here: the home called the group whole, or has not been heard yet.
 // An entry that has just started hears of each group within some seconds; until then it would refuse
 // every caller, although the home checks anyway.
-func (c *Candidate) MayServe() bool {
-	unheard := c.Heard.IsZero() || c.Status.Epoch != c.Group.Epoch
+func (c *Candidate) Routable() bool {
+	unheard := c.ReceivedAt.IsZero() || c.Status.Epoch != c.Group.Epoch
 	return unheard || c.Status.Whole
 }
 
@@ -178,8 +178,8 @@
 	return gone
 }
 
-// Report takes in what a home says, from a rumour or from the own home role.
-func (t *Table) Report(report Report) {
+// ApplyReport takes in what a home says, from a rumour or from the own home role.
+func (t *Table) ApplyReport(report Report) {
 	for _, id := range t.take(report) {
 		t.tell(id)
 	}
@@ -188,7 +188,7 @@
 func (t *Table) take(report Report) []vm.GroupID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if report.At <= t.reports[report.Home].At {
+	if report.HLCTime <= t.reports[report.Home].HLCTime {
 		return nil
 	}
 	t.reports[report.Home] = report
@@ -199,7 +199,7 @@
 func (t *Table) keepAll(report Report) (changed []vm.GroupID) {
 	for _, status := range report.Statuses {
 		status.Home = report.Home
-		status.At = report.At
+		status.HLCTime = report.HLCTime
 		if t.keep(status) {
 			changed = append(changed, status.Group)
 		}
@@ -210,7 +210,7 @@
 // keep must be called with mu held.
 func (t *Table) keep(status Status) bool {
 	r := t.rows[status.Group]
-	if r == nil || status.At <= r.status.At {
+	if r == nil || status.HLCTime <= r.status.HLCTime {
 		return false
 	}
 	r.status = status
@@ -278,7 +278,7 @@
 func (r *row) candidate() Candidate {
 	return Candidate{
 		Group: r.group, Position: r.position, Home: r.home,
-		Status: r.status, Heard: r.heard, Report: r.reports, ServingSince: r.servingSince,
+		Status: r.status, ReceivedAt: r.heard, LoadReports: r.reports, WholeSince: r.servingSince,
 	}
 }
 
--- a/entry/fleet/fleet_test.go
+++ b/entry/fleet/fleet_test.go
@@ -45,7 +45,7 @@
 				candidate, _ := table.Candidate(id)
 				Expect(candidate.Home).To(Equal(home))
 				if home != "" {
-					Expect(table.Homed(home)).To(ContainElement(HaveField("ID", id)))
+					Expect(table.GroupsHomedAt(home)).To(ContainElement(HaveField("ID", id)))
 				}
 			}
 		}
--- a/entry/fleet/homes.go
+++ b/entry/fleet/homes.go
@@ -43,8 +43,8 @@
 	return domain.Owner("home/"+string(id), live)
 }
 
-// Homed returns the groups to which the named entry is home, by id.
-func (t *Table) Homed(entry string) []vm.Group {
+// GroupsHomedAt returns the groups to which the named entry is home, by id.
+func (t *Table) GroupsHomedAt(entry string) []vm.Group {
 	t.nameHomes(t.live())
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/entry/prober/prober.go
+++ b/entry/prober/prober.go
@@ -31,9 +31,9 @@
 
 // Groups is the table of groups.
 type Groups interface {
-	Homed(entry string) []vm.Group
+	GroupsHomedAt(entry string) []vm.Group
 	Group(id vm.GroupID) (vm.Group, platform.Version, bool)
-	Report(report fleet.Report)
+	ApplyReport(report fleet.Report)
 }
 
 // Prober probes. Run makes it work.
@@ -140,7 +140,7 @@
 // round hands out the probes of one interval and tells what changed since the last. A full queue drops
 // probes: answers then grow stale and groups count as not whole, which is the safe side.
 func (p *Prober) round() {
-	homed := p.groups.Homed(p.self)
+	homed := p.groups.GroupsHomedAt(p.self)
 	left := p.noteHomed(homed, time.Now())
 	for _, group := range homed {
 		p.tellChange(group)
@@ -261,8 +261,8 @@
 
 // report tells the others of all homed groups.
 func (p *Prober) report(now time.Time) {
-	report := fleet.Report{Home: p.self, At: p.recorder.Now(), Statuses: p.statuses(now)}
-	p.groups.Report(report)
+	report := fleet.Report{Home: p.self, HLCTime: p.recorder.Now(), Statuses: p.statuses(now)}
+	p.groups.ApplyReport(report)
 	p.tell(report)
 }
 
--- a/entry/prober/prober_test.go
+++ b/entry/prober/prober_test.go
@@ -33,9 +33,9 @@
 	told  []fleet.Report
 }
 
-func (w *world) Homed(string) []vm.Group                             { return w.homed }
+func (w *world) GroupsHomedAt(string) []vm.Group                     { return w.homed }
 func (w *world) Group(vm.GroupID) (vm.Group, platform.Version, bool) { return group, 1, true }
-func (w *world) Report(fleet.Report)                                 {}
+func (w *world) ApplyReport(fleet.Report)                            {}
 func (w *world) Probe(_ context.Context, at string) (engine.State, error) {
 	return engine.State{VM: vm.Name(at), BootID: vm.BootID("boot-" + at), Group: "g", Epoch: 3, Ready: true}, nil
 }
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -178,7 +178,7 @@
 	if err != nil {
 		return
 	}
-	members.Broadcast(member.Rumour{Topic: reportTopic, Name: report.Home, Version: uint64(report.At), Body: body})
+	members.Broadcast(member.Rumour{Topic: reportTopic, Name: report.Home, Version: uint64(report.HLCTime), Body: body})
 }
 
 // reachTopic is that of the rumours that carry a reach.Claim.
--- a/entry/routing/routing.go
+++ b/entry/routing/routing.go
@@ -108,14 +108,14 @@
 	r.serviceOf[c.Group.ID] = c.Group.Service
 	// A group without a report from any home most likely served before this entry started, so it gets no ramp-up.
 	servingFor := unreportedServingTime
-	if !c.ServingSince.IsZero() {
-		servingFor = time.Since(c.ServingSince)
+	if !c.WholeSince.IsZero() {
+		servingFor = time.Since(c.WholeSince)
 	}
 	r.service(c.Group.Service).table.Put(now, balance.Candidate{
-		ID: string(c.Group.ID), Ready: c.Group.State == vm.Serving && c.MayServe(),
+		ID: string(c.Group.ID), Ready: c.Group.State == vm.Serving && c.Routable(),
 		InFlight: c.Status.Load.InFlight, Queued: c.Status.Load.Queued, Limit: c.Status.Load.Limit,
 		FirstToken: c.Status.Load.FirstToken, TokenGap: c.Status.Load.TokenGap,
-		FailureDomain: string(c.Position.FailureDomain), ServingFor: servingFor, ReportID: c.Report,
+		FailureDomain: string(c.Position.FailureDomain), ServingFor: servingFor, ReportID: c.LoadReports,
 	})
 }
 
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -185,7 +185,7 @@
 	if cbor.Unmarshal(rumour.Body, &report) != nil {
 		return
 	}
-	e.dispatcher.table.Report(report)
+	e.dispatcher.table.ApplyReport(report)
 }
 
 // load fills the mirror; it waits out an outage.
