--- a/entry/fleet/bench_test.go
+++ b/entry/fleet/bench_test.go
@@ -10,11 +10,11 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// groupsPerDomain is that of a fabric domain of 40 VMs.
+// groupsPerDomain is the number of groups in a fabric domain of 40 VMs.
 const groupsPerDomain = 10
 
-// largeTable holds groups of four members each, before so many entries.
-func largeTable(tb testing.TB, groups, entries int) *Table {
+// newTable returns a table of groups with four members each, among the given number of entries.
+func newTable(tb testing.TB, groups, entries int) *Table {
 	live := make([]string, entries)
 	for i := range live {
 		live[i] = fmt.Sprintf("entry-%03d", i)
@@ -39,10 +39,11 @@
 	return table
 }
 
-// BenchmarkTable is what the home role asks each vm.ProbeInterval, and what a request asks.
+// BenchmarkTable measures the lookup made by the home role at each vm.ProbeInterval and the lookup made for each
+// request.
 func BenchmarkTable(b *testing.B) {
 	for _, size := range []struct{ groups, entries int }{{53, 13}, {630, 330}, {5000, 330}} {
-		table := largeTable(b, size.groups, size.entries)
+		table := newTable(b, size.groups, size.entries)
 		at := fmt.Sprintf("/groups=%d/entries=%d", size.groups, size.entries)
 		b.Run("Homed"+at, func(b *testing.B) {
 			b.ReportAllocs()
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -1,8 +1,9 @@
-// Package fleet is an entry's table of groups: which exist (from the mirrored placements), which entry is
-// home to each (computed from the live entries), and what their homes last said of them.
+// Package fleet maintains an entry's table of groups: the groups that exist (from the mirrored placements), the
+// entry that is home to each of them (computed from the live entries), and the status last reported by its home.
 //
-// The flow: placements change -> ApplyPlacement; a home's rumour or a frame of a dispatch brings a Status
-// -> Report; fronts ask Candidates of a service and HomeOf a group; the own home role asks Homed.
+// ApplyPlacement takes in changed placements. ApplyReport takes in statuses that homes broadcast, and ReportLoad
+// the loads carried by dispatch frames. Fronts read Candidate, All and HomeOf; this entry's home role reads
+// GroupsHomedAt.
 package fleet
 
 import (
@@ -18,108 +19,111 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// Report is what a home says of all its groups. It travels as one rumour, named after the home, when
-// something in it changes. A status of each group in a rumour of its own would leave one behind for each
-// group that ever was.
+// Report is a home's status report on all its groups. It is broadcast as a single gossip message ("rumour") named
+// after the home whenever something in it changes. One rumour per group would leave a rumour behind for every
+// group that ever existed.
 type Report struct {
 	Home string `cbor:"1,keyasint"`
-	// HLCTime orders the reports about a group: the sender's hybrid logical time.
+	// HLCTime is the sender's hybrid logical time. It orders the reports about a group.
 	HLCTime  int64    `cbor:"2,keyasint"`
 	Statuses []Status `cbor:"3,keyasint"`
 }
 
-// Status is what a home says of a group.
+// Status is the state of one group as reported by its home.
 type Status struct {
 	Group vm.GroupID `cbor:"1,keyasint"`
-	// Home and At are those of the report.
+	// Home and HLCTime are copied from the report.
 	Home    string `cbor:"-"`
 	HLCTime int64  `cbor:"-"`
-	// Epoch is the group's epoch that the home probed for.
+	// Epoch is the epoch of the group that the home probed.
 	Epoch uint64 `cbor:"3,keyasint"`
-	// Whole says that every member was present when this was sent.
+	// Whole reports whether every member was present when the report was sent.
 	Whole bool               `cbor:"4,keyasint"`
 	Load  contract.GroupLoad `cbor:"5,keyasint"`
-	// Reason says why the group is not whole.
+	// Reason explains why the group is not whole.
 	Reason string `cbor:"7,keyasint,omitempty"`
-	// Drained is set when the group drains, takes no more, and Remaining is sure.
+	// Drained is set when the group is draining, accepts no further requests, and Remaining is known reliably.
 	Drained bool `cbor:"8,keyasint,omitempty"`
-	// Remaining counts the requests still at work on a draining group, those of earlier homes included.
+	// Remaining is the number of requests still in progress on a draining group, including those sent by earlier
+	// homes.
 	Remaining int `cbor:"9,keyasint,omitempty"`
 }
 
-// Candidate is a group that a front may choose.
+// Candidate is a group that a front may route requests to.
 type Candidate struct {
 	Group    vm.Group
 	Position domain.Position
 	Home     string
 	Status   Status
-	// ReceivedAt is when the status was taken in, by the own monotonic clock; zero if never.
+	// ReceivedAt is when the status was received, by this process's monotonic clock, or zero if there is none.
 	ReceivedAt time.Time
-	// LoadReports counts the loads heard of the group, so that one that is told again is not taken for a new one.
+	// LoadReports counts the load reports received for the group, so that a reader can tell a new report from a
+	// repeated one.
 	LoadReports uint64
 	// WholeSince is when this entry first saw the group whole.
 	WholeSince time.Time
 }
 
-// Routable says whether a front may send here: the home called the group whole, or has not been heard yet.
-// An entry that has just started hears of each group within some seconds; until then it would refuse
-// every caller, although the home checks anyway.
+// Routable reports whether a front may send requests to the group: its home reported it whole, or no status of the
+// current epoch has been received yet. An entry that has just started receives a status of every group within
+// seconds; until then it would otherwise reject all callers, although the home checks the members anyway.
 func (c *Candidate) Routable() bool {
-	unheard := c.ReceivedAt.IsZero() || c.Status.Epoch != c.Group.Epoch
-	return unheard || c.Status.Whole
+	noStatus := c.ReceivedAt.IsZero() || c.Status.Epoch != c.Group.Epoch
+	return noStatus || c.Status.Whole
 }
 
 type row struct {
-	group        vm.Group
-	fabric       domain.FabricDomain
-	position     domain.Position
-	status       Status
-	heard        time.Time
-	reports      uint64
-	servingSince time.Time
-	home         string // by Table.lived
+	group       vm.Group
+	fabric      domain.FabricDomain
+	position    domain.Position
+	status      Status
+	receivedAt  time.Time
+	loadReports uint64
+	wholeSince  time.Time
+	home        string // computed from Table.homesFrom
 }
 
-// Table is the table. It is safe for concurrent use; mu is a leaf lock.
+// Table is the table of groups. It is safe for concurrent use; no other lock is taken while mu is held.
 type Table struct {
 	live func() []string
 	now  func() time.Time
-	// changed and removed are told of each change, without a lock held; set before use.
-	changed func(Candidate)
-	removed func(vm.GroupID)
+	// onChange and removed are told of each change, without a lock held; set before use.
+	onChange func(Candidate)
+	onRemove func(vm.GroupID)
 
-	mu       sync.RWMutex // guards what follows
+	mu       sync.RWMutex // guards the fields below
 	rows     map[vm.GroupID]*row
-	reports  map[string]Report // the latest of each home, for groups that are placed only later
+	reports  map[string]Report // the latest of each home, also applied to groups placed later
 	versions map[domain.FabricDomain]platform.Version
-	// lived are the entries by which the homes in rows were named. Naming a home weighs every entry; at 630
-	// groups and 330 entries, naming all at each look took 10 ms, twice a second.
-	lived []string
+	// homesFrom holds the live entries from which the homes in rows were computed. Computing one home weighs every
+	// entry; recomputing all of them at each read took 10 ms at 630 groups and 330 entries, twice a second.
+	homesFrom []string
 }
 
-// New returns an empty table. live names the entries that may be homes; it is called without a lock held.
+// New returns an empty table. live returns the names of the entries eligible as homes; it is called without a lock
+// held.
 func New(live func() []string, now func() time.Time) *Table {
 	return &Table{
 		live:     live,
 		now:      now,
-		changed:  func(Candidate) {},
-		removed:  func(vm.GroupID) {},
+		onChange: func(Candidate) {},
+		onRemove: func(vm.GroupID) {},
 		rows:     make(map[vm.GroupID]*row),
 		reports:  make(map[string]Report),
 		versions: make(map[domain.FabricDomain]platform.Version),
 	}
 }
 
-// OnChange has changed called with each group that changes, and removed with each that is gone. Two
-// changes may arrive out of order; the later one is made good by the next report, some seconds after.
-// Call it before the table is used.
-func (t *Table) OnChange(changed func(Candidate), removed func(vm.GroupID)) {
-	t.changed = changed
-	t.removed = removed
+// OnChange registers onChange, which is called with each group that changes, and onRemove, which is called with
+// each group that is removed. Two changes may arrive out of order; the next report, some seconds later, corrects
+// that. OnChange must be called before the table is used.
+func (t *Table) OnChange(onChange func(Candidate), onRemove func(vm.GroupID)) {
+	t.onChange = onChange
+	t.onRemove = onRemove
 }
 
-// ApplyPlacement takes in a placement object. An older version than the one applied changes nothing, so
-// that changes which cross each other do not bring a dissolved group back.
+// ApplyPlacement applies a placement object. Versions that are not newer than the applied one are ignored, so that
+// a reordered update does not restore a dissolved group.
 func (t *Table) ApplyPlacement(object platform.Object) error {
 	placement := vm.Placement{}
 	if !object.Deleted {
@@ -128,118 +132,118 @@
 		}
 	}
 	fabric := domain.FabricDomain(object.Name)
-	gone := t.applyVersion(fabric, object.Version, &placement)
-	for _, id := range gone {
-		t.removed(id)
+	removed := t.applyIfNewer(fabric, object.Version, &placement)
+	for _, id := range removed {
+		t.onRemove(id)
 	}
 	for _, group := range placement.Groups {
-		t.tell(group.ID)
+		t.notifyChange(group.ID)
 	}
 	return nil
 }
 
-func (t *Table) applyVersion(fabric domain.FabricDomain, version platform.Version, placement *vm.Placement) []vm.GroupID {
+func (t *Table) applyIfNewer(fabric domain.FabricDomain, version platform.Version, placement *vm.Placement) []vm.GroupID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if version <= t.versions[fabric] {
 		return nil
 	}
 	t.versions[fabric] = version
-	return t.replace(fabric, placement)
+	return t.replaceGroups(fabric, placement)
 }
 
-// tell hands a group as it is now to whoever listens.
-func (t *Table) tell(id vm.GroupID) {
+// notifyChange passes the current state of a group to onChange.
+func (t *Table) notifyChange(id vm.GroupID) {
 	if candidate, ok := t.Candidate(id); ok {
-		t.changed(candidate)
+		t.onChange(candidate)
 	}
 }
 
-// replace must be called with mu held. It returns the groups that are gone.
-func (t *Table) replace(fabric domain.FabricDomain, placement *vm.Placement) (gone []vm.GroupID) {
+// replaceGroups replaces the groups of a fabric domain and returns those that were removed. mu must be held.
+func (t *Table) replaceGroups(fabric domain.FabricDomain, placement *vm.Placement) (removed []vm.GroupID) {
 	for id, r := range t.rows {
 		if r.fabric == fabric && placement.Group(id) == nil {
 			delete(t.rows, id)
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
 	for _, group := range placement.Groups {
 		r := t.rows[group.ID]
 		if r == nil {
-			r = &row{fabric: fabric, home: homeOf(group.ID, t.lived)}
+			r = &row{fabric: fabric, home: homeOf(group.ID, t.homesFrom)}
 			t.rows[group.ID] = r
 		}
 		r.group = group
 		r.position = placement.Position
 	}
 	for _, report := range t.reports {
-		t.keepAll(report)
+		t.applyStatuses(report)
 	}
-	return gone
+	return removed
 }
 
-// ApplyReport takes in what a home says, from a rumour or from the own home role.
+// ApplyReport applies a status report that was received from another home or produced by this entry's home role.
 func (t *Table) ApplyReport(report Report) {
-	for _, id := range t.take(report) {
-		t.tell(id)
+	for _, id := range t.storeReport(report) {
+		t.notifyChange(id)
 	}
 }
 
-func (t *Table) take(report Report) []vm.GroupID {
+func (t *Table) storeReport(report Report) []vm.GroupID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if report.HLCTime <= t.reports[report.Home].HLCTime {
 		return nil
 	}
 	t.reports[report.Home] = report
-	return t.keepAll(report)
+	return t.applyStatuses(report)
 }
 
-// keepAll must be called with mu held. It returns the groups whose status is new.
-func (t *Table) keepAll(report Report) (changed []vm.GroupID) {
+// applyStatuses stores the statuses of a report and returns the groups whose status is new. mu must be held.
+func (t *Table) applyStatuses(report Report) (changed []vm.GroupID) {
 	for _, status := range report.Statuses {
 		status.Home = report.Home
 		status.HLCTime = report.HLCTime
-		if t.keep(status) {
+		if t.applyStatus(status) {
 			changed = append(changed, status.Group)
 		}
 	}
 	return changed
 }
 
-// keep must be called with mu held.
-func (t *Table) keep(status Status) bool {
+// applyStatus stores a status if it is newer than the stored one, and reports whether it was. mu must be held.
+func (t *Table) applyStatus(status Status) bool {
 	r := t.rows[status.Group]
 	if r == nil || status.HLCTime <= r.status.HLCTime {
 		return false
 	}
 	r.status = status
-	r.heard = t.now()
-	r.reports++
+	r.receivedAt = t.now()
+	r.loadReports++
 	if !status.Whole {
-		r.servingSince = time.Time{}
-	} else if r.servingSince.IsZero() {
-		r.servingSince = r.heard
+		r.wholeSince = time.Time{}
+	} else if r.wholeSince.IsZero() {
+		r.wholeSince = r.receivedAt
 	}
 	return true
 }
 
-// ReportLoad takes in the load that came with a frame of a dispatch.
+// ReportLoad stores the load that a dispatch frame carried.
 func (t *Table) ReportLoad(group vm.GroupID, load contract.GroupLoad) {
-	t.keepLoad(group, load)
-	t.tell(group)
+	t.storeLoad(group, load)
+	t.notifyChange(group)
 }
 
-func (t *Table) keepLoad(group vm.GroupID, load contract.GroupLoad) {
+func (t *Table) storeLoad(group vm.GroupID, load contract.GroupLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.rows[group]; r != nil {
 		r.status.Load = load
-		r.reports++
+		r.loadReports++
 	}
 }
 
-// Group returns a group and the version of the placement it was read from.
+// Group returns a group and the version of the placement that it comes from.
 func (t *Table) Group(id vm.GroupID) (vm.Group, platform.Version, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -250,9 +254,9 @@
 	return r.group, t.versions[r.fabric], true
 }
 
-// Candidate returns what is known of one group.
+// Candidate returns the current state of one group.
 func (t *Table) Candidate(id vm.GroupID) (Candidate, bool) {
-	t.nameHomes(t.live())
+	t.refreshHomes(t.live())
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	r := t.rows[id]
@@ -262,9 +266,9 @@
 	return r.candidate(), true
 }
 
-// All returns every group, sorted by id.
+// All returns every group, sorted by ID.
 func (t *Table) All() []Candidate {
-	t.nameHomes(t.live())
+	t.refreshHomes(t.live())
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	found := make([]Candidate, 0, len(t.rows))
@@ -278,11 +282,11 @@
 func (r *row) candidate() Candidate {
 	return Candidate{
 		Group: r.group, Position: r.position, Home: r.home,
-		Status: r.status, ReceivedAt: r.heard, LoadReports: r.reports, WholeSince: r.servingSince,
+		Status: r.status, ReceivedAt: r.receivedAt, LoadReports: r.loadReports, WholeSince: r.wholeSince,
 	}
 }
 
-// Len counts the groups.
+// Len returns the number of groups.
 func (t *Table) Len() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/entry/fleet/fleet_test.go
+++ b/entry/fleet/fleet_test.go
@@ -30,8 +30,8 @@
 }
 
 var _ = Describe("Table", func() {
-	// Entries come and go, also between two looks and in the same number. A home that is remembered from before
-	// would send requests to an entry that is gone, or keep one that is not the home probing.
+	// Entries join and leave between two lookups, possibly without a change in their number. An outdated home
+	// would send requests to an entry that is gone, or keep an entry probing that is no longer the home.
 	It("names the homes by the entries of the moment, for groups that are placed later too", func() {
 		live := []string{"a", "b", "c"}
 		table := fleet.New(func() []string { return live }, time.Now)
--- a/entry/fleet/homes.go
+++ b/entry/fleet/homes.go
@@ -8,10 +8,10 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// HomeOf names the home of a group, "" without live entries.
+// HomeOf returns the name of the group's home, or "" if there are no live entries.
 func (t *Table) HomeOf(id vm.GroupID) string {
 	live := t.live()
-	t.nameHomes(live)
+	t.refreshHomes(live)
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	if r := t.rows[id]; r != nil {
@@ -20,32 +20,32 @@
 	return homeOf(id, live)
 }
 
-// nameHomes names the homes anew if other entries may be homes than when they were last named.
-func (t *Table) nameHomes(live []string) {
-	if t.namedBy(live) {
+// refreshHomes recomputes the homes if the entries eligible as homes have changed.
+func (t *Table) refreshHomes(live []string) {
+	if t.homesCurrent(live) {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lived = slices.Clone(live)
+	t.homesFrom = slices.Clone(live)
 	for id, r := range t.rows {
-		r.home = homeOf(id, t.lived)
+		r.home = homeOf(id, t.homesFrom)
 	}
 }
 
-func (t *Table) namedBy(live []string) bool {
+func (t *Table) homesCurrent(live []string) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return slices.Equal(t.lived, live)
+	return slices.Equal(t.homesFrom, live)
 }
 
 func homeOf(id vm.GroupID, live []string) string {
 	return domain.Owner("home/"+string(id), live)
 }
 
-// GroupsHomedAt returns the groups to which the named entry is home, by id.
+// GroupsHomedAt returns the groups whose home is the named entry, sorted by ID.
 func (t *Table) GroupsHomedAt(entry string) []vm.Group {
-	t.nameHomes(t.live())
+	t.refreshHomes(t.live())
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	var homed []vm.Group
