--- a/entry/mirror/follow.go
+++ b/entry/mirror/follow.go
@@ -32,16 +32,16 @@
 	platform.KindSettings, platform.KindEntry, platform.KindPlacement, platform.KindQuarantine,
 }
 
-// Rumours is what a Follower needs of the other entries: member.Members has it. A rumour of a higher
+// Broadcaster is what a Follower needs of the other entries: member.Members has it. A rumour of a higher
 // version replaces a lower one, large bodies are fetched once by each entry, and what got lost on the way
 // is healed by comparison with a random peer.
-type Rumours interface {
+type Broadcaster interface {
 	Broadcast(r member.Rumour)
 	Handle(topic string, handler func(member.Rumour))
 }
 
-// Owners names the live entries, which share out the watches.
-type Owners interface {
+// Membership names the live entries, which share out the watches.
+type Membership interface {
 	Self() string
 	Live() []string
 }
@@ -50,12 +50,12 @@
 type Follower struct {
 	mirror  *Mirror
 	store   platform.Store
-	owners  Owners
-	rumours Rumours
+	owners  Membership
+	rumours Broadcaster
 }
 
 // NewFollower returns a follower; Run makes it work.
-func NewFollower(mirror *Mirror, store platform.Store, owners Owners, rumours Rumours) *Follower {
+func NewFollower(mirror *Mirror, store platform.Store, owners Membership, rumours Broadcaster) *Follower {
 	f := &Follower{mirror: mirror, store: store, owners: owners, rumours: rumours}
 	rumours.Handle(topic, f.heard)
 	return f
@@ -76,7 +76,7 @@
 		if err != nil {
 			return err
 		}
-		f.mirror.OfferChanges(kind, changes)
+		f.mirror.MergeChanges(kind, changes)
 	}
 	return nil
 }
@@ -84,7 +84,7 @@
 // Publish stores an object that this entry wrote or read, and broadcasts it to the other entries if it is newer than
 // the mirrored copy.
 func (f *Follower) Publish(object platform.Object) {
-	f.spread(f.mirror.Offer(object))
+	f.spread(f.mirror.Merge(object))
 }
 
 func (f *Follower) spread(objects []platform.Object) {
@@ -105,7 +105,7 @@
 	if cbor.Unmarshal(r.Body, &object) != nil || uint64(object.Version) != r.Version {
 		return
 	}
-	f.mirror.Offer(object)
+	f.mirror.Merge(object)
 }
 
 // watchWhenChosen holds the watch on a kind while this entry is one of its watchers.
@@ -139,7 +139,7 @@
 	if err != nil {
 		return 0, err
 	}
-	f.spread(f.mirror.OfferChanges(kind, changes))
+	f.spread(f.mirror.MergeChanges(kind, changes))
 	return changes.Revision, nil
 }
 
--- a/entry/mirror/mirror.go
+++ b/entry/mirror/mirror.go
@@ -74,8 +74,8 @@
 	return found
 }
 
-// Offer takes in copies, from whatever source, and returns those that were newer than what was known.
-func (m *Mirror) Offer(objects ...platform.Object) []platform.Object {
+// Merge takes in copies, from whatever source, and returns those that were newer than what was known.
+func (m *Mirror) Merge(objects ...platform.Object) []platform.Object {
 	var taken []platform.Object
 	m.mu.Lock()
 	for _, object := range objects {
@@ -88,14 +88,14 @@
 	return taken
 }
 
-// OfferChanges takes in the answer of a list or a watch. A complete one also tells what was deleted:
+// MergeChanges takes in the answer of a list or a watch. A complete one also tells what was deleted:
 // whatever is known at or below its revision and is not in it.
-func (m *Mirror) OfferChanges(kind platform.Kind, changes platform.Changes) []platform.Object {
+func (m *Mirror) MergeChanges(kind platform.Kind, changes platform.Changes) []platform.Object {
 	offered := changes.Objects
 	if changes.Complete {
 		offered = append(slices.Clone(offered), m.missing(kind, changes)...)
 	}
-	return m.Offer(offered...)
+	return m.Merge(offered...)
 }
 
 // missing returns deletions for what the complete list does not name any more.
--- a/entry/mirror/mirror_test.go
+++ b/entry/mirror/mirror_test.go
@@ -31,7 +31,7 @@
 		m := New()
 		highest := platform.Version(0)
 		for _, version := range rapid.SliceOf(rapid.Uint64Range(1, 20)).Draw(t, "arrivals") {
-			m.Offer(tree(platform.Version(version)))
+			m.Merge(tree(platform.Version(version)))
 			highest = max(highest, platform.Version(version))
 			if got := m.Version(platform.KindSettings, platform.SettingsName); got != highest {
 				t.Fatalf("version %d after %d had been seen", got, highest)
@@ -43,11 +43,11 @@
 var _ = Describe("Mirror", func() {
 	It("takes what a complete list leaves out as deleted, unless it is newer than the list", func() {
 		m := New()
-		m.Offer(
+		m.Merge(
 			platform.Object{Kind: platform.KindEntry, Name: "old", Version: 3},
 			platform.Object{Kind: platform.KindEntry, Name: "new", Version: 9},
 		)
-		m.OfferChanges(platform.KindEntry, platform.Changes{Revision: 5, Complete: true})
+		m.MergeChanges(platform.KindEntry, platform.Changes{Revision: 5, Complete: true})
 		names := []string{}
 		for _, object := range m.All(platform.KindEntry) {
 			names = append(names, object.Name)
--- a/entry/settle.go
+++ b/entry/settle.go
@@ -99,7 +99,7 @@
 		return false
 	}
 	if object.Version > 0 {
-		e.mirror.Offer(object)
+		e.mirror.Merge(object)
 	}
 	return true
 }
