--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -87,7 +87,7 @@
 type Table struct {
 	live func() []string
 	now  func() time.Time
-	// onChange and removed are told of each change, without a lock held; set before use.
+	// onChange and onRemove are called without a lock held. They are set before the table is used.
 	onChange func(Candidate)
 	onRemove func(vm.GroupID)
 
--- a/entry/mirror/follow.go
+++ b/entry/mirror/follow.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	// watchersPerKind is how many entries hold a watch on a kind. One may be dead for some seconds before
-	// the others notice, and one may sit on the wrong side of a partition; three leave one at work.
+	// watchersPerKind is the number of entries that watch a kind. One may be dead for some seconds before the
+	// others notice, and one may be on the wrong side of a partition; with three, one still works.
 	watchersPerKind = 3
-	// ownershipCheck is how often an entry looks whether it should be a watcher.
-	ownershipCheck = time.Second
-	// retryPause is the mean pause after a failed call to the platform.
-	retryPause = 500 * time.Millisecond
-	// topic is that of the rumours that carry objects.
+	// watcherCheckInterval is how often an entry checks whether it should be a watcher.
+	watcherCheckInterval = time.Second
+	// meanRetryDelay is the mean delay after a failed call to the platform.
+	meanRetryDelay = 500 * time.Millisecond
+	// topic is the topic of the rumours that carry objects.
 	topic = "object"
 )
 
-// Kinds are the kinds that every entry mirrors. "vms" is read by controllers, "attempt" by homes and
-// fronts, where they need them.
+// Kinds lists the kinds that every entry mirrors. Controllers read "vms", and homes and fronts read "attempt",
+// directly from the platform where they need them.
 var Kinds = []platform.Kind{
 	platform.KindSettings, platform.KindEntry, platform.KindPlacement, platform.KindQuarantine,
 }
 
-// Broadcaster is what a Follower needs of the other entries: member.Members has it. A rumour of a higher
-// version replaces a lower one, large bodies are fetched once by each entry, and what got lost on the way
-// is healed by comparison with a random peer.
+// Broadcaster distributes rumours to the other entries; member.Members implements it. A rumour with a higher
+// version replaces one with a lower version, each entry fetches a large body once, and lost rumours are repaired
+// by comparison with a random peer.
 type Broadcaster interface {
 	Broadcast(r member.Rumour)
 	Handle(topic string, handler func(member.Rumour))
 }
 
-// Membership names the live entries, which share out the watches.
+// Membership provides the live entries, among which the watches are divided.
 type Membership interface {
 	Self() string
 	Live() []string
@@ -48,28 +48,28 @@
 
 // Follower keeps a Mirror up to date.
 type Follower struct {
-	mirror  *Mirror
-	store   platform.Store
-	owners  Membership
-	rumours Broadcaster
+	mirror      *Mirror
+	store       platform.Store
+	membership  Membership
+	broadcaster Broadcaster
 }
 
-// NewFollower returns a follower; Run makes it work.
-func NewFollower(mirror *Mirror, store platform.Store, owners Membership, rumours Broadcaster) *Follower {
-	f := &Follower{mirror: mirror, store: store, owners: owners, rumours: rumours}
-	rumours.Handle(topic, f.heard)
+// NewFollower returns a Follower, which follows changes while Run is running.
+func NewFollower(mirror *Mirror, store platform.Store, membership Membership, broadcaster Broadcaster) *Follower {
+	f := &Follower{mirror: mirror, store: store, membership: membership, broadcaster: broadcaster}
+	broadcaster.Handle(topic, f.handleRumour)
 	return f
 }
 
-// Run follows until ctx ends.
+// Run follows changes until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for _, kind := range Kinds {
-		go f.watchWhenChosen(ctx, kind)
+		go f.watchWhileAssigned(ctx, kind)
 	}
 	<-ctx.Done()
 }
 
-// Load fills the mirror from the platform once; a start needs it.
+// Load fills the mirror from the platform once. It must succeed before an entry starts.
 func (f *Follower) Load(ctx context.Context) error {
 	for _, kind := range Kinds {
 		changes, err := f.store.List(ctx, kind)
@@ -84,23 +84,24 @@
 // Publish stores an object that this entry wrote or read, and broadcasts it to the other entries if it is newer than
 // the mirrored copy.
 func (f *Follower) Publish(object platform.Object) {
-	f.spread(f.mirror.Merge(object))
+	f.broadcast(f.mirror.Merge(object))
 }
 
-func (f *Follower) spread(objects []platform.Object) {
+func (f *Follower) broadcast(objects []platform.Object) {
 	for _, object := range objects {
 		body, err := cbor.Marshal(object)
 		if err != nil {
 			continue
 		}
-		f.rumours.Broadcast(member.Rumour{
+		f.broadcaster.Broadcast(member.Rumour{
 			Topic: topic, Name: string(object.Kind) + "/" + object.Name, Version: uint64(object.Version), Body: body,
 		})
 	}
 }
 
-// heard takes in a rumour. It is not spread from here: rumours carry themselves on.
-func (f *Follower) heard(r member.Rumour) {
+// handleRumour merges an object received in a rumour. It does not broadcast it: the gossip layer forwards rumours
+// itself.
+func (f *Follower) handleRumour(r member.Rumour) {
 	var object platform.Object
 	if cbor.Unmarshal(r.Body, &object) != nil || uint64(object.Version) != r.Version {
 		return
@@ -108,48 +109,48 @@
 	f.mirror.Merge(object)
 }
 
-// watchWhenChosen holds the watch on a kind while this entry is one of its watchers.
-func (f *Follower) watchWhenChosen(ctx context.Context, kind platform.Kind) {
+// watchWhileAssigned watches a kind while this entry is one of its watchers.
+func (f *Follower) watchWhileAssigned(ctx context.Context, kind platform.Kind) {
 	revision := platform.Version(0)
 	for ctx.Err() == nil {
-		if !f.chosen(kind) {
+		if !f.isWatcher(kind) {
 			revision = 0
-			wait.Pause(ctx, ownershipCheck)
+			wait.Pause(ctx, watcherCheckInterval)
 			continue
 		}
 		next, err := f.watchOnce(ctx, kind, revision)
 		if err != nil {
-			wait.Pause(ctx, jittered(retryPause))
+			wait.Pause(ctx, jitter(meanRetryDelay))
 			continue
 		}
 		revision = next
 	}
 }
 
-func (f *Follower) chosen(kind platform.Kind) bool {
-	watchers := domain.Owners("watch/"+string(kind), f.owners.Live(), watchersPerKind)
-	return slices.Contains(watchers, f.owners.Self())
+func (f *Follower) isWatcher(kind platform.Kind) bool {
+	watchers := domain.Owners("watch/"+string(kind), f.membership.Live(), watchersPerKind)
+	return slices.Contains(watchers, f.membership.Self())
 }
 
-// watchOnce waits for the next changes. The first call of a new watcher lists, since the last revision it
-// saw may be old. A platform restored from an older state would answer with a lower revision; the mirror
-// keeps what is higher, and the watch goes on from there.
+// watchOnce waits for the next changes. The first call of a new watcher lists all objects, since the last revision
+// that it saw may be outdated. A platform restored from an older state responds with a lower revision; the mirror
+// keeps the higher versions, and the watch continues from the lower revision.
 func (f *Follower) watchOnce(ctx context.Context, kind platform.Kind, after platform.Version) (platform.Version, error) {
-	changes, err := f.read(ctx, kind, after)
+	changes, err := f.listOrWatch(ctx, kind, after)
 	if err != nil {
 		return 0, err
 	}
-	f.spread(f.mirror.MergeChanges(kind, changes))
+	f.broadcast(f.mirror.MergeChanges(kind, changes))
 	return changes.Revision, nil
 }
 
-func (f *Follower) read(ctx context.Context, kind platform.Kind, after platform.Version) (platform.Changes, error) {
+func (f *Follower) listOrWatch(ctx context.Context, kind platform.Kind, after platform.Version) (platform.Changes, error) {
 	if after == 0 {
 		return f.store.List(ctx, kind)
 	}
 	return f.store.Watch(ctx, kind, after)
 }
 
-func jittered(mean time.Duration) time.Duration {
+func jitter(mean time.Duration) time.Duration {
 	return mean/2 + rand.N(mean)
 }
--- a/entry/mirror/mirror.go
+++ b/entry/mirror/mirror.go
@@ -1,12 +1,12 @@
-// Package mirror keeps an entry's copy of the platform's objects.
+// Package mirror maintains an entry's local copy of the platform's objects.
 //
-// The flow: a few entries, chosen by rendezvous hashing for each kind, hold a waiting watch on the
-// platform. What they learn they spread as rumours among the entries. So the platform's calls depend on
-// the number of kinds and of changes, not on the number of entries; and an entry that is cut off from the
-// platform still follows.
+// For each kind of object a few entries, chosen by rendezvous hashing, hold a long-polling watch on the platform
+// and broadcast the changes that they see to the other entries by gossip ("rumours"). The number of platform calls
+// therefore depends on the number of kinds and of changes and not on the number of entries, and an entry that is
+// cut off from the platform still receives changes.
 //
-// Invariant: the version of an object never goes down, whichever way a copy arrives: watches repeat,
-// peers lag, and reads of a partitioned replica are stale.
+// Invariant: the version of an object never decreases, whichever way a copy arrives. Watches repeat changes, peers
+// lag behind, and reads from a partitioned replica are stale.
 package mirror
 
 import (
@@ -21,9 +21,9 @@
 	name string
 }
 
-// Mirror is the copy. It is safe for concurrent use.
+// Mirror is the local copy. It is safe for concurrent use.
 type Mirror struct {
-	mu      sync.RWMutex // guards objects and listeners; not held while a listener is called
+	mu      sync.RWMutex // guards objects and listeners; not held during calls to listeners
 	objects map[key]platform.Object
 
 	listeners map[platform.Kind][]func(platform.Object)
@@ -37,15 +37,16 @@
 	}
 }
 
-// OnChange has f called after each change of an object of the kind, without a lock held. Two changes
-// may reach f out of order: f compares versions, or reads the mirror. Call it before Run.
+// OnChange registers f, which is called after each change of an object of the kind, without a lock held. Two
+// changes may reach f out of order, so f must compare versions or read the mirror. Call OnChange before
+// Follower.Run.
 func (m *Mirror) OnChange(kind platform.Kind, f func(platform.Object)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.listeners[kind] = append(m.listeners[kind], f)
 }
 
-// Get returns the object if it is known to exist.
+// Get returns the object if it is known and not deleted.
 func (m *Mirror) Get(kind platform.Kind, name string) (platform.Object, bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -53,14 +54,14 @@
 	return object, ok && !object.Deleted
 }
 
-// Version returns the version known of the object, also if that is its deletion; 0 if unknown.
+// Version returns the latest known version of the object, including that of its deletion, or 0 if it is unknown.
 func (m *Mirror) Version(kind platform.Kind, name string) platform.Version {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.objects[key{kind, name}].Version
 }
 
-// All returns the existing objects of a kind, sorted by name.
+// All returns the objects of a kind that are not deleted, sorted by name.
 func (m *Mirror) All(kind platform.Kind) []platform.Object {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -74,47 +75,47 @@
 	return found
 }
 
-// Merge takes in copies, from whatever source, and returns those that were newer than what was known.
+// Merge stores those of the given copies that are newer than the known ones, and returns them.
 func (m *Mirror) Merge(objects ...platform.Object) []platform.Object {
-	var taken []platform.Object
+	var stored []platform.Object
 	m.mu.Lock()
 	for _, object := range objects {
-		if m.take(object) {
-			taken = append(taken, object)
+		if m.storeIfNewer(object) {
+			stored = append(stored, object)
 		}
 	}
 	m.mu.Unlock()
-	m.notify(taken)
-	return taken
+	m.notify(stored)
+	return stored
 }
 
-// MergeChanges takes in the answer of a list or a watch. A complete one also tells what was deleted:
-// whatever is known at or below its revision and is not in it.
+// MergeChanges merges the response to a list or a watch. A complete response also implies deletions: of every
+// known object that is older than its revision and missing from it.
 func (m *Mirror) MergeChanges(kind platform.Kind, changes platform.Changes) []platform.Object {
-	offered := changes.Objects
+	objects := changes.Objects
 	if changes.Complete {
-		offered = append(slices.Clone(offered), m.missing(kind, changes)...)
+		objects = append(slices.Clone(objects), m.inferDeletions(kind, changes)...)
 	}
-	return m.Merge(offered...)
+	return m.Merge(objects...)
 }
 
-// missing returns deletions for what the complete list does not name any more.
-func (m *Mirror) missing(kind platform.Kind, changes platform.Changes) []platform.Object {
+// inferDeletions returns a deletion for every known object that a complete list no longer contains.
+func (m *Mirror) inferDeletions(kind platform.Kind, changes platform.Changes) []platform.Object {
 	listed := make(map[string]bool, len(changes.Objects))
 	for _, object := range changes.Objects {
 		listed[object.Name] = true
 	}
-	var gone []platform.Object
+	var deletions []platform.Object
 	for _, object := range m.All(kind) {
 		if !listed[object.Name] && object.Version < changes.Revision {
-			gone = append(gone, platform.Object{Kind: kind, Name: object.Name, Version: changes.Revision, Deleted: true})
+			deletions = append(deletions, platform.Object{Kind: kind, Name: object.Name, Version: changes.Revision, Deleted: true})
 		}
 	}
-	return gone
+	return deletions
 }
 
-// take must be called with mu held.
-func (m *Mirror) take(object platform.Object) bool {
+// storeIfNewer stores the object if it is newer than the known copy, and reports whether it was. mu must be held.
+func (m *Mirror) storeIfNewer(object platform.Object) bool {
 	k := key{object.Kind, object.Name}
 	if object.Version <= m.objects[k].Version {
 		return false
--- a/entry/mirror/mirror_test.go
+++ b/entry/mirror/mirror_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// Watches repeat old changes, peers lag behind, and pulls cross each other, so that an older copy of
-// the settings arrives after a newer one. An operator would see an accepted change revert.
+// Watches repeat old changes, peers lag behind, and concurrent pulls overlap, so an older copy of the settings can
+// arrive after a newer one. If it were stored, an operator would see an accepted change revert.
 func TestVersionNeverGoesDown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
@@ -56,45 +56,46 @@
 	})
 })
 
-// whispers is Rumours between followers in one process.
-type whispers struct {
+// fakeBroadcaster delivers rumours between followers in one process.
+type fakeBroadcaster struct {
 	handlers []func(member.Rumour)
 	sent     int
 }
 
-func (w *whispers) Broadcast(r member.Rumour) {
+func (w *fakeBroadcaster) Broadcast(r member.Rumour) {
 	w.sent++
 	for _, handler := range w.handlers {
 		handler(r)
 	}
 }
 
-func (w *whispers) Handle(_ string, handler func(member.Rumour)) {
+func (w *fakeBroadcaster) Handle(_ string, handler func(member.Rumour)) {
 	w.handlers = append(w.handlers, handler)
 }
 
-// script is a Store whose watch repeats and goes back, as after a dropped connection or a stale replica.
-type script struct {
+// scriptedStore is a Store whose watch repeats changes and goes back to older ones, as after a dropped connection
+// or on a stale replica.
+type scriptedStore struct {
 	platform.Store
-	answers []platform.Changes
+	responses []platform.Changes
 }
 
-func (s *script) List(ctx context.Context, kind platform.Kind) (platform.Changes, error) {
+func (s *scriptedStore) List(ctx context.Context, kind platform.Kind) (platform.Changes, error) {
 	return s.Watch(ctx, kind, 0)
 }
 
-func (s *script) Watch(context.Context, platform.Kind, platform.Version) (platform.Changes, error) {
-	next := s.answers[0]
-	s.answers = s.answers[1:]
+func (s *scriptedStore) Watch(context.Context, platform.Kind, platform.Version) (platform.Changes, error) {
+	next := s.responses[0]
+	s.responses = s.responses[1:]
 	return next, nil
 }
 
 var _ = Describe("Follower", func() {
-	// A watch is dropped and starts anew on a replica of the platform that lags: it repeats an old tree. The
-	// other entries must neither take it nor be told of it, else an accepted change would revert there.
+	// A watch is dropped and resumes on a lagging replica of the platform, which repeats an old tree. The other
+	// entries must neither store it nor receive it, or an accepted change would revert there.
 	It("spreads what is new and nothing that repeats or goes back", func() {
-		rumours := &whispers{}
-		store := &script{answers: []platform.Changes{
+		rumours := &fakeBroadcaster{}
+		store := &scriptedStore{responses: []platform.Changes{
 			{Objects: []platform.Object{tree(7)}, Revision: 7, Complete: true},
 			{Objects: []platform.Object{tree(5)}, Revision: 5},
 			{Objects: []platform.Object{tree(7)}, Revision: 7},
--- a/entry/mirror/seed_test.go
+++ b/entry/mirror/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// CI plays the same inputs on each run; -rapid.seed plays others.
+// The seed is fixed so that CI runs the same inputs each time; -rapid.seed selects others.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
