--- a/entry/adapters.go
+++ b/entry/adapters.go
@@ -52,7 +52,7 @@
 // Lookup implements home.Groups. An entry that was home until a moment ago still counts as one.
 func (p placed) Lookup(id vm.GroupID) (group vm.Group, homed, ok bool) {
 	group, _, ok = p.table.Group(id)
-	return group, ok && (p.table.HomeOf(id) == p.self || p.prober.Serves(id)), ok
+	return group, ok && (p.table.HomeOf(id) == p.self || p.prober.RecentlyHomed(id)), ok
 }
 
 // Whole implements home.Presence.
@@ -63,7 +63,7 @@
 	}
 	whole, gap := p.presence.Whole(&group, time.Now())
 	if gap.Why == vm.WhySilent {
-		p.prober.Settle(group)
+		p.prober.ProbeIfNew(group)
 		whole, gap = p.presence.Whole(&group, time.Now())
 	}
 	return whole, gap.String()
--- a/entry/prober/handover.go
+++ b/entry/prober/handover.go
@@ -14,8 +14,8 @@
 // time an entry comes or leaves. Both homes look at the members before each send, so that two do no harm.
 const handover = 5 * time.Second
 
-// Serves says whether this entry was home to the group until a moment ago.
-func (p *Prober) Serves(id vm.GroupID) bool {
+// RecentlyHomed says whether this entry was home to the group until a moment ago.
+func (p *Prober) RecentlyHomed(id vm.GroupID) bool {
 	if p.paused() {
 		return false
 	}
@@ -69,10 +69,10 @@
 	return !ok || now.Sub(t.first) < vm.FreshnessBound
 }
 
-// Settle asks the members of a group that this home has only just got, if they have not been asked yet, so
+// ProbeIfNew asks the members of a group that this home has only just got, if they have not been asked yet, so
 // that the first requests need not be refused. It returns within engine.ProbeTimeout; requests that come
 // meanwhile wait for the same answers.
-func (p *Prober) Settle(group vm.Group) {
+func (p *Prober) ProbeIfNew(group vm.Group) {
 	if !p.settling(group.ID, time.Now()) {
 		return
 	}
--- a/entry/prober/prober.go
+++ b/entry/prober/prober.go
@@ -92,15 +92,15 @@
 
 // Deps are what a Prober works with.
 type Deps struct {
-	Self     string
-	Groups   Groups
-	Client   engine.Client
-	Presence *vm.Presence
-	Recorder *timeline.Recorder
-	LoadOf   func(vm.GroupID) contract.GroupLoad
-	Tell     func(fleet.Report)
-	// Interval is how often an unchanged report is told again, for the loads in it.
-	Interval func() time.Duration
+	Self      string
+	Groups    Groups
+	Client    engine.Client
+	Presence  *vm.Presence
+	Recorder  *timeline.Recorder
+	LoadOf    func(vm.GroupID) contract.GroupLoad
+	Broadcast func(fleet.Report)
+	// RefreshInterval is how often an unchanged report is told again, for the loads in it.
+	RefreshInterval func() time.Duration
 	// Paused says that this process was stopped for a while and has not yet heard from others since.
 	Paused func() bool
 }
@@ -109,7 +109,7 @@
 func New(d Deps) *Prober {
 	return &Prober{
 		self: d.Self, groups: d.Groups, client: d.Client, presence: d.Presence, recorder: d.Recorder,
-		loadOf: d.LoadOf, tell: d.Tell, paused: d.Paused, interval: d.Interval,
+		loadOf: d.LoadOf, tell: d.Broadcast, paused: d.Paused, interval: d.RefreshInterval,
 		jobs:     make(chan job, 4*workers),
 		told:     make(map[vm.GroupID]told),
 		loads:    make(map[vm.GroupID]headLoad),
--- a/entry/prober/prober_test.go
+++ b/entry/prober/prober_test.go
@@ -44,9 +44,9 @@
 	presence := vm.NewPresence()
 	return New(Deps{
 		Self: "self", Groups: w, Client: w, Presence: presence, Recorder: timeline.NewRecorder("self", nil, time.Now),
-		LoadOf: func(vm.GroupID) contract.GroupLoad { return contract.GroupLoad{} },
-		Tell:   func(r fleet.Report) { w.told = append(w.told, r) },
-		Paused: func() bool { return *paused }, Interval: func() time.Duration { return time.Hour },
+		LoadOf:    func(vm.GroupID) contract.GroupLoad { return contract.GroupLoad{} },
+		Broadcast: func(r fleet.Report) { w.told = append(w.told, r) },
+		Paused:    func() bool { return *paused }, RefreshInterval: func() time.Duration { return time.Hour },
 	}), presence
 }
 
@@ -59,7 +59,7 @@
 		p, presence := w.prober(&paused)
 		p.round()
 		Expect(w.told).To(BeEmpty())
-		p.Settle(group)
+		p.ProbeIfNew(group)
 		whole, gap := presence.Whole(&group, time.Now())
 		Expect(whole).To(BeTrue(), gap.String())
 		Expect(w.told[len(w.told)-1].Statuses).To(HaveExactElements(HaveField("Whole", true)))
@@ -73,11 +73,11 @@
 		now := time.Now()
 		p.noteHomed(w.homed, now)
 		Expect(p.noteHomed(nil, now.Add(handover-time.Millisecond))).To(ConsistOf(group.ID))
-		Expect(p.Serves(group.ID)).To(BeTrue())
+		Expect(p.RecentlyHomed(group.ID)).To(BeTrue())
 		paused = true
-		Expect(p.Serves(group.ID)).To(BeFalse())
+		Expect(p.RecentlyHomed(group.ID)).To(BeFalse())
 		paused = false
 		Expect(p.noteHomed(nil, now.Add(handover))).To(BeEmpty())
-		Expect(p.Serves(group.ID)).To(BeFalse())
+		Expect(p.RecentlyHomed(group.ID)).To(BeFalse())
 	})
 })
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -166,10 +166,10 @@
 ) *prober.Prober {
 	return prober.New(prober.Deps{
 		Self: config.Name, Groups: table, Client: engines, Presence: presence, Recorder: recorder,
-		LoadOf:   admission.Load,
-		Tell:     func(report fleet.Report) { tellReport(members, report) },
-		Interval: func() time.Duration { return reportEvery(table.Len()) },
-		Paused:   members.Paused,
+		LoadOf:          admission.Load,
+		Broadcast:       func(report fleet.Report) { tellReport(members, report) },
+		RefreshInterval: func() time.Duration { return reportEvery(table.Len()) },
+		Paused:          members.Paused,
 	})
 }
 
