--- a/entry/prober/handover.go
+++ b/entry/prober/handover.go
@@ -8,13 +8,13 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// handover is for how long a home goes on with a group that has another home by now. Entries hear of a
-// change of the live ones some seconds apart. Without it, those that have not heard yet are refused by the
-// old home and those that have by none: callers of a service with one group get nothing for that long, each
-// time an entry comes or leaves. Both homes look at the members before each send, so that two do no harm.
-const handover = 5 * time.Second
+// handoverPeriod is how long a home continues to serve a group after its home moved to another entry. Entries
+// learn of a membership change some seconds apart. Without this period the old home would reject the fronts that
+// have not learned of it yet, and callers of a service with a single group would get no service for that long each
+// time an entry joins or leaves. Two homes at once do no harm, because both check the members before each send.
+const handoverPeriod = 5 * time.Second
 
-// RecentlyHomed says whether this entry was home to the group until a moment ago.
+// RecentlyHomed reports whether this entry was home to the group within the last handoverPeriod.
 func (p *Prober) RecentlyHomed(id vm.GroupID) bool {
 	if p.paused() {
 		return false
@@ -22,61 +22,60 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t, ok := p.tenures[id]
-	return ok && time.Since(t.last) < handover
+	return ok && time.Since(t.lastHomed) < handoverPeriod
 }
 
-// noteHomed notes the groups that this entry is home to, forgets those that it no longer serves, and
-// returns those that it serves although they have another home.
-func (p *Prober) noteHomed(homed []vm.Group, now time.Time) (left []vm.GroupID) {
+// updateTenures records the groups homed at this entry and forgets those that it no longer serves. It returns the
+// groups that it still serves although their home has moved to another entry.
+func (p *Prober) updateTenures(homed []vm.Group, now time.Time) (handedOver []vm.GroupID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, group := range homed {
 		t, known := p.tenures[group.ID]
 		if !known {
-			t.first = now
+			t.firstHomed = now
 		}
-		t.last = now
+		t.lastHomed = now
 		p.tenures[group.ID] = t
 	}
 	for id, t := range p.tenures {
 		switch {
-		case t.last.Equal(now):
-		case now.Sub(t.last) < handover:
-			left = append(left, id)
-			delete(p.told, id)
+		case t.lastHomed.Equal(now):
+		case now.Sub(t.lastHomed) < handoverPeriod:
+			handedOver = append(handedOver, id)
+			delete(p.announced, id)
 		default:
 			p.forget(id)
 		}
 	}
-	return left
+	return handedOver
 }
 
-// forget must be called with mu held.
+// forget deletes the state kept for a group. mu must be held.
 func (p *Prober) forget(id vm.GroupID) {
 	delete(p.tenures, id)
-	delete(p.told, id)
+	delete(p.announced, id)
 	delete(p.loads, id)
-	delete(p.draining, id)
+	delete(p.drainingSince, id)
 	p.presence.Forget(id)
 }
 
-// settling says that this home has had the group for so short a time that a member which has not answered
-// means nothing yet. Told as not whole, the group would get no work from anybody until it is told otherwise.
-func (p *Prober) settling(id vm.GroupID, now time.Time) bool {
+// newlyHomed reports whether this entry became home to the group so recently that a missing answer of a member is
+// not significant yet. If the group were reported as not whole, no front would use it until the next report.
+func (p *Prober) newlyHomed(id vm.GroupID, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t, ok := p.tenures[id]
-	return !ok || now.Sub(t.first) < vm.FreshnessBound
+	return !ok || now.Sub(t.firstHomed) < vm.FreshnessBound
 }
 
-// ProbeIfNew asks the members of a group that this home has only just got, if they have not been asked yet, so
-// that the first requests need not be refused. It returns within engine.ProbeTimeout; requests that come
-// meanwhile wait for the same answers.
+// ProbeIfNew probes the members of a group if this entry has only just become its home, so that the first requests
+// need not be rejected. It returns within engine.ProbeTimeout; concurrent calls for a group share the same probes.
 func (p *Prober) ProbeIfNew(group vm.Group) {
-	if !p.settling(group.ID, time.Now()) {
+	if !p.newlyHomed(group.ID, time.Now()) {
 		return
 	}
-	_, _, _ = p.probing.Do(string(group.ID), func() (any, error) {
+	_, _, _ = p.onDemand.Do(string(group.ID), func() (any, error) {
 		var probes sync.WaitGroup
 		for _, member := range group.Members {
 			probes.Go(func() { p.probe(context.Background(), job{group: group, member: member, homed: true}) })
--- a/entry/prober/prober.go
+++ b/entry/prober/prober.go
@@ -1,8 +1,8 @@
-// Package prober is the part of a home that asks the members of its groups how they are.
+// Package prober implements the health probes that a home sends to the members of its groups.
 //
-// The flow: every vm.ProbeInterval each member of each homed group is handed to a pool of workers; answers go
-// to the vm.Presence table, which the home asks at each dispatch; when a group becomes whole, or no
-// longer is, the change is told to the other entries.
+// At each vm.ProbeInterval every member of every group homed at this entry is queued for a pool of workers. The
+// results go to the vm.Presence table, which the home consults at each dispatch. When a group becomes whole or
+// ceases to be whole, the change is broadcast to the other entries.
 package prober
 
 import (
@@ -21,50 +21,50 @@
 )
 
 const (
-	// workers bounds the probes under way. A member that does not answer holds a worker for
-	// engine.ProbeTimeout, so sixteen carry 20 silent members at two probes a second.
-	workers = 16
-	// spreadTime is how long the news that a group drains may take to all entries; three seconds is what the
-	// users are promised for a leaving backend server.
-	spreadTime = 3 * time.Second
+	// maxConcurrentProbes limits the concurrent probes. A member that does not answer occupies a worker for
+	// engine.ProbeTimeout, so sixteen workers can carry 20 silent members at two probes a second.
+	maxConcurrentProbes = 16
+	// drainPropagationTime is how long the information that a group is draining may take to reach all entries.
+	// Users are promised three seconds for a leaving backend server.
+	drainPropagationTime = 3 * time.Second
 )
 
-// Groups is the table of groups.
+// Groups is the part of the group table that the prober uses.
 type Groups interface {
 	GroupsHomedAt(entry string) []vm.Group
 	Group(id vm.GroupID) (vm.Group, platform.Version, bool)
 	ApplyReport(report fleet.Report)
 }
 
-// Prober probes. Run makes it work.
+// Prober probes the members of the groups homed at this entry while Run is running.
 type Prober struct {
 	self     string
 	groups   Groups
 	client   engine.Client
 	presence *vm.Presence
 	recorder *timeline.Recorder
-	// loadOf gives the load of a group at this home; tell spreads a report among the entries.
-	loadOf   func(vm.GroupID) contract.GroupLoad
-	tell     func(fleet.Report)
-	paused   func() bool
-	interval func() time.Duration
+	// loadOf returns the load of a group at this home; broadcast sends a report to the other entries.
+	loadOf          func(vm.GroupID) contract.GroupLoad
+	broadcast       func(fleet.Report)
+	paused          func() bool
+	refreshInterval func() time.Duration
 
 	jobs chan job
 
-	mu       sync.Mutex // guards what follows; only the lock of presence is taken under it
-	told     map[vm.GroupID]told
-	reported time.Time
-	loads    map[vm.GroupID]headLoad
-	draining map[vm.GroupID]time.Time // when this home first saw the group draining
-	tenures  map[vm.GroupID]tenure
+	mu            sync.Mutex // guards the fields below; only the lock of presence is taken while it is held
+	announced     map[vm.GroupID]announcedState
+	lastReport    time.Time
+	loads         map[vm.GroupID]headLoad
+	drainingSince map[vm.GroupID]time.Time // when this home first saw each group draining
+	tenures       map[vm.GroupID]tenure
 
-	probing singleflight.Group // probes on demand, by group
+	onDemand singleflight.Group // probes made by ProbeIfNew, keyed by group
 }
 
-// tenure is for how long this entry has been home to a group.
-type tenure struct{ first, last time.Time }
+// tenure records the first and the most recent time at which this entry was home to a group.
+type tenure struct{ firstHomed, lastHomed time.Time }
 
-// headLoad is what the head of a group reported, and the time for which it is true.
+// headLoad is the load reported by the head of a group, and the time that the report describes.
 type headLoad struct {
 	load engine.Load
 	asOf time.Time
@@ -73,24 +73,24 @@
 type job struct {
 	group  vm.Group
 	member vm.Member
-	// homed says that this entry is the home, so that others are told what changed.
+	// homed reports whether this entry is the home, in which case changes are broadcast.
 	homed bool
 }
 
-type told struct {
+type announcedState struct {
 	whole bool
 	epoch uint64
 	gap   vm.Gap
-	drain drain
+	drain drainState
 }
 
-// drain says how far a draining group is.
-type drain struct {
-	sure      bool
+// drainState describes the progress of a draining group. known is false until remaining is reliable.
+type drainState struct {
+	known     bool
 	remaining int
 }
 
-// Deps are what a Prober works with.
+// Deps holds the dependencies of a Prober.
 type Deps struct {
 	Self      string
 	Groups    Groups
@@ -99,30 +99,30 @@
 	Recorder  *timeline.Recorder
 	LoadOf    func(vm.GroupID) contract.GroupLoad
 	Broadcast func(fleet.Report)
-	// RefreshInterval is how often an unchanged report is told again, for the loads in it.
+	// RefreshInterval returns how often an unchanged report is sent again, to update the loads in it.
 	RefreshInterval func() time.Duration
-	// Paused says that this process was stopped for a while and has not yet heard from others since.
+	// Paused reports whether this process was suspended and has not heard from other entries since.
 	Paused func() bool
 }
 
-// New returns a prober.
+// New returns a Prober.
 func New(d Deps) *Prober {
 	return &Prober{
 		self: d.Self, groups: d.Groups, client: d.Client, presence: d.Presence, recorder: d.Recorder,
-		loadOf: d.LoadOf, tell: d.Broadcast, paused: d.Paused, interval: d.RefreshInterval,
-		jobs:     make(chan job, 4*workers),
-		told:     make(map[vm.GroupID]told),
-		loads:    make(map[vm.GroupID]headLoad),
-		draining: make(map[vm.GroupID]time.Time),
-		tenures:  make(map[vm.GroupID]tenure),
+		loadOf: d.LoadOf, broadcast: d.Broadcast, paused: d.Paused, refreshInterval: d.RefreshInterval,
+		jobs:          make(chan job, 4*maxConcurrentProbes),
+		announced:     make(map[vm.GroupID]announcedState),
+		loads:         make(map[vm.GroupID]headLoad),
+		drainingSince: make(map[vm.GroupID]time.Time),
+		tenures:       make(map[vm.GroupID]tenure),
 	}
 }
 
 // Run probes until ctx ends.
 func (p *Prober) Run(ctx context.Context) {
 	var pool sync.WaitGroup
-	for range workers {
-		pool.Go(func() { p.work(ctx) })
+	for range maxConcurrentProbes {
+		pool.Go(func() { p.runWorker(ctx) })
 	}
 	defer pool.Wait()
 	ticker := time.NewTicker(vm.ProbeInterval)
@@ -132,29 +132,30 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			p.round()
+			p.probeAll()
 		}
 	}
 }
 
-// round hands out the probes of one interval and tells what changed since the last. A full queue drops
-// probes: answers then grow stale and groups count as not whole, which is the safe side.
-func (p *Prober) round() {
+// probeAll queues the probes of one interval and broadcasts what changed since the previous one. If the queue is
+// full, probes are dropped: the stored answers then expire and the groups count as not whole, which is the safe
+// failure mode.
+func (p *Prober) probeAll() {
 	homed := p.groups.GroupsHomedAt(p.self)
-	left := p.noteHomed(homed, time.Now())
+	handedOver := p.updateTenures(homed, time.Now())
 	for _, group := range homed {
-		p.tellChange(group)
-		p.hand(group, true)
+		p.reportIfChanged(group)
+		p.enqueue(group, true)
 	}
-	for _, id := range left {
+	for _, id := range handedOver {
 		if group, _, ok := p.groups.Group(id); ok {
-			p.hand(group, false)
+			p.enqueue(group, false)
 		}
 	}
-	p.refresh()
+	p.refreshReport()
 }
 
-func (p *Prober) hand(group vm.Group, homed bool) {
+func (p *Prober) enqueue(group vm.Group, homed bool) {
 	for _, member := range group.Members {
 		select {
 		case p.jobs <- job{group: group, member: member, homed: homed}:
@@ -163,7 +164,7 @@
 	}
 }
 
-func (p *Prober) work(ctx context.Context) {
+func (p *Prober) runWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -187,57 +188,57 @@
 		Ready: state.Ready, Leaving: state.Leaving,
 	})
 	if j.member.VM == j.group.Head().VM {
-		p.keepLoad(j.group.ID, state.Load, sent)
+		p.storeLoad(j.group.ID, state.Load, sent)
 	}
 	if j.homed {
-		p.tellChange(j.group)
+		p.reportIfChanged(j.group)
 	}
 }
 
-func (p *Prober) keepLoad(id vm.GroupID, load engine.Load, probed time.Time) {
+func (p *Prober) storeLoad(id vm.GroupID, load engine.Load, probed time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	asOf := probed.Add(-time.Duration(load.AgeMillis) * time.Millisecond)
 	p.loads[id] = headLoad{load: load, asOf: asOf}
 }
 
-// drainOf says how many requests are at work on a draining group. The own count is not enough: a home
-// that had the group before may still be streaming an answer from it, and freeing the VMs would cut that
-// request. The head knows of all, but reports late; so its report counts only if it is true for a time at
-// which every entry had heard that the group drains.
-func (p *Prober) drainOf(group vm.Group, now time.Time) drain {
+// drainProgress returns how many requests are in progress on a draining group. This home's own count is not
+// sufficient: an earlier home of the group may still be streaming an answer from it, and freeing the VMs would
+// interrupt that request. The head's count covers all requests but arrives late, so it is used only if it
+// describes a time at which every entry had learned that the group is draining.
+func (p *Prober) drainProgress(group vm.Group, now time.Time) drainState {
 	own := p.loadOf(group.ID)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if group.State != vm.Draining {
-		delete(p.draining, group.ID)
-		return drain{}
+		delete(p.drainingSince, group.ID)
+		return drainState{}
 	}
-	since, seen := p.draining[group.ID]
+	since, seen := p.drainingSince[group.ID]
 	if !seen {
 		since = now
-		p.draining[group.ID] = now
+		p.drainingSince[group.ID] = now
 	}
 	head := p.loads[group.ID]
-	if head.asOf.Before(since.Add(spreadTime)) {
-		return drain{}
+	if head.asOf.Before(since.Add(drainPropagationTime)) {
+		return drainState{}
 	}
-	return drain{sure: true, remaining: own.InFlight + own.Queued + head.load.Running + head.load.Waiting}
+	return drainState{known: true, remaining: own.InFlight + own.Queued + head.load.Running + head.load.Waiting}
 }
 
-// tellChange tells the others if the group became whole or no longer is, or drained further.
-func (p *Prober) tellChange(group vm.Group) {
+// reportIfChanged broadcasts a report if the group became whole, ceased to be whole, or made progress in draining.
+func (p *Prober) reportIfChanged(group vm.Group) {
 	if group.State == vm.Forming || p.paused() {
 		return
 	}
 	now := time.Now()
 	whole, gap := p.presence.Whole(&group, now)
-	if gap.Why == vm.WhySilent && p.settling(group.ID, now) {
+	if gap.Why == vm.WhySilent && p.newlyHomed(group.ID, now) {
 		return
 	}
-	next := told{whole: whole, epoch: group.Epoch, gap: gap, drain: p.drainOf(group, now)}
-	before, known := p.note(group.ID, next)
-	if known && before.same(next) {
+	next := announcedState{whole: whole, epoch: group.Epoch, gap: gap, drain: p.drainProgress(group, now)}
+	before, known := p.setAnnounced(group.ID, next)
+	if known && before.equivalent(next) {
 		return
 	}
 	p.report(now)
@@ -246,33 +247,33 @@
 	}
 }
 
-// same says whether nothing changed that others go by.
-func (t told) same(next told) bool {
+// equivalent reports whether nothing changed that other entries depend on.
+func (t announcedState) equivalent(next announcedState) bool {
 	return t.whole == next.whole && t.epoch == next.epoch && t.drain == next.drain
 }
 
-func (p *Prober) note(id vm.GroupID, next told) (before told, known bool) {
+func (p *Prober) setAnnounced(id vm.GroupID, next announcedState) (before announcedState, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	before, known = p.told[id]
-	p.told[id] = next
+	before, known = p.announced[id]
+	p.announced[id] = next
 	return before, known
 }
 
-// report tells the others of all homed groups.
+// report broadcasts the state of all groups homed at this entry.
 func (p *Prober) report(now time.Time) {
 	report := fleet.Report{Home: p.self, HLCTime: p.recorder.Now(), Statuses: p.statuses(now)}
 	p.groups.ApplyReport(report)
-	p.tell(report)
+	p.broadcast(report)
 }
 
 func (p *Prober) statuses(now time.Time) []fleet.Status {
 	p.mu.Lock()
-	p.reported = now
+	p.lastReport = now
 	var statuses []fleet.Status
-	for id, t := range p.told {
+	for id, t := range p.announced {
 		statuses = append(statuses, fleet.Status{
-			Group: id, Epoch: t.epoch, Whole: t.whole, Reason: t.gap.String(), Drained: t.drain.sure, Remaining: t.drain.remaining,
+			Group: id, Epoch: t.epoch, Whole: t.whole, Reason: t.gap.String(), Drained: t.drain.known, Remaining: t.drain.remaining,
 		})
 	}
 	p.mu.Unlock()
@@ -282,11 +283,11 @@
 	return statuses
 }
 
-// refresh reports again if nothing changed for a while, for the loads in it.
-func (p *Prober) refresh() {
+// refreshReport sends the report again if it has not been sent for RefreshInterval, to update the loads in it.
+func (p *Prober) refreshReport() {
 	now := time.Now()
 	p.mu.Lock()
-	due := len(p.told) > 0 && now.Sub(p.reported) >= p.interval()
+	due := len(p.announced) > 0 && now.Sub(p.lastReport) >= p.refreshInterval()
 	p.mu.Unlock()
 	if due && !p.paused() {
 		p.report(now)
--- a/entry/prober/prober_test.go
+++ b/entry/prober/prober_test.go
@@ -26,58 +26,60 @@
 	Members: []vm.Member{{VM: "a", Address: "a", BootID: "boot-a"}, {VM: "b", Address: "b", BootID: "boot-b"}},
 }
 
-// world is a table of groups and backend servers that all answer.
-type world struct {
+// fakeCluster is a table of groups whose backend servers all answer.
+type fakeCluster struct {
 	engine.Client
-	homed []vm.Group
-	told  []fleet.Report
+	homed   []vm.Group
+	reports []fleet.Report
 }
 
-func (w *world) GroupsHomedAt(string) []vm.Group                     { return w.homed }
-func (w *world) Group(vm.GroupID) (vm.Group, platform.Version, bool) { return group, 1, true }
-func (w *world) ApplyReport(fleet.Report)                            {}
-func (w *world) Probe(_ context.Context, at string) (engine.State, error) {
+func (w *fakeCluster) GroupsHomedAt(string) []vm.Group                     { return w.homed }
+func (w *fakeCluster) Group(vm.GroupID) (vm.Group, platform.Version, bool) { return group, 1, true }
+func (w *fakeCluster) ApplyReport(fleet.Report)                            {}
+func (w *fakeCluster) Probe(_ context.Context, at string) (engine.State, error) {
 	return engine.State{VM: vm.Name(at), BootID: vm.BootID("boot-" + at), Group: "g", Epoch: 3, Ready: true}, nil
 }
 
-func (w *world) prober(paused *bool) (*Prober, *vm.Presence) {
+func (w *fakeCluster) prober(paused *bool) (*Prober, *vm.Presence) {
 	presence := vm.NewPresence()
 	return New(Deps{
 		Self: "self", Groups: w, Client: w, Presence: presence, Recorder: timeline.NewRecorder("self", nil, time.Now),
 		LoadOf:    func(vm.GroupID) contract.GroupLoad { return contract.GroupLoad{} },
-		Broadcast: func(r fleet.Report) { w.told = append(w.told, r) },
+		Broadcast: func(r fleet.Report) { w.reports = append(w.reports, r) },
 		Paused:    func() bool { return *paused }, RefreshInterval: func() time.Duration { return time.Hour },
 	}), presence
 }
 
 var _ = Describe("A home", func() {
-	// An entry comes or leaves, and a group's home moves. Until the new home has asked the members it knows
-	// nothing: callers of a service with one group were refused, and fronts told that the group is not whole.
+	// A group's home moves when an entry joins or leaves. Until the new home has probed the members it knows
+	// nothing of them; it then rejected the callers of a service with one group, and told fronts that the group
+	// was not whole.
 	It("that has just got a group asks its members before it refuses, and tells nobody that it is not whole", func() {
 		paused := false
-		w := &world{homed: []vm.Group{group}}
+		w := &fakeCluster{homed: []vm.Group{group}}
 		p, presence := w.prober(&paused)
-		p.round()
-		Expect(w.told).To(BeEmpty())
+		p.probeAll()
+		Expect(w.reports).To(BeEmpty())
 		p.ProbeIfNew(group)
 		whole, gap := presence.Whole(&group, time.Now())
 		Expect(whole).To(BeTrue(), gap.String())
-		Expect(w.told[len(w.told)-1].Statuses).To(HaveExactElements(HaveField("Whole", true)))
+		Expect(w.reports[len(w.reports)-1].Statuses).To(HaveExactElements(HaveField("Whole", true)))
 	})
 
-	// Entries hear of the change some seconds apart. A front that has not heard yet sends to the old home.
+	// Entries learn of the change some seconds apart. A front that has not learned of it yet sends to the old
+	// home.
 	It("that has lost a group serves it on for a moment, unless it was paused, and then forgets it", func() {
 		paused := false
-		w := &world{homed: []vm.Group{group}}
+		w := &fakeCluster{homed: []vm.Group{group}}
 		p, _ := w.prober(&paused)
 		now := time.Now()
-		p.noteHomed(w.homed, now)
-		Expect(p.noteHomed(nil, now.Add(handover-time.Millisecond))).To(ConsistOf(group.ID))
+		p.updateTenures(w.homed, now)
+		Expect(p.updateTenures(nil, now.Add(handoverPeriod-time.Millisecond))).To(ConsistOf(group.ID))
 		Expect(p.RecentlyHomed(group.ID)).To(BeTrue())
 		paused = true
 		Expect(p.RecentlyHomed(group.ID)).To(BeFalse())
 		paused = false
-		Expect(p.noteHomed(nil, now.Add(handover))).To(BeEmpty())
+		Expect(p.updateTenures(nil, now.Add(handoverPeriod))).To(BeEmpty())
 		Expect(p.RecentlyHomed(group.ID)).To(BeFalse())
 	})
 })
