--- a/entry/adapters.go
+++ b/entry/adapters.go
@@ -35,7 +35,7 @@
 // reaching names the live entries that reach the platform.
 type reaching struct {
 	owners
-	reach *reach.Reach
+	reach *reach.Tracker
 }
 
 // Live returns the names of the live entries, without those that are known to be cut off from the platform.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -59,7 +59,7 @@
 	admission    *admission.Admission
 	purger       *attempt.Purger
 	owners       owners
-	reach        *reach.Reach
+	reach        *reach.Tracker
 	guard        *guard.Guard
 	controller   *controller.Controller
 	front        *front.Front
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -181,17 +181,17 @@
 	members.Broadcast(member.Rumour{Topic: reportTopic, Name: report.Home, Version: uint64(report.HLCTime), Body: body})
 }
 
-// reachTopic is that of the rumours that carry a reach.Claim.
+// reachTopic is that of the rumours that carry a reach.Announcement.
 const reachTopic = "reach"
 
-func provideReach(config Config, store platform.Store, members *member.Members, recorder *timeline.Recorder) *reach.Reach {
-	tell := func(claim reach.Claim) {
+func provideReach(config Config, store platform.Store, members *member.Members, recorder *timeline.Recorder) *reach.Tracker {
+	tell := func(claim reach.Announcement) {
 		body, err := cbor.Marshal(claim)
 		if err != nil {
 			return
 		}
 		members.Broadcast(member.Rumour{
-			Topic: reachTopic, Name: claim.Entry, Version: uint64(recorder.Now()), Body: body, TTL: reach.ClaimTTL,
+			Topic: reachTopic, Name: claim.Entry, Version: uint64(recorder.Now()), Body: body, TTL: reach.AnnouncementTTL,
 		})
 	}
 	ask := func(ctx context.Context) error {
@@ -202,11 +202,11 @@
 }
 
 func provideController(
-	self registered, reach *reach.Reach, store platform.Store, engines engine.Client, owners owners, m *mirror.Mirror, table *fleet.Table,
+	self registered, reach *reach.Tracker, store platform.Store, engines engine.Client, owners owners, m *mirror.Mirror, table *fleet.Table,
 	inForce *settingsInForce, recorder *timeline.Recorder, measures *measures, log *logrus.Entry, follower *mirror.Follower,
 ) *controller.Controller {
 	return controller.New(controller.Deps{
-		Store: reach.Watched(store), Engines: engines, Membership: reaching{owners, reach}, Placements: placements{m}, GroupReports: reports{table},
+		Store: reach.WrapStore(store), Engines: engines, Membership: reaching{owners, reach}, Placements: placements{m}, GroupReports: reports{table},
 		Settings: snapshots{inForce}.Snapshot, Incarnation: self.entry.Incarnation, Recorder: recorder,
 		Metrics: measures.registry, Log: log, OnPlacement: follower.Publish,
 	})
--- a/entry/reach/reach.go
+++ b/entry/reach/reach.go
@@ -26,15 +26,15 @@
 
 // Times.
 const (
-	// CutAfter is for how long every call must have failed. A call takes some seconds at most to fail, and a
+	// CutOffAfter is for how long every call must have failed. A call takes some seconds at most to fail, and a
 	// platform that is replaced behind its address answers again within about a second.
-	CutAfter = 3 * time.Second
-	// SteadyFor is for how long an entry must have been answered before it leaves others out. Above
+	CutOffAfter = 3 * time.Second
+	// StableAfter is for how long an entry must have been answered before it leaves others out. Above
 	// ClaimTTL, so that by then those that are answered too have taken back what they said.
-	SteadyFor = 8 * time.Second
-	// ClaimTTL is how long a claim counts; it is repeated every claimEvery.
-	ClaimTTL   = 6 * time.Second
-	claimEvery = 2 * time.Second
+	StableAfter = 8 * time.Second
+	// AnnouncementTTL is how long a claim counts; it is repeated every claimEvery.
+	AnnouncementTTL = 6 * time.Second
+	claimEvery      = 2 * time.Second
 	// askEvery is the pause between two own calls, made only while this entry is cut off, or while another
 	// says that it is and nothing else asks the platform here.
 	askEvery = 2 * time.Second
@@ -42,19 +42,19 @@
 	askTimeout = 2 * time.Second
 )
 
-// Claim is what an entry says of itself.
-type Claim struct {
+// Announcement is what an entry says of itself.
+type Announcement struct {
 	Entry string `cbor:"1,keyasint"`
-	// Cut says that it does not reach the platform.
-	Cut bool `cbor:"2,keyasint"`
+	// CutOff says that it does not reach the platform.
+	CutOff bool `cbor:"2,keyasint"`
 }
 
-// Reach is what one entry knows of its own and the others' ways to the platform. It is safe for
+// Tracker is what one entry knows of its own and the others' ways to the platform. It is safe for
 // concurrent use.
-type Reach struct {
+type Tracker struct {
 	self  string
 	clock func() time.Time
-	tell  func(Claim)
+	tell  func(Announcement)
 	ask   func(context.Context) error
 
 	mu sync.Mutex // guards what follows; a leaf lock
@@ -67,12 +67,12 @@
 }
 
 // New returns a Reach. tell spreads a claim among the entries; ask makes a cheap call of the platform.
-func New(self string, clock func() time.Time, tell func(Claim), ask func(context.Context) error) *Reach {
-	return &Reach{self: self, clock: clock, tell: tell, ask: ask, claims: make(map[string]time.Time)}
+func New(self string, clock func() time.Time, tell func(Announcement), ask func(context.Context) error) *Tracker {
+	return &Tracker{self: self, clock: clock, tell: tell, ask: ask, claims: make(map[string]time.Time)}
 }
 
 // Run asks and tells what is due until ctx ends.
-func (r *Reach) Run(ctx context.Context) {
+func (r *Tracker) Run(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
@@ -86,18 +86,18 @@
 }
 
 // Tick does what is due.
-func (r *Reach) Tick(ctx context.Context) {
+func (r *Tracker) Tick(ctx context.Context) {
 	if r.askDue() {
 		ctx, cancel := context.WithTimeout(ctx, askTimeout)
 		defer cancel()
-		r.Note(r.ask(ctx))
+		r.RecordResult(r.ask(ctx))
 	}
 	if r.tellDue() {
-		r.tell(Claim{Entry: r.self, Cut: true})
+		r.tell(Announcement{Entry: r.self, CutOff: true})
 	}
 }
 
-func (r *Reach) askDue() bool {
+func (r *Tracker) askDue() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
@@ -109,7 +109,7 @@
 	return true
 }
 
-func (r *Reach) tellDue() bool {
+func (r *Tracker) tellDue() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
@@ -121,7 +121,7 @@
 }
 
 // anyClaim must be called with mu held.
-func (r *Reach) anyClaim(now time.Time) bool {
+func (r *Tracker) anyClaim(now time.Time) bool {
 	for name, until := range r.claims {
 		if !now.Before(until) {
 			delete(r.claims, name)
@@ -130,12 +130,12 @@
 	return len(r.claims) > 0
 }
 
-// Note takes in what came of a call of the platform.
-func (r *Reach) Note(err error) {
+// RecordResult takes in what came of a call of the platform.
+func (r *Tracker) RecordResult(err error) {
 	switch {
 	case err == nil, eris.Is(err, platform.ErrNotFound), eris.Is(err, platform.ErrConflict), eris.Is(err, platform.ErrTooLarge):
 		if r.noteAnswer() {
-			r.tell(Claim{Entry: r.self})
+			r.tell(Announcement{Entry: r.self})
 		}
 	case eris.Is(err, platform.ErrUnavailable), eris.Is(err, platform.ErrUnconfirmed):
 		r.noteFailure()
@@ -143,7 +143,7 @@
 }
 
 // noteAnswer returns whether this entry was cut off until now.
-func (r *Reach) noteAnswer() bool {
+func (r *Tracker) noteAnswer() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answered = r.clock()
@@ -156,36 +156,36 @@
 	return before
 }
 
-func (r *Reach) noteFailure() {
+func (r *Tracker) noteFailure() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
 	if r.failing.IsZero() {
 		r.failing = now
 	}
-	if now.Sub(r.failing) >= CutAfter {
+	if now.Sub(r.failing) >= CutOffAfter {
 		r.cut = true
 	}
 }
 
-// Heard takes in a claim of another entry.
-func (r *Reach) Heard(c Claim) {
+// HandleAnnouncement takes in a claim of another entry.
+func (r *Tracker) HandleAnnouncement(c Announcement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !c.Cut {
+	if !c.CutOff {
 		delete(r.claims, c.Entry)
 		return
 	}
-	r.claims[c.Entry] = r.clock().Add(ClaimTTL)
+	r.claims[c.Entry] = r.clock().Add(AnnouncementTTL)
 }
 
 // Usable returns the live entries that may own what is kept in the platform. An entry that is cut off is
 // not among its own: it gives up what it held, and looks anew once it is back.
-func (r *Reach) Usable(live []string) []string {
+func (r *Tracker) Usable(live []string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
-	steady := r.failing.IsZero() && now.Sub(r.answered) < SteadyFor && now.Sub(r.since) >= SteadyFor
+	steady := r.failing.IsZero() && now.Sub(r.answered) < StableAfter && now.Sub(r.since) >= StableAfter
 	others := steady && r.anyClaim(now)
 	if !r.cut && !others {
 		return live
--- a/entry/reach/reach_test.go
+++ b/entry/reach/reach_test.go
@@ -21,20 +21,20 @@
 type world struct {
 	now     time.Time
 	names   []string
-	entries map[string]*reach.Reach
+	entries map[string]*reach.Tracker
 	cut     map[string]bool
 	// calls counts those that the entries make to find out.
 	calls int
 }
 
 func newWorld(names ...string) *world {
-	w := &world{now: time.Unix(1_700_000_000, 0), names: names, entries: map[string]*reach.Reach{}, cut: map[string]bool{}}
+	w := &world{now: time.Unix(1_700_000_000, 0), names: names, entries: map[string]*reach.Tracker{}, cut: map[string]bool{}}
 	for _, name := range names {
 		w.entries[name] = reach.New(name, func() time.Time { return w.now },
-			func(c reach.Claim) {
+			func(c reach.Announcement) {
 				for other, r := range w.entries {
 					if other != c.Entry {
-						r.Heard(c)
+						r.HandleAnnouncement(c)
 					}
 				}
 			},
@@ -57,7 +57,7 @@
 func (w *world) run(d time.Duration, busy ...string) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(time.Second) {
 		for _, name := range busy {
-			w.entries[name].Note(w.call(name))
+			w.entries[name].RecordResult(w.call(name))
 		}
 		for _, name := range w.names {
 			w.entries[name].Tick(context.Background())
@@ -113,8 +113,8 @@
 
 	It("takes a refusal that is the platform's word for an answer, and the own rate limit for nothing", func() {
 		for range 20 {
-			w.entries["a"].Note(platform.ErrConflict)
-			w.entries["b"].Note(platform.ErrThrottled)
+			w.entries["a"].RecordResult(platform.ErrConflict)
+			w.entries["b"].RecordResult(platform.ErrThrottled)
 			w.run(time.Second)
 		}
 		Expect(w.usable("a")).To(Equal(w.names))
--- a/entry/reach/store.go
+++ b/entry/reach/store.go
@@ -10,16 +10,16 @@
 // Store is a platform.Store whose calls are noted.
 type Store struct {
 	platform.Store
-	reach *Reach
+	reach *Tracker
 }
 
-// Watched returns store with its calls noted.
-func (r *Reach) Watched(store platform.Store) *Store { return &Store{Store: store, reach: r} }
+// WrapStore returns store with its calls noted.
+func (r *Tracker) WrapStore(store platform.Store) *Store { return &Store{Store: store, reach: r} }
 
 // note leaves out calls that were given up here: that says nothing of the platform.
 func (s *Store) note(ctx context.Context, err error) {
 	if ctx.Err() == nil || err == nil {
-		s.reach.Note(err)
+		s.reach.RecordResult(err)
 	}
 }
 
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -174,9 +174,9 @@
 }
 
 func (e *Entry) takeClaim(rumour member.Rumour) {
-	var claim reach.Claim
+	var claim reach.Announcement
 	if cbor.Unmarshal(rumour.Body, &claim) == nil {
-		e.reach.Heard(claim)
+		e.reach.HandleAnnouncement(claim)
 	}
 }
 
--- a/entry/wire_gen.go
+++ b/entry/wire_gen.go
@@ -34,10 +34,10 @@
 	admissionAdmission := admission.New()
 	prober := provideProber(config, table, engineClient, presence, recorder, members, admissionAdmission)
 	purger := providePurger(store)
-	reach := provideReach(config, store, members, recorder)
+	tracker := provideReach(config, store, members, recorder)
 	guard := provideGuard(config, store, follower, engineClient, recorder, measures2)
 	entrySettingsInForce := newSettingsInForce(recorder, log)
-	controller := provideController(self, reach, store, engineClient, entryOwners, mirrorMirror, table, entrySettingsInForce, recorder, measures2, log, follower)
+	controller := provideController(self, tracker, store, engineClient, entryOwners, mirrorMirror, table, entrySettingsInForce, recorder, measures2, log, follower)
 	entryPlaced := providePlaced(config, table, presence, prober)
 	records := provideAttempts(store)
 	home := provideHome(self, entryPlaced, admissionAdmission, records, engineClient, entrySettingsInForce, recorder, guard, measures2, log)
@@ -64,7 +64,7 @@
 		admission:    admissionAdmission,
 		purger:       purger,
 		owners:       entryOwners,
-		reach:        reach,
+		reach:        tracker,
 		guard:        guard,
 		controller:   controller,
 		front:        front,
