--- a/entry/reach/reach.go
+++ b/entry/reach/reach.go
@@ -1,16 +1,18 @@
-// Package reach knows which entries can't reach the platform while others can.
+// Package reach detects which entries cannot reach the platform while others can.
 //
-// A controller works by reads and writes of the platform. One that is cut off from it still answers its
-// peers, so that all hold it live, and without this package its fabric domains would have no controller
-// for as long as the cut lasts: a member that dies then is not replaced, and nobody notices.
+// A controller works by reading from and writing to the platform. A controller that is cut off from it still
+// answers its peers, so all of them consider it live. Without this package its fabric domains would have no
+// working controller for as long as the cut lasts: a member that dies in that time would not be replaced, and
+// nobody would notice.
 //
-// The flow: Store watches the calls of this entry -> an entry whose calls have failed for CutAfter says so
-// in a rumour, and takes it back once it is answered -> Usable leaves such entries out of the owners. Only
-// an entry that itself has been answered for SteadyFor leaves others out: in an outage of the platform all
-// are cut off alike, and when it ends none should take over what its owner is about to go on with.
+// Store records the results of this entry's platform calls. An entry whose calls have failed for CutOffAfter
+// announces this in a rumour and retracts the announcement once the platform responds again. Usable excludes such
+// entries from ownership. Only an entry whose own calls have succeeded for StableAfter excludes others: in a
+// platform outage all entries are cut off alike, and when it ends nobody should take over what its owner is about
+// to resume.
 //
-// Entries may disagree for some seconds on who is usable. That costs a take-over, never safety, which is held
-// by conditional writes.
+// Entries may disagree for some seconds on which entries are usable. This costs an unnecessary takeover but never
+// safety, which conditional writes guarantee.
 package reach
 
 import (
@@ -24,54 +26,56 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// Times.
+// Timeouts and intervals.
 const (
-	// CutOffAfter is for how long every call must have failed. A call takes some seconds at most to fail, and a
-	// platform that is replaced behind its address answers again within about a second.
+	// CutOffAfter is how long every call must have failed before an entry counts as cut off. A call takes at most
+	// a few seconds to fail, and a platform instance replaced behind its address responds again within about a
+	// second.
 	CutOffAfter = 3 * time.Second
-	// StableAfter is for how long an entry must have been answered before it leaves others out. Above
-	// ClaimTTL, so that by then those that are answered too have taken back what they said.
+	// StableAfter is how long an entry's calls must have succeeded before it excludes others. It exceeds
+	// AnnouncementTTL, so that the other entries that reach the platform again have retracted their announcements
+	// by then.
 	StableAfter = 8 * time.Second
-	// AnnouncementTTL is how long a claim counts; it is repeated every claimEvery.
-	AnnouncementTTL = 6 * time.Second
-	claimEvery      = 2 * time.Second
-	// askEvery is the pause between two own calls, made only while this entry is cut off, or while another
-	// says that it is and nothing else asks the platform here.
-	askEvery = 2 * time.Second
-	// askTimeout bounds such a call.
-	askTimeout = 2 * time.Second
+	// AnnouncementTTL is how long an announcement is valid; it is repeated every announceInterval.
+	AnnouncementTTL  = 6 * time.Second
+	announceInterval = 2 * time.Second
+	// probeInterval is the interval between two probes of the platform. Probes are sent only while this entry's
+	// calls fail, or while another entry announces that it is cut off and this entry makes no other platform
+	// calls.
+	probeInterval = 2 * time.Second
+	// probeTimeout limits one probe.
+	probeTimeout = 2 * time.Second
 )
 
-// Announcement is what an entry says of itself.
+// Announcement states whether an entry is cut off from the platform.
 type Announcement struct {
 	Entry string `cbor:"1,keyasint"`
-	// CutOff says that it does not reach the platform.
+	// CutOff is true if the entry does not reach the platform, and false if it reaches it again.
 	CutOff bool `cbor:"2,keyasint"`
 }
 
-// Tracker is what one entry knows of its own and the others' ways to the platform. It is safe for
-// concurrent use.
+// Tracker records whether this entry and the other entries reach the platform. It is safe for concurrent use.
 type Tracker struct {
-	self  string
-	clock func() time.Time
-	tell  func(Announcement)
-	ask   func(context.Context) error
-
-	mu sync.Mutex // guards what follows; a leaf lock
-	// answered is the last time that the platform answered, since the first of those without a failure in
-	// between, and failing the first failure after answered.
-	answered, since, failing time.Time
-	cut                      bool
-	claims                   map[string]time.Time // until when each entry counts as cut off
-	told, asked              time.Time
+	self     string
+	clock    func() time.Time
+	announce func(Announcement)
+	probe    func(context.Context) error
+
+	mu sync.Mutex // guards the fields below; no other lock is taken while it is held
+	// lastSuccess is the last time that the platform responded, successSince the first response of the unbroken
+	// series of successes up to it, and firstFailure the first failure after lastSuccess.
+	lastSuccess, successSince, firstFailure time.Time
+	cutOff                                  bool
+	cutOffUntil                             map[string]time.Time // for each entry that is cut off, when its announcement expires
+	lastAnnounced, lastProbe                time.Time
 }
 
-// New returns a Reach. tell spreads a claim among the entries; ask makes a cheap call of the platform.
-func New(self string, clock func() time.Time, tell func(Announcement), ask func(context.Context) error) *Tracker {
-	return &Tracker{self: self, clock: clock, tell: tell, ask: ask, claims: make(map[string]time.Time)}
+// New returns a Tracker. announce sends an announcement to the other entries; probe makes a cheap platform call.
+func New(self string, clock func() time.Time, announce func(Announcement), probe func(context.Context) error) *Tracker {
+	return &Tracker{self: self, clock: clock, announce: announce, probe: probe, cutOffUntil: make(map[string]time.Time)}
 }
 
-// Run asks and tells what is due until ctx ends.
+// Run sends the probes and announcements that are due until ctx ends.
 func (r *Tracker) Run(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -85,115 +89,115 @@
 	}
 }
 
-// Tick does what is due.
+// Tick sends the probe and the announcement if they are due.
 func (r *Tracker) Tick(ctx context.Context) {
-	if r.askDue() {
-		ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	if r.probeDue() {
+		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
-		r.RecordResult(r.ask(ctx))
+		r.RecordResult(r.probe(ctx))
 	}
-	if r.tellDue() {
-		r.tell(Announcement{Entry: r.self, CutOff: true})
+	if r.announcementDue() {
+		r.announce(Announcement{Entry: r.self, CutOff: true})
 	}
 }
 
-func (r *Tracker) askDue() bool {
+func (r *Tracker) probeDue() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
-	quiet := now.Sub(r.answered) >= askEvery
-	if !quiet || now.Sub(r.asked) < askEvery || r.failing.IsZero() && !r.anyClaim(now) {
+	idle := now.Sub(r.lastSuccess) >= probeInterval
+	if !idle || now.Sub(r.lastProbe) < probeInterval || r.firstFailure.IsZero() && !r.anyCutOff(now) {
 		return false
 	}
-	r.asked = now
+	r.lastProbe = now
 	return true
 }
 
-func (r *Tracker) tellDue() bool {
+func (r *Tracker) announcementDue() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
-	if !r.cut || now.Sub(r.told) < claimEvery {
+	if !r.cutOff || now.Sub(r.lastAnnounced) < announceInterval {
 		return false
 	}
-	r.told = now
+	r.lastAnnounced = now
 	return true
 }
 
-// anyClaim must be called with mu held.
-func (r *Tracker) anyClaim(now time.Time) bool {
-	for name, until := range r.claims {
+// anyCutOff removes expired announcements and reports whether any is left. mu must be held.
+func (r *Tracker) anyCutOff(now time.Time) bool {
+	for name, until := range r.cutOffUntil {
 		if !now.Before(until) {
-			delete(r.claims, name)
+			delete(r.cutOffUntil, name)
 		}
 	}
-	return len(r.claims) > 0
+	return len(r.cutOffUntil) > 0
 }
 
-// RecordResult takes in what came of a call of the platform.
+// RecordResult records the result of a platform call.
 func (r *Tracker) RecordResult(err error) {
 	switch {
 	case err == nil, eris.Is(err, platform.ErrNotFound), eris.Is(err, platform.ErrConflict), eris.Is(err, platform.ErrTooLarge):
-		if r.noteAnswer() {
-			r.tell(Announcement{Entry: r.self})
+		if r.recordSuccess() {
+			r.announce(Announcement{Entry: r.self})
 		}
 	case eris.Is(err, platform.ErrUnavailable), eris.Is(err, platform.ErrUnconfirmed):
-		r.noteFailure()
+		r.recordFailure()
 	}
 }
 
-// noteAnswer returns whether this entry was cut off until now.
-func (r *Tracker) noteAnswer() bool {
+// recordSuccess records a response and reports whether this entry was cut off until now.
+func (r *Tracker) recordSuccess() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.answered = r.clock()
-	if !r.failing.IsZero() || r.since.IsZero() {
-		r.since = r.answered
+	r.lastSuccess = r.clock()
+	if !r.firstFailure.IsZero() || r.successSince.IsZero() {
+		r.successSince = r.lastSuccess
 	}
-	r.failing = time.Time{}
-	before := r.cut
-	r.cut = false
-	return before
+	r.firstFailure = time.Time{}
+	wasCutOff := r.cutOff
+	r.cutOff = false
+	return wasCutOff
 }
 
-func (r *Tracker) noteFailure() {
+func (r *Tracker) recordFailure() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
-	if r.failing.IsZero() {
-		r.failing = now
+	if r.firstFailure.IsZero() {
+		r.firstFailure = now
 	}
-	if now.Sub(r.failing) >= CutOffAfter {
-		r.cut = true
+	if now.Sub(r.firstFailure) >= CutOffAfter {
+		r.cutOff = true
 	}
 }
 
-// HandleAnnouncement takes in a claim of another entry.
+// HandleAnnouncement records an announcement of another entry.
 func (r *Tracker) HandleAnnouncement(c Announcement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !c.CutOff {
-		delete(r.claims, c.Entry)
+		delete(r.cutOffUntil, c.Entry)
 		return
 	}
-	r.claims[c.Entry] = r.clock().Add(AnnouncementTTL)
+	r.cutOffUntil[c.Entry] = r.clock().Add(AnnouncementTTL)
 }
 
-// Usable returns the live entries that may own what is kept in the platform. An entry that is cut off is
-// not among its own: it gives up what it held, and looks anew once it is back.
+// Usable returns the live entries that may own objects kept in the platform. An entry that is cut off excludes
+// itself: it gives up what it owned and reads it again once it reaches the platform.
 func (r *Tracker) Usable(live []string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
-	steady := r.failing.IsZero() && now.Sub(r.answered) < StableAfter && now.Sub(r.since) >= StableAfter
-	others := steady && r.anyClaim(now)
-	if !r.cut && !others {
+	stable := r.firstFailure.IsZero() && now.Sub(r.lastSuccess) < StableAfter && now.Sub(r.successSince) >= StableAfter
+	excludeOthers := stable && r.anyCutOff(now)
+	if !r.cutOff && !excludeOthers {
 		return live
 	}
 	return slices.DeleteFunc(slices.Clone(live), func(name string) bool {
 		if name == r.self {
-			return r.cut
+			return r.cutOff
 		}
-		return others && now.Before(r.claims[name])
+		return excludeOthers && now.Before(r.cutOffUntil[name])
 	})
 }
--- a/entry/reach/reach_test.go
+++ b/entry/reach/reach_test.go
@@ -17,18 +17,18 @@
 	RunSpecs(t, "reach")
 }
 
-// world is some entries, each with a way to the platform that can be cut, in virtual time.
-type world struct {
+// cluster simulates several entries in virtual time. The connection of each to the platform can be cut.
+type cluster struct {
 	now     time.Time
 	names   []string
 	entries map[string]*reach.Tracker
-	cut     map[string]bool
-	// calls counts those that the entries make to find out.
-	calls int
+	cutOff  map[string]bool
+	// probes counts the probes that the entries send.
+	probes int
 }
 
-func newWorld(names ...string) *world {
-	w := &world{now: time.Unix(1_700_000_000, 0), names: names, entries: map[string]*reach.Tracker{}, cut: map[string]bool{}}
+func newCluster(names ...string) *cluster {
+	w := &cluster{now: time.Unix(1_700_000_000, 0), names: names, entries: map[string]*reach.Tracker{}, cutOff: map[string]bool{}}
 	for _, name := range names {
 		w.entries[name] = reach.New(name, func() time.Time { return w.now },
 			func(c reach.Announcement) {
@@ -39,22 +39,22 @@
 				}
 			},
 			func(context.Context) error {
-				w.calls++
+				w.probes++
 				return w.call(name)
 			})
 	}
 	return w
 }
 
-func (w *world) call(name string) error {
-	if w.cut[name] {
+func (w *cluster) call(name string) error {
+	if w.cutOff[name] {
 		return platform.ErrUnavailable
 	}
 	return nil
 }
 
-// run lets time go by. Those who are busy call the platform every second, as controllers do.
-func (w *world) run(d time.Duration, busy ...string) {
+// run advances the clock by d. The busy entries call the platform every second, as controllers do.
+func (w *cluster) run(d time.Duration, busy ...string) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(time.Second) {
 		for _, name := range busy {
 			w.entries[name].RecordResult(w.call(name))
@@ -65,44 +65,44 @@
 	}
 }
 
-func (w *world) usable(name string) []string { return w.entries[name].Usable(w.names) }
+func (w *cluster) usable(name string) []string { return w.entries[name].Usable(w.names) }
 
 var _ = Describe("Reach", func() {
-	var w *world
+	var w *cluster
 	BeforeEach(func() {
-		w = newWorld("a", "b", "c")
+		w = newCluster("a", "b", "c")
 		w.run(20*time.Second, "a", "b")
 	})
 
 	It("costs no call while nothing is wrong", func() {
-		Expect(w.calls).To(BeZero())
+		Expect(w.probes).To(BeZero())
 		Expect(w.usable("c")).To(Equal(w.names))
 	})
 
-	// The controller of a fabric domain is cut off from the platform, and only it. Its peers hear it as ever.
+	// Only the controller of a fabric domain is cut off from the platform; its peers can still reach it.
 	It("leaves out an entry that alone is cut off, and takes it back", func() {
-		w.cut["a"] = true
+		w.cutOff["a"] = true
 		w.run(15*time.Second, "a", "b")
 		for _, name := range w.names {
 			Expect(w.usable(name)).To(Equal([]string{"b", "c"}), name)
 		}
-		w.cut["a"] = false
+		w.cutOff["a"] = false
 		w.run(3*time.Second, "b")
 		for _, name := range w.names {
 			Expect(w.usable(name)).To(Equal(w.names), name)
 		}
 	})
 
-	// The platform is out, and comes back. Nobody should take over from anybody: each goes on.
+	// After a platform outage each entry should resume what it owned, and none should take over from another.
 	It("leaves nobody out in an outage, or after it", func() {
 		for _, name := range w.names {
-			w.cut[name] = true
+			w.cutOff[name] = true
 		}
 		w.run(30*time.Second, "a", "b")
 		for _, name := range w.names {
 			Expect(w.usable(name)).NotTo(HaveLen(1), name)
 		}
-		w.cut = map[string]bool{}
+		w.cutOff = map[string]bool{}
 		for range 15 {
 			w.run(time.Second, "b")
 			Expect(w.usable("b")).To(Equal(w.names))
