--- a/dev/dev.go
+++ b/dev/dev.go
@@ -149,8 +149,8 @@
 	domains := []string{"local-a", "local-b"}
 	return entry.Config{
 		Name: fmt.Sprintf("entry-%d", i+1), Place: place, FailureDomain: domains[i%len(domains)],
-		Public: c.address(i, 0), Admin: c.address(i, adminOffset), Peer: c.address(i, peerOffset),
-		Platform: platformURL, PlatformRate: 100, LogLevel: "warn", DrainMargin: time.Second,
+		PublicAddress: c.address(i, 0), AdminAddress: c.address(i, adminOffset), PeerAddress: c.address(i, peerOffset),
+		PlatformURL: platformURL, PlatformRate: 100, LogLevel: "warn", DrainMargin: time.Second,
 		HomeHold: shift.DefaultHold, HomeHoldMax: shift.DefaultMaxHold,
 	}
 }
--- a/entry/config.go
+++ b/entry/config.go
@@ -20,13 +20,13 @@
 	Name          string `arg:"--name,env:POND_NAME,required" help:"name of this entry, unique and stable over restarts"`
 	Place         string `arg:"--place,env:POND_PLACE,required" help:"place (region) this entry is in"`
 	FailureDomain string `arg:"--failure-domain,env:POND_FAILURE_DOMAIN,required" help:"failure domain this entry is in"`
-	Public        string `arg:"--public-address,env:POND_PUBLIC_ADDRESS,required" help:"IP:port for callers (HTTP)"`
-	Peer          string `arg:"--peer-address,env:POND_PEER_ADDRESS,required" help:"IP:port for other entries (HTTP/3 over UDP)"`
-	// AdvertisedPeer differs from Peer where packets reach this VM at an address that is not its own.
-	AdvertisedPeer string `arg:"--advertised-peer-address,env:POND_ADVERTISED_PEER_ADDRESS" help:"IP:port at which other entries reach --peer-address, if it is another"`
-	Source         string `arg:"--source-address,env:POND_SOURCE_ADDRESS" help:"IP from which connections to other entries, backend servers and the platform are made; empty: the system chooses"`
-	Admin          string `arg:"--admin-address,env:POND_ADMIN_ADDRESS,required" help:"IP:port for operators (HTTP)"`
-	Platform       string `arg:"--platform,env:POND_PLATFORM,required" help:"URL of the platform's object API, by IP number"`
+	PublicAddress string `arg:"--public-address,env:POND_PUBLIC_ADDRESS,required" help:"IP:port for callers (HTTP)"`
+	PeerAddress   string `arg:"--peer-address,env:POND_PEER_ADDRESS,required" help:"IP:port for other entries (HTTP/3 over UDP)"`
+	// AdvertisedPeerAddress differs from Peer where packets reach this VM at an address that is not its own.
+	AdvertisedPeerAddress string `arg:"--advertised-peer-address,env:POND_ADVERTISED_PEER_ADDRESS" help:"IP:port at which other entries reach --peer-address, if it is another"`
+	SourceAddress         string `arg:"--source-address,env:POND_SOURCE_ADDRESS" help:"IP from which connections to other entries, backend servers and the platform are made; empty: the system chooses"`
+	AdminAddress          string `arg:"--admin-address,env:POND_ADMIN_ADDRESS,required" help:"IP:port for operators (HTTP)"`
+	PlatformURL           string `arg:"--platform,env:POND_PLATFORM,required" help:"URL of the platform's object API, by IP number"`
 	// PlatformRate bounds the calls of one entry. The platform takes several hundred writes and about two
 	// thousand reads a second from all entries together.
 	PlatformRate float64 `arg:"--platform-rate,env:POND_PLATFORM_RATE" default:"100" help:"calls a second this entry may make to the platform"`
@@ -58,22 +58,22 @@
 	check(namePattern.MatchString(c.Place), "--place", "must be 1 to 63 of a-z, 0-9, '-' and '.'")
 	check(namePattern.MatchString(c.FailureDomain), "--failure-domain", "must be 1 to 63 of a-z, 0-9, '-' and '.'")
 	for _, address := range []struct{ setting, value string }{
-		{"--public-address", c.Public},
-		{"--peer-address", c.Peer},
-		{"--admin-address", c.Admin},
+		{"--public-address", c.PublicAddress},
+		{"--peer-address", c.PeerAddress},
+		{"--admin-address", c.AdminAddress},
 	} {
 		_, err := netip.ParseAddrPort(address.value)
 		check(err == nil, address.setting, "must be IP:port by number, such as 10.0.0.7:8080, not "+quoted(address.value))
 	}
-	if c.AdvertisedPeer != "" {
-		_, err := netip.ParseAddrPort(c.AdvertisedPeer)
-		check(err == nil, "--advertised-peer-address", "must be IP:port by number, not "+quoted(c.AdvertisedPeer))
+	if c.AdvertisedPeerAddress != "" {
+		_, err := netip.ParseAddrPort(c.AdvertisedPeerAddress)
+		check(err == nil, "--advertised-peer-address", "must be IP:port by number, not "+quoted(c.AdvertisedPeerAddress))
 	}
-	if c.Source != "" {
-		_, err := netip.ParseAddr(c.Source)
-		check(err == nil, "--source-address", "must be an IP by number, not "+quoted(c.Source))
+	if c.SourceAddress != "" {
+		_, err := netip.ParseAddr(c.SourceAddress)
+		check(err == nil, "--source-address", "must be an IP by number, not "+quoted(c.SourceAddress))
 	}
-	check(validPlatform(c.Platform), "--platform", "must be http://IP:port or https://IP:port by number, not "+quoted(c.Platform))
+	check(validPlatform(c.PlatformURL), "--platform", "must be http://IP:port or https://IP:port by number, not "+quoted(c.PlatformURL))
 	check(c.PlatformRate >= 1 && c.PlatformRate <= 10_000, "--platform-rate", "must be between 1 and 10000 calls a second")
 	check(c.BootstrapKeyHash == "" || validHash(c.BootstrapKeyHash), "--bootstrap-key-hash", "must be 64 hex digits (pondctl hash-key makes one)")
 	check(c.homeHold().Check() == nil, "--home-hold, --home-hold-max", "must be 0s to 1m, and from there to 1h")
@@ -91,14 +91,14 @@
 }
 
 // source is the local address of outgoing connections, or nil.
-func (c *Config) source() net.IP { return net.ParseIP(c.Source) }
+func (c *Config) source() net.IP { return net.ParseIP(c.SourceAddress) }
 
 // reachablePeer is the address that other entries are told.
 func (c *Config) reachablePeer() string {
-	if c.AdvertisedPeer != "" {
-		return c.AdvertisedPeer
+	if c.AdvertisedPeerAddress != "" {
+		return c.AdvertisedPeerAddress
 	}
-	return c.Peer
+	return c.PeerAddress
 }
 
 func quoted(s string) string { return `"` + s + `"` }
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -45,7 +45,7 @@
 const reservedShare = 0.2
 
 func provideStore(config Config, measures *measures) platform.Store {
-	return platform.NewClient(config.Platform, platform.WithSource(config.source()), platform.WithMetrics(measures.registry), platform.WithRates(platform.Rates{
+	return platform.NewClient(config.PlatformURL, platform.WithSource(config.source()), platform.WithMetrics(measures.registry), platform.WithRates(platform.Rates{
 		Shared:   config.PlatformRate * (1 - reservedShare),
 		Reserved: config.PlatformRate * reservedShare,
 	}))
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -37,15 +37,15 @@
 }
 
 func listen(config Config) (*sockets, error) {
-	public, err := net.Listen("tcp", config.Public)
+	public, err := net.Listen("tcp", config.PublicAddress)
 	if err != nil {
 		return nil, eris.Wrap(err, "--public-address")
 	}
-	admin, err := net.Listen("tcp", config.Admin)
+	admin, err := net.Listen("tcp", config.AdminAddress)
 	if err != nil {
 		return nil, eris.Wrap(err, "--admin-address")
 	}
-	peer, err := net.ListenPacket("udp", config.Peer)
+	peer, err := net.ListenPacket("udp", config.PeerAddress)
 	if err != nil {
 		return nil, eris.Wrap(err, "--peer-address")
 	}
@@ -123,7 +123,7 @@
 		return registered{}, err
 	}
 	self := platform.Entry{
-		Name: config.Name, PublicAddress: config.Public, PeerAddress: config.reachablePeer(), AdminAddress: config.Admin,
+		Name: config.Name, PublicAddress: config.PublicAddress, PeerAddress: config.reachablePeer(), AdminAddress: config.AdminAddress,
 		Place: config.Place, FailureDomain: config.FailureDomain,
 		Incarnation: uuid.NewString(), Fingerprint: identity.Fingerprint(),
 	}
@@ -231,7 +231,7 @@
 	store := provideStore(config, newMeasures())
 	changes, err := store.List(ctx, platform.KindSettings)
 	if err != nil {
-		return eris.Wrap(err, "platform "+config.Platform)
+		return eris.Wrap(err, "platform "+config.PlatformURL)
 	}
 	has := slices.ContainsFunc(changes.Objects, func(o platform.Object) bool { return o.Name == platform.SettingsName })
 	fmt.Fprintf(out, "settings of this process: right\nplatform: answers at revision %d\ntree of settings: %s\n",
