--- a/entry/adapters.go
+++ b/entry/adapters.go
@@ -15,15 +15,15 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// owners names the live entries to whatever is owned by rendezvous hashing.
-type owners struct{ members *member.Members }
+// liveMembership provides the live entries to the components that assign ownership by rendezvous hashing.
+type liveMembership struct{ members *member.Members }
 
-// Self returns the own name.
-func (o owners) Self() string { return o.members.Self().Name }
+// Self returns the name of this entry.
+func (o liveMembership) Self() string { return o.members.Self().Name }
 
-// Live returns the names of the live entries that are not leaving. It is empty while this entry was
-// paused and has not spoken with a peer since, so that it owns nothing.
-func (o owners) Live() []string {
+// Live returns the names of the live entries that are not leaving. It returns none if this process was suspended
+// and has not contacted a peer since, so that the entry owns nothing.
+func (o liveMembership) Live() []string {
 	live := o.members.Live()
 	names := make([]string, 0, len(live))
 	for _, peer := range live {
@@ -32,31 +32,31 @@
 	return names
 }
 
-// reaching names the live entries that reach the platform.
-type reaching struct {
-	owners
+// platformMembership provides the live entries that reach the platform.
+type platformMembership struct {
+	liveMembership
 	reach *reach.Tracker
 }
 
-// Live returns the names of the live entries, without those that are known to be cut off from the platform.
-func (r reaching) Live() []string { return r.reach.Usable(r.owners.Live()) }
+// Live returns the names of the live entries except those that are known to be cut off from the platform.
+func (r platformMembership) Live() []string { return r.reach.Usable(r.liveMembership.Live()) }
 
-// placed is the home's view of the groups: placements, and the members' last answers.
-type placed struct {
+// homedGroups gives the home role access to the placements and to the latest probe results of the members.
+type homedGroups struct {
 	self     string
 	table    *fleet.Table
 	presence *vm.Presence
 	prober   *prober.Prober
 }
 
-// Lookup implements home.Groups. An entry that was home until a moment ago still counts as one.
-func (p placed) Lookup(id vm.GroupID) (group vm.Group, homed, ok bool) {
+// Lookup implements home.Groups. An entry that was the group's home until recently still counts as its home.
+func (p homedGroups) Lookup(id vm.GroupID) (group vm.Group, homed, ok bool) {
 	group, _, ok = p.table.Group(id)
 	return group, ok && (p.table.HomeOf(id) == p.self || p.prober.RecentlyHomed(id)), ok
 }
 
 // Whole implements home.Presence.
-func (p placed) Whole(id vm.GroupID) (bool, string) {
+func (p homedGroups) Whole(id vm.GroupID) (bool, string) {
 	group, _, ok := p.table.Group(id)
 	if !ok {
 		return false, "not placed"
@@ -69,51 +69,53 @@
 	return whole, gap.String()
 }
 
-// reports is the controller's view of what homes say of groups.
-type reports struct{ table *fleet.Table }
+// groupReports gives the controller access to the statuses that homes report for groups.
+type groupReports struct{ table *fleet.Table }
 
 // InProgress implements controller.GroupReports.
-func (r reports) InProgress(id vm.GroupID) (int, bool) {
+func (r groupReports) InProgress(id vm.GroupID) (int, bool) {
 	status, ok := r.status(id)
 	return status.Remaining, ok && status.Drained
 }
 
 // Whole implements controller.GroupReports.
-func (r reports) Whole(id vm.GroupID) (whole, known bool) {
+func (r groupReports) Whole(id vm.GroupID) (whole, known bool) {
 	status, ok := r.status(id)
 	return status.Whole, ok
 }
 
 // NotWhole implements controller.GroupReports.
-func (r reports) NotWhole(id vm.GroupID) bool {
+func (r groupReports) NotWhole(id vm.GroupID) bool {
 	status, ok := r.status(id)
 	return ok && !status.Whole
 }
 
 // TokenGap implements controller.GroupReports.
-func (r reports) TokenGap(id vm.GroupID) time.Duration {
+func (r groupReports) TokenGap(id vm.GroupID) time.Duration {
 	status, _ := r.status(id)
 	return status.Load.TokenGap
 }
 
-func (r reports) status(id vm.GroupID) (fleet.Status, bool) {
+func (r groupReports) status(id vm.GroupID) (fleet.Status, bool) {
 	candidate, ok := r.table.Candidate(id)
-	// What an earlier home said no longer counts: its word came before the present one's look.
+	// A status from an earlier home is ignored: it predates the current home's first probe.
 	known := ok && candidate.Status.Home == candidate.Home && candidate.Status.Epoch == candidate.Group.Epoch
 	return candidate.Status, known
 }
 
-// placements hands the mirrored placement objects to the controller.
-type placements struct{ mirror *mirror.Mirror }
+// mirroredPlacements gives the controller access to the mirrored placement objects.
+type mirroredPlacements struct{ mirror *mirror.Mirror }
 
 // Placements implements controller.Placements.
-func (p placements) Placements() []platform.Object { return p.mirror.All(platform.KindPlacement) }
+func (p mirroredPlacements) Placements() []platform.Object {
+	return p.mirror.All(platform.KindPlacement)
+}
 
-// snapshots hands out the settings in force, nil before the first.
-type snapshots struct{ inForce *settingsInForce }
+// settingsSource provides the settings in force.
+type settingsSource struct{ inForce *settingsInForce }
 
-// Snapshot returns the settings in force, or nil before the first.
-func (s snapshots) Snapshot() *settings.Snapshot {
+// Snapshot returns the settings in force, or nil before the first version is in force.
+func (s settingsSource) Snapshot() *settings.Snapshot {
 	snapshot := s.inForce.Snapshot()
 	if snapshot.Version == 0 {
 		return nil
@@ -121,7 +123,7 @@
 	return snapshot
 }
 
-// vmLists reads the platform's VM lists.
+// vmLists reads the lists of VMs from the platform.
 type vmLists struct{ store platform.Store }
 
 // VMLists implements operator.VMLists.
--- a/entry/config.go
+++ b/entry/config.go
@@ -14,39 +14,41 @@
 	"github.com/skylarkpond/skylarkpond/policy/shift"
 )
 
-// Config is what one entry is told at its start, by flag or environment variable. Everything else is in
-// the tree of settings.
+// Config holds the process-level configuration of one entry, given by flags or environment variables. Everything
+// else is in the settings tree.
 type Config struct {
 	Name          string `arg:"--name,env:POND_NAME,required" help:"name of this entry, unique and stable over restarts"`
 	Place         string `arg:"--place,env:POND_PLACE,required" help:"place (region) this entry is in"`
 	FailureDomain string `arg:"--failure-domain,env:POND_FAILURE_DOMAIN,required" help:"failure domain this entry is in"`
 	PublicAddress string `arg:"--public-address,env:POND_PUBLIC_ADDRESS,required" help:"IP:port for callers (HTTP)"`
 	PeerAddress   string `arg:"--peer-address,env:POND_PEER_ADDRESS,required" help:"IP:port for other entries (HTTP/3 over UDP)"`
-	// AdvertisedPeerAddress differs from Peer where packets reach this VM at an address that is not its own.
+	// AdvertisedPeerAddress is set if packets reach this VM at an address other than its own PeerAddress.
 	AdvertisedPeerAddress string `arg:"--advertised-peer-address,env:POND_ADVERTISED_PEER_ADDRESS" help:"IP:port at which other entries reach --peer-address, if it is another"`
 	SourceAddress         string `arg:"--source-address,env:POND_SOURCE_ADDRESS" help:"IP from which connections to other entries, backend servers and the platform are made; empty: the system chooses"`
 	AdminAddress          string `arg:"--admin-address,env:POND_ADMIN_ADDRESS,required" help:"IP:port for operators (HTTP)"`
 	PlatformURL           string `arg:"--platform,env:POND_PLATFORM,required" help:"URL of the platform's object API, by IP number"`
-	// PlatformRate bounds the calls of one entry. The platform takes several hundred writes and about two
-	// thousand reads a second from all entries together.
+	// PlatformRate limits the platform calls of one entry. The platform handles several hundred writes and about
+	// two thousand reads a second from all entries together.
 	PlatformRate float64 `arg:"--platform-rate,env:POND_PLATFORM_RATE" default:"100" help:"calls a second this entry may make to the platform"`
 	Timeline     string  `arg:"--timeline,env:POND_TIMELINE" help:"file to append time line events to; - for standard output; empty: only the recent ones are kept, in memory"`
 	LogLevel     string  `arg:"--log-level,env:POND_LOG_LEVEL" default:"info" help:"panic, fatal, error, warn, info, debug or trace"`
-	// BootstrapKeyHash lets an operator in as long as no tree of settings exists.
+	// BootstrapKeyHash authorizes an operator as long as no settings tree exists.
 	BootstrapKeyHash string `arg:"--bootstrap-key-hash,env:POND_BOOTSTRAP_KEY_HASH" help:"SHA-256, in hex, of the operator key accepted while the tree of settings does not exist"`
-	// HomeHold and HomeHoldMax bound how long an entry that came, or came and went, is no home (policy/shift).
+	// HomeHold and HomeHoldMax set how long an entry that has just joined, or that joins and leaves repeatedly, is
+	// not eligible as a home (policy/shift).
 	HomeHold    time.Duration `arg:"--home-hold,env:POND_HOME_HOLD" default:"5s" help:"how long an entry must be live before it is home to groups"`
 	HomeHoldMax time.Duration `arg:"--home-hold-max,env:POND_HOME_HOLD_MAX" default:"2m" help:"the longest that --home-hold grows to for an entry that comes and goes"`
-	// DrainMargin is added to the time that callers may keep an address, before a stopping entry closes.
+	// DrainMargin is added to the time for which callers may cache an address before a stopping entry closes its
+	// listeners.
 	DrainMargin time.Duration `arg:"--drain-margin,env:POND_DRAIN_MARGIN" default:"5s" help:"how much longer than callers may keep its address a stopping entry keeps serving; the news that it leaves take some 3s to 330 entries"`
 }
 
-// ErrConfig is wrapped by every fault of a Config.
+// ErrConfig is wrapped by every error about a Config.
 var ErrConfig = eris.New("invalid setting")
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// Check returns all faults of the settings, each with the setting's name and what would be right.
+// Check validates the configuration. The error lists every fault with the flag's name and the accepted values.
 func (c *Config) Check() error {
 	var faults []string
 	check := func(ok bool, setting, right string) {
@@ -84,17 +86,17 @@
 	return eris.Wrap(ErrConfig, strings.Join(faults, "; "))
 }
 
-// homeHold says when an entry may be a home. An entry is forgotten to have gone after ten times the longest
-// hold, or ten minutes.
+// homeHold returns the policy that decides when an entry may be a home. Departures of an entry are forgotten after
+// ten times HomeHoldMax, or after ten minutes if that is longer.
 func (c *Config) homeHold() shift.HoldConfig {
 	return shift.HoldConfig{Hold: c.HomeHold, MaxHold: c.HomeHoldMax, ForgetAfter: max(shift.DefaultForgetAfter, 10*c.HomeHoldMax)}
 }
 
-// source is the local address of outgoing connections, or nil.
-func (c *Config) source() net.IP { return net.ParseIP(c.SourceAddress) }
+// sourceIP returns the local address of outgoing connections, or nil if the system chooses it.
+func (c *Config) sourceIP() net.IP { return net.ParseIP(c.SourceAddress) }
 
-// reachablePeer is the address that other entries are told.
-func (c *Config) reachablePeer() string {
+// advertisedPeerAddress returns the peer address that is published to the other entries.
+func (c *Config) advertisedPeerAddress() string {
 	if c.AdvertisedPeerAddress != "" {
 		return c.AdvertisedPeerAddress
 	}
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -15,35 +15,36 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// pathDispatch is where the fronts of other entries send dispatches.
+// pathDispatch is the path to which the fronts of other entries send dispatches.
 const pathDispatch = "/peer/v1/dispatch"
 
-// dispatcher carries dispatches from the own front to the home of a group: by a function call if this
-// entry is the home, else over the peer link.
+// dispatcher sends dispatches from this entry's front to the home of a group: by a function call if this entry is
+// the home, otherwise over the peer link.
 type dispatcher struct {
-	self     string
-	table    *fleet.Table
-	home     *home.Home
-	members  *member.Members
-	life     string // the own incarnation
-	client   *peer.Client
-	recorder *timeline.Recorder
-	// serving counts the dispatches under way at the own home role, of any front. A claimed one goes on when
-	// its caller left, so a planned stop waits for it here, not at the caller's connection.
+	self        string
+	table       *fleet.Table
+	home        *home.Home
+	members     *member.Members
+	incarnation string // of this process
+	client      *peer.Client
+	recorder    *timeline.Recorder
+	// serving counts the dispatches in progress at this entry's home role, from any front. A claimed request
+	// continues after its caller has disconnected, so a planned stop must wait for this count and not only for the
+	// callers' connections.
 	serving atomic.Int64
 }
 
 // Dispatch implements front.Dispatcher.
 func (d *dispatcher) Dispatch(ctx context.Context, request contract.Dispatch) (front.FrameStream, error) {
-	owner := d.table.HomeOf(request.Group)
+	homeName := d.table.HomeOf(request.Group)
 	request.HLCTime = d.recorder.Now()
 	d.recorder.Record(timeline.Event{
-		Kind: timeline.RequestDispatched, Request: request.RequestID, Group: string(request.Group), Peer: owner,
+		Kind: timeline.RequestDispatched, Request: request.RequestID, Group: string(request.Group), Peer: homeName,
 	})
-	if owner == d.self {
-		return d.observed(request, d.local(ctx, request)), nil
+	if homeName == d.self {
+		return d.observe(request, d.dispatchLocally(ctx, request)), nil
 	}
-	address, ok := d.liveAddress(owner)
+	address, ok := d.liveAddress(homeName)
 	if !ok {
 		return nil, front.ErrNotSent
 	}
@@ -54,14 +55,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return d.observed(request, &remoteFrames{receiver: receiver}), nil
+	return d.observe(request, &remoteFrames{receiver: receiver}), nil
 }
 
-func (d *dispatcher) observed(request contract.Dispatch, frames front.FrameStream) front.FrameStream {
+func (d *dispatcher) observe(request contract.Dispatch, frames front.FrameStream) front.FrameStream {
 	return &observedFrames{FrameStream: frames, request: request, table: d.table, recorder: d.recorder}
 }
 
-// observedFrames takes what frames tell beside the answer: the group's load and the sender's time.
+// observedFrames records the group's load and the sender's time that frames carry in addition to the response.
 type observedFrames struct {
 	front.FrameStream
 	request  contract.Dispatch
@@ -84,7 +85,7 @@
 	return frame, nil
 }
 
-// remoteFrames are the frames of a home in another process.
+// remoteFrames reads the frames sent by a home in another process.
 type remoteFrames struct{ receiver *peer.Receiver }
 
 // Next implements front.FrameStream.
@@ -97,19 +98,19 @@
 // Close implements front.FrameStream.
 func (r *remoteFrames) Close() { r.receiver.Close() }
 
-// localFrames are the frames of the own home role. A slow caller holds the home up after localBacklog
-// frames, as a full stream window does between processes.
+// localFrames passes on the frames of this entry's home role. After localFrameBuffer frames a slow caller blocks
+// the home, as a full stream window does between processes.
 type localFrames struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 	frames chan contract.Frame
 }
 
-const localBacklog = 64
+const localFrameBuffer = 64
 
-func (d *dispatcher) local(ctx context.Context, request contract.Dispatch) front.FrameStream {
+func (d *dispatcher) dispatchLocally(ctx context.Context, request contract.Dispatch) front.FrameStream {
 	ctx, cancel := context.WithCancel(ctx)
-	l := &localFrames{ctx: ctx, cancel: cancel, frames: make(chan contract.Frame, localBacklog)}
+	l := &localFrames{ctx: ctx, cancel: cancel, frames: make(chan contract.Frame, localFrameBuffer)}
 	d.serving.Add(1)
 	go func() {
 		defer d.serving.Add(-1)
@@ -161,5 +162,5 @@
 		defer d.serving.Add(-1)
 		return d.home.Dispatch(ctx, request, func(frame contract.Frame) error { return send(frame) })
 	})
-	d.registerHolder(server)
+	d.registerClaimQueries(server)
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,9 +1,10 @@
-// Package entry assembles one process of an entry VM from its roles: front, home, controller, directory,
-// and what they share.
+// Package entry assembles the process that runs on an entry VM from its roles (front, home, controller, directory)
+// and the components they share.
 //
-// The flow of a request: front (this entry, to which the caller connected) -> dispatcher -> home of the
-// group (an entry named by rendezvous hashing) -> engine of the group's head. Placements, settings and
-// entries come by the mirror; liveness and the state of groups by rumours among the entries.
+// A request passes from the front of the entry that the caller connected to, through the dispatcher, to the home
+// of the group (an entry chosen by rendezvous hashing) and on to the engine of the group's head. Placements,
+// settings and entries are received through the mirror; liveness and group states through gossip between the
+// entries.
 package entry
 
 import (
@@ -38,53 +39,53 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// errNotLive is shown to operators for an entry that is held dead.
+// errNotLive is reported to operators for an entry that is considered dead.
 var errNotLive = eris.New("entry is held dead")
 
-// ErrSuperseded ends an entry whose name another process has taken.
+// ErrSuperseded is returned by a process whose entry name has been taken over by another process.
 var ErrSuperseded = eris.New("another process has taken this entry's name")
 
-// Entry is one assembled process. Run makes it work.
+// Entry is one assembled process. Run starts its roles.
 type Entry struct {
-	config       Config
-	log          *logrus.Entry
-	recorder     *timeline.Recorder
-	registration *registration
-	members      *member.Members
-	homes        *homes
-	pinger       member.Pinger
-	mirror       *mirror.Mirror
-	follower     *mirror.Follower
-	prober       *prober.Prober
-	admission    *admission.Admission
-	purger       *attempt.Purger
-	owners       owners
-	reach        *reach.Tracker
-	guard        *guard.Guard
-	controller   *controller.Controller
-	front        *front.Front
-	directory    *directory.Directory
-	gate         *drain.Gate
-	operator     *operator.Server
-	overview     *overview
-	dispatcher   *dispatcher
-	router       *routing.Router
-	peerClient   *peer.Client
-	peerServer   *peer.Server
-	inForce      *settingsInForce
-	metrics      *measures
-	// settled is closed once settings are in force that were compared with those of others.
-	settled chan struct{}
+	config          Config
+	log             *logrus.Entry
+	recorder        *timeline.Recorder
+	registration    *registration
+	members         *member.Members
+	homes           *homeCandidates
+	pinger          member.Pinger
+	mirror          *mirror.Mirror
+	follower        *mirror.Follower
+	prober          *prober.Prober
+	admission       *admission.Admission
+	purger          *attempt.Purger
+	membership      liveMembership
+	reach           *reach.Tracker
+	guard           *guard.Guard
+	controller      *controller.Controller
+	front           *front.Front
+	directory       *directory.Directory
+	gate            *drain.Gate
+	operator        *operator.Server
+	statusCollector *statusCollector
+	dispatcher      *dispatcher
+	router          *routing.Router
+	peerClient      *peer.Client
+	peerServer      *peer.Server
+	inForce         *settingsInForce
+	metrics         *processMetrics
+	// settingsReady is closed once settings that have been compared with those of other entries are in force.
+	settingsReady chan struct{}
 }
 
-// finishMargin is what a planned stop waits beyond the longest time that a request may last.
-const finishMargin = 30 * time.Second
+// finishTimeoutMargin is how much longer than the longest request a planned stop waits.
+const finishTimeoutMargin = 30 * time.Second
 
-// role is a part of the entry that runs for as long as the entry does. One that returns an error ends it.
+// role is a component that runs as long as the entry does. An error returned by a role stops the entry.
 type role func(ctx context.Context) error
 
-// always makes a role of what runs until its context ends.
-func always(run func(ctx context.Context)) role {
+// untilDone adapts a function that runs until its context ends to a role.
+func untilDone(run func(ctx context.Context)) role {
 	return func(ctx context.Context) error {
 		run(ctx)
 		return nil
@@ -95,27 +96,27 @@
 	return []role{
 		func(ctx context.Context) error { return e.peerServer.Serve(ctx, sockets.peer) },
 		func(ctx context.Context) error { return e.members.Run(ctx, e.pinger) },
-		always(e.homes.Run),
-		always(e.follower.Run),
-		always(e.prober.Run),
-		always(e.admission.Run),
-		always(e.guard.Run),
-		always(e.reach.Run),
-		always(e.controller.Run),
-		always(e.directory.Run),
-		always(func(ctx context.Context) { e.purger.Run(ctx, purgeInterval, e.purges, e.purged) }),
+		untilDone(e.homes.Run),
+		untilDone(e.follower.Run),
+		untilDone(e.prober.Run),
+		untilDone(e.admission.Run),
+		untilDone(e.guard.Run),
+		untilDone(e.reach.Run),
+		untilDone(e.controller.Run),
+		untilDone(e.directory.Run),
+		untilDone(func(ctx context.Context) { e.purger.Run(ctx, purgeInterval, e.isPurger, e.logPurge) }),
 		e.watchMembers,
-		always(e.settle),
-		func(ctx context.Context) error { return e.serveSettled(ctx, public, sockets.public) },
-		func(ctx context.Context) error { return e.serveSettled(ctx, admin, sockets.admin) },
+		untilDone(e.syncSettings),
+		func(ctx context.Context) error { return e.serveWhenReady(ctx, public, sockets.public) },
+		func(ctx context.Context) error { return e.serveWhenReady(ctx, admin, sockets.admin) },
 	}
 }
 
-// readHeaderTimeout bounds how long a client may take to send a request's header.
+// readHeaderTimeout limits how long a client may take to send a request's header.
 const readHeaderTimeout = 10 * time.Second
 
-// Run serves until ctx ends, then drains: it leaves the directory, keeps serving for longer than callers
-// may keep its address, finishes the requests in progress, and returns. The roles go on until then.
+// Run serves until ctx ends and then drains: the entry leaves the directory, keeps serving for longer than callers
+// may cache its address, finishes the requests in progress and returns. The roles keep running until then.
 func (e *Entry) Run(ctx context.Context, sockets *sockets) error {
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	var running sync.WaitGroup
@@ -154,8 +155,8 @@
 	return err
 }
 
-// drain is the planned stop. Callers' requests are over when their connections are closed, which is after
-// the last byte of each answer; those of other entries' fronts are counted with them.
+// drain performs a planned stop. The requests of this entry's callers are finished when their connections are
+// closed, which happens after the last byte of each response. Requests from other entries' fronts are counted too.
 func (e *Entry) drain(public *http.Server) error {
 	e.log.Info("leaving")
 	closed := make(chan struct{})
@@ -177,11 +178,11 @@
 		},
 		Entered: e.recordPhase,
 	}
-	config := drain.Config{Margin: e.config.DrainMargin, FinishTimeout: e.longestRequest() + finishMargin}
+	config := drain.Config{Margin: e.config.DrainMargin, FinishTimeout: e.longestRequest() + finishTimeoutMargin}
 	return drain.New(config, steps, drain.SystemClock{}).Run(context.Background())
 }
 
-// longestRequest is the longest deadline that a caller may name.
+// longestRequest returns the longest request timeout that callers of any service may ask for.
 func (e *Entry) longestRequest() time.Duration {
 	longest := time.Duration(0)
 	for _, service := range e.inForce.Snapshot().Services {
@@ -190,7 +191,7 @@
 	return longest
 }
 
-// unfinished is 1 until closed is.
+// unfinished returns 1 until closed is closed, then 0.
 func unfinished(closed <-chan struct{}) int {
 	select {
 	case <-closed:
@@ -207,30 +208,31 @@
 	}
 }
 
-// purgeInterval is how often expired attempt records are looked for: one list of the kind, by one entry.
+// purgeInterval is how often expired attempt records are purged. Each purge lists all objects of the kind, from
+// one entry.
 const purgeInterval = 10 * time.Minute
 
-// purges says whether this entry is the one that purges attempt records.
-func (e *Entry) purges() bool {
-	return domain.Owner(string(platform.KindAttempt), e.owners.Live()) == e.config.Name
+// isPurger reports whether this entry is the one that purges attempt records.
+func (e *Entry) isPurger() bool {
+	return domain.Owner(string(platform.KindAttempt), e.membership.Live()) == e.config.Name
 }
 
-func (e *Entry) purged(deleted int, err error) {
+func (e *Entry) logPurge(deleted int, err error) {
 	log := e.log.WithField("deleted", deleted)
 	if err != nil {
-		log.WithError(err).Warn("attempt records could not all be purged")
+		log.WithError(err).Warn("failed to purge some attempt records")
 		return
 	}
 	log.Debug("attempt records purged")
 }
 
-const membersCheck = time.Second
+const memberCheckInterval = time.Second
 
-// watchMembers stops an old process whose name was given to a new one, and tells the router how many
-// fronts share the load.
+// watchMembers tells the router how many fronts share the load, and returns ErrSuperseded if a new process has
+// taken this entry's name.
 func (e *Entry) watchMembers(ctx context.Context) error {
 	for ctx.Err() == nil {
-		wait.Pause(ctx, membersCheck)
+		wait.Pause(ctx, memberCheckInterval)
 		e.router.SetFrontCount(len(e.members.Live()))
 		if e.members.Superseded() {
 			return ErrSuperseded
--- a/entry/holder.go
+++ b/entry/holder.go
@@ -10,41 +10,42 @@
 	"github.com/skylarkpond/skylarkpond/link/peer"
 )
 
-// Paths of the questions to the holder of a claim.
+// Paths of the queries to the holder of a claim.
 const (
 	pathWorking = "/peer/v1/working"
 	pathGaveUp  = "/peer/v1/gave-up"
 )
 
-// holderQuestion asks the holder of a claim what became of it.
-type holderQuestion struct {
+// claimQuery asks the holder of a claim for the claim's status.
+type claimQuery struct {
 	Incarnation string `cbor:"1,keyasint"`
 	RequestID   string `cbor:"2,keyasint"`
-	// Nonce is that of the claim.
+	// Nonce is the nonce of the claim.
 	Nonce string `cbor:"3,keyasint,omitempty"`
 }
 
-// ClaimStatus implements front.ClaimHolders. No answer counts as silent: the caller is then told unknown, which is
-// true whatever the holder does.
+// ClaimStatus implements front.ClaimHolders. A missing answer counts as HolderSilent. The caller is then told that
+// the outcome is unknown, which is true whatever the holder does.
 func (d *dispatcher) ClaimStatus(ctx context.Context, claim contract.AttemptRecord) outcome.HolderAnswer {
-	question := holderQuestion{Incarnation: claim.Incarnation, RequestID: claim.RequestID, Nonce: claim.Nonce}
+	query := claimQuery{Incarnation: claim.Incarnation, RequestID: claim.RequestID, Nonce: claim.Nonce}
 	if claim.Home == d.self {
-		return d.answer(question)
+		return d.localClaimStatus(query)
 	}
-	holder, ok := d.holder(claim)
+	holder, ok := d.findHolder(claim)
 	if !ok {
 		return outcome.HolderSilent
 	}
 	if holder.State == member.Dead || holder.Unreachable {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, lostHolderTimeout)
+		ctx, cancel = context.WithTimeout(ctx, deadHolderTimeout)
 		defer cancel()
 	}
 	call := func(path string) bool {
 		var answer bool
-		return d.client.Call(ctx, holder.PeerAddress, path, question, &answer) == nil && answer
+		return d.client.Call(ctx, holder.PeerAddress, path, query, &answer) == nil && answer
 	}
-	// The first question is whether it is at work: a holder that gives the claim up in between says so to the second.
+	// Whether the holder is working is asked first: a holder that gives the claim up between the two queries
+	// answers yes to the second.
 	switch {
 	case call(pathWorking):
 		return outcome.HolderWorking
@@ -55,13 +56,13 @@
 	}
 }
 
-// lostHolderTimeout bounds the question to a holder that is held dead. It may be awake again, or cut off from others
-// alone; then it answers in milliseconds. The caller waits for it.
-const lostHolderTimeout = 300 * time.Millisecond
+// deadHolderTimeout limits a query to a holder that is considered dead. The holder may be running again, or be
+// unreachable only for others, and then answers within milliseconds. The caller waits for this query.
+const deadHolderTimeout = 300 * time.Millisecond
 
-// holder returns the entry that holds a claim, in whatever state: one that is leaving finishes its work, and one that
-// is held dead may live. A later life of the entry knows nothing of the claim.
-func (d *dispatcher) holder(claim contract.AttemptRecord) (member.Peer, bool) {
+// findHolder returns the entry that holds a claim, whatever its state: a leaving entry finishes its work, and an
+// entry considered dead may be running. A later incarnation of the entry knows nothing about the claim.
+func (d *dispatcher) findHolder(claim contract.AttemptRecord) (member.Peer, bool) {
 	for _, p := range d.members.Peers() {
 		if p.Name == claim.Home {
 			return p, p.Incarnation == claim.Incarnation
@@ -70,19 +71,19 @@
 	return member.Peer{}, false
 }
 
-// answer says what became of a claim of this entry.
-func (d *dispatcher) answer(question holderQuestion) outcome.HolderAnswer {
-	if question.Incarnation != d.life {
+// localClaimStatus returns the status of a claim held by this entry.
+func (d *dispatcher) localClaimStatus(query claimQuery) outcome.HolderAnswer {
+	if query.Incarnation != d.incarnation {
 		return outcome.HolderSilent
 	}
-	return d.home.ClaimStatus(question.RequestID, question.Nonce)
+	return d.home.ClaimStatus(query.RequestID, query.Nonce)
 }
 
-// registerHolder answers the questions of other entries' fronts.
-func (d *dispatcher) registerHolder(server *peer.Server) {
+// registerClaimQueries registers the handlers for the queries of other entries' fronts.
+func (d *dispatcher) registerClaimQueries(server *peer.Server) {
 	for path, wanted := range map[string]outcome.HolderAnswer{pathWorking: outcome.HolderWorking, pathGaveUp: outcome.HolderGaveUp} {
-		peer.Handle(server, path, func(_ context.Context, _ string, question holderQuestion) (bool, error) {
-			return d.answer(question) == wanted, nil
+		peer.Handle(server, path, func(_ context.Context, _ string, query claimQuery) (bool, error) {
+			return d.localClaimStatus(query) == wanted, nil
 		})
 	}
 }
--- a/entry/homes.go
+++ b/entry/homes.go
@@ -10,40 +10,40 @@
 	"github.com/skylarkpond/skylarkpond/policy/shift"
 )
 
-// homes names the entries that may be homes of groups: the live ones, without those that have just come or
-// come and go (policy/shift). It is safe for concurrent use.
-type homes struct {
-	members *member.Members
-	start   time.Time
-	steady  atomic.Pointer[[]string]
+// homeCandidates determines the entries eligible as homes of groups: the live entries except those that have just
+// joined, or that join and leave repeatedly (policy/shift). It is safe for concurrent use.
+type homeCandidates struct {
+	members  *member.Members
+	start    time.Time
+	eligible atomic.Pointer[[]string]
 
-	mu    sync.Mutex // guards shift; a leaf lock
-	shift *shift.FlapDamper
+	mu     sync.Mutex // guards damper; no other lock is taken while it is held
+	damper *shift.FlapDamper
 }
 
-func newHomes(config Config, members *member.Members) *homes {
-	h := &homes{
+func newHomeCandidates(config Config, members *member.Members) *homeCandidates {
+	h := &homeCandidates{
 		members: members, start: time.Now(),
-		shift: shift.NewFlapDamper(config.homeHold(), members.Self().Name),
+		damper: shift.NewFlapDamper(config.homeHold(), members.Self().Name),
 	}
-	h.steady.Store(&[]string{})
+	h.eligible.Store(&[]string{})
 	return h
 }
 
-// Steady returns the names, sorted. An entry that was paused sees none but through its own look at the
-// members, so that it owns nothing as soon as it wakes, not only once Run has noticed.
-func (h *homes) Steady() []string {
+// Eligible returns the names of the eligible entries, sorted. It checks for a suspension of this process itself,
+// so that the entry owns nothing from the moment it resumes and not only after Run has noticed.
+func (h *homeCandidates) Eligible() []string {
 	if h.members.Paused() {
 		return nil
 	}
-	return *h.steady.Load()
+	return *h.eligible.Load()
 }
 
-// idleWake is how often the names are worked out anew without a change.
-const idleWake = time.Minute
+// maxRefreshInterval is how often the names are recomputed if nothing changes.
+const maxRefreshInterval = time.Minute
 
-// Run follows the live entries until ctx ends.
-func (h *homes) Run(ctx context.Context) {
+// Run updates the names as entries join and leave, until ctx ends.
+func (h *homeCandidates) Run(ctx context.Context) {
 	changed := h.members.Subscribe()
 	for {
 		timer := time.NewTimer(h.refresh())
@@ -58,17 +58,17 @@
 	}
 }
 
-// refresh works the names out anew and returns after how long they next change by themselves.
-func (h *homes) refresh() time.Duration {
-	live := owners{h.members}.Live()
+// refresh recomputes the names and returns the time until they next change without an event.
+func (h *homeCandidates) refresh() time.Duration {
+	live := liveMembership{h.members}.Live()
 	now := time.Since(h.start)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.shift.Observe(now, live)
-	steady := h.shift.Eligible(now)
-	h.steady.Store(&steady)
-	if next, ok := h.shift.NextChange(now); ok {
+	h.damper.Observe(now, live)
+	eligible := h.damper.Eligible(now)
+	h.eligible.Store(&eligible)
+	if next, ok := h.damper.NextChange(now); ok {
 		return max(0, next-now)
 	}
-	return idleWake
+	return maxRefreshInterval
 }
--- a/entry/inforce.go
+++ b/entry/inforce.go
@@ -12,21 +12,22 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// settingsInForce holds the snapshot that this entry works by. A request takes it once and keeps it.
+// settingsInForce holds the settings snapshot that this entry uses. Each request reads it once and keeps that
+// version.
 //
-// Invariant: the version in force never goes down. What goes wrong otherwise: a stale read or a slow peer
-// would bring an older tree back, and an accepted change would revert on one entry without a trace.
+// Invariant: the version in force never decreases. Otherwise a stale read or a slow peer could restore an older
+// tree, and an accepted change would silently revert on one entry.
 type settingsInForce struct {
 	recorder *timeline.Recorder
 	log      *logrus.Entry
 
 	current atomic.Pointer[settings.Snapshot]
 
-	mu    sync.Mutex // guards the swap, and what follows
+	mu    sync.Mutex // guards updates of current, and the fields below
 	since time.Time
-	// opened is set once what was taken in may come into force; pending is the newest of before.
-	opened  bool
-	pending *settings.Snapshot
+	// activated is set once received versions may come into force. Until then pending holds the newest one.
+	activated bool
+	pending   *settings.Snapshot
 }
 
 func newSettingsInForce(recorder *timeline.Recorder, log *logrus.Entry) *settingsInForce {
@@ -37,53 +38,54 @@
 	return f
 }
 
-// Snapshot returns the settings in force; version 0 and empty before the first.
+// Snapshot returns the settings in force, or an empty snapshot of version 0 before the first.
 func (f *settingsInForce) Snapshot() *settings.Snapshot { return f.current.Load() }
 
-// Since returns when the version in force came into force.
+// Since returns when the current version came into force.
 func (f *settingsInForce) Since() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.since
 }
 
-// take puts a tree in force. One that can't be resolved leaves the version in force as it is: the entry that
-// accepted it checked it, so this is a newer release's tree, and serving on is better than stopping.
-func (f *settingsInForce) take(object platform.Object) {
+// applyTree brings a settings tree into force. If the tree cannot be parsed or resolved, the current version
+// stays: the entry that accepted the tree validated it, so it was written by a newer release, and continuing to
+// serve is better than stopping.
+func (f *settingsInForce) applyTree(object platform.Object) {
 	if object.Deleted || object.Name != platform.SettingsName {
 		return
 	}
 	tree, err := settings.ParseTree(object.Value)
 	if err != nil {
-		f.log.WithError(err).WithField("version", object.Version).Error("settings tree can't be read; the version in force stays")
+		f.log.WithError(err).WithField("version", object.Version).Error("cannot parse settings tree; keeping the version in force")
 		return
 	}
 	snapshot, err := tree.Resolve(uint64(object.Version))
 	if err != nil {
-		f.log.WithError(err).WithField("version", object.Version).Error("settings tree does not resolve; the version in force stays")
+		f.log.WithError(err).WithField("version", object.Version).Error("cannot resolve settings tree; keeping the version in force")
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.opened {
-		f.swap(snapshot)
+	if f.activated {
+		f.setCurrent(snapshot)
 	} else if f.pending == nil || snapshot.Version > f.pending.Version {
 		f.pending = snapshot
 	}
 }
 
-// open puts the newest that was taken in so far in force, and from then on whatever is newer.
-func (f *settingsInForce) open() {
+// activate brings the newest version received so far into force. Later versions come into force as they arrive.
+func (f *settingsInForce) activate() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.opened = true
+	f.activated = true
 	if f.pending != nil {
-		f.swap(f.pending)
+		f.setCurrent(f.pending)
 	}
 }
 
-// swap must be called with mu held.
-func (f *settingsInForce) swap(snapshot *settings.Snapshot) {
+// setCurrent brings the snapshot into force if it is newer than the current one. mu must be held.
+func (f *settingsInForce) setCurrent(snapshot *settings.Snapshot) {
 	if snapshot.Version <= f.current.Load().Version {
 		return
 	}
--- a/entry/measures.go
+++ b/entry/measures.go
@@ -8,17 +8,17 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// measures are the process's metrics.
-type measures struct {
+// processMetrics holds the metrics registry of the process.
+type processMetrics struct {
 	registry metrics.Registry
 	started  time.Time
 }
 
-func newMeasures() *measures {
-	m := &measures{registry: metrics.NewRegistry(), started: time.Now()}
-	gauge(m.registry, "process.uptime.seconds", func() int64 { return int64(time.Since(m.started).Seconds()) })
-	gauge(m.registry, "process.goroutines", func() int64 { return int64(runtime.NumGoroutine()) })
-	gauge(m.registry, "process.heap.bytes", heapBytes)
+func newProcessMetrics() *processMetrics {
+	m := &processMetrics{registry: metrics.NewRegistry(), started: time.Now()}
+	registerGauge(m.registry, "process.uptime.seconds", func() int64 { return int64(time.Since(m.started).Seconds()) })
+	registerGauge(m.registry, "process.goroutines", func() int64 { return int64(runtime.NumGoroutine()) })
+	registerGauge(m.registry, "process.heap.bytes", heapBytes)
 	return m
 }
 
@@ -28,11 +28,11 @@
 	return int64(stats.HeapAlloc)
 }
 
-func gauge(registry metrics.Registry, name string, value func() int64) {
+func registerGauge(registry metrics.Registry, name string, value func() int64) {
 	_ = registry.Register(name, metrics.NewFunctionalGauge(value))
 }
 
-// counted shows an atomic count as a gauge.
-func counted(registry metrics.Registry, name string, count *atomic.Int64) {
-	gauge(registry, name, count.Load)
+// registerCount registers an atomic counter as a gauge.
+func registerCount(registry metrics.Registry, name string, count *atomic.Int64) {
+	registerGauge(registry, name, count.Load)
 }
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -33,25 +33,25 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// registered is what the start made before the roles: the entry as it was published, and the platform's
-// version of that.
-type registered struct {
+// publishedEntry is the identity of this entry as published in the platform before the roles start, with the
+// version of the published object.
+type publishedEntry struct {
 	identity   *peer.Identity
 	entry      platform.Entry
 	generation platform.Version
 }
 
-// reservedShare is the part of the platform rate that only writes may use.
-const reservedShare = 0.2
+// reservedWriteShare is the fraction of the platform call rate that only writes may use.
+const reservedWriteShare = 0.2
 
-func provideStore(config Config, measures *measures) platform.Store {
-	return platform.NewClient(config.PlatformURL, platform.WithSource(config.source()), platform.WithMetrics(measures.registry), platform.WithRates(platform.Rates{
-		Shared:   config.PlatformRate * (1 - reservedShare),
-		Reserved: config.PlatformRate * reservedShare,
+func provideStore(config Config, measures *processMetrics) platform.Store {
+	return platform.NewClient(config.PlatformURL, platform.WithSource(config.sourceIP()), platform.WithMetrics(measures.registry), platform.WithRates(platform.Rates{
+		Shared:   config.PlatformRate * (1 - reservedWriteShare),
+		Reserved: config.PlatformRate * reservedWriteShare,
 	}))
 }
 
-func provideMembers(self registered, recorder *timeline.Recorder) *member.Members {
+func provideMembers(self publishedEntry, recorder *timeline.Recorder) *member.Members {
 	return member.New(member.Config{
 		Self:       self.entry,
 		Generation: uint64(self.generation),
@@ -60,34 +60,34 @@
 	})
 }
 
-func provideSettled() chan struct{} { return make(chan struct{}) }
+func provideSettingsReady() chan struct{} { return make(chan struct{}) }
 
-func provideOwners(members *member.Members) owners { return owners{members} }
+func provideMembership(members *member.Members) liveMembership { return liveMembership{members} }
 
-func providePeerClient(config Config, self registered, members *member.Members) *peer.Client {
-	return peer.NewClient(self.identity, members, config.source())
+func providePeerClient(config Config, self publishedEntry, members *member.Members) *peer.Client {
+	return peer.NewClient(self.identity, members, config.sourceIP())
 }
 
-func provideEngines(config Config) engine.Client { return engine.NewHTTPClient(config.source()) }
+func provideEngines(config Config) engine.Client { return engine.NewHTTPClient(config.sourceIP()) }
 
-func providePeerServer(self registered, members *member.Members) *peer.Server {
+func providePeerServer(self publishedEntry, members *member.Members) *peer.Server {
 	return peer.NewServer(self.identity, members)
 }
 
 func providePinger(client *peer.Client) member.Pinger { return member.NewPinger(client) }
 
-func provideFollower(m *mirror.Mirror, store platform.Store, owners owners, members *member.Members) *mirror.Follower {
+func provideFollower(m *mirror.Mirror, store platform.Store, owners liveMembership, members *member.Members) *mirror.Follower {
 	return mirror.NewFollower(m, store, owners, members)
 }
 
-func provideTable(homes *homes) *fleet.Table { return fleet.New(homes.Steady, time.Now) }
+func provideTable(homes *homeCandidates) *fleet.Table { return fleet.New(homes.Eligible, time.Now) }
 
-func providePlaced(config Config, table *fleet.Table, presence *vm.Presence, prober *prober.Prober) placed {
-	return placed{self: config.Name, table: table, presence: presence, prober: prober}
+func provideHomedGroups(config Config, table *fleet.Table, presence *vm.Presence, prober *prober.Prober) homedGroups {
+	return homedGroups{self: config.Name, table: table, presence: presence, prober: prober}
 }
 
-// purgesPerSecond leaves the platform's several hundred writes a second to claims and answers. It purges
-// 1.7 million records a day.
+// purgesPerSecond limits purging so that most of the platform's several hundred writes a second remain for claims
+// and answers. It suffices to purge 1.7 million records a day.
 const purgesPerSecond = 20
 
 func providePurger(store platform.Store) *attempt.Purger {
@@ -98,7 +98,7 @@
 
 func provideGuard(
 	config Config, store platform.Store, follower *mirror.Follower, engines engine.Client, recorder *timeline.Recorder,
-	measures *measures,
+	measures *processMetrics,
 ) *guard.Guard {
 	return guard.New(guard.Deps{
 		Self: config.Name, Store: store, Publisher: follower, Engines: engines, Recorder: recorder,
@@ -107,8 +107,8 @@
 }
 
 func provideHome(
-	self registered, placed placed, admission *admission.Admission, attempts *attempt.Records, engines engine.Client,
-	inForce *settingsInForce, recorder *timeline.Recorder, guard *guard.Guard, measures *measures, log *logrus.Entry,
+	self publishedEntry, placed homedGroups, admission *admission.Admission, attempts *attempt.Records, engines engine.Client,
+	inForce *settingsInForce, recorder *timeline.Recorder, guard *guard.Guard, measures *processMetrics, log *logrus.Entry,
 ) *home.Home {
 	return home.New(home.Deps{
 		Self: self.entry.Name, Incarnation: self.entry.Incarnation, Groups: placed, Presence: placed,
@@ -118,18 +118,18 @@
 }
 
 func provideDispatcher(
-	self registered, table *fleet.Table, home *home.Home, members *member.Members, client *peer.Client,
+	self publishedEntry, table *fleet.Table, home *home.Home, members *member.Members, client *peer.Client,
 	recorder *timeline.Recorder,
 ) *dispatcher {
 	return &dispatcher{
-		self: self.entry.Name, life: self.entry.Incarnation, table: table, home: home, members: members, client: client,
+		self: self.entry.Name, incarnation: self.entry.Incarnation, table: table, home: home, members: members, client: client,
 		recorder: recorder,
 	}
 }
 
 func provideFront(
 	config Config, inForce *settingsInForce, dispatcher *dispatcher, router *routing.Router, attempts *attempt.Records,
-	recorder *timeline.Recorder, measures *measures, log *logrus.Entry,
+	recorder *timeline.Recorder, measures *processMetrics, log *logrus.Entry,
 ) *front.Front {
 	return front.New(front.Deps{
 		Self: config.Name, Settings: inForce.Snapshot, Dispatcher: dispatcher, Holders: dispatcher,
@@ -138,26 +138,28 @@
 	})
 }
 
-func provideRouter(config Config, measures *measures) *routing.Router {
+func provideRouter(config Config, measures *processMetrics) *routing.Router {
 	return routing.New(domain.FailureDomain(config.FailureDomain), measures.registry)
 }
 
-// reportTopic is that of the rumours that carry a fleet.Report.
+// reportTopic is the topic of the rumours that carry a fleet.Report.
 const reportTopic = "home"
 
 const (
-	// reportBudget bounds what loads in reports cost each entry, in bytes a second: a fifth of what control
-	// may cost in all. Loads ride on the frames of dispatches as well, at no cost.
+	// reportBudget limits what reporting loads costs each entry, in bytes a second, to a fifth of the total budget
+	// for control traffic. Loads are also carried by dispatch frames, at no extra cost.
 	reportBudget = 2000
-	// statusCost is what one status costs each entry: about 80 bytes, sent on to some five others.
+	// statusCost is the cost of one status to each entry in bytes: about 80 bytes, forwarded to about five other
+	// entries.
 	statusCost = 400
-	// reportInterval is the shortest interval of reports without a change.
-	reportInterval = 4 * time.Second
+	// minReportInterval is the shortest interval between reports without a change.
+	minReportInterval = 4 * time.Second
 )
 
-// reportEvery keeps the cost of reports the same whatever the number of groups.
-func reportEvery(groups int) time.Duration {
-	return max(reportInterval, time.Duration(groups)*time.Second*statusCost/reportBudget)
+// reportIntervalFor returns the report interval that keeps the cost of reports independent of the number of
+// groups.
+func reportIntervalFor(groups int) time.Duration {
+	return max(minReportInterval, time.Duration(groups)*time.Second*statusCost/reportBudget)
 }
 
 func provideProber(
@@ -167,13 +169,13 @@
 	return prober.New(prober.Deps{
 		Self: config.Name, Groups: table, Client: engines, Presence: presence, Recorder: recorder,
 		LoadOf:          admission.Load,
-		Broadcast:       func(report fleet.Report) { tellReport(members, report) },
-		RefreshInterval: func() time.Duration { return reportEvery(table.Len()) },
+		Broadcast:       func(report fleet.Report) { broadcastReport(members, report) },
+		RefreshInterval: func() time.Duration { return reportIntervalFor(table.Len()) },
 		Paused:          members.Paused,
 	})
 }
 
-func tellReport(members *member.Members, report fleet.Report) {
+func broadcastReport(members *member.Members, report fleet.Report) {
 	body, err := cbor.Marshal(report)
 	if err != nil {
 		return
@@ -181,33 +183,33 @@
 	members.Broadcast(member.Rumour{Topic: reportTopic, Name: report.Home, Version: uint64(report.HLCTime), Body: body})
 }
 
-// reachTopic is that of the rumours that carry a reach.Announcement.
+// reachTopic is the topic of the rumours that carry a reach.Announcement.
 const reachTopic = "reach"
 
 func provideReach(config Config, store platform.Store, members *member.Members, recorder *timeline.Recorder) *reach.Tracker {
-	tell := func(claim reach.Announcement) {
-		body, err := cbor.Marshal(claim)
+	announce := func(announcement reach.Announcement) {
+		body, err := cbor.Marshal(announcement)
 		if err != nil {
 			return
 		}
 		members.Broadcast(member.Rumour{
-			Topic: reachTopic, Name: claim.Entry, Version: uint64(recorder.Now()), Body: body, TTL: reach.AnnouncementTTL,
+			Topic: reachTopic, Name: announcement.Entry, Version: uint64(recorder.Now()), Body: body, TTL: reach.AnnouncementTTL,
 		})
 	}
-	ask := func(ctx context.Context) error {
+	probe := func(ctx context.Context) error {
 		_, err := store.Get(ctx, platform.KindEntry, config.Name)
 		return err
 	}
-	return reach.New(config.Name, time.Now, tell, ask)
+	return reach.New(config.Name, time.Now, announce, probe)
 }
 
 func provideController(
-	self registered, reach *reach.Tracker, store platform.Store, engines engine.Client, owners owners, m *mirror.Mirror, table *fleet.Table,
-	inForce *settingsInForce, recorder *timeline.Recorder, measures *measures, log *logrus.Entry, follower *mirror.Follower,
+	self publishedEntry, reach *reach.Tracker, store platform.Store, engines engine.Client, owners liveMembership, m *mirror.Mirror, table *fleet.Table,
+	inForce *settingsInForce, recorder *timeline.Recorder, measures *processMetrics, log *logrus.Entry, follower *mirror.Follower,
 ) *controller.Controller {
 	return controller.New(controller.Deps{
-		Store: reach.WrapStore(store), Engines: engines, Membership: reaching{owners, reach}, Placements: placements{m}, GroupReports: reports{table},
-		Settings: snapshots{inForce}.Snapshot, Incarnation: self.entry.Incarnation, Recorder: recorder,
+		Store: reach.WrapStore(store), Engines: engines, Membership: platformMembership{owners, reach}, Placements: mirroredPlacements{m}, GroupReports: groupReports{table},
+		Settings: settingsSource{inForce}.Snapshot, Incarnation: self.entry.Incarnation, Recorder: recorder,
 		Metrics: measures.registry, Log: log, OnPlacement: follower.Publish,
 	})
 }
@@ -224,11 +226,11 @@
 	})
 }
 
-func provideOverview(
+func provideStatusCollector(
 	config Config, members *member.Members, table *fleet.Table, inForce *settingsInForce, client *peer.Client,
 	recorder *timeline.Recorder, controller *controller.Controller,
-) *overview {
-	return &overview{
+) *statusCollector {
+	return &statusCollector{
 		self: config.Name, members: members, table: table, inForce: inForce, client: client, recorder: recorder,
 		controller: controller,
 	}
@@ -236,16 +238,16 @@
 
 func provideOperator(
 	config Config, store platform.Store, inForce *settingsInForce, m *mirror.Mirror, follower *mirror.Follower,
-	overview *overview, recorder *timeline.Recorder, measures *measures, log *logrus.Entry, guard *guard.Guard,
+	overview *statusCollector, recorder *timeline.Recorder, measures *processMetrics, log *logrus.Entry, guard *guard.Guard,
 ) *operator.Server {
 	return operator.New(operator.Deps{
-		Entry: config.Name, Store: store, Snapshots: snapshots{inForce}, Mirror: m, Publisher: follower, Status: overview,
-		Timeline: overview, Quarantine: heldRequests{guard}, VMs: vmLists{store}, Recorder: recorder,
+		Entry: config.Name, Store: store, Snapshots: settingsSource{inForce}, Mirror: m, Publisher: follower, Status: overview,
+		Timeline: overview, Quarantine: quarantineSource{guard}, VMs: vmLists{store}, Recorder: recorder,
 		Metrics: measures.registry, Log: log, Clock: time.Now, NewNonce: uuid.NewString,
 		BootstrapKeyHash: config.BootstrapKeyHash,
 	})
 }
 
-func provideRegistration(self registered, store platform.Store, follower *mirror.Follower) *registration {
-	return &registration{store: store, took: follower.Publish, self: self.entry}
+func provideRegistration(self publishedEntry, store platform.Store, follower *mirror.Follower) *registration {
+	return &registration{store: store, onWritten: follower.Publish, self: self.entry}
 }
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -11,11 +11,11 @@
 	"github.com/skylarkpond/skylarkpond/policy/quarantine"
 )
 
-// heldRequests shows operators what the guard holds back.
-type heldRequests struct{ guard *guard.Guard }
+// quarantineSource gives operators access to the requests that the guard holds back.
+type quarantineSource struct{ guard *guard.Guard }
 
-// Quarantined implements operator.QuarantineSource. Suspects are listed too, as such.
-func (h heldRequests) Quarantined(context.Context) ([]admin.QuarantinedRequest, error) {
+// Quarantined implements operator.QuarantineSource. Suspected requests are listed as well, with their own reason.
+func (h quarantineSource) Quarantined(context.Context) ([]admin.QuarantinedRequest, error) {
 	var all []admin.QuarantinedRequest
 	for service, held := range h.guard.Held() {
 		for _, request := range held {
@@ -37,7 +37,7 @@
 }
 
 // Lift implements operator.QuarantineSource.
-func (h heldRequests) Lift(ctx context.Context, service, fingerprint string) error {
+func (h quarantineSource) Lift(ctx context.Context, service, fingerprint string) error {
 	lifted, err := h.guard.Lift(ctx, service, fingerprint)
 	if err == nil && !lifted {
 		return operator.ErrNotQuarantined
--- a/entry/register.go
+++ b/entry/register.go
@@ -12,25 +12,26 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// registration writes this entry's object of kind "entry".
+// registration writes this entry's object of kind "entry" to the platform.
 type registration struct {
-	store platform.Store
-	took  func(platform.Object)
-	self  platform.Entry
+	store     platform.Store
+	onWritten func(platform.Object)
+	self      platform.Entry
 }
 
-// registerPause is the pause between tries while the platform is out; a start needs it.
-const registerPause = 250 * time.Millisecond
+// platformRetryDelay is the delay between attempts while the platform is unavailable; an entry cannot start
+// without it.
+const platformRetryDelay = 250 * time.Millisecond
 
-// publish writes the entry until the write is confirmed or ctx ends. The object of an earlier life under
-// the same name is replaced: its fingerprint is then no longer trusted.
+// publish writes the entry until the write is confirmed or ctx ends. It replaces the object of an earlier
+// incarnation with the same name, whose fingerprint is then no longer trusted.
 func (r *registration) publish(ctx context.Context, leaving bool) error {
 	for {
 		err := r.publishOnce(ctx, leaving)
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
-		wait.Pause(ctx, registerPause)
+		wait.Pause(ctx, platformRetryDelay)
 	}
 }
 
@@ -50,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	r.took(platform.Object{Kind: platform.KindEntry, Name: entry.Name, Version: written, Value: value})
+	r.onWritten(platform.Object{Kind: platform.KindEntry, Name: entry.Name, Version: written, Value: value})
 	return nil
 }
 
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -29,7 +29,8 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// sockets are opened first, so that a wrong address fails the start before anything was published.
+// sockets holds the listening sockets. They are opened first, so that a wrong address fails the start before
+// anything has been published.
 type sockets struct {
 	public net.Listener
 	admin  net.Listener
@@ -52,7 +53,8 @@
 	return &sockets{public: public, admin: admin, peer: peer}, nil
 }
 
-// Serve runs one entry until ctx ends and it has drained. A start waits for the platform.
+// Serve runs one entry until ctx ends and the entry has drained. It waits for the platform before it starts the
+// roles.
 func Serve(ctx context.Context, config Config) error {
 	lines := logqueue.New(os.Stderr, logQueueSize)
 	defer lines.Flush(logFlushTimeout)
@@ -68,25 +70,25 @@
 	if err != nil {
 		return err
 	}
-	measures := newMeasures()
-	gauge(measures.registry, "log.lines.dropped", lines.Dropped)
+	measures := newProcessMetrics()
+	registerGauge(measures.registry, "log.lines.dropped", lines.Dropped)
 	self, err := register(ctx, config, provideStore(config, measures), log)
 	if err != nil {
 		return err
 	}
 	recorder := timeline.NewRecorder(config.Name, out, time.Now)
 	e := assemble(config, self, recorder, measures, log)
-	e.connect()
-	if err := e.load(ctx); err != nil {
+	e.registerHandlers()
+	if err := e.loadMirror(ctx); err != nil {
 		return err
 	}
 	return e.Run(ctx, sockets)
 }
 
 const (
-	// logQueueSize is how many log lines wait for a slow reader before further ones are dropped and counted.
+	// logQueueSize is the number of log lines buffered for a slow reader. Further lines are dropped and counted.
 	logQueueSize = 1024
-	// logFlushTimeout bounds the wait for the last lines at the end of the process.
+	// logFlushTimeout limits the wait for the last log lines to be written when the process ends.
 	logFlushTimeout = time.Second
 )
 
@@ -99,7 +101,7 @@
 	log.SetFormatter(&logrus.JSONFormatter{})
 	log.SetOutput(out)
 	log.SetLevel(level)
-	// Libraries that print by the standard log are to print JSON lines as well.
+	// Libraries that use the standard logger should print JSON lines as well.
 	stdlog.SetFlags(0)
 	stdlog.SetOutput(log.WriterLevel(logrus.WarnLevel))
 	return log.WithField("entry", config.Name), nil
@@ -116,46 +118,46 @@
 	return file, eris.Wrap(err, "--timeline")
 }
 
-// register makes this life's identity and publishes it. Peers accept no other.
-func register(ctx context.Context, config Config, store platform.Store, log *logrus.Entry) (registered, error) {
+// register creates the identity of this incarnation and publishes it. Peers accept no other identity.
+func register(ctx context.Context, config Config, store platform.Store, log *logrus.Entry) (publishedEntry, error) {
 	identity, err := peer.NewIdentity(config.Name)
 	if err != nil {
-		return registered{}, err
+		return publishedEntry{}, err
 	}
 	self := platform.Entry{
-		Name: config.Name, PublicAddress: config.PublicAddress, PeerAddress: config.reachablePeer(), AdminAddress: config.AdminAddress,
+		Name: config.Name, PublicAddress: config.PublicAddress, PeerAddress: config.advertisedPeerAddress(), AdminAddress: config.AdminAddress,
 		Place: config.Place, FailureDomain: config.FailureDomain,
 		Incarnation: uuid.NewString(), Fingerprint: identity.Fingerprint(),
 	}
 	log.Info("publishing this entry in the platform")
 	var written platform.Version
-	r := &registration{store: store, self: self, took: func(o platform.Object) { written = o.Version }}
+	r := &registration{store: store, self: self, onWritten: func(o platform.Object) { written = o.Version }}
 	if err := r.publish(ctx, false); err != nil {
-		return registered{}, eris.Wrap(err, "publishing this entry")
+		return publishedEntry{}, eris.Wrap(err, "publishing this entry")
 	}
-	return registered{identity: identity, entry: self, generation: written}, nil
+	return publishedEntry{identity: identity, entry: self, generation: written}, nil
 }
 
-// connect ties the parts together that tell each other of changes.
-func (e *Entry) connect() {
-	e.mirror.OnChange(platform.KindSettings, e.inForce.take)
-	e.mirror.OnChange(platform.KindEntry, e.takeEntry)
-	e.mirror.OnChange(platform.KindPlacement, e.takePlacement)
+// registerHandlers registers the listeners, peer handlers and gauges that connect the components.
+func (e *Entry) registerHandlers() {
+	e.mirror.OnChange(platform.KindSettings, e.inForce.applyTree)
+	e.mirror.OnChange(platform.KindEntry, e.applyEntry)
+	e.mirror.OnChange(platform.KindPlacement, e.applyPlacement)
 	e.mirror.OnChange(platform.KindQuarantine, e.guard.ApplyObject)
 	e.mirror.OnChange(platform.KindSettings, func(platform.Object) { e.router.ApplySettings(e.inForce.Snapshot()) })
 	e.dispatcher.table.OnChange(e.router.Put, e.router.Remove)
-	e.members.Handle(reportTopic, e.takeReport)
-	e.members.Handle(reachTopic, e.takeClaim)
+	e.members.Handle(reportTopic, e.applyReport)
+	e.members.Handle(reachTopic, e.applyReachAnnouncement)
 	e.members.Register(e.peerServer, e.pinger)
 	e.dispatcher.register(e.peerServer)
-	e.overview.register(e.peerServer)
+	e.statusCollector.register(e.peerServer)
 	e.registerTree(e.peerServer)
-	counted(e.metrics.registry, "home.dispatches.serving", &e.dispatcher.serving)
-	gauge(e.metrics.registry, "settings.version", func() int64 { return int64(e.inForce.Snapshot().Version) })
-	gauge(e.metrics.registry, "members.live", func() int64 { return int64(len(e.members.Live())) })
+	registerCount(e.metrics.registry, "home.dispatches.serving", &e.dispatcher.serving)
+	registerGauge(e.metrics.registry, "settings.version", func() int64 { return int64(e.inForce.Snapshot().Version) })
+	registerGauge(e.metrics.registry, "members.live", func() int64 { return int64(len(e.members.Live())) })
 }
 
-func (e *Entry) takeEntry(object platform.Object) {
+func (e *Entry) applyEntry(object platform.Object) {
 	if object.Deleted {
 		e.members.Forget(object.Name)
 		return
@@ -167,20 +169,20 @@
 	e.members.Know(entry, uint64(object.Version))
 }
 
-func (e *Entry) takePlacement(object platform.Object) {
+func (e *Entry) applyPlacement(object platform.Object) {
 	if err := e.dispatcher.table.ApplyPlacement(object); err != nil {
-		e.log.WithError(err).WithField("domain", object.Name).Error("placement can't be read")
+		e.log.WithError(err).WithField("domain", object.Name).Error("cannot parse placement")
 	}
 }
 
-func (e *Entry) takeClaim(rumour member.Rumour) {
-	var claim reach.Announcement
-	if cbor.Unmarshal(rumour.Body, &claim) == nil {
-		e.reach.HandleAnnouncement(claim)
+func (e *Entry) applyReachAnnouncement(rumour member.Rumour) {
+	var announcement reach.Announcement
+	if cbor.Unmarshal(rumour.Body, &announcement) == nil {
+		e.reach.HandleAnnouncement(announcement)
 	}
 }
 
-func (e *Entry) takeReport(rumour member.Rumour) {
+func (e *Entry) applyReport(rumour member.Rumour) {
 	var report fleet.Report
 	if cbor.Unmarshal(rumour.Body, &report) != nil {
 		return
@@ -188,19 +190,19 @@
 	e.dispatcher.table.ApplyReport(report)
 }
 
-// load fills the mirror; it waits out an outage.
-func (e *Entry) load(ctx context.Context) error {
+// loadMirror fills the mirror from the platform, retrying during an outage.
+func (e *Entry) loadMirror(ctx context.Context) error {
 	for {
 		err := e.follower.Load(ctx)
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
 		e.log.WithError(err).Warn("the platform can't be read; trying again")
-		wait.Pause(ctx, registerPause)
+		wait.Pause(ctx, platformRetryDelay)
 	}
 }
 
-// publicHandler serves callers.
+// publicHandler returns the handler for callers.
 func (e *Entry) publicHandler() http.Handler {
 	service := new(restful.WebService)
 	service.Path("/v1").Produces("*/*").Consumes("*/*")
@@ -212,7 +214,7 @@
 	return e.gate.Wrap(container)
 }
 
-// unknownPath answers what no route takes, in the same form as every other refusal.
+// unknownPath responds to requests that match no route, in the same form as every other rejection.
 func unknownPath(fault restful.ServiceError, _ *restful.Request, response *restful.Response) {
 	problem := contract.NewRejection(fault.Code, contract.CodeUnknownPath, fault.Message,
 		"see docs/INTERFACE.md for the paths and methods there are")
@@ -223,12 +225,13 @@
 	_ = response.WriteHeaderAndJson(fault.Code, problem, restful.MIME_JSON)
 }
 
-// adminHandler serves operators.
+// adminHandler returns the handler for operators.
 func (e *Entry) adminHandler() http.Handler { return e.operator.Handler() }
 
-// CheckPlatform reports whether the platform answers and holds settings. It starts and writes nothing.
+// CheckPlatform reports to out whether the platform responds and holds settings. It starts nothing and writes
+// nothing to the platform.
 func CheckPlatform(ctx context.Context, config Config, out io.Writer) error {
-	store := provideStore(config, newMeasures())
+	store := provideStore(config, newProcessMetrics())
 	changes, err := store.List(ctx, platform.KindSettings)
 	if err != nil {
 		return eris.Wrap(err, "platform "+config.PlatformURL)
--- a/entry/settle.go
+++ b/entry/settle.go
@@ -13,26 +13,27 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// This file is about the settings that an entry starts with. What goes wrong without it: a start reads the
-// tree from a replica of the platform that lags, and the entry serves callers by settings that all others
-// have left behind, until a rumour reaches it. An operator who was told that a change is in force
-// everywhere would see it reverted there. So an entry puts nothing in force, and serves nobody, until it has
-// compared with others that live.
+// This file synchronizes the settings at startup. A starting entry may read the settings tree from a platform
+// replica that lags behind. It would then serve callers by settings that all other entries have replaced, until a
+// rumour reached it, and an operator who was told that a change is in force everywhere would see it reverted
+// there. An entry therefore brings no settings into force and serves nobody until it has compared its tree with
+// other live entries.
 
 const (
-	// settleTime bounds the wait for an answer of entries that are held live. News of a start reach all in
-	// some two seconds; an entry that is cut off from the others in this very moment serves by what it read.
-	settleTime = 10 * time.Second
-	// settleEvery is the pause between two looks at who lives.
-	settleEvery = 50 * time.Millisecond
-	// settleAsks is how many entries are asked at a time. Each works by the newest version, but for the
+	// settingsSyncTimeout limits the wait for an answer from the entries considered live. All entries learn of a
+	// start within about two seconds; an entry that is cut off from the others at this moment serves by the
+	// settings that it read.
+	settingsSyncTimeout = 10 * time.Second
+	// settingsSyncInterval is the delay between two checks of the live entries.
+	settingsSyncInterval = 50 * time.Millisecond
+	// settingsSyncPeers is how many entries are asked at a time. Each has the newest version, except during the
 	// second or two that a change takes to spread.
-	settleAsks = 3
-	// settleTimeout bounds one question.
-	settleTimeout = time.Second
+	settingsSyncPeers = 3
+	// settingsCallTimeout limits one call to a peer.
+	settingsCallTimeout = time.Second
 )
 
-// pathTree is where entries hand out the newest tree that they know.
+// pathTree is the path at which entries serve the newest settings tree that they know.
 const pathTree = "/peer/v1/tree"
 
 func (e *Entry) registerTree(server *peer.Server) {
@@ -42,24 +43,24 @@
 	})
 }
 
-// settle waits until the settings are compared with those of others, or nobody else lives, and puts them in
-// force.
-func (e *Entry) settle(ctx context.Context) {
-	deadline := time.Now().Add(settleTime)
-	for ctx.Err() == nil && !e.alone() && !e.compareTrees(ctx) {
+// syncSettings waits until the settings have been compared with those of other entries, or there are no other live
+// entries, and then brings them into force.
+func (e *Entry) syncSettings(ctx context.Context) {
+	deadline := time.Now().Add(settingsSyncTimeout)
+	for ctx.Err() == nil && !e.isOnlyMember() && !e.fetchTrees(ctx) {
 		if time.Now().After(deadline) {
 			e.log.Warn("no other entry answers; starting with the settings that the platform gave")
 			break
 		}
-		wait.Pause(ctx, settleEvery)
+		wait.Pause(ctx, settingsSyncInterval)
 	}
-	e.inForce.open()
+	e.inForce.activate()
 	e.router.ApplySettings(e.inForce.Snapshot())
-	close(e.settled)
+	close(e.settingsReady)
 }
 
-// others are the entries that live, without this one.
-func (e *Entry) others() []member.Peer {
+// otherMembers returns the live entries except this one.
+func (e *Entry) otherMembers() []member.Peer {
 	var found []member.Peer
 	for _, p := range e.members.Live() {
 		if !p.Self {
@@ -69,20 +70,20 @@
 	return found
 }
 
-// alone says that this entry has looked for others and found none.
-func (e *Entry) alone() bool {
+// isOnlyMember reports whether this entry has looked for other entries and found none.
+func (e *Entry) isOnlyMember() bool {
 	_, fresh := e.members.FreshSince()
-	return fresh && len(e.others()) == 0
+	return fresh && len(e.otherMembers()) == 0
 }
 
-// compareTrees asks some entries that live for their tree, and returns whether any answered.
-func (e *Entry) compareTrees(ctx context.Context) bool {
-	asked := e.others()
+// fetchTrees asks some live entries for their settings tree, and reports whether any answered.
+func (e *Entry) fetchTrees(ctx context.Context) bool {
+	asked := e.otherMembers()
 	rand.Shuffle(len(asked), func(i, j int) { asked[i], asked[j] = asked[j], asked[i] })
-	asked = asked[:min(settleAsks, len(asked))]
+	asked = asked[:min(settingsSyncPeers, len(asked))]
 	answers := make(chan bool, len(asked))
 	for _, p := range asked {
-		go func() { answers <- e.compareTree(ctx, p.PeerAddress) }()
+		go func() { answers <- e.fetchTree(ctx, p.PeerAddress) }()
 	}
 	answered := false
 	for range asked {
@@ -91,8 +92,8 @@
 	return answered
 }
 
-func (e *Entry) compareTree(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+func (e *Entry) fetchTree(ctx context.Context, address string) bool {
+	ctx, cancel := context.WithTimeout(ctx, settingsCallTimeout)
 	defer cancel()
 	var object platform.Object
 	if e.peerClient.Call(ctx, address, pathTree, struct{}{}, &object) != nil {
@@ -104,10 +105,10 @@
 	return true
 }
 
-// serveSettled serves once the settings are in force.
-func (e *Entry) serveSettled(ctx context.Context, server *http.Server, listener net.Listener) error {
+// serveWhenReady serves once the settings are in force.
+func (e *Entry) serveWhenReady(ctx context.Context, server *http.Server, listener net.Listener) error {
 	select {
-	case <-e.settled:
+	case <-e.settingsReady:
 		return serveHTTP(server, listener)
 	case <-ctx.Done():
 		return nil
--- a/entry/status.go
+++ b/entry/status.go
@@ -16,43 +16,43 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// Paths of the calls that gather for an operator.
+// Paths of the calls that collect data for an operator.
 const (
 	pathStatus = "/peer/v1/status"
 	pathEvents = "/peer/v1/events"
 )
 
 const (
-	// gatherTimeout bounds one question to one entry.
-	gatherTimeout = 2 * time.Second
-	// gatherers bounds the questions under way.
-	gatherers = 16
+	// peerCallTimeout limits one call to one entry.
+	peerCallTimeout = 2 * time.Second
+	// maxConcurrentCalls limits the calls in progress.
+	maxConcurrentCalls = 16
 )
 
-// selfStatus is what an entry says of itself.
+// selfStatus is the status that an entry reports of itself.
 type selfStatus struct {
-	// Version is that of the settings in force.
+	// Version is the version of the settings in force.
 	Version uint64 `cbor:"1,keyasint"`
-	// Since is in Unix milliseconds, by the answering entry's clock.
+	// Since is when that version came into force, in Unix milliseconds by the answering entry's clock.
 	Since int64 `cbor:"2,keyasint"`
-	// Held is what the entry can't do as a controller.
-	Held []admin.BlockedAction `cbor:"3,keyasint,omitempty"`
+	// Blocked lists the actions that the entry cannot perform as a controller.
+	Blocked []admin.BlockedAction `cbor:"3,keyasint,omitempty"`
 }
 
-// overview gathers status and time lines over all entries, when an operator asks. Between questions it
-// costs nothing.
-type overview struct {
+// statusCollector collects status and time line events from all entries when an operator asks for them. It costs
+// nothing otherwise.
+type statusCollector struct {
 	self     string
 	members  *member.Members
 	table    *fleet.Table
 	inForce  *settingsInForce
 	client   *peer.Client
 	recorder *timeline.Recorder
-	// controller is this entry's own.
+	// controller is this entry's own controller.
 	controller *controller.Controller
 }
 
-func (o *overview) register(server *peer.Server) {
+func (o *statusCollector) register(server *peer.Server) {
 	peer.Handle(server, pathStatus, func(context.Context, string, struct{}) (selfStatus, error) {
 		return o.ownStatus(), nil
 	})
@@ -61,41 +61,41 @@
 	})
 }
 
-func (o *overview) ownStatus() selfStatus {
-	return selfStatus{Version: o.inForce.Snapshot().Version, Since: o.inForce.Since().UnixMilli(), Held: o.ownHeld()}
+func (o *statusCollector) ownStatus() selfStatus {
+	return selfStatus{Version: o.inForce.Snapshot().Version, Since: o.inForce.Since().UnixMilli(), Blocked: o.ownBlockedActions()}
 }
 
-func (o *overview) ownHeld() []admin.BlockedAction {
-	var held []admin.BlockedAction
+func (o *statusCollector) ownBlockedActions() []admin.BlockedAction {
+	var blocked []admin.BlockedAction
 	for _, status := range o.controller.Status() {
 		domain := string(status.Domain)
 		for service, reason := range status.Held {
-			held = append(held, admin.BlockedAction{FabricDomain: domain, Service: service, Reason: reason})
+			blocked = append(blocked, admin.BlockedAction{FabricDomain: domain, Service: service, Reason: reason})
 		}
 		if status.Problem != "" {
-			held = append(held, admin.BlockedAction{FabricDomain: domain, Reason: status.Problem})
+			blocked = append(blocked, admin.BlockedAction{FabricDomain: domain, Reason: status.Problem})
 		}
 	}
-	return held
+	return blocked
 }
 
 // Status implements operator.StatusSource.
-func (o *overview) Status(ctx context.Context) (admin.Status, error) {
+func (o *statusCollector) Status(ctx context.Context) (admin.Status, error) {
 	status := admin.Status{Reporter: o.self, ReportedAt: time.Now().UnixMilli(), Groups: o.groups()}
 	peers := append(o.members.Peers(), o.members.Self())
 	status.Entries = make([]admin.EntryStatus, len(peers))
-	held := make([][]admin.BlockedAction, len(peers))
+	blocked := make([][]admin.BlockedAction, len(peers))
 	live := o.liveNames()
-	o.gather(len(peers), func(i int) {
-		status.Entries[i], held[i] = o.entryStatus(ctx, peers[i], live[peers[i].Name])
+	o.forEach(len(peers), func(i int) {
+		status.Entries[i], blocked[i] = o.entryStatus(ctx, peers[i], live[peers[i].Name])
 	})
-	status.BlockedActions = slices.Concat(held...)
-	slices.SortFunc(status.BlockedActions, compareHeld)
+	status.BlockedActions = slices.Concat(blocked...)
+	slices.SortFunc(status.BlockedActions, compareBlockedActions)
 	slices.SortFunc(status.Entries, func(a, b admin.EntryStatus) int { return strings.Compare(a.Name, b.Name) })
 	return status, nil
 }
 
-func (o *overview) liveNames() map[string]bool {
+func (o *statusCollector) liveNames() map[string]bool {
 	live := make(map[string]bool)
 	for _, p := range o.members.Live() {
 		live[p.Name] = true
@@ -103,15 +103,15 @@
 	return live
 }
 
-// gather calls do for 0 to n-1 by a bounded number of workers.
-func (o *overview) gather(n int, do func(i int)) {
+// forEach calls do for 0 to n-1 with at most maxConcurrentCalls calls at a time.
+func (o *statusCollector) forEach(n int, do func(i int)) {
 	var pool sync.WaitGroup
 	next := make(chan int, n)
 	for i := range n {
 		next <- i
 	}
 	close(next)
-	for range min(n, gatherers) {
+	for range min(n, maxConcurrentCalls) {
 		pool.Go(func() {
 			for i := range next {
 				do(i)
@@ -121,41 +121,41 @@
 	pool.Wait()
 }
 
-func compareHeld(a, b admin.BlockedAction) int {
+func compareBlockedActions(a, b admin.BlockedAction) int {
 	return cmp.Or(
 		strings.Compare(a.FabricDomain, b.FabricDomain), strings.Compare(a.Service, b.Service), strings.Compare(a.Reason, b.Reason))
 }
 
-func (o *overview) entryStatus(ctx context.Context, p member.Peer, live bool) (admin.EntryStatus, []admin.BlockedAction) {
+func (o *statusCollector) entryStatus(ctx context.Context, p member.Peer, live bool) (admin.EntryStatus, []admin.BlockedAction) {
 	status := admin.EntryStatus{
 		Name: p.Name, Place: p.Place, FailureDomain: p.FailureDomain, AdminAddress: p.AdminAddress,
 		Incarnation: p.Incarnation, Live: live, Leaving: p.Leaving,
 	}
-	answer, err := o.askStatus(ctx, p, live)
+	answer, err := o.fetchStatus(ctx, p, live)
 	if err != nil {
 		status.Problem = err.Error()
 		return status, nil
 	}
 	status.SettingsVersion = answer.Version
 	status.SettingsSince = answer.Since
-	return status, answer.Held
+	return status, answer.Blocked
 }
 
-func (o *overview) askStatus(ctx context.Context, p member.Peer, live bool) (selfStatus, error) {
+func (o *statusCollector) fetchStatus(ctx context.Context, p member.Peer, live bool) (selfStatus, error) {
 	if p.Self {
 		return o.ownStatus(), nil
 	}
 	if !live && p.State == member.Dead {
 		return selfStatus{}, errNotLive
 	}
-	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	var answer selfStatus
 	err := o.client.Call(ctx, p.PeerAddress, pathStatus, struct{}{}, &answer)
 	return answer, err
 }
 
-func (o *overview) groups() []admin.GroupStatus {
+func (o *statusCollector) groups() []admin.GroupStatus {
 	var groups []admin.GroupStatus
 	for _, c := range o.table.All() {
 		groups = append(groups, admin.GroupStatus{
@@ -167,12 +167,12 @@
 }
 
 // Timeline implements operator.TimelineSource.
-func (o *overview) Timeline(ctx context.Context, query admin.TimelineQuery) (admin.Timeline, error) {
+func (o *statusCollector) Timeline(ctx context.Context, query admin.TimelineQuery) (admin.Timeline, error) {
 	peers := o.members.Live()
 	answers := make([][]timeline.Event, len(peers))
 	missing := make([]bool, len(peers))
-	o.gather(len(peers), func(i int) {
-		events, err := o.askEvents(ctx, peers[i], query)
+	o.forEach(len(peers), func(i int) {
+		events, err := o.fetchEvents(ctx, peers[i], query)
 		answers[i] = events
 		missing[i] = err != nil
 	})
@@ -185,18 +185,18 @@
 	return merged, nil
 }
 
-func (o *overview) askEvents(ctx context.Context, p member.Peer, query admin.TimelineQuery) ([]timeline.Event, error) {
+func (o *statusCollector) fetchEvents(ctx context.Context, p member.Peer, query admin.TimelineQuery) ([]timeline.Event, error) {
 	if p.Self {
 		return o.ownEvents(query), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	var events []timeline.Event
 	err := o.client.Call(ctx, p.PeerAddress, pathEvents, query, &events)
 	return events, err
 }
 
-func (o *overview) ownEvents(query admin.TimelineQuery) []timeline.Event {
+func (o *statusCollector) ownEvents(query admin.TimelineQuery) []timeline.Event {
 	return latest(timeline.Select(o.recorder.Recent(), query.Filter), query.Limit)
 }
 
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -15,14 +15,14 @@
 
 //go:generate ../.bin/wire
 
-// assemble builds an entry from its settings and its registration.
-func assemble(config Config, self registered, recorder *timeline.Recorder, measures *measures, log *logrus.Entry) *Entry {
+// assemble builds an entry from its configuration and its published identity.
+func assemble(config Config, self publishedEntry, recorder *timeline.Recorder, measures *processMetrics, log *logrus.Entry) *Entry {
 	wire.Build(
-		provideStore, provideReach, provideMembers, provideOwners, providePeerClient, providePeerServer,
-		providePinger, provideFollower, provideTable, providePlaced, provideAttempts, providePurger, provideHome, provideGuard, provideDispatcher,
-		provideFront, provideRouter, provideProber, provideController, provideOverview, provideDirectory, provideOperator, provideRegistration,
-		newSettingsInForce, newHomes, wire.Struct(new(drain.Gate)), mirror.New, admission.New, vm.NewPresence,
-		provideEngines, provideSettled,
+		provideStore, provideReach, provideMembers, provideMembership, providePeerClient, providePeerServer,
+		providePinger, provideFollower, provideTable, provideHomedGroups, provideAttempts, providePurger, provideHome, provideGuard, provideDispatcher,
+		provideFront, provideRouter, provideProber, provideController, provideStatusCollector, provideDirectory, provideOperator, provideRegistration,
+		newSettingsInForce, newHomeCandidates, wire.Struct(new(drain.Gate)), mirror.New, admission.New, vm.NewPresence,
+		provideEngines, provideSettingsReady,
 		wire.Struct(new(Entry), "*"),
 	)
 	return nil
--- a/entry/wire_gen.go
+++ b/entry/wire_gen.go
@@ -17,68 +17,68 @@
 
 // Injectors from wire.go:
 
-// assemble builds an entry from its settings and its registration.
-func assemble(config Config, self registered, recorder *timeline.Recorder, measures2 *measures, log *logrus.Entry) *Entry {
-	store := provideStore(config, measures2)
+// assemble builds an entry from its configuration and its published identity.
+func assemble(config Config, self publishedEntry, recorder *timeline.Recorder, measures *processMetrics, log *logrus.Entry) *Entry {
+	store := provideStore(config, measures)
 	mirrorMirror := mirror.New()
 	members := provideMembers(self, recorder)
-	entryOwners := provideOwners(members)
-	follower := provideFollower(mirrorMirror, store, entryOwners, members)
+	entryLiveMembership := provideMembership(members)
+	follower := provideFollower(mirrorMirror, store, entryLiveMembership, members)
 	entryRegistration := provideRegistration(self, store, follower)
-	entryHomes := newHomes(config, members)
+	entryHomeCandidates := newHomeCandidates(config, members)
 	client := providePeerClient(config, self, members)
 	pinger := providePinger(client)
-	table := provideTable(entryHomes)
+	table := provideTable(entryHomeCandidates)
 	engineClient := provideEngines(config)
 	presence := vm.NewPresence()
 	admissionAdmission := admission.New()
 	prober := provideProber(config, table, engineClient, presence, recorder, members, admissionAdmission)
 	purger := providePurger(store)
 	tracker := provideReach(config, store, members, recorder)
-	guard := provideGuard(config, store, follower, engineClient, recorder, measures2)
+	guard := provideGuard(config, store, follower, engineClient, recorder, measures)
 	entrySettingsInForce := newSettingsInForce(recorder, log)
-	controller := provideController(self, tracker, store, engineClient, entryOwners, mirrorMirror, table, entrySettingsInForce, recorder, measures2, log, follower)
-	entryPlaced := providePlaced(config, table, presence, prober)
+	controller := provideController(self, tracker, store, engineClient, entryLiveMembership, mirrorMirror, table, entrySettingsInForce, recorder, measures, log, follower)
+	entryHomedGroups := provideHomedGroups(config, table, presence, prober)
 	records := provideAttempts(store)
-	home := provideHome(self, entryPlaced, admissionAdmission, records, engineClient, entrySettingsInForce, recorder, guard, measures2, log)
+	home := provideHome(self, entryHomedGroups, admissionAdmission, records, engineClient, entrySettingsInForce, recorder, guard, measures, log)
 	entryDispatcher := provideDispatcher(self, table, home, members, client, recorder)
-	router := provideRouter(config, measures2)
-	front := provideFront(config, entrySettingsInForce, entryDispatcher, router, records, recorder, measures2, log)
+	router := provideRouter(config, measures)
+	front := provideFront(config, entrySettingsInForce, entryDispatcher, router, records, recorder, measures, log)
 	gate := &drain.Gate{}
 	directory := provideDirectory(members, entrySettingsInForce, gate, entryDispatcher)
-	entryOverview := provideOverview(config, members, table, entrySettingsInForce, client, recorder, controller)
-	server := provideOperator(config, store, entrySettingsInForce, mirrorMirror, follower, entryOverview, recorder, measures2, log, guard)
+	entryStatusCollector := provideStatusCollector(config, members, table, entrySettingsInForce, client, recorder, controller)
+	server := provideOperator(config, store, entrySettingsInForce, mirrorMirror, follower, entryStatusCollector, recorder, measures, log, guard)
 	peerServer := providePeerServer(self, members)
-	v := provideSettled()
+	v := provideSettingsReady()
 	entry := &Entry{
-		config:       config,
-		log:          log,
-		recorder:     recorder,
-		registration: entryRegistration,
-		members:      members,
-		homes:        entryHomes,
-		pinger:       pinger,
-		mirror:       mirrorMirror,
-		follower:     follower,
-		prober:       prober,
-		admission:    admissionAdmission,
-		purger:       purger,
-		owners:       entryOwners,
-		reach:        tracker,
-		guard:        guard,
-		controller:   controller,
-		front:        front,
-		directory:    directory,
-		gate:         gate,
-		operator:     server,
-		overview:     entryOverview,
-		dispatcher:   entryDispatcher,
-		router:       router,
-		peerClient:   client,
-		peerServer:   peerServer,
-		inForce:      entrySettingsInForce,
-		metrics:      measures2,
-		settled:      v,
+		config:          config,
+		log:             log,
+		recorder:        recorder,
+		registration:    entryRegistration,
+		members:         members,
+		homes:           entryHomeCandidates,
+		pinger:          pinger,
+		mirror:          mirrorMirror,
+		follower:        follower,
+		prober:          prober,
+		admission:       admissionAdmission,
+		purger:          purger,
+		membership:      entryLiveMembership,
+		reach:           tracker,
+		guard:           guard,
+		controller:      controller,
+		front:           front,
+		directory:       directory,
+		gate:            gate,
+		operator:        server,
+		statusCollector: entryStatusCollector,
+		dispatcher:      entryDispatcher,
+		router:          router,
+		peerClient:      client,
+		peerServer:      peerServer,
+		inForce:         entrySettingsInForce,
+		metrics:         measures,
+		settingsReady:   v,
 	}
 	return entry
 }
