--- a/entry/adapters.go
+++ b/entry/adapters.go
@@ -103,13 +103,11 @@
 	return candidate.Status, known
 }
 
-// mirroredPlacements gives the controller access to the mirrored placement objects.
-type mirroredPlacements struct{ mirror *mirror.Mirror }
+// placementSource gives the controller access to the mirrored placement objects.
+type placementSource struct{ mirror *mirror.Mirror }
 
 // Placements implements controller.Placements.
-func (p mirroredPlacements) Placements() []platform.Object {
-	return p.mirror.All(platform.KindPlacement)
-}
+func (p placementSource) Placements() []platform.Object { return p.mirror.All(platform.KindPlacement) }
 
 // settingsSource provides the settings in force.
 type settingsSource struct{ inForce *settingsInForce }
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -208,7 +208,7 @@
 	inForce *settingsInForce, recorder *timeline.Recorder, measures *processMetrics, log *logrus.Entry, follower *mirror.Follower,
 ) *controller.Controller {
 	return controller.New(controller.Deps{
-		Store: reach.WrapStore(store), Engines: engines, Membership: platformMembership{owners, reach}, Placements: mirroredPlacements{m}, GroupReports: groupReports{table},
+		Store: reach.WrapStore(store), Engines: engines, Membership: platformMembership{owners, reach}, Placements: placementSource{m}, GroupReports: groupReports{table},
 		Settings: settingsSource{inForce}.Snapshot, Incarnation: self.entry.Incarnation, Recorder: recorder,
 		Metrics: measures.registry, Log: log, OnPlacement: follower.Publish,
 	})
