--- a/entry/directory/directory_test.go
+++ b/entry/directory/directory_test.go
@@ -82,7 +82,7 @@
 }
 
 var _ = Describe("GET /v1/entries", func() {
-	It("names live entries of the caller's place first, and how long to keep them", func() {
+	It("returns live entries of the caller's place first, and how long to cache them", func() {
 		b := newFixture()
 		got := b.get("")
 		var answer Response
@@ -95,7 +95,7 @@
 		Expect(b.entries("?failure_domain=b&count=1").Entries).To(ConsistOf(HaveField("FailureDomain", "b")))
 	})
 
-	It("refuses parameters that make no sense", func() {
+	It("rejects invalid parameters", func() {
 		b := newFixture()
 		for _, query := range []string{"?count=0", "?count=33", "?count=x", "?place=A%20B", "?failure_domain=-"} {
 			got := b.get(query)
@@ -109,7 +109,7 @@
 
 	// An entry that has just started has not contacted a peer yet and owns nothing. If it returned no entries, its
 	// callers would have nowhere to go, although it could serve them.
-	It("names itself while it knows nobody, unless it is leaving", func() {
+	It("returns itself while it knows no other entry, unless it is leaving", func() {
 		b := newFixture()
 		b.members.live = nil
 		Expect(b.entries("").Entries).To(ConsistOf(HaveField("Address", "a1:8080")))
@@ -119,7 +119,7 @@
 		Expect(got.Header().Get("Retry-After")).To(Equal("1"))
 	})
 
-	It("leaves out an overloaded entry, and says so of itself", func() {
+	It("excludes an overloaded entry, and reports its own overload", func() {
 		b := newFixture()
 		b.members.live[2].Overloaded = true
 		for range 20 {
@@ -138,7 +138,7 @@
 
 	// Operators shorten the TTL right before an entry is stopped. Callers that were given the longer TTL keep
 	// using the entry's address.
-	It("remembers the longest time that it told a caller", func() {
+	It("remembers the longest TTL given to a caller", func() {
 		b := newFixture()
 		b.entries("")
 		b.ttl = time.Second
--- a/entry/fleet/fleet_test.go
+++ b/entry/fleet/fleet_test.go
@@ -32,7 +32,7 @@
 var _ = Describe("Table", func() {
 	// Entries join and leave between two lookups, possibly without a change in their number. An outdated home
 	// would send requests to an entry that is gone, or keep an entry probing that is no longer the home.
-	It("names the homes by the entries of the moment, for groups that are placed later too", func() {
+	It("computes homes from the current entries, also for groups that are placed later", func() {
 		live := []string{"a", "b", "c"}
 		table := fleet.New(func() []string { return live }, time.Now)
 		groups := []vm.GroupID{"g1", "g2", "g3", "g4", "g5", "g6", "g7"}
--- a/entry/mirror/mirror_test.go
+++ b/entry/mirror/mirror_test.go
@@ -41,7 +41,7 @@
 }
 
 var _ = Describe("Mirror", func() {
-	It("takes what a complete list leaves out as deleted, unless it is newer than the list", func() {
+	It("treats what a complete list omits as deleted, unless it is newer than the list", func() {
 		m := New()
 		m.Merge(
 			platform.Object{Kind: platform.KindEntry, Name: "old", Version: 3},
@@ -93,7 +93,7 @@
 var _ = Describe("Follower", func() {
 	// A watch is dropped and resumes on a lagging replica of the platform, which repeats an old tree. The other
 	// entries must neither store it nor receive it, or an accepted change would revert there.
-	It("spreads what is new and nothing that repeats or goes back", func() {
+	It("broadcasts new versions and no repeated or older ones", func() {
 		rumours := &fakeBroadcaster{}
 		store := &scriptedStore{responses: []platform.Changes{
 			{Objects: []platform.Object{tree(7)}, Revision: 7, Complete: true},
--- a/entry/operator/operator_test.go
+++ b/entry/operator/operator_test.go
@@ -120,7 +120,7 @@
 }
 
 var _ = Describe("Apply", func() {
-	It("says accepted after the write, spreads the tree, and records the event", func() {
+	It("reports accepted after the write, publishes the tree, and records the event", func() {
 		r := newDevTestServer()
 		status, answer := r.apply(replicasChange("a", chat, 1, 3))
 		Expect(status).To(Equal(http.StatusOK))
@@ -134,7 +134,7 @@
 
 	// The platform performs the write, but its response is lost. Reporting a failure would be wrong, and writing
 	// again would undo changes that others made in the meantime.
-	DescribeTable("settles a write whose answer was lost",
+	DescribeTable("resolves a write whose response was lost",
 		func(faults []string, puts int) {
 			r := newDevTestServer()
 			r.store.faults = faults
@@ -149,15 +149,15 @@
 			Expect(answer.Status).To(Equal(settings.AlreadyApplied))
 			Expect(r.store.tree().Changes).To(HaveLen(1))
 		},
-		Entry("the answer alone was lost", []string{"lost-answer"}, 1),
+		Entry("only the response was lost", []string{"lost-answer"}, 1),
 		Entry("the write was lost", []string{"lost"}, 2),
-		Entry("the write comes through late, right before the second try", []string{"delayed"}, 2),
-		Entry("the platform was down and then lost an answer", []string{"down", "lost-answer"}, 2),
+		Entry("the write takes effect late, right before the second attempt", []string{"delayed"}, 2),
+		Entry("the platform was down and then lost a response", []string{"down", "lost-answer"}, 2),
 	)
 
 	// Both operators start from the same revision. Without the conflict, the second change would silently undo the
 	// first, which was already accepted.
-	It("tells a conflict with both sides and writes nothing", func() {
+	It("reports both sides of a conflict and writes nothing", func() {
 		r := newDevTestServer()
 		_, _ = r.apply(replicasChange("a", chat, 1, 3))
 		status, answer := r.apply(replicasChange("b", chat, 1, 5))
@@ -213,7 +213,7 @@
 		Expect(tree.Changes).To(HaveLen(5))
 	})
 
-	DescribeTable("tells what an outage means for the change",
+	DescribeTable("reports the outcome of a change during an outage",
 		func(prepare func(*testServer), outcome contract.Outcome, code contract.Code) {
 			r := newDevTestServer()
 			prepare(r)
@@ -228,14 +228,14 @@
 			r.store.faults = []string{"lost-answer"}
 			r.store.onGet = func() { r.store.getErr = platform.ErrUnavailable }
 		}, contract.OutcomeUnknown, contract.CodeUnknownOutcome),
-		Entry("answers from an older state than was seen", func(r *testServer) {
+		Entry("responses older than the state already seen", func(r *testServer) {
 			old := r.store.object
 			old.Version = 3
 			r.store.stale = &old
 		}, contract.OutcomeNotRun, contract.CodePlatformUnavailable),
 	)
 
-	It("refuses faults, naming node, key and what would be right", func() {
+	It("refuses an invalid change, naming the node, the key and the accepted values", func() {
 		r := newDevTestServer()
 		bad := replicasChange("a", chat, 1, 3)
 		bad.Nodes[0].Values["group_size"] = settings.Value{Kind: settings.IntegerValue, Integer: 0}
@@ -248,7 +248,7 @@
 
 	// A group that fits no fabric domain would never be formed, and its service would silently have no replica.
 	// VMs that have since disappeared must not block an unrelated change.
-	It("refuses a group larger than any fabric domain, and only what this change brings", func() {
+	It("refuses a group larger than any fabric domain, but only for faults that this change introduces", func() {
 		r := newDevTestServer()
 		machine := func(n int) vm.VM {
 			return vm.VM{Name: vm.Name(fmt.Sprint(n)), Position: domain.Position{Place: "local", FabricDomain: "f1"}}
@@ -268,7 +268,7 @@
 })
 
 var _ = Describe("Tokens", func() {
-	DescribeTable("lets nobody in but operators",
+	DescribeTable("authorizes only operators",
 		func(token string, status int) {
 			r := newDevTestServer()
 			r.token = token
@@ -281,7 +281,7 @@
 		Entry("bootstrap token, though a tree exists", "bootstrap", http.StatusUnauthorized),
 	)
 
-	It("takes the bootstrap token for the first tree only", func() {
+	It("accepts the bootstrap token for the first tree only", func() {
 		declared, err := settings.LoadFS(examples.Dev(), "dev")
 		Expect(err).NotTo(HaveOccurred())
 		change := settings.Change{ID: "first"}
@@ -300,7 +300,7 @@
 
 	// A token was revoked, and this entry has not yet received the revocation. The token's holder must not be able
 	// to restore it.
-	It("does not let a token change the tree that no longer names it", func() {
+	It("does not let a revoked token change the tree", func() {
 		r := newDevTestServer()
 		tree := r.store.tree()
 		values := tree.Nodes[settings.Root].Values
@@ -314,7 +314,7 @@
 })
 
 var _ = Describe("Reading", func() {
-	It("gives the tree, an explanation and the history", func() {
+	It("returns the tree, an explanation and the history", func() {
 		r := newDevTestServer()
 		_, _ = r.apply(replicasChange("a", chat, 1, 3))
 		_, _ = r.apply(replicasChange("b", desk, 1, 4))
@@ -332,7 +332,7 @@
 		Expect(history.Changes[0].ID).To(Equal("b"))
 	})
 
-	It("shows the entry's own copy while the platform is out", func() {
+	It("returns the entry's local copy during a platform outage", func() {
 		r := newDevTestServer()
 		r.store.getErr = platform.ErrUnavailable
 		var current admin.Settings
@@ -341,7 +341,7 @@
 		Expect(current.Version).To(Equal(uint64(10)))
 	})
 
-	It("counts how far the groups are from what the settings want", func() {
+	It("compares the groups with what the settings ask for", func() {
 		r := newDevTestServer()
 		group := func(service string, state vm.GroupState, whole bool, members int, version string) admin.GroupStatus {
 			return admin.GroupStatus{Whole: whole, Group: vm.Group{
@@ -366,7 +366,7 @@
 		}))
 	})
 
-	It("passes the time line's query on, and lifts a quarantine", func() {
+	It("passes on the time line query, and lifts a quarantine", func() {
 		r := newDevTestServer()
 		Expect(r.call(http.MethodGet, admin.TimelinePath+"?since=5&kind=group-state&limit=7", nil, nil)).To(Equal(http.StatusOK))
 		Expect(r.entry.query).To(Equal(admin.TimelineQuery{Filter: timeline.Filter{Since: 5, Kind: timeline.GroupState}, Limit: 7}))
--- a/entry/prober/prober_test.go
+++ b/entry/prober/prober_test.go
@@ -54,7 +54,7 @@
 	// A group's home moves when an entry joins or leaves. Until the new home has probed the members it knows
 	// nothing of them; it then rejected the callers of a service with one group, and told fronts that the group
 	// was not whole.
-	It("that has just got a group asks its members before it refuses, and tells nobody that it is not whole", func() {
+	It("that has just become responsible for a group probes its members before it rejects requests or reports the group as not whole", func() {
 		paused := false
 		w := &fakeCluster{homed: []vm.Group{group}}
 		p, presence := w.prober(&paused)
@@ -68,7 +68,7 @@
 
 	// Entries learn of the change some seconds apart. A front that has not learned of it yet sends to the old
 	// home.
-	It("that has lost a group serves it on for a moment, unless it was paused, and then forgets it", func() {
+	It("that has handed over a group serves it for the handover period, unless it was suspended, and then forgets it", func() {
 		paused := false
 		w := &fakeCluster{homed: []vm.Group{group}}
 		p, _ := w.prober(&paused)
--- a/entry/reach/reach_test.go
+++ b/entry/reach/reach_test.go
@@ -74,13 +74,13 @@
 		w.run(20*time.Second, "a", "b")
 	})
 
-	It("costs no call while nothing is wrong", func() {
+	It("sends no probes while all calls succeed", func() {
 		Expect(w.probes).To(BeZero())
 		Expect(w.usable("c")).To(Equal(w.names))
 	})
 
 	// Only the controller of a fabric domain is cut off from the platform; its peers can still reach it.
-	It("leaves out an entry that alone is cut off, and takes it back", func() {
+	It("excludes the only entry that is cut off, and includes it again afterwards", func() {
 		w.cutOff["a"] = true
 		w.run(15*time.Second, "a", "b")
 		for _, name := range w.names {
@@ -94,7 +94,7 @@
 	})
 
 	// After a platform outage each entry should resume what it owned, and none should take over from another.
-	It("leaves nobody out in an outage, or after it", func() {
+	It("excludes nobody during or after a platform outage", func() {
 		for _, name := range w.names {
 			w.cutOff[name] = true
 		}
@@ -111,7 +111,7 @@
 		Expect(w.usable("a")).To(Equal(w.names))
 	})
 
-	It("takes a refusal that is the platform's word for an answer, and the own rate limit for nothing", func() {
+	It("counts a rejection by the platform as a response, and ignores the local rate limit", func() {
 		for range 20 {
 			w.entries["a"].RecordResult(platform.ErrConflict)
 			w.entries["b"].RecordResult(platform.ErrThrottled)
