--- a/entry/config.go
+++ b/entry/config.go
@@ -27,7 +27,7 @@
 	SourceAddress         string `arg:"--source-address,env:POND_SOURCE_ADDRESS" help:"IP from which connections to other entries, backend servers and the platform are made; empty: the system chooses"`
 	AdminAddress          string `arg:"--admin-address,env:POND_ADMIN_ADDRESS,required" help:"IP:port for operators (HTTP)"`
 	PlatformURL           string `arg:"--platform,env:POND_PLATFORM,required" help:"URL of the platform's object API, by IP number"`
-	// PlatformRate limits the platform calls of one entry. The platform handles several hundred writes and about
+	// PlatformRate limits the platform calls per second of one entry. The platform handles several hundred writes and about
 	// two thousand reads a second from all entries together.
 	PlatformRate float64 `arg:"--platform-rate,env:POND_PLATFORM_RATE" default:"100" help:"calls a second this entry may make to the platform"`
 	Timeline     string  `arg:"--timeline,env:POND_TIMELINE" help:"file to append time line events to; - for standard output; empty: only the recent ones are kept, in memory"`
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -145,7 +145,8 @@
 // Close implements front.FrameStream.
 func (l *localFrames) Close() { l.cancel() }
 
-// liveAddress returns where a live entry takes calls from other entries.
+// liveAddress returns the address at which a live entry accepts calls from other entries, and false if the entry
+// is not live.
 func (d *dispatcher) liveAddress(name string) (string, bool) {
 	for _, p := range d.members.Live() {
 		if p.Name == name {
@@ -155,7 +156,7 @@
 	return "", false
 }
 
-// register makes the calls that other entries' fronts make.
+// register registers the handlers for the calls of other entries' fronts.
 func (d *dispatcher) register(server *peer.Server) {
 	peer.HandleStream(server, pathDispatch, func(ctx context.Context, _ string, request contract.Dispatch, send func(v any) error) error {
 		d.serving.Add(1)
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -76,8 +76,8 @@
 
 func providePinger(client *peer.Client) member.Pinger { return member.NewPinger(client) }
 
-func provideFollower(m *mirror.Mirror, store platform.Store, owners liveMembership, members *member.Members) *mirror.Follower {
-	return mirror.NewFollower(m, store, owners, members)
+func provideFollower(m *mirror.Mirror, store platform.Store, membership liveMembership, members *member.Members) *mirror.Follower {
+	return mirror.NewFollower(m, store, membership, members)
 }
 
 func provideTable(homes *homeCandidates) *fleet.Table { return fleet.New(homes.Eligible, time.Now) }
@@ -107,11 +107,11 @@
 }
 
 func provideHome(
-	self publishedEntry, placed homedGroups, admission *admission.Admission, attempts *attempt.Records, engines engine.Client,
+	self publishedEntry, groups homedGroups, admission *admission.Admission, attempts *attempt.Records, engines engine.Client,
 	inForce *settingsInForce, recorder *timeline.Recorder, guard *guard.Guard, measures *processMetrics, log *logrus.Entry,
 ) *home.Home {
 	return home.New(home.Deps{
-		Self: self.entry.Name, Incarnation: self.entry.Incarnation, Groups: placed, Presence: placed,
+		Self: self.entry.Name, Incarnation: self.entry.Incarnation, Groups: groups, Presence: groups,
 		Admission: admission, Guard: guard, Attempts: attempts, Engines: engines,
 		Settings: inForce.Snapshot, Recorder: recorder, Metrics: measures.registry, Log: log,
 	})
@@ -204,11 +204,11 @@
 }
 
 func provideController(
-	self publishedEntry, reach *reach.Tracker, store platform.Store, engines engine.Client, owners liveMembership, m *mirror.Mirror, table *fleet.Table,
+	self publishedEntry, reach *reach.Tracker, store platform.Store, engines engine.Client, membership liveMembership, m *mirror.Mirror, table *fleet.Table,
 	inForce *settingsInForce, recorder *timeline.Recorder, measures *processMetrics, log *logrus.Entry, follower *mirror.Follower,
 ) *controller.Controller {
 	return controller.New(controller.Deps{
-		Store: reach.WrapStore(store), Engines: engines, Membership: platformMembership{owners, reach}, Placements: placementSource{m}, GroupReports: groupReports{table},
+		Store: reach.WrapStore(store), Engines: engines, Membership: platformMembership{membership, reach}, Placements: placementSource{m}, GroupReports: groupReports{table},
 		Settings: settingsSource{inForce}.Snapshot, Incarnation: self.entry.Incarnation, Recorder: recorder,
 		Metrics: measures.registry, Log: log, OnPlacement: follower.Publish,
 	})
@@ -238,11 +238,11 @@
 
 func provideOperator(
 	config Config, store platform.Store, inForce *settingsInForce, m *mirror.Mirror, follower *mirror.Follower,
-	overview *statusCollector, recorder *timeline.Recorder, measures *processMetrics, log *logrus.Entry, guard *guard.Guard,
+	collector *statusCollector, recorder *timeline.Recorder, measures *processMetrics, log *logrus.Entry, guard *guard.Guard,
 ) *operator.Server {
 	return operator.New(operator.Deps{
-		Entry: config.Name, Store: store, Snapshots: settingsSource{inForce}, Mirror: m, Publisher: follower, Status: overview,
-		Timeline: overview, Quarantine: quarantineSource{guard}, VMs: vmLists{store}, Recorder: recorder,
+		Entry: config.Name, Store: store, Snapshots: settingsSource{inForce}, Mirror: m, Publisher: follower, Status: collector,
+		Timeline: collector, Quarantine: quarantineSource{guard}, VMs: vmLists{store}, Recorder: recorder,
 		Metrics: measures.registry, Log: log, Clock: time.Now, NewNonce: uuid.NewString,
 		BootstrapKeyHash: config.BootstrapKeyHash,
 	})
