--- a/entry/front/fakes_test.go
+++ b/entry/front/fakes_test.go
@@ -230,7 +230,7 @@
 
 type discardTaker struct{}
 
-func (discardTaker) Took(platform.Object) {}
+func (discardTaker) Publish(platform.Object) {}
 
 func (f *fleet) attempts() *attempt.Records {
 	return attempt.New(platform.NewClient(f.server.URL, platform.WithCallTimeout(200*time.Millisecond)), time.Now)
--- a/entry/mirror/mirror_test.go
+++ b/entry/mirror/mirror_test.go
@@ -24,14 +24,14 @@
 	}
 }
 
-// Watches repeat old changes, peers lag behind, and pulls cross each other, so that an older copy of
-// the settings arrives after a newer one. An operator would see an accepted change revert.
+// Watches repeat old changes, peers lag behind, and concurrent pulls overlap, so an older copy of the settings can
+// arrive after a newer one. If it were stored, an operator would see an accepted change revert.
 func TestVersionNeverGoesDown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
 		highest := platform.Version(0)
 		for _, version := range rapid.SliceOf(rapid.Uint64Range(1, 20)).Draw(t, "arrivals") {
-			m.Offer(tree(platform.Version(version)))
+			m.Merge(tree(platform.Version(version)))
 			highest = max(highest, platform.Version(version))
 			if got := m.Version(platform.KindSettings, platform.SettingsName); got != highest {
 				t.Fatalf("version %d after %d had been seen", got, highest)
@@ -41,13 +41,13 @@
 }
 
 var _ = Describe("Mirror", func() {
-	It("takes what a complete list leaves out as deleted, unless it is newer than the list", func() {
+	It("treats what a complete list omits as deleted, unless it is newer than the list", func() {
 		m := New()
-		m.Offer(
+		m.Merge(
 			platform.Object{Kind: platform.KindEntry, Name: "old", Version: 3},
 			platform.Object{Kind: platform.KindEntry, Name: "new", Version: 9},
 		)
-		m.OfferChanges(platform.KindEntry, platform.Changes{Revision: 5, Complete: true})
+		m.MergeChanges(platform.KindEntry, platform.Changes{Revision: 5, Complete: true})
 		names := []string{}
 		for _, object := range m.All(platform.KindEntry) {
 			names = append(names, object.Name)
@@ -56,45 +56,46 @@
 	})
 })
 
-// whispers is Rumours between followers in one process.
-type whispers struct {
+// fakeBroadcaster delivers rumours between followers in one process.
+type fakeBroadcaster struct {
 	handlers []func(member.Rumour)
 	sent     int
 }
 
-func (w *whispers) Broadcast(r member.Rumour) {
+func (w *fakeBroadcaster) Broadcast(r member.Rumour) {
 	w.sent++
 	for _, handler := range w.handlers {
 		handler(r)
 	}
 }
 
-func (w *whispers) Handle(_ string, handler func(member.Rumour)) {
+func (w *fakeBroadcaster) Handle(_ string, handler func(member.Rumour)) {
 	w.handlers = append(w.handlers, handler)
 }
 
-// script is a Store whose watch repeats and goes back, as after a dropped connection or a stale replica.
-type script struct {
+// scriptedStore is a Store whose watch repeats changes and goes back to older ones, as after a dropped connection
+// or on a stale replica.
+type scriptedStore struct {
 	platform.Store
-	answers []platform.Changes
+	responses []platform.Changes
 }
 
-func (s *script) List(ctx context.Context, kind platform.Kind) (platform.Changes, error) {
+func (s *scriptedStore) List(ctx context.Context, kind platform.Kind) (platform.Changes, error) {
 	return s.Watch(ctx, kind, 0)
 }
 
-func (s *script) Watch(context.Context, platform.Kind, platform.Version) (platform.Changes, error) {
-	next := s.answers[0]
-	s.answers = s.answers[1:]
+func (s *scriptedStore) Watch(context.Context, platform.Kind, platform.Version) (platform.Changes, error) {
+	next := s.responses[0]
+	s.responses = s.responses[1:]
 	return next, nil
 }
 
 var _ = Describe("Follower", func() {
-	// A watch is dropped and starts anew on a replica of the platform that lags: it repeats an old tree. The
-	// other entries must neither take it nor be told of it, else an accepted change would revert there.
-	It("spreads what is new and nothing that repeats or goes back", func() {
-		rumours := &whispers{}
-		store := &script{answers: []platform.Changes{
+	// A watch is dropped and resumes on a lagging replica of the platform, which repeats an old tree. The other
+	// entries must neither store it nor receive it, or an accepted change would revert there.
+	It("broadcasts new versions and no repeated or older ones", func() {
+		rumours := &fakeBroadcaster{}
+		store := &scriptedStore{responses: []platform.Changes{
 			{Objects: []platform.Object{tree(7)}, Revision: 7, Complete: true},
 			{Objects: []platform.Object{tree(5)}, Revision: 5},
 			{Objects: []platform.Object{tree(7)}, Revision: 7},
