--- a/internal/standin/platform/objects.go
+++ b/internal/standin/platform/objects.go
@@ -220,7 +220,7 @@
 	if loses || drop || held && p.faults.outageNow() != OutageNone {
 		dropConnection()
 	}
-	return platform.Written{Version: version}, err
+	return platform.WriteResult{Version: version}, err
 }
 
 func number(request *http.Request, key string) (platform.Version, error) {
--- a/link/platform/client.go
+++ b/link/platform/client.go
@@ -30,7 +30,7 @@
 	watchTimeout time.Duration
 	limiter      *limiter
 	registry     metrics.Registry
-	wire         Wire
+	wire         Codec
 }
 
 // Defaults of a Client.
@@ -63,8 +63,8 @@
 // WithMetrics counts the calls in registry, under "platform.calls.<kind>.<verb>".
 func WithMetrics(registry metrics.Registry) Option { return func(c *Client) { c.registry = registry } }
 
-// WithWire makes the calls in another platform's form.
-func WithWire(wire Wire) Option { return func(c *Client) { c.wire = wire } }
+// WithCodec makes the calls in another platform's form.
+func WithCodec(wire Codec) Option { return func(c *Client) { c.wire = wire } }
 
 // WithSource lets all connections come from a local address; nil: the system chooses.
 func WithSource(source net.IP) Option {
--- a/link/platform/wire.go
+++ b/link/platform/wire.go
@@ -22,7 +22,7 @@
 
 func (v Verb) writes() bool { return v == VerbPut || v == VerbDelete }
 
-// Call is one call of a Store, before a Wire has put it into an HTTP message.
+// Call is one call of a Store, before a Codec has put it into an HTTP message.
 type Call struct {
 	Verb Verb
 	Kind Kind
@@ -52,9 +52,9 @@
 	Next string
 }
 
-// Wire says how calls and answers of one platform look. It decides nothing: limits, timeouts, retries and
+// Codec says how calls and answers of one platform look. It decides nothing: limits, timeouts, retries and
 // the settling of lost answers are the Client's.
-type Wire interface {
+type Codec interface {
 	// Encode returns the message of a call.
 	Encode(call Call) (Message, error)
 	// DecodeObject reads the answer to a get or a put.
@@ -66,12 +66,12 @@
 // ownWire is that of the platform's stand-in in this repository.
 type ownWire struct{}
 
-// Written is the answer of that wire to a write.
-type Written struct {
+// WriteResult is the answer of that wire to a write.
+type WriteResult struct {
 	Version Version `json:"version"`
 }
 
-// Encode implements Wire.
+// Encode implements Codec.
 func (ownWire) Encode(call Call) (Message, error) {
 	objects := "/v1/objects/" + url.PathEscape(string(call.Kind))
 	object := objects + "/" + url.PathEscape(call.Name)
@@ -89,10 +89,10 @@
 	return Message{Method: http.MethodGet, Target: object}, nil
 }
 
-// DecodeObject implements Wire.
+// DecodeObject implements Codec.
 func (ownWire) DecodeObject(call Call, body []byte) (Object, error) {
 	if call.Verb == VerbPut {
-		var written Written
+		var written WriteResult
 		err := json.Unmarshal(body, &written)
 		return Object{Kind: call.Kind, Name: call.Name, Version: written.Version}, err
 	}
@@ -101,7 +101,7 @@
 	return object, err
 }
 
-// DecodePage implements Wire.
+// DecodePage implements Codec.
 func (ownWire) DecodePage(_ Call, body []byte) (Page, error) {
 	var page Page
 	err := json.Unmarshal(body, &page.Changes)
