--- a/link/platform/client.go
+++ b/link/platform/client.go
@@ -16,12 +16,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// Client is the Store over HTTP/1.1 with JSON. It is safe for concurrent use.
+// Client implements Store over HTTP/1.1 with JSON. It is safe for concurrent use.
 //
-// A write is one send on the wire. What goes wrong otherwise: a write that the transport repeats by itself
-// can take effect, then meet its own effect and report a conflict that nobody caused. net/http repeats a
-// request on a reused connection if it may rewind the body or finds an Idempotency-Key; writes here
-// have a body that can't be rewound and no such header. Reads may be repeated.
+// Each write is sent exactly once. If the transport retried a write on its own, the retry could see the
+// effect of the first attempt and report a conflict that no other writer caused. net/http retries a request
+// on a reused connection if the body can be rewound or the request carries an Idempotency-Key. Writes
+// therefore use a body that can't be rewound and don't set that header. Reads may be retried.
 type Client struct {
 	base         string
 	transport    *http.Transport
@@ -30,43 +30,43 @@
 	watchTimeout time.Duration
 	limiter      *limiter
 	registry     metrics.Registry
-	wire         Codec
+	codec        Codec
 }
 
-// Defaults of a Client.
+// Client defaults.
 const (
-	// DefaultCallTimeout bounds one call; the platform answers in milliseconds.
+	// DefaultCallTimeout limits one call. The platform usually responds within milliseconds.
 	DefaultCallTimeout = 2 * time.Second
-	// DefaultWatchTimeout bounds one watch. It is above the platform's own waiting time of 20 s.
+	// DefaultWatchTimeout limits one watch. It exceeds the platform's own wait limit of 20 s.
 	DefaultWatchTimeout = 30 * time.Second
-	// idleConnTimeout is below what servers commonly use, so that it is rarely the platform that closes
-	// an idle connection: a write that meets such a closing is unconfirmed.
+	// idleConnTimeout is shorter than common server-side idle timeouts, so that the platform rarely closes
+	// an idle connection first: a write sent on a connection that is being closed ends unconfirmed.
 	idleConnTimeout = 10 * time.Second
-	// maxIdleConns is above the calls that one entry has open at a time.
+	// maxIdleConns exceeds the number of calls that one entry has open at a time.
 	maxIdleConns = 32
-	// maxErrorBytes bounds what is kept of a refusal's text.
+	// maxErrorBytes limits how much of an error response body is kept.
 	maxErrorBytes = 512
 )
 
-// Option changes a Client.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithCallTimeout bounds each call but watches.
+// WithCallTimeout sets the timeout of every call except watches.
 func WithCallTimeout(d time.Duration) Option { return func(c *Client) { c.callTimeout = d } }
 
-// WithWatchTimeout bounds each watch; it must exceed the platform's waiting time.
+// WithWatchTimeout sets the timeout of each watch. It must exceed the platform's wait limit.
 func WithWatchTimeout(d time.Duration) Option { return func(c *Client) { c.watchTimeout = d } }
 
-// WithRates bounds the calls a second; reads never use the part that is reserved for writes.
+// WithRates sets the call rate limits. Reads never use the rate reserved for writes.
 func WithRates(r Rates) Option { return func(c *Client) { c.limiter = newLimiter(r) } }
 
-// WithMetrics counts the calls in registry, under "platform.calls.<kind>.<verb>".
+// WithMetrics counts calls in registry under "platform.calls.<kind>.<verb>".
 func WithMetrics(registry metrics.Registry) Option { return func(c *Client) { c.registry = registry } }
 
-// WithCodec makes the calls in another platform's form.
-func WithCodec(wire Codec) Option { return func(c *Client) { c.wire = wire } }
+// WithCodec selects the message format of another platform implementation.
+func WithCodec(codec Codec) Option { return func(c *Client) { c.codec = codec } }
 
-// WithSource lets all connections come from a local address; nil: the system chooses.
+// WithSource binds all connections to a local address. If source is nil, the system chooses one.
 func WithSource(source net.IP) Option {
 	return func(c *Client) {
 		if source == nil {
@@ -78,13 +78,13 @@
 	}
 }
 
-// Bounds of a connection.
+// Connection limits.
 const (
-	// dialTimeout bounds the making of a connection; the platform answers in milliseconds. A lost first packet is sent again only
-	// after a second, so another try is sooner there.
+	// dialTimeout limits connection establishment; the platform responds in milliseconds. A lost SYN is
+	// retransmitted only after 1 s, so dialing again is faster than waiting for the retransmission.
 	dialTimeout = 700 * time.Millisecond
-	// A waiting watch hears nothing for many seconds, so that only probes tell a connection that has gone
-	// silent from a quiet kind. With these it is noticed after 3 s.
+	// A pending watch can receive no data for many seconds, so only keep-alive probes distinguish a dead
+	// connection from a kind without changes. These values detect a dead connection after 3 s.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
@@ -96,10 +96,10 @@
 	}}
 }
 
-// errCompacted: the platform no longer has the history that a watch begins at.
+// errCompacted is returned when the platform has discarded the history from which a watch starts.
 var errCompacted = eris.New("history before this revision is gone")
 
-// NewClient returns a client of the platform at baseURL, such as "http://10.0.0.1:8000".
+// NewClient returns a client for the platform at baseURL, for example "http://10.0.0.1:8000".
 func NewClient(baseURL string, opts ...Option) *Client {
 	c := &Client{
 		base:         strings.TrimRight(baseURL, "/"),
@@ -107,7 +107,7 @@
 		watchTimeout: DefaultWatchTimeout,
 		limiter:      newLimiter(DefaultRates),
 		registry:     metrics.NewRegistry(),
-		wire:         ownWire{},
+		codec:        standinCodec{},
 		transport: &http.Transport{
 			MaxIdleConns:        maxIdleConns,
 			MaxIdleConnsPerHost: maxIdleConns,
@@ -127,18 +127,18 @@
 
 // Get implements Store.
 func (c *Client) Get(ctx context.Context, kind Kind, name string) (Object, error) {
-	return c.object(ctx, Call{Verb: VerbGet, Kind: kind, Name: name})
+	return c.doObject(ctx, Call{Verb: VerbGet, Kind: kind, Name: name})
 }
 
-// List implements Store. Where the list has several pages, it is complete up to the first one's revision,
-// and a watch from there tells again what changed while the others were read.
+// List implements Store. If the list has several pages, the result is complete up to the revision of the
+// first page; a watch from that revision reports again the changes made while later pages were read.
 func (c *Client) List(ctx context.Context, kind Kind) (Changes, error) {
 	call := Call{Verb: VerbList, Kind: kind}
-	page, err := c.page(ctx, call)
+	page, err := c.doPage(ctx, call)
 	changes := page.Changes
 	for err == nil && page.Next != "" {
 		call.After = page.Next
-		page, err = c.page(ctx, call)
+		page, err = c.doPage(ctx, call)
 		changes.Objects = append(changes.Objects, page.Objects...)
 	}
 	return changes, err
@@ -149,7 +149,7 @@
 	if len(value) > MaxValueBytes {
 		return 0, eris.Wrapf(ErrTooLarge, "%s/%s: %d bytes", kind, name, len(value))
 	}
-	object, err := c.object(ctx, Call{Verb: VerbPut, Kind: kind, Name: name, Version: version, Value: value})
+	object, err := c.doObject(ctx, Call{Verb: VerbPut, Kind: kind, Name: name, Version: version, Value: value})
 	return object.Version, err
 }
 
@@ -159,45 +159,45 @@
 	return err
 }
 
-// Watch implements Store. A history that the platform has dropped is replaced by a list.
+// Watch implements Store. If the platform has discarded the requested history, it falls back to a list.
 func (c *Client) Watch(ctx context.Context, kind Kind, after Version) (Changes, error) {
 	return c.WatchFor(ctx, kind, after, 0)
 }
 
-// WatchFor is a Watch that waits no longer than wait, or as long as the platform does where wait is 0.
+// WatchFor is like Watch but waits no longer than wait. If wait is 0, the platform's wait limit applies.
 func (c *Client) WatchFor(ctx context.Context, kind Kind, after Version, wait time.Duration) (Changes, error) {
-	page, err := c.page(ctx, Call{Verb: VerbWatch, Kind: kind, Version: after, Wait: wait})
+	page, err := c.doPage(ctx, Call{Verb: VerbWatch, Kind: kind, Version: after, Wait: wait})
 	if eris.Is(err, errCompacted) {
 		return c.List(ctx, kind)
 	}
 	return page.Changes, err
 }
 
-func (c *Client) object(ctx context.Context, call Call) (Object, error) {
+func (c *Client) doObject(ctx context.Context, call Call) (Object, error) {
 	body, err := c.do(ctx, call)
 	if err != nil {
 		return Object{}, err
 	}
-	object, err := c.wire.DecodeObject(call, body)
+	object, err := c.codec.DecodeObject(call, body)
 	if err != nil {
-		return Object{}, eris.Wrapf(lost(call), "%s %s: %v", call.Verb, call.Kind, err)
+		return Object{}, eris.Wrapf(noResponseError(call), "%s %s: %v", call.Verb, call.Kind, err)
 	}
 	return object, nil
 }
 
-func (c *Client) page(ctx context.Context, call Call) (Page, error) {
+func (c *Client) doPage(ctx context.Context, call Call) (Page, error) {
 	body, err := c.do(ctx, call)
 	if err != nil {
 		return Page{}, err
 	}
-	page, err := c.wire.DecodePage(call, body)
+	page, err := c.codec.DecodePage(call, body)
 	if err != nil {
-		return Page{}, eris.Wrapf(lost(call), "%s %s: %v", call.Verb, call.Kind, err)
+		return Page{}, eris.Wrapf(noResponseError(call), "%s %s: %v", call.Verb, call.Kind, err)
 	}
 	return page, nil
 }
 
-// do waits for the rate limit, makes the call and returns the body of its answer.
+// do waits for the rate limiter, makes the call and returns the response body.
 func (c *Client) do(ctx context.Context, call Call) ([]byte, error) {
 	if err := c.limiter.wait(ctx, call.Verb.writes()); err != nil {
 		return nil, eris.Wrapf(ErrThrottled, "%s %s: %v", call.Verb, call.Kind, err)
@@ -220,8 +220,8 @@
 	metrics.GetOrRegisterCounter(name, c.registry).Inc(1)
 }
 
-// send makes the call. Once a connection was got, the platform may have taken it: only an answer of the
-// platform itself can then say that a write did not take effect.
+// send makes the call. Once a connection has been obtained, the platform may have received the request, so
+// only a response from the platform itself proves that a write did not take effect.
 func (c *Client) send(ctx context.Context, call Call) ([]byte, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -234,31 +234,31 @@
 		return nil, eris.Wrapf(ErrUnavailable, "%s %s: %v", call.Verb, call.Kind, err)
 	}
 	if err != nil {
-		return nil, eris.Wrapf(lost(call), "%s %s: %v", call.Verb, call.Kind, err)
+		return nil, eris.Wrapf(noResponseError(call), "%s %s: %v", call.Verb, call.Kind, err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK && response.StatusCode != http.StatusCreated {
-		return nil, refusal(call, response)
+		return nil, statusError(call, response)
 	}
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, eris.Wrapf(lost(call), "%s %s: %v", call.Verb, call.Kind, err)
+		return nil, eris.Wrapf(noResponseError(call), "%s %s: %v", call.Verb, call.Kind, err)
 	}
 	return body, nil
 }
 
-// oneShot hides what the reader below it is, so that net/http can't rewind it.
-type oneShot struct{ io.Reader }
+// nonRewindable hides the concrete type of its reader so that net/http can't rewind it.
+type nonRewindable struct{ io.Reader }
 
 func (c *Client) newRequest(ctx context.Context, call Call) (*http.Request, error) {
-	message, err := c.wire.Encode(call)
+	message, err := c.codec.Encode(call)
 	if err != nil {
 		return nil, err
 	}
 	if message.Body == nil {
 		return http.NewRequestWithContext(ctx, message.Method, c.base+message.Target, nil)
 	}
-	request, err := http.NewRequestWithContext(ctx, message.Method, c.base+message.Target, oneShot{bytes.NewReader(message.Body)})
+	request, err := http.NewRequestWithContext(ctx, message.Method, c.base+message.Target, nonRewindable{bytes.NewReader(message.Body)})
 	if err != nil {
 		return nil, err
 	}
@@ -267,23 +267,23 @@
 	return request, nil
 }
 
-// lost is the error of a call whose answer did not come.
-func lost(call Call) error {
+// noResponseError returns the error for a call that received no usable response.
+func noResponseError(call Call) error {
 	if call.Verb.writes() {
 		return ErrUnconfirmed
 	}
 	return ErrUnavailable
 }
 
-// refusal turns an answer that is not 200 into an error. A status that isn't the platform's own word
-// (say, 502 of something in between) leaves a write unconfirmed.
-func refusal(call Call, response *http.Response) error {
+// statusError converts an unsuccessful response to an error. A status that the platform itself doesn't use
+// (for example, 502 from a proxy) leaves a write unconfirmed.
+func statusError(call Call, response *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
-	return eris.Wrapf(errorOfStatus(call, response.StatusCode), "%s %s: status %d: %s",
+	return eris.Wrapf(errorForStatus(call, response.StatusCode), "%s %s: status %d: %s",
 		call.Verb, call.Kind, response.StatusCode, strings.TrimSpace(string(text)))
 }
 
-func errorOfStatus(call Call, status int) error {
+func errorForStatus(call Call, status int) error {
 	switch status {
 	case http.StatusNotFound:
 		return ErrNotFound
@@ -298,5 +298,5 @@
 	case http.StatusServiceUnavailable, http.StatusBadRequest, http.StatusForbidden, http.StatusMethodNotAllowed:
 		return ErrUnavailable
 	}
-	return lost(call)
+	return noResponseError(call)
 }
--- a/link/platform/confirm.go
+++ b/link/platform/confirm.go
@@ -10,43 +10,44 @@
 	"github.com/skylarkpond/skylarkpond/internal/wait"
 )
 
-// ErrSuperseded: the object has moved on to a version of another writer while this write was unconfirmed.
-// The write may have taken effect before that; a reader of the object as it is now decides what follows.
+// ErrSuperseded means that another writer changed the object while this write was unconfirmed. The write
+// may have taken effect before that change; the caller must read the current object to decide what to do.
 // It is always returned together with ErrUnconfirmed (errors.Is holds for both).
 var ErrSuperseded = eris.New("object moved on while the write was unconfirmed")
 
-// ErrNonceMissing: the value does not carry the nonce that it should be told by.
+// ErrNonceMissing means that the value does not contain the nonce that identifies the write.
 var ErrNonceMissing = eris.New("value lacks the writer's nonce")
 
-// Pauses between two tries of an unconfirmed write. The first is above the platform's usual answer time.
+// Backoff between retries of an unconfirmed write. The minimum exceeds the platform's usual response time.
 const (
-	confirmFirstPause = 20 * time.Millisecond
-	confirmLastPause  = time.Second
+	confirmMinBackoff = 20 * time.Millisecond
+	confirmMaxBackoff = time.Second
 )
 
-// PutConfirmed writes value like Put and settles a lost answer before it returns. value is a JSON
-// object whose field "nonce" is nonce, a mark that no other write carries.
+// PutConfirmed writes value like Put, and if the response is lost it determines the outcome before it
+// returns. value is a JSON object whose field "nonce" equals nonce, which must be unique to this write.
 //
-// What goes wrong without it: an answer is lost after the effect, or the write lies somewhere and takes
-// effect later. A writer that takes this for a failure tells its caller "not done" of something that is
-// done, or will be.
+// A response can be lost after the write took effect, or the write can be delayed and take effect later.
+// Without this function, a writer that treats either case as a failure would report a write as not done
+// although it has taken effect or will.
 //
-// Why it is right. As long as no answer was lost, each result of Put is the platform's word, and is
-// returned as it is. After a lost answer the same write, with the same condition, is sent again.
-//   - It succeeds: the object was still at the named version, so no earlier copy had taken effect, and none
-//     can any more, since versions are never given twice.
-//   - It conflicts, and the object carries the nonce: an earlier copy took effect, and was not replaced.
-//   - It conflicts, and the object carries another nonce or is gone: no copy can take effect any more, but an
-//     earlier one may have, before the other write. That is not a conflict, of which ErrConflict promises
-//     that nothing was changed: it is ErrSuperseded.
-//   - Anything else, a refusal by an outage or a rate limit included, tells nothing of the earlier copies,
-//     so it is tried again until ctx ends, and ErrUnconfirmed stays.
+// As long as no response is lost, the result of Put is authoritative and is returned unchanged. After a
+// lost response, the same write is sent again with the same condition:
+//   - If it succeeds, the object was still at the given version, so no earlier copy had taken effect.
+//     None can do so later either, because versions are never reused.
+//   - If it conflicts and the object carries the nonce, an earlier copy took effect and has not been
+//     replaced.
+//   - If it conflicts and the object carries another nonce or does not exist, no copy can take effect any
+//     more, but an earlier one may have done so before the other write. ErrConflict promises that nothing
+//     was changed, so the result is ErrSuperseded instead.
+//   - Any other error, including an outage or a rate limit, says nothing about the earlier copies. The
+//     write is retried until ctx ends, and the result remains ErrUnconfirmed.
 //
-// A caller that gives up on ErrUnconfirmed and comes back with the same nonce must take a later ErrConflict
-// as unconfirmed, too: this function knows only of the copies that it has sent itself.
+// A caller that gives up after ErrUnconfirmed and later calls again with the same nonce must treat a later
+// ErrConflict as unconfirmed too: this function only tracks the copies that it sent itself.
 //
-// With version 0 the condition holds again once the object is deleted, so a copy may yet take effect
-// after a deletion; objects that are created this way are deleted only long after.
+// With version 0, the condition becomes true again once the object is deleted, so a delayed copy can take
+// effect after a deletion. Objects created this way are deleted only long afterwards.
 func PutConfirmed(ctx context.Context, store Store, kind Kind, name string, version Version, value json.RawMessage, nonce string) (Version, error) {
 	if nonce == "" || nonceOf(value) != nonce {
 		return 0, eris.Wrapf(ErrNonceMissing, "%s/%s", kind, name)
@@ -55,23 +56,23 @@
 	if !eris.Is(err, ErrUnconfirmed) {
 		return written, err
 	}
-	for pause := confirmFirstPause; wait.Pause(ctx, pause); pause = min(2*pause, confirmLastPause) {
-		written, again := store.Put(ctx, kind, name, version, value)
-		if again == nil {
+	for pause := confirmMinBackoff; wait.Pause(ctx, pause); pause = min(2*pause, confirmMaxBackoff) {
+		written, retryErr := store.Put(ctx, kind, name, version, value)
+		if retryErr == nil {
 			return written, nil
 		}
-		if !eris.Is(again, ErrConflict) {
+		if !eris.Is(retryErr, ErrConflict) {
 			continue
 		}
-		found, settled, why := readBack(ctx, store, kind, name, version, nonce)
+		current, settled, readErr := readBack(ctx, store, kind, name, version, nonce)
 		if settled {
-			return found, why
+			return current, readErr
 		}
 	}
 	return 0, err
 }
 
-// readBack looks whose write the conflict was with. settled is false if the read failed or lagged.
+// readBack determines which write caused the conflict. settled is false if the read failed or was stale.
 func readBack(ctx context.Context, store Store, kind Kind, name string, version Version, nonce string) (written Version, settled bool, err error) {
 	object, err := store.Get(ctx, kind, name)
 	switch {
@@ -86,7 +87,8 @@
 	}
 }
 
-// supersededError is ErrSuperseded, and by Is also ErrUnconfirmed: whoever knows only the latter is safe.
+// supersededError matches both ErrSuperseded and ErrUnconfirmed, so that callers that only check for the
+// latter handle it safely.
 type supersededError struct{ error }
 
 func superseded(kind Kind, name string) error {
@@ -97,11 +99,11 @@
 func (e supersededError) Is(target error) bool { return target == ErrUnconfirmed }
 
 func nonceOf(value json.RawMessage) string {
-	var marked struct {
+	var object struct {
 		Nonce string `json:"nonce"`
 	}
-	if err := json.Unmarshal(value, &marked); err != nil {
+	if err := json.Unmarshal(value, &object); err != nil {
 		return ""
 	}
-	return marked.Nonce
+	return object.Nonce
 }
--- a/link/platform/confirm_test.go
+++ b/link/platform/confirm_test.go
@@ -18,9 +18,9 @@
 )
 
 var _ = Describe("PutConfirmed over HTTP", func() {
-	// The platform makes the write, but the connection breaks before the answer. A home that took this for a
-	// failure would tell "not run" of a claim that stands.
-	It("finds its own write when the answer was lost", func() {
+	// The platform applies the write, but the connection breaks before the response. A home that treated this as
+	// a failure would report "not run" for a claim that is in effect.
+	It("finds its own write after a lost response", func() {
 		standin, base := serve(GinkgoTB())
 		Expect(standin.Switch(platform.Switches{LoseAnswers: &platform.LoseAnswers{Count: 1}})).To(Succeed())
 		client := link.NewClient(base)
@@ -29,8 +29,8 @@
 		Expect(standin.History()).To(ConsistOf(HaveField("Version", version)))
 	})
 
-	// The write lies in the platform's queue while its caller times out, and takes effect afterwards.
-	It("neither doubles nor loses a write that takes effect late", func() {
+	// The write is queued in the platform while its caller times out, and takes effect afterwards.
+	It("neither duplicates nor loses a write that takes effect late", func() {
 		standin, base := serve(GinkgoTB())
 		late := &platform.LateEffects{Count: 1, DelayMillis: 500}
 		Expect(standin.Switch(platform.Switches{LateEffects: late})).To(Succeed())
@@ -40,31 +40,31 @@
 		Consistently(standin.History, time.Second).Should(ConsistOf(HaveField("Version", version)))
 	})
 
-	It("refuses a value that it could not tell from others", func() {
+	It("rejects a value without the given nonce", func() {
 		_, err := link.PutConfirmed(context.Background(), nil, link.KindAttempt, "t/k", 0, value("other"), "mine")
 		Expect(err).To(MatchError(link.ErrNonceMissing))
 	})
 })
 
-// fate is what befalls one Put.
-type fate struct {
-	Refused  error         // answered so, without effect
-	Lost     bool          // the answer is lost
-	Late     time.Duration // the effect comes so much later, its answer is lost
-	Vanishes bool          // it never takes effect, its answer is lost
+// putOutcome configures the outcome of one Put.
+type putOutcome struct {
+	Err     error         // returned without effect
+	Lost    bool          // takes effect, but the response is lost
+	Delay   time.Duration // takes effect after this delay; the response is lost
+	Dropped bool          // never takes effect; the response is lost
 }
 
-// unsureStore is one object whose Puts meet their fates in turn; after these all goes well.
-type unsureStore struct {
+// faultyStore holds one object. Each Put consumes the next configured outcome; later Puts succeed.
+type faultyStore struct {
 	link.Store
 
-	mu      sync.Mutex
-	fates   []fate
-	current link.Object
-	history []string // nonces
+	mu       sync.Mutex
+	outcomes []putOutcome
+	current  link.Object
+	history  []string // nonces
 }
 
-func (s *unsureStore) Get(context.Context, link.Kind, string) (link.Object, error) {
+func (s *faultyStore) Get(context.Context, link.Kind, string) (link.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.current.Version == 0 {
@@ -73,20 +73,20 @@
 	return s.current, nil
 }
 
-func (s *unsureStore) Put(_ context.Context, _ link.Kind, _ string, version link.Version, value json.RawMessage) (link.Version, error) {
+func (s *faultyStore) Put(_ context.Context, _ link.Kind, _ string, version link.Version, value json.RawMessage) (link.Version, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.fates) == 0 {
+	if len(s.outcomes) == 0 {
 		return s.apply(version, value)
 	}
-	f := s.fates[0]
-	s.fates = s.fates[1:]
+	f := s.outcomes[0]
+	s.outcomes = s.outcomes[1:]
 	switch {
-	case f.Refused != nil:
-		return 0, f.Refused
-	case f.Vanishes:
-	case f.Late > 0:
-		time.AfterFunc(f.Late, func() {
+	case f.Err != nil:
+		return 0, f.Err
+	case f.Dropped:
+	case f.Delay > 0:
+		time.AfterFunc(f.Delay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			_, _ = s.apply(version, value)
@@ -100,7 +100,7 @@
 }
 
 // apply must be called with mu held.
-func (s *unsureStore) apply(version link.Version, value json.RawMessage) (link.Version, error) {
+func (s *faultyStore) apply(version link.Version, value json.RawMessage) (link.Version, error) {
 	if s.current.Version != version {
 		return 0, link.ErrConflict
 	}
@@ -112,48 +112,48 @@
 	return s.current.Version, nil
 }
 
-// rival replaces whatever is there.
-func (s *unsureStore) rival() {
+// overwrite replaces the current value as another writer.
+func (s *faultyStore) overwrite() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, _ = s.apply(s.current.Version, value("rival"))
 }
 
-func drawFates(rt *rapid.T) []fate {
-	late := rapid.Custom(func(rt *rapid.T) fate {
-		return fate{Late: time.Duration(rapid.IntRange(1, 3000).Draw(rt, "late")) * time.Millisecond}
+func drawOutcomes(rt *rapid.T) []putOutcome {
+	delayed := rapid.Custom(func(rt *rapid.T) putOutcome {
+		return putOutcome{Delay: time.Duration(rapid.IntRange(1, 3000).Draw(rt, "delay")) * time.Millisecond}
 	})
-	other := rapid.SampledFrom([]fate{
+	other := rapid.SampledFrom([]putOutcome{
 		{},
 		{Lost: true},
-		{Vanishes: true},
-		{Refused: link.ErrUnavailable},
-		{Refused: link.ErrThrottled},
+		{Dropped: true},
+		{Err: link.ErrUnavailable},
+		{Err: link.ErrThrottled},
 	})
-	return rapid.SliceOfN(rapid.OneOf(late, other), 0, 8).Draw(rt, "fates")
+	return rapid.SliceOfN(rapid.OneOf(delayed, other), 0, 8).Draw(rt, "outcomes")
 }
 
-// scenario is one call of PutConfirmed and what befalls it. Times are in milliseconds.
+// scenario is one call of PutConfirmed and the faults injected into it. Times are in milliseconds.
 type scenario struct {
-	Fates    []fate
-	Exists   int // the object's version before, 0 or 1
-	Ahead    int // how far the named version is ahead of it
-	Rivals   []int
-	Deadline int
+	Outcomes      []putOutcome
+	Exists        int // the object's initial version, 0 or 1
+	VersionOffset int // how far the version given to PutConfirmed exceeds it
+	Overwrites    []int
+	Deadline      int
 }
 
-// play runs a scenario in virtual time and returns what the writer is told, and the history of the object
-// once everything late has landed.
-func (s scenario) play(t *testing.T) (history []string, version link.Version, err error) {
-	store := &unsureStore{fates: s.Fates}
+// run executes a scenario in virtual time. It returns the result given to the writer and the history of the
+// object after all delayed writes have taken effect.
+func (s scenario) run(t *testing.T) (history []string, version link.Version, err error) {
+	store := &faultyStore{outcomes: s.Outcomes}
 	store.current.Version = link.Version(s.Exists)
 	synctest.Test(t, func(*testing.T) {
-		for _, at := range s.Rivals {
-			time.AfterFunc(time.Duration(at)*time.Millisecond, store.rival)
+		for _, at := range s.Overwrites {
+			time.AfterFunc(time.Duration(at)*time.Millisecond, store.overwrite)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.Deadline)*time.Millisecond)
 		defer cancel()
-		named := link.Version(s.Exists + s.Ahead)
+		named := link.Version(s.Exists + s.VersionOffset)
 		version, err = link.PutConfirmed(ctx, store, link.KindPlacement, "d", named, value("mine"), "mine")
 		time.Sleep(time.Minute)
 	})
@@ -161,52 +161,53 @@
 }
 
 func TestPutConfirmedOutcomes(t *testing.T) {
-	lost, gone := fate{Lost: true}, fate{Vanishes: true}
-	refused := fate{Refused: link.ErrUnavailable}
+	lost, dropped := putOutcome{Lost: true}, putOutcome{Dropped: true}
+	refused := putOutcome{Err: link.ErrUnavailable}
 	for name, c := range map[string]struct {
 		scenario scenario
-		told     string
+		want     string
 	}{
-		"an answer":                     {scenario{}, "done"},
-		"a refusal":                     {scenario{Fates: []fate{refused}}, "refused"},
-		"a conflict":                    {scenario{Ahead: 1}, "conflict"},
-		"a lost answer":                 {scenario{Fates: []fate{lost}}, "done"},
-		"a late effect":                 {scenario{Fates: []fate{{Late: time.Second}, {Late: time.Second}}}, "done"},
-		"a write that vanished":         {scenario{Fates: []fate{gone}}, "done"},
-		"an outage after a lost answer": {scenario{Fates: []fate{lost, refused, refused}}, "done"},
-		"a rival before the second try": {scenario{Fates: []fate{gone}, Rivals: []int{10}}, "superseded"},
-		"a rival after a lost answer":   {scenario{Fates: []fate{lost}, Rivals: []int{10}}, "superseded"},
-		"no answer before the deadline": {scenario{Fates: []fate{{Late: time.Second}}, Deadline: 10}, "unconfirmed"},
+		"a success":                            {scenario{}, "done"},
+		"a rejected write":                     {scenario{Outcomes: []putOutcome{refused}}, "refused"},
+		"a conflict":                           {scenario{VersionOffset: 1}, "conflict"},
+		"a lost response":                      {scenario{Outcomes: []putOutcome{lost}}, "done"},
+		"a late effect":                        {scenario{Outcomes: []putOutcome{{Delay: time.Second}, {Delay: time.Second}}}, "done"},
+		"a dropped write":                      {scenario{Outcomes: []putOutcome{dropped}}, "done"},
+		"an outage after a lost response":      {scenario{Outcomes: []putOutcome{lost, refused, refused}}, "done"},
+		"another writer before the retry":      {scenario{Outcomes: []putOutcome{dropped}, Overwrites: []int{10}}, "superseded"},
+		"another writer after a lost response": {scenario{Outcomes: []putOutcome{lost}, Overwrites: []int{10}}, "superseded"},
+		"no response before the deadline":      {scenario{Outcomes: []putOutcome{{Delay: time.Second}}, Deadline: 10}, "unconfirmed"},
 	} {
 		if c.scenario.Deadline == 0 {
 			c.scenario.Deadline = 10_000
 		}
-		history, version, err := c.scenario.play(t)
-		if tell(err) != c.told {
-			t.Errorf("%s: told %v, want %s", name, err, c.told)
+		history, version, err := c.scenario.run(t)
+		if outcomeName(err) != c.want {
+			t.Errorf("%s: got %v, want %s", name, err, c.want)
 		}
-		check(t, history, version, err)
+		checkResult(t, history, version, err)
 	}
 }
 
-// Answers are lost, effects come late, calls are refused and a rival writes, in any order; the writer's
-// deadline may pass at any time. Whatever it is told must be true for good: "done" stands once in the
-// history, and what is told as not done never appears in it, not even after everything late has landed.
-func TestPutConfirmedIsTrueForGood(t *testing.T) {
+// Responses are lost, writes take effect late, calls are rejected and another writer interferes, in any order;
+// the writer's deadline may expire at any time. The reported result must stay correct: a write reported as done
+// appears exactly once in the history, and one reported as not done never appears, even after all delayed
+// writes have taken effect.
+func TestPutConfirmedResultIsFinal(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := scenario{
-			Fates:    drawFates(rt),
-			Exists:   rapid.IntRange(0, 1).Draw(rt, "exists"),
-			Ahead:    rapid.IntRange(0, 1).Draw(rt, "ahead"),
-			Rivals:   rapid.SliceOfN(rapid.IntRange(0, 3000), 0, 2).Draw(rt, "rivals"),
-			Deadline: rapid.IntRange(1, 4000).Draw(rt, "deadline"),
+			Outcomes:      drawOutcomes(rt),
+			Exists:        rapid.IntRange(0, 1).Draw(rt, "exists"),
+			VersionOffset: rapid.IntRange(0, 1).Draw(rt, "version offset"),
+			Overwrites:    rapid.SliceOfN(rapid.IntRange(0, 3000), 0, 2).Draw(rt, "overwrites"),
+			Deadline:      rapid.IntRange(1, 4000).Draw(rt, "deadline"),
 		}
-		history, version, err := s.play(t)
-		check(rt, history, version, err)
+		history, version, err := s.run(t)
+		checkResult(rt, history, version, err)
 	})
 }
 
-func tell(err error) string {
+func outcomeName(err error) string {
 	switch {
 	case err == nil:
 		return "done"
@@ -220,8 +221,9 @@
 	return "refused"
 }
 
-// check holds what a writer was told against the history; version counts from the history's start.
-func check(t rapid.TB, history []string, version link.Version, err error) {
+// checkResult verifies the writer's result against the history. version is relative to the start of the
+// history.
+func checkResult(t rapid.TB, history []string, version link.Version, err error) {
 	effects := 0
 	for _, nonce := range history {
 		if nonce == "mine" {
@@ -232,8 +234,8 @@
 	case effects > 1:
 		t.Fatalf("took effect %d times: %v", effects, history)
 	case err == nil && (effects != 1 || history[version-1] != "mine"):
-		t.Fatalf("told done at %d, history %v", version, history)
+		t.Fatalf("reported done at %d, history %v", version, history)
 	case err != nil && !eris.Is(err, link.ErrUnconfirmed) && effects != 0:
-		t.Fatalf("told not done (%v), history %v", err, history)
+		t.Fatalf("reported not done (%v), history %v", err, history)
 	}
 }
--- a/link/platform/limiter.go
+++ b/link/platform/limiter.go
@@ -6,29 +6,28 @@
 	"golang.org/x/time/rate"
 )
 
-// Rates bounds the calls that one process makes to the platform, in calls a second.
+// Rates limits the calls that one process makes to the platform, in calls per second.
 type Rates struct {
-	// Shared is the rate open to reads and writes alike.
+	// Shared is the rate available to both reads and writes.
 	Shared float64
-	// Reserved is the rate that only writes may use, on top.
+	// Reserved is an additional rate that only writes may use.
 	Reserved float64
 }
 
-// DefaultRates suit some twenty entries before a platform that takes about two thousand reads and several
-// hundred writes a second: all entries together stay below its reads, and the reserved parts below its
-// writes. A larger fleet sets lower ones.
+// DefaultRates suits about 20 entries and a platform that handles about 2000 reads and several hundred
+// writes per second: the combined rate of all entries stays below the platform's read capacity, and their
+// combined reserved rate below its write capacity. Larger deployments must set lower rates.
 var DefaultRates = Rates{Shared: 80, Reserved: 15}
 
-// limiter bounds calls in two classes. What goes wrong with one class: when many reads wait (say, all
-// mirrors reload after an outage) a claim or an epoch write queues behind them, misses its deadline, and
-// an owner loses what it owns. Reads use the shared part only, so however many wait, writes go on at the
-// reserved rate at least.
+// limiter limits reads and writes separately. With a single limit, many waiting reads (for example, when all
+// caches reload after an outage) would delay claims and epoch writes past their deadlines, and an owner would
+// lose what it owns. Reads use only the shared rate, so writes always proceed at least at the reserved rate.
 type limiter struct {
 	shared   *rate.Limiter
 	reserved *rate.Limiter
 }
 
-// burstSeconds is how many seconds of a rate may be used at once.
+// burstSeconds is the burst size of a limiter, expressed in seconds of its rate.
 const burstSeconds = 2
 
 func newLimiter(r Rates) *limiter {
@@ -39,7 +38,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(burstSeconds*perSecond)))
 }
 
-// wait returns nil when the call may be made, or an error if ctx ends before that.
+// wait blocks until the call may be made. It returns an error if ctx ends first.
 func (l *limiter) wait(ctx context.Context, write bool) error {
 	if !write {
 		return l.shared.Wait(ctx)
--- a/link/platform/platform_test.go
+++ b/link/platform/platform_test.go
@@ -28,7 +28,7 @@
 	RunSpecs(t, "platform client")
 }
 
-// serve starts a stand-in and returns it with a client's base URL.
+// serve starts a platform stand-in and returns it together with its base URL.
 func serve(t testing.TB, opts ...platform.Option) (*platform.Platform, string) {
 	standin := platform.New(opts...)
 	server := httptest.NewServer(standin.Handler())
@@ -41,7 +41,7 @@
 var _ = Describe("Client", func() {
 	ctx := context.Background()
 
-	It("reads what it wrote, and refuses a write on another version", func() {
+	It("reads its own writes and rejects a write on another version", func() {
 		_, base := serve(GinkgoTB())
 		registry := metrics.NewRegistry()
 		client := link.NewClient(base, link.WithMetrics(registry))
@@ -73,7 +73,7 @@
 		Expect(err).To(MatchError(link.ErrTooLarge))
 	})
 
-	It("says of each failure whether a write may have taken effect", func() {
+	It("reports for each failure whether a write may have taken effect", func() {
 		for _, c := range []struct {
 			status      int
 			read, write error
@@ -93,17 +93,17 @@
 			_, err = client.Put(ctx, link.KindEntry, "a", 0, value("1"))
 			Expect(err).To(MatchError(c.write))
 			server.Close()
-			// The stopped server's port refuses connections: nothing can have been sent.
+			// The stopped server refuses connections, so nothing can have been sent.
 			_, err = link.NewClient(server.URL).Put(ctx, link.KindEntry, "a", 0, value("1"))
 			Expect(err).To(MatchError(link.ErrUnavailable))
 		}
 	})
 
-	// A platform's process closes an idle connection just as a write arrives on it, or dies after it took the
-	// write. A transport that sends the write again by itself lets it meet its own effect, and a caller's
-	// booking is reported as taken by somebody else.
-	It("sends a write once on the wire", func() {
-		address, seen := closesAfterTheFirst(GinkgoTB())
+	// The platform can close an idle connection just as a write arrives, or crash after accepting the write.
+	// If the transport retried the write, it would conflict with its own first attempt, and the caller would be
+	// told that another writer had claimed its request.
+	It("sends each write exactly once", func() {
+		address, seen := closeOnSecondRequest(GinkgoTB())
 		for _, c := range []struct {
 			call  func(*link.Client) error
 			sends int64
@@ -114,7 +114,7 @@
 				return err
 			}, 1, link.ErrUnconfirmed},
 			{func(c *link.Client) error { return c.Delete(ctx, link.KindEntry, "b", 1) }, 1, link.ErrUnconfirmed},
-			// A read is repeated: this shows that the test would notice a repeated write.
+			// The transport does retry a read, which shows that the test would detect a retried write.
 			{func(c *link.Client) error { _, err := c.Get(ctx, link.KindEntry, "b"); return err }, 2, nil},
 		} {
 			client := link.NewClient("http://" + address)
@@ -129,12 +129,12 @@
 		}
 	})
 
-	// After an outage every mirror of an entry reads anew. If a claim had to queue behind these reads, it
-	// would miss its caller's deadline although the platform is idle.
-	It("lets writes go while reads wait for the rate limit", func() {
+	// After an outage, all caches of an entry reload. If a claim had to wait behind those reads, it would miss
+	// its caller's deadline although the platform is idle.
+	It("does not block writes while reads wait for the rate limit", func() {
 		_, base := serve(GinkgoTB())
 		client := link.NewClient(base, link.WithRates(link.Rates{Shared: 0.001, Reserved: 100}))
-		_, err := client.List(ctx, link.KindEntry) // uses up the shared part
+		_, err := client.List(ctx, link.KindEntry) // exhausts the shared rate
 		Expect(err).NotTo(HaveOccurred())
 		waiting, cancel := context.WithCancel(ctx)
 		read := make(chan error, 1)
@@ -152,9 +152,9 @@
 	})
 })
 
-// closesAfterTheFirst answers the first request of each connection and closes the connection at the
-// second, once it was read whole.
-func closesAfterTheFirst(t testing.TB) (address string, seen *atomic.Int64) {
+// closeOnSecondRequest starts a server that answers the first request of each connection and closes the
+// connection after reading the second.
+func closeOnSecondRequest(t testing.TB) (address string, seen *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -167,13 +167,13 @@
 			if err != nil {
 				return
 			}
-			go answerOnce(conn, seen)
+			go serveOneRequest(conn, seen)
 		}
 	}()
 	return listener.Addr().String(), seen
 }
 
-func answerOnce(conn net.Conn, seen *atomic.Int64) {
+func serveOneRequest(conn net.Conn, seen *atomic.Int64) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for first := true; ; first = false {
@@ -190,8 +190,9 @@
 	}
 }
 
-// Team and key of an attempt come from callers: whatever they hold, two names are two objects.
-func TestAnyNameIsItsOwnObject(t *testing.T) {
+// The team and key in an attempt's name come from callers. Distinct names must map to distinct objects
+// whatever characters they contain.
+func TestNamesMapToDistinctObjects(t *testing.T) {
 	standin, base := serve(t)
 	client := link.NewClient(base, link.WithRates(link.Rates{Shared: 1e6, Reserved: 1e6}))
 	rapid.Check(t, func(rt *rapid.T) {
--- a/link/platform/wire.go
+++ b/link/platform/wire.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Verb names what a call does. It is part of the names of the metrics.
+// Verb is the operation of a call. It is part of the metric names.
 type Verb string
 
-// The verbs of a Store.
+// Operations of a Store.
 const (
 	VerbGet    Verb = "get"
 	VerbList   Verb = "list"
@@ -22,57 +22,57 @@
 
 func (v Verb) writes() bool { return v == VerbPut || v == VerbDelete }
 
-// Call is one call of a Store, before a Codec has put it into an HTTP message.
+// Call is one Store operation before a Codec has encoded it as an HTTP request.
 type Call struct {
 	Verb Verb
 	Kind Kind
-	// Name is empty for a list and a watch.
+	// Name is empty for lists and watches.
 	Name string
-	// Version is the condition of a write, or the revision after which a watch begins.
+	// Version is the precondition of a write, or the revision after which a watch starts.
 	Version Version
-	// After is the name after which the next page of a list begins; empty for the first one.
+	// After is the name after which the next page of a list starts. It is empty for the first page.
 	After string
-	// Wait bounds how long a watch waits; 0 leaves it to the platform.
+	// Wait limits how long a watch waits. 0 selects the platform's limit.
 	Wait time.Duration
-	// Value is what a put writes.
+	// Value is the value to write in a put.
 	Value json.RawMessage
 }
 
-// Message is a call on the wire. Target is the path and query below the platform's address.
+// Message is an encoded call. Target is the path and query relative to the platform's base URL.
 type Message struct {
 	Method string
 	Target string
 	Body   []byte
 }
 
-// Page is a part of a list, or the events of a watch.
+// Page is one page of a list, or the events of a watch.
 type Page struct {
 	Changes
-	// Next is the name to give as Call.After for the next page; empty after the last one.
+	// Next is the value of Call.After for the next page. It is empty on the last page.
 	Next string
 }
 
-// Codec says how calls and answers of one platform look. It decides nothing: limits, timeouts, retries and
-// the settling of lost answers are the Client's.
+// Codec encodes calls and decodes responses for one platform implementation. Rate limits, timeouts, retries
+// and the resolution of lost responses are handled by the Client, not by the Codec.
 type Codec interface {
-	// Encode returns the message of a call.
+	// Encode returns the request message of a call.
 	Encode(call Call) (Message, error)
-	// DecodeObject reads the answer to a get or a put.
+	// DecodeObject decodes the response to a get or a put.
 	DecodeObject(call Call, body []byte) (Object, error)
-	// DecodePage reads the answer to a list or a watch.
+	// DecodePage decodes the response to a list or a watch.
 	DecodePage(call Call, body []byte) (Page, error)
 }
 
-// ownWire is that of the platform's stand-in in this repository.
-type ownWire struct{}
+// standinCodec is the codec of the platform stand-in in this repository.
+type standinCodec struct{}
 
-// WriteResult is the answer of that wire to a write.
+// WriteResult is the stand-in's response to a write.
 type WriteResult struct {
 	Version Version `json:"version"`
 }
 
 // Encode implements Codec.
-func (ownWire) Encode(call Call) (Message, error) {
+func (standinCodec) Encode(call Call) (Message, error) {
 	objects := "/v1/objects/" + url.PathEscape(string(call.Kind))
 	object := objects + "/" + url.PathEscape(call.Name)
 	switch call.Verb {
@@ -90,7 +90,7 @@
 }
 
 // DecodeObject implements Codec.
-func (ownWire) DecodeObject(call Call, body []byte) (Object, error) {
+func (standinCodec) DecodeObject(call Call, body []byte) (Object, error) {
 	if call.Verb == VerbPut {
 		var written WriteResult
 		err := json.Unmarshal(body, &written)
@@ -102,7 +102,7 @@
 }
 
 // DecodePage implements Codec.
-func (ownWire) DecodePage(_ Call, body []byte) (Page, error) {
+func (standinCodec) DecodePage(_ Call, body []byte) (Page, error) {
 	var page Page
 	err := json.Unmarshal(body, &page.Changes)
 	return page, err
