--- a/entry/controller/fakes_test.go
+++ b/entry/controller/fakes_test.go
@@ -262,9 +262,9 @@
 func (e *fakeEngine) execute(order engine.Order) (engine.State, error) {
 	switch {
 	case e.silent:
-		return engine.State{}, engine.ErrBroken
+		return engine.State{}, engine.ErrInterrupted
 	case order.BootID != e.state.BootID:
-		return e.state, engine.ErrOtherBoot
+		return e.state, engine.ErrBootMismatch
 	case e.checksFence && order.Fence < e.state.Fence:
 		return e.state, engine.ErrStaleFence
 	}
@@ -273,11 +273,11 @@
 	return e.state, nil
 }
 
-func (w *world) Complete(context.Context, engine.Send, []byte) (engine.Stream, error) {
+func (w *world) Complete(context.Context, engine.Target, []byte) (engine.Stream, error) {
 	panic("a controller completes nothing")
 }
 
-func (w *world) Call(context.Context, engine.Send, string, string, http.Header, io.Reader) (*http.Response, error) {
+func (w *world) Call(context.Context, engine.Target, string, string, http.Header, io.Reader) (*http.Response, error) {
 	panic("a controller calls nothing")
 }
 
--- a/entry/controller/property_test.go
+++ b/entry/controller/property_test.go
@@ -194,7 +194,7 @@
 	var state engine.State
 	var err error
 	effect := func() { state, err = a.world.Order(context.Background(), address, order) }
-	if lostErr := a.applyOutcome(a.awaitOutcome("order "+address), effect, engine.ErrBroken, engine.ErrNotSent); lostErr != nil {
+	if lostErr := a.applyOutcome(a.awaitOutcome("order "+address), effect, engine.ErrInterrupted, engine.ErrNotSent); lostErr != nil {
 		return engine.State{}, lostErr
 	}
 	return state, err
--- a/entry/front/fakes_test.go
+++ b/entry/front/fakes_test.go
@@ -48,7 +48,7 @@
 	behaviours []sendBehaviour
 	// cancelled counts the streams that were closed before their last event.
 	cancelled int
-	sent      []engine.Send
+	sent      []engine.Target
 }
 
 // sendBehaviour is the behaviour of one send.
@@ -63,7 +63,7 @@
 
 const answerEvents = 4
 
-func (b *backend) begin(send engine.Send, body string) sendBehaviour {
+func (b *backend) begin(send engine.Target, body string) sendBehaviour {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sent = append(b.sent, send)
@@ -71,7 +71,7 @@
 	if len(b.behaviours) > 0 {
 		behaviour, b.behaviours = b.behaviours[0], b.behaviours[1:]
 	}
-	if behaviour.err == nil || behaviour.err == engine.ErrBroken {
+	if behaviour.err == nil || behaviour.err == engine.ErrInterrupted {
 		b.runs[body]++
 	}
 	return behaviour
@@ -83,7 +83,7 @@
 	return b.runs[body]
 }
 
-func (b *backend) Complete(ctx context.Context, send engine.Send, body []byte) (engine.Stream, error) {
+func (b *backend) Complete(ctx context.Context, send engine.Target, body []byte) (engine.Stream, error) {
 	h := b.begin(send, string(body))
 	if h.err != nil {
 		return nil, h.err
@@ -120,11 +120,11 @@
 		select {
 		case <-s.h.hold:
 		case <-s.ctx.Done():
-			return engine.Event{}, engine.ErrBroken
+			return engine.Event{}, engine.ErrInterrupted
 		}
 	}
 	if s.h.breakAfter > 0 && s.at == s.h.breakAfter || s.at == len(s.h.events) {
-		return engine.Event{}, engine.ErrBroken
+		return engine.Event{}, engine.ErrInterrupted
 	}
 	s.at++
 	e := s.h.events[s.at-1]
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func (b *backend) Call(ctx context.Context, send engine.Send, method, path string, _ http.Header, body io.Reader) (*http.Response, error) {
+func (b *backend) Call(ctx context.Context, send engine.Target, method, path string, _ http.Header, body io.Reader) (*http.Response, error) {
 	text, _ := io.ReadAll(body)
 	h := b.begin(send, string(text))
 	if h.err != nil {
@@ -153,7 +153,7 @@
 		select {
 		case <-h.hold:
 		case <-ctx.Done():
-			return nil, engine.ErrBroken
+			return nil, engine.ErrInterrupted
 		}
 	}
 	if h.body == "" {
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -141,7 +141,7 @@
 
 	It("is unknown when its backend server broke, and does not run again", func() {
 		f := newFleet("desk1", "desk2")
-		f.backend.behaviours = []sendBehaviour{{err: engine.ErrBroken}}
+		f.backend.behaviours = []sendBehaviour{{err: engine.ErrInterrupted}}
 		for range 2 {
 			got := book(f.fronts[0], "lot-7", 1)
 			Expect(got.outcome).To(Equal(unknown))
@@ -273,7 +273,7 @@
 	},
 	Entry("without a fault", true, nil, contract.FrameKind(0), noFault, true),
 	Entry("refused by one backend server", true, []sendBehaviour{{err: &engine.Refusal{Status: 503}}}, contract.FrameKind(0), noFault, true),
-	Entry("broken before the first event", false, []sendBehaviour{{err: engine.ErrBroken}}, contract.FrameKind(0), noFault, true),
+	Entry("broken before the first event", false, []sendBehaviour{{err: engine.ErrInterrupted}}, contract.FrameKind(0), noFault, true),
 	Entry("broken in the middle, resumed", true, []sendBehaviour{{breakAfter: 2}}, contract.FrameKind(0), noFault, true),
 	Entry("broken in the middle, not resumable", false, []sendBehaviour{{breakAfter: 2}}, contract.FrameKind(0), noFault, false),
 	Entry("duplicate events and an event of another request", true, []sendBehaviour{{events: []engine.Event{
--- a/entry/guard/look.go
+++ b/entry/guard/look.go
@@ -72,7 +72,7 @@
 func (g *Guard) probeMember(ctx context.Context, member vm.Member) memberStatus {
 	state, err := g.deps.Engines.Probe(ctx, member.Address)
 	switch {
-	case errors.Is(err, engine.ErrNoProcess):
+	case errors.Is(err, engine.ErrConnectionRefused):
 		return memberGone
 	case err != nil:
 		return memberUnresponsive
--- a/entry/home/home_test.go
+++ b/entry/home/home_test.go
@@ -46,7 +46,7 @@
 	return fakePermit{}, nil
 }
 
-func (s *fakeEnvironment) Complete(context.Context, engine.Send, []byte) (engine.Stream, error) {
+func (s *fakeEnvironment) Complete(context.Context, engine.Target, []byte) (engine.Stream, error) {
 	s.sends++
 	return nil, engine.ErrNotSent
 }
--- a/entry/home/send.go
+++ b/entry/home/send.go
@@ -15,8 +15,8 @@
 // plainChunkSize is the maximum size of one chunk of a plain service's answer.
 const plainChunkSize = 16 << 10
 
-func (r *run) target() engine.Send {
-	return engine.Send{
+func (r *run) target() engine.Target {
+	return engine.Target{
 		Address: r.group.Head().Address, RequestID: r.d.RequestID, Group: r.group.ID, Epoch: r.group.Epoch,
 		Priority: r.d.Priority, ResumeFrom: r.d.ResumeFrom, Service: r.d.Service,
 	}
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -41,7 +41,7 @@
 type replica struct {
 	host *engine.Host
 	vms  []vm.VM
-	send link.Send
+	send link.Target
 }
 
 func form(options engine.Options, service string, size int) *replica {
@@ -63,7 +63,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(func() bool { return probe(v).Ready }, eventually).Should(BeTrue())
 	}
-	r.send = link.Send{Address: r.vms[0].Address, RequestID: "r", Group: "g", Epoch: 1, Service: "s"}
+	r.send = link.Target{Address: r.vms[0].Address, RequestID: "r", Group: "g", Epoch: 1, Service: "s"}
 	return r
 }
 
@@ -116,14 +116,14 @@
 		r := form(engine.DefaultOptions, "s", 1)
 		r.set("vm1", engine.Switches{Freeze: &yes})
 		_, err := client.Probe(ctx, r.vms[0].Address)
-		Expect(err).To(MatchError(link.ErrBroken))
+		Expect(err).To(MatchError(link.ErrInterrupted))
 		hasty, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 		defer cancel()
 		_, err = client.Call(hasty, r.send, http.MethodPost, "/lots", nil, strings.NewReader("{}"))
-		Expect(err).To(MatchError(link.ErrBroken))
+		Expect(err).To(MatchError(link.ErrInterrupted))
 		late := link.Order{ID: "late", Kind: link.OrderRelease, Fence: 2, DeadlineMillis: 50}
 		_, err = client.Order(ctx, r.vms[0].Address, late)
-		Expect(err).To(MatchError(link.ErrBroken))
+		Expect(err).To(MatchError(link.ErrInterrupted))
 		Expect(r.host.Runs()).To(BeEmpty())
 
 		time.Sleep(time.Second) // far beyond the order's deadline, which the engine counts from its arrival
@@ -150,7 +150,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		r.set("vm2", engine.Switches{Restart: true})
 		_, _, err = rest(stream)
-		Expect(err).To(MatchError(link.ErrBroken))
+		Expect(err).To(MatchError(link.ErrInterrupted))
 		_, err = r.complete("r3", 0)
 		Expect(err).To(MatchError(link.ErrRefused))
 		Expect(r.phases(engine.Broken)).To(Equal([]string{"r2"}))
@@ -174,7 +174,7 @@
 		marker := "cream"
 		r.set("vm1", engine.Switches{CrashMarker: &marker})
 		_, _, err := rest(r.open("r1", 0))
-		Expect(err).To(MatchError(link.ErrBroken))
+		Expect(err).To(MatchError(link.ErrInterrupted))
 		Eventually(func() vm.BootID { return probe(r.vms[0]).BootID }, eventually).
 			ShouldNot(Or(BeEmpty(), Equal(before.BootID)))
 		Expect(probe(r.vms[0]).Group).To(BeEmpty())
@@ -236,7 +236,7 @@
 		r := form(engine.DefaultOptions, "", 1)
 		r.set("vm1", engine.Switches{CutFrom: &[]netip.Addr{netip.MustParseAddr("127.0.0.1")}})
 		_, err := client.Probe(ctx, r.vms[0].Address)
-		Expect(err).To(MatchError(link.ErrBroken))
+		Expect(err).To(MatchError(link.ErrInterrupted))
 		other := link.NewHTTPClient(net.IPv4(127, 0, 0, 2))
 		_, err = other.Probe(ctx, r.vms[0].Address)
 		Expect(err).NotTo(HaveOccurred())
--- a/link/engine/client.go
+++ b/link/engine/client.go
@@ -123,7 +123,7 @@
 		return state, eris.Wrap(ErrStaleFence, refusal.Reason)
 	}
 	if eris.As(err, &refusal) && refusal.Status == http.StatusPreconditionFailed {
-		return state, eris.Wrap(ErrOtherBoot, refusal.Reason)
+		return state, eris.Wrap(ErrBootMismatch, refusal.Reason)
 	}
 	return state, err
 }
@@ -149,7 +149,7 @@
 }
 
 // Complete implements Client. ctx bounds the whole stream.
-func (c *HTTPClient) Complete(ctx context.Context, to Send, body []byte) (Stream, error) {
+func (c *HTTPClient) Complete(ctx context.Context, to Target, body []byte) (Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	request, err := newRequest(ctx, http.MethodPost, to.Address, "/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
@@ -174,7 +174,7 @@
 
 // Call implements Client. Every answer of the service is returned as it is, whatever its status, unless
 // it carries HeaderRefused: that is a Refusal.
-func (c *HTTPClient) Call(ctx context.Context, to Send, method, path string, header http.Header, body io.Reader) (*http.Response, error) {
+func (c *HTTPClient) Call(ctx context.Context, to Target, method, path string, header http.Header, body io.Reader) (*http.Response, error) {
 	request, err := newRequest(ctx, method, to.Address, path, body)
 	if err != nil {
 		return nil, err
@@ -192,7 +192,7 @@
 	return response, nil
 }
 
-func (s Send) setHeader(header http.Header) {
+func (s Target) setHeader(header http.Header) {
 	header.Set(HeaderRequest, s.RequestID)
 	header.Set(HeaderGroup, string(s.Group))
 	header.Set(HeaderEpoch, strconv.FormatUint(s.Epoch, 10))
@@ -219,7 +219,7 @@
 		err = json.Unmarshal(body, &state)
 	}
 	if err != nil {
-		return state, eris.Wrap(ErrBroken, err.Error())
+		return state, eris.Wrap(ErrInterrupted, err.Error())
 	}
 	return state, nil
 }
@@ -250,7 +250,7 @@
 	return request, nil
 }
 
-// send returns ErrNotSent if no connection was got, and ErrBroken if one was: the request may then have
+// send returns ErrNotSent if no connection was got, and ErrInterrupted if one was: the request may then have
 // been taken.
 func send(client *http.Client, request *http.Request) (*http.Response, error) {
 	var connected atomic.Bool
@@ -261,9 +261,9 @@
 	case err == nil:
 		return response, nil
 	case connected.Load():
-		return nil, eris.Wrap(ErrBroken, err.Error())
+		return nil, eris.Wrap(ErrInterrupted, err.Error())
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return nil, fmt.Errorf("%w: %w: %w", ErrNotSent, ErrNoProcess, err)
+		return nil, fmt.Errorf("%w: %w: %w", ErrNotSent, ErrConnectionRefused, err)
 	default:
 		return nil, eris.Wrap(ErrNotSent, err.Error())
 	}
@@ -283,5 +283,5 @@
 	if refused {
 		return refusal
 	}
-	return eris.Wrapf(ErrBroken, "status %d: %s", refusal.Status, refusal.Reason)
+	return eris.Wrapf(ErrInterrupted, "status %d: %s", refusal.Status, refusal.Reason)
 }
--- a/link/engine/engine.go
+++ b/link/engine/engine.go
@@ -120,8 +120,8 @@
 	Content string `json:"content"`
 }
 
-// Send says where and as what a request goes.
-type Send struct {
+// Target says where and as what a request goes.
+type Target struct {
 	Address    string
 	RequestID  string
 	Group      vm.GroupID
@@ -135,22 +135,22 @@
 var (
 	// ErrNotSent: no byte of the request can have reached the backend server (the connection failed).
 	ErrNotSent = eris.New("backend server not reached")
-	// ErrNoProcess: the VM answers, and nothing listens at the address: the process there is gone. It comes
+	// ErrConnectionRefused: the VM answers, and nothing listens at the address: the process there is gone. It comes
 	// with ErrNotSent.
-	ErrNoProcess = eris.New("no process at the backend server's address")
-	// ErrBroken: the request was or may have been sent, and the answer ended early.
-	ErrBroken = eris.New("backend server broke off")
+	ErrConnectionRefused = eris.New("no process at the backend server's address")
+	// ErrInterrupted: the request was or may have been sent, and the answer ended early.
+	ErrInterrupted = eris.New("backend server broke off")
 	// ErrRefused: the backend server answered that it will not run the request (503, 409, 429): not run.
 	ErrRefused = eris.New("backend server refused")
 	// ErrStaleFence: the order carries a fencing number below one that the engine has seen.
 	ErrStaleFence = eris.New("order carries an old fencing number")
-	// ErrOtherBoot: the engine was restarted since the order was meant for it.
-	ErrOtherBoot = eris.New("backend server has another boot id")
+	// ErrBootMismatch: the engine was restarted since the order was meant for it.
+	ErrBootMismatch = eris.New("backend server has another boot id")
 )
 
 // Stream is the answer to a completion.
 type Stream interface {
-	// Next returns the next event, io.EOF after the final one, or ErrBroken.
+	// Next returns the next event, io.EOF after the final one, or ErrInterrupted.
 	Next() (Event, error)
 	// Close cancels the request if it is not over.
 	Close() error
@@ -161,9 +161,9 @@
 type Client interface {
 	Probe(ctx context.Context, address string) (State, error)
 	Order(ctx context.Context, address string, order Order) (State, error)
-	Complete(ctx context.Context, send Send, body []byte) (Stream, error)
+	Complete(ctx context.Context, send Target, body []byte) (Stream, error)
 	// Call sends a call of a plain service and returns its answer; the caller closes the body.
-	Call(ctx context.Context, send Send, method, path string, header http.Header, body io.Reader) (*http.Response, error)
+	Call(ctx context.Context, send Target, method, path string, header http.Header, body io.Reader) (*http.Response, error)
 	Cancel(ctx context.Context, address, requestID string) error
 }
 
--- a/link/engine/engine_test.go
+++ b/link/engine/engine_test.go
@@ -32,7 +32,7 @@
 )
 
 // load orders a VM into a group of one and waits until it is ready.
-func load(client engine.Client, host *standin.Host, v vm.VM) engine.Send {
+func load(client engine.Client, host *standin.Host, v vm.VM) engine.Target {
 	var state engine.State
 	Eventually(func() (err error) {
 		state, err = client.Probe(ctx, v.Address)
@@ -48,7 +48,7 @@
 		state, err = client.Probe(ctx, v.Address)
 		return err == nil && state.Ready
 	}, eventually).Should(BeTrue())
-	return engine.Send{Address: v.Address, RequestID: "r1", Group: "g", Epoch: 2, Service: "s"}
+	return engine.Target{Address: v.Address, RequestID: "r1", Group: "g", Epoch: 2, Service: "s"}
 }
 
 func start(service string) (*standin.Host, vm.VM) {
@@ -111,9 +111,9 @@
 		defer stream.Close()
 		events, err := read(stream)
 		Expect(events).To(HaveLen(3))
-		Expect(err).To(MatchError(engine.ErrBroken))
+		Expect(err).To(MatchError(engine.ErrInterrupted))
 		_, err = stream.Next()
-		Expect(err).To(MatchError(engine.ErrBroken))
+		Expect(err).To(MatchError(engine.ErrInterrupted))
 	})
 
 	It("ends a read by Close, and the engine then cancels the request", func() {
@@ -135,7 +135,7 @@
 				ended <- err
 			}()
 			Expect(end(stream)).To(Succeed())
-			Eventually(ended, eventually).Should(Receive(MatchError(engine.ErrBroken)))
+			Eventually(ended, eventually).Should(Receive(MatchError(engine.ErrInterrupted)))
 			Eventually(host.Runs, eventually).Should(ContainElement(HaveField("Phase", standin.Cancelled)))
 			Expect(stream.Close()).To(Succeed())
 		}
@@ -155,7 +155,7 @@
 		_, err = client.Order(ctx, v.Address, engine.Order{ID: "old", Kind: engine.OrderRelease, Fence: 4})
 		Expect(err).To(MatchError(engine.ErrStaleFence))
 		_, err = client.Order(ctx, v.Address, engine.Order{ID: "x", Kind: engine.OrderRelease, Fence: 9, BootID: "other"})
-		Expect(err).To(MatchError(engine.ErrOtherBoot))
+		Expect(err).To(MatchError(engine.ErrBootMismatch))
 		Expect(host.Orders()).To(HaveLen(3))
 
 		ignores := false
@@ -211,7 +211,7 @@
 	// caller's Idempotency-Key or a GET, would send it again on its own, and the lot is booked twice.
 	It("sends a request once on the wire", func() {
 		address, seen := neverAnswersTwice()
-		to := engine.Send{Address: address, RequestID: "r1"}
+		to := engine.Target{Address: address, RequestID: "r1"}
 		header := http.Header{"Idempotency-Key": {"k"}, "X-Idempotency-Key": {"k"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}}
 		for _, method := range []string{http.MethodGet, http.MethodPut, http.MethodPost} {
 			response, err := client.Call(ctx, to, method, "/first", header, nil)
@@ -219,7 +219,7 @@
 			finish(response)
 			before := seen.requests.Load()
 			_, err = client.Call(ctx, to, method, "/breaks", header, nil)
-			Expect(err).To(MatchError(engine.ErrBroken))
+			Expect(err).To(MatchError(engine.ErrInterrupted))
 			Expect(seen.requests.Load() - before).To(BeEquivalentTo(1))
 		}
 		Expect(seen.keys.Load()).To(BeZero(), "these headers are not forwarded")
--- a/link/engine/stream.go
+++ b/link/engine/stream.go
@@ -40,18 +40,18 @@
 		return event, io.EOF
 	}
 	if !s.begin() {
-		return event, eris.Wrap(ErrBroken, "stream is closed")
+		return event, eris.Wrap(ErrInterrupted, "stream is closed")
 	}
 	message, err, more := s.next()
 	s.end()
 	switch {
 	case err != nil:
-		return event, eris.Wrap(ErrBroken, err.Error())
+		return event, eris.Wrap(ErrInterrupted, err.Error())
 	case !more:
-		return event, eris.Wrap(ErrBroken, "stream ended before its final event")
+		return event, eris.Wrap(ErrInterrupted, "stream ended before its final event")
 	}
 	if err := json.Unmarshal([]byte(message.Data), &event); err != nil {
-		return Event{}, eris.Wrap(ErrBroken, err.Error())
+		return Event{}, eris.Wrap(ErrInterrupted, err.Error())
 	}
 	s.final = event.Final
 	return event, nil
--- a/link/engine/stream_test.go
+++ b/link/engine/stream_test.go
@@ -33,7 +33,7 @@
 	g.Expect(s.Close()).To(Succeed())
 	g.Expect(s.Close()).To(Succeed())
 	close(body.release)
-	g.Expect(<-ended).To(MatchError(ErrBroken))
+	g.Expect(<-ended).To(MatchError(ErrInterrupted))
 	_, err := s.Next()
-	g.Expect(err).To(MatchError(ErrBroken))
+	g.Expect(err).To(MatchError(ErrInterrupted))
 }
