--- a/link/engine/client.go
+++ b/link/engine/client.go
@@ -20,35 +20,34 @@
 	"github.com/rotisserie/eris"
 )
 
-// HTTPClient is the Client over HTTP/1.1.
+// HTTPClient implements Client over HTTP/1.1.
 //
-// Requests of callers go out on a connection of their own. What goes wrong on a reused one: net/http sends
-// a request again by itself when the connection turns out to be closed (each GET, and whatever carries an
-// Idempotency-Key), so that a booking runs twice; and where it does not, a backend server that was
-// restarted since the last request makes the next one fail after it may have been sent, so that a
-// request that never ran has to be called unknown. A fresh connection is never retried, and a failure to
-// make it proves that nothing was sent. It costs one round trip within the place. Probes, orders and
-// cancellations are idempotent and share connections.
+// Each caller request uses a new connection. On a reused connection that turns out to be closed, net/http
+// resends a GET, or any request that carries an Idempotency-Key, on its own, so a booking could run twice.
+// Requests that it does not resend fail after they may have been sent if the backend server restarted since
+// the previous request, so a request that never ran would have an unknown outcome. A request on a new
+// connection is never resent, and a failure to connect proves that nothing was sent. The cost is one round
+// trip within a place. Probes, orders and cancellations are idempotent and reuse connections.
 type HTTPClient struct {
 	control  *http.Client
 	requests *http.Client
 }
 
-// Bounds of an HTTPClient.
+// Limits of an HTTPClient.
 const (
-	// dialTimeout bounds the making of a connection; within a place it takes a few milliseconds, or a second
-	// and a bit if the first packet is lost.
+	// dialTimeout limits connection establishment. Within a place it takes a few milliseconds, or a little over
+	// 1 s if the first packet is lost.
 	dialTimeout = 2 * time.Second
 	// idleConnTimeout closes connections to backend servers that are no longer probed.
 	idleConnTimeout = 30 * time.Second
-	// controlTimeout bounds an order or a cancellation that has no deadline of its own.
+	// controlTimeout limits cancellations, and orders without a deadline of their own.
 	controlTimeout = 2 * time.Second
 	maxStateBytes  = 1 << 20
 	maxReasonBytes = 512
 )
 
-// NewHTTPClient returns a client whose connections come from source, or from an address that the system
-// chooses if source is nil.
+// NewHTTPClient returns a client whose connections originate from source. If source is nil, the system
+// chooses the local address.
 func NewHTTPClient(source net.IP) *HTTPClient {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	if source != nil {
@@ -63,7 +62,7 @@
 		requests: newClient(&http.Transport{
 			DialContext:        dialer.DialContext,
 			DisableKeepAlives:  true,
-			DisableCompression: true, // answers are passed on as they are
+			DisableCompression: true, // responses are forwarded unmodified
 		}),
 	}
 }
@@ -71,12 +70,13 @@
 func newClient(transport *http.Transport) *http.Client {
 	return &http.Client{
 		Transport: transport,
-		// A redirect is the backend server's answer, not an order to send the request elsewhere.
+		// A redirect is the backend server's response and is returned as is rather than followed.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// Refusal is the error of a request that the backend server answered without running it. It is ErrRefused.
+// Refusal is the error for a request that the backend server rejected without running it. It matches
+// ErrRefused.
 type Refusal struct {
 	Status int
 	Reason string
@@ -87,10 +87,10 @@
 	return fmt.Sprintf("%v: status %d: %s", ErrRefused, r.Status, r.Reason)
 }
 
-// Is makes a Refusal an ErrRefused.
+// Is reports whether target is ErrRefused.
 func (r *Refusal) Is(target error) bool { return target == ErrRefused }
 
-// Probe implements Client. It takes ProbeTimeout at most.
+// Probe implements Client. It takes at most ProbeTimeout.
 func (c *HTTPClient) Probe(ctx context.Context, address string) (State, error) {
 	ctx, cancel := context.WithTimeout(ctx, ProbeTimeout)
 	defer cancel()
@@ -98,10 +98,10 @@
 	if err != nil {
 		return State{}, err
 	}
-	return c.state(request)
+	return c.doState(request)
 }
 
-// Order implements Client. It takes no longer than the order's deadline.
+// Order implements Client. It takes no longer than the order's deadline, or controlTimeout if it has none.
 func (c *HTTPClient) Order(ctx context.Context, address string, order Order) (State, error) {
 	timeout := controlTimeout
 	if order.DeadlineMillis > 0 {
@@ -111,13 +111,13 @@
 	defer cancel()
 	body, err := json.Marshal(order)
 	if err != nil {
-		return State{}, eris.Wrap(err, "order")
+		return State{}, eris.Wrap(err, "encoding the order")
 	}
 	request, err := newRequest(ctx, http.MethodPost, address, "/engine/v1/orders", bytes.NewReader(body))
 	if err != nil {
 		return State{}, err
 	}
-	state, err := c.state(request)
+	state, err := c.doState(request)
 	var refusal *Refusal
 	if eris.As(err, &refusal) && refusal.Status == http.StatusConflict {
 		return state, eris.Wrap(ErrStaleFence, refusal.Reason)
@@ -128,7 +128,7 @@
 	return state, err
 }
 
-// Cancel implements Client. A request that the backend server doesn't know is over: no error.
+// Cancel implements Client. A request unknown to the backend server has already ended, which is not an error.
 func (c *HTTPClient) Cancel(ctx context.Context, address, requestID string) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
@@ -145,20 +145,20 @@
 	if response.StatusCode == http.StatusOK || response.StatusCode == http.StatusNotFound {
 		return nil
 	}
-	return refusalOf(response)
+	return responseError(response)
 }
 
-// Complete implements Client. ctx bounds the whole stream.
-func (c *HTTPClient) Complete(ctx context.Context, to Target, body []byte) (Stream, error) {
+// Complete implements Client. ctx limits the whole stream.
+func (c *HTTPClient) Complete(ctx context.Context, target Target, body []byte) (Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	request, err := newRequest(ctx, http.MethodPost, to.Address, "/v1/chat/completions", bytes.NewReader(body))
+	request, err := newRequest(ctx, http.MethodPost, target.Address, "/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
 		cancel()
 		return nil, err
 	}
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set("Accept", "text/event-stream")
-	to.setHeader(request.Header)
+	target.setHeader(request.Header)
 	response, err := send(c.requests, request)
 	if err != nil {
 		cancel()
@@ -167,44 +167,44 @@
 	if response.StatusCode != http.StatusOK {
 		defer cancel()
 		defer response.Body.Close()
-		return nil, refusalOf(response)
+		return nil, responseError(response)
 	}
 	return newStream(response.Body, cancel), nil
 }
 
-// Call implements Client. Every answer of the service is returned as it is, whatever its status, unless
-// it carries HeaderRefused: that is a Refusal.
-func (c *HTTPClient) Call(ctx context.Context, to Target, method, path string, header http.Header, body io.Reader) (*http.Response, error) {
-	request, err := newRequest(ctx, method, to.Address, path, body)
+// Call implements Client. It returns every response of the service as is, whatever its status, except one
+// that carries HeaderRefused, which it returns as a Refusal.
+func (c *HTTPClient) Call(ctx context.Context, target Target, method, path string, header http.Header, body io.Reader) (*http.Response, error) {
+	request, err := newRequest(ctx, method, target.Address, path, body)
 	if err != nil {
 		return nil, err
 	}
-	request.Header = endToEnd(header)
-	to.setHeader(request.Header)
+	request.Header = forwardedHeader(header)
+	target.setHeader(request.Header)
 	response, err := send(c.requests, request)
 	if err != nil {
 		return nil, err
 	}
 	if response.Header.Get(HeaderRefused) != "" {
 		defer response.Body.Close()
-		return nil, refusalOf(response)
+		return nil, responseError(response)
 	}
 	return response, nil
 }
 
-func (s Target) setHeader(header http.Header) {
-	header.Set(HeaderRequest, s.RequestID)
-	header.Set(HeaderGroup, string(s.Group))
-	header.Set(HeaderEpoch, strconv.FormatUint(s.Epoch, 10))
-	header.Set(HeaderPriority, strconv.Itoa(s.Priority))
-	header.Set(HeaderService, s.Service)
-	if s.ResumeFrom > 0 {
-		header.Set(HeaderResumeFrom, strconv.FormatUint(s.ResumeFrom, 10))
+func (t Target) setHeader(header http.Header) {
+	header.Set(HeaderRequest, t.RequestID)
+	header.Set(HeaderGroup, string(t.Group))
+	header.Set(HeaderEpoch, strconv.FormatUint(t.Epoch, 10))
+	header.Set(HeaderPriority, strconv.Itoa(t.Priority))
+	header.Set(HeaderService, t.Service)
+	if t.ResumeFrom > 0 {
+		header.Set(HeaderResumeFrom, strconv.FormatUint(t.ResumeFrom, 10))
 	}
 }
 
-// state makes a call that answers with a State.
-func (c *HTTPClient) state(request *http.Request) (State, error) {
+// doState sends a request whose response is a State.
+func (c *HTTPClient) doState(request *http.Request) (State, error) {
 	var state State
 	response, err := send(c.control, request)
 	if err != nil {
@@ -212,7 +212,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return state, refusalOf(response)
+		return state, responseError(response)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxStateBytes))
 	if err == nil {
@@ -224,13 +224,13 @@
 	return state, nil
 }
 
-// oneShot hides what the reader below it is, so that net/http can't rewind it.
-type oneShot struct{ io.Reader }
+// nonRewindable hides the concrete type of its reader so that net/http can't rewind it.
+type nonRewindable struct{ io.Reader }
 
-// newRequest makes a request whose body can be sent once only. Its errors are ErrNotSent.
+// newRequest returns a request whose body can be sent only once. Its errors match ErrNotSent.
 func newRequest(ctx context.Context, method, address, path string, body io.Reader) (*http.Request, error) {
 	if !strings.HasPrefix(path, "/") {
-		// Without this, a path such as "@host/" would change where the request goes.
+		// Without this check, a path such as "@host/" would change the destination host.
 		return nil, eris.Wrapf(ErrNotSent, "path %q does not begin with /", path)
 	}
 	length := int64(-1)
@@ -238,9 +238,9 @@
 	case body == nil || ok && sized.Len() == 0:
 		length, body = 0, http.NoBody
 	case ok:
-		length, body = int64(sized.Len()), oneShot{body}
+		length, body = int64(sized.Len()), nonRewindable{body}
 	default:
-		body = oneShot{body}
+		body = nonRewindable{body}
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, body)
 	if err != nil {
@@ -250,8 +250,8 @@
 	return request, nil
 }
 
-// send returns ErrNotSent if no connection was got, and ErrInterrupted if one was: the request may then have
-// been taken.
+// send returns ErrNotSent if no connection was obtained, and ErrInterrupted if one was, because the backend
+// server may then have received the request.
 func send(client *http.Client, request *http.Request) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -269,18 +269,18 @@
 	}
 }
 
-// refusalOf turns an answer that isn't 200 into an error. A status of 500 and above that is not a
-// refusal leaves open whether the request ran.
-func refusalOf(response *http.Response) error {
+// responseError converts a response other than 200 to an error. It returns a Refusal for 503, for 4xx, and for
+// any response with HeaderRefused. Any other status leaves open whether the request ran: ErrInterrupted.
+func responseError(response *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxReasonBytes))
 	refusal := &Refusal{Status: response.StatusCode, Reason: strings.TrimSpace(string(text))}
 	if reason := response.Header.Get(HeaderRefused); reason != "" {
 		refusal.Reason = reason
 		return refusal
 	}
-	refused := response.StatusCode == http.StatusServiceUnavailable ||
+	rejected := response.StatusCode == http.StatusServiceUnavailable ||
 		response.StatusCode >= http.StatusBadRequest && response.StatusCode < http.StatusInternalServerError
-	if refused {
+	if rejected {
 		return refusal
 	}
 	return eris.Wrapf(ErrInterrupted, "status %d: %s", refusal.Status, refusal.Reason)
--- a/link/engine/engine_test.go
+++ b/link/engine/engine_test.go
@@ -25,19 +25,19 @@
 }
 
 var (
-	ctx        = context.Background()
-	prompt     = `{"model":"m","messages":[{"role":"user","content":"cream"}],"max_tokens":8}`
-	messages   = []engine.Message{{Role: "user", Content: "cream"}}
-	eventually = time.Minute
+	ctx         = context.Background()
+	prompt      = `{"model":"m","messages":[{"role":"user","content":"cream"}],"max_tokens":8}`
+	messages    = []engine.Message{{Role: "user", Content: "cream"}}
+	testTimeout = time.Minute
 )
 
-// load orders a VM into a group of one and waits until it is ready.
-func load(client engine.Client, host *standin.Host, v vm.VM) engine.Target {
+// loadGroup makes a VM the only member of a group and waits until it is ready.
+func loadGroup(client engine.Client, host *standin.Host, v vm.VM) engine.Target {
 	var state engine.State
 	Eventually(func() (err error) {
 		state, err = client.Probe(ctx, v.Address)
 		return err
-	}, eventually).Should(Succeed())
+	}, testTimeout).Should(Succeed())
 	order := engine.Order{
 		ID: "o", Kind: engine.OrderLoad, Fence: 5, BootID: state.BootID, Group: "g", Epoch: 2,
 		Service: "s", Model: "m", Members: []vm.Name{v.Name},
@@ -47,7 +47,7 @@
 	Eventually(func() bool {
 		state, err = client.Probe(ctx, v.Address)
 		return err == nil && state.Ready
-	}, eventually).Should(BeTrue())
+	}, testTimeout).Should(BeTrue())
 	return engine.Target{Address: v.Address, RequestID: "r1", Group: "g", Epoch: 2, Service: "s"}
 }
 
@@ -59,8 +59,8 @@
 	return host, v
 }
 
-// read returns the events of a stream and the error that ended it.
-func read(stream engine.Stream) ([]engine.Event, error) {
+// readEvents returns the events of a stream and the error that ended it.
+func readEvents(stream engine.Stream) ([]engine.Event, error) {
 	var events []engine.Event
 	for {
 		event, err := stream.Next()
@@ -75,13 +75,13 @@
 	var client *engine.HTTPClient
 	BeforeEach(func() { client = engine.NewHTTPClient(nil) })
 
-	It("streams a whole answer", func() {
+	It("streams a complete response", func() {
 		host, v := start("")
-		to := load(client, host, v)
-		stream, err := client.Complete(ctx, to, []byte(prompt))
+		target := loadGroup(client, host, v)
+		stream, err := client.Complete(ctx, target, []byte(prompt))
 		Expect(err).NotTo(HaveOccurred())
 		defer stream.Close()
-		events, err := read(stream)
+		events, err := readEvents(stream)
 		Expect(err).To(Equal(io.EOF))
 		var text strings.Builder
 		for seq, event := range events {
@@ -91,41 +91,41 @@
 		}
 		Expect(text.String()).To(Equal(standin.Answer("r1", messages, 8)))
 
-		to.ResumeFrom = 6
-		stream, err = client.Complete(ctx, to, []byte(prompt))
+		target.ResumeFrom = 6
+		stream, err = client.Complete(ctx, target, []byte(prompt))
 		Expect(err).NotTo(HaveOccurred())
 		defer stream.Close()
-		rest, err := read(stream)
+		rest, err := readEvents(stream)
 		Expect(err).To(Equal(io.EOF))
 		Expect(rest).To(Equal(events[6:]))
 	})
 
-	// The engine's connection breaks in the middle of an answer. A reader that took the end of the stream for
-	// the end of the answer would hand a clerk half a quote as if it were whole.
-	It("tells a broken stream from a whole one", func() {
+	// The engine's connection breaks in the middle of a response. A reader that took the end of the connection for
+	// the end of the response would deliver a truncated response as complete.
+	It("distinguishes an interrupted stream from a complete one", func() {
 		host, v := start("")
-		to := load(client, host, v)
+		target := loadGroup(client, host, v)
 		Expect(host.Switch("vm1", standin.Switches{Cut: &standin.Cut{After: 3, Count: 1}})).To(Succeed())
-		stream, err := client.Complete(ctx, to, []byte(prompt))
+		stream, err := client.Complete(ctx, target, []byte(prompt))
 		Expect(err).NotTo(HaveOccurred())
 		defer stream.Close()
-		events, err := read(stream)
+		events, err := readEvents(stream)
 		Expect(events).To(HaveLen(3))
 		Expect(err).To(MatchError(engine.ErrInterrupted))
 		_, err = stream.Next()
 		Expect(err).To(MatchError(engine.ErrInterrupted))
 	})
 
-	It("ends a read by Close, and the engine then cancels the request", func() {
+	It("unblocks a read on Close or Cancel, and the engine cancels the request", func() {
 		host, v := start("")
-		to := load(client, host, v)
+		target := loadGroup(client, host, v)
 		gap := time.Hour.Milliseconds()
 		Expect(host.Switch("vm1", standin.Switches{TokenGapMillis: &gap})).To(Succeed())
 		for _, end := range []func(engine.Stream) error{
 			engine.Stream.Close,
 			func(engine.Stream) error { return client.Cancel(ctx, v.Address, "r1") },
 		} {
-			stream, err := client.Complete(ctx, to, []byte(prompt))
+			stream, err := client.Complete(ctx, target, []byte(prompt))
 			Expect(err).NotTo(HaveOccurred())
 			_, err = stream.Next()
 			Expect(err).NotTo(HaveOccurred())
@@ -135,22 +135,22 @@
 				ended <- err
 			}()
 			Expect(end(stream)).To(Succeed())
-			Eventually(ended, eventually).Should(Receive(MatchError(engine.ErrInterrupted)))
-			Eventually(host.Runs, eventually).Should(ContainElement(HaveField("Phase", standin.Cancelled)))
+			Eventually(ended, testTimeout).Should(Receive(MatchError(engine.ErrInterrupted)))
+			Eventually(host.Runs, testTimeout).Should(ContainElement(HaveField("Phase", standin.Cancelled)))
 			Expect(stream.Close()).To(Succeed())
 		}
-		Eventually(func() int { return len(host.Runs()) }, eventually).Should(Equal(4))
+		Eventually(func() int { return len(host.Runs()) }, testTimeout).Should(Equal(4))
 		Expect(client.Cancel(ctx, v.Address, "over")).To(Succeed())
 	})
 
-	It("names what an engine refuses", func() {
+	It("reports why an engine rejected a request or an order", func() {
 		host, v := start("")
-		to := load(client, host, v)
-		other := to
+		target := loadGroup(client, host, v)
+		other := target
 		other.Epoch = 1
 		_, err := client.Complete(ctx, other, []byte(prompt))
 		Expect(err).To(MatchError(engine.ErrRefused))
-		_, err = client.Complete(ctx, to, []byte("{"))
+		_, err = client.Complete(ctx, target, []byte("{"))
 		Expect(err).To(MatchError(engine.ErrRefused))
 		_, err = client.Order(ctx, v.Address, engine.Order{ID: "old", Kind: engine.OrderRelease, Fence: 4})
 		Expect(err).To(MatchError(engine.ErrStaleFence))
@@ -158,73 +158,73 @@
 		Expect(err).To(MatchError(engine.ErrBootMismatch))
 		Expect(host.Orders()).To(HaveLen(3))
 
-		ignores := false
-		Expect(host.Switch("vm1", standin.Switches{ChecksFence: &ignores, ChecksEpoch: &ignores})).To(Succeed())
+		disabled := false
+		Expect(host.Switch("vm1", standin.Switches{ChecksFence: &disabled, ChecksEpoch: &disabled})).To(Succeed())
 		stream, err := client.Complete(ctx, other, []byte(prompt))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(stream.Close()).To(Succeed())
 		state, err := client.Order(ctx, v.Address, engine.Order{ID: "old", Kind: engine.OrderRelease, Fence: 4})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(state.Fence).To(BeEquivalentTo(4), "read-back shows that the old order was carried out")
+		Expect(state.Fence).To(BeEquivalentTo(4), "the returned state shows that the old order was executed")
 	})
 
-	It("passes on whatever a plain service answers, but a refusal", func() {
+	It("returns every response of a plain service except a refusal", func() {
 		host, v := start("s")
-		to := load(client, host, v)
-		response, err := client.Call(ctx, to, http.MethodPost, "/lots/a%2Fb?n=1", nil, strings.NewReader("{}"))
+		target := loadGroup(client, host, v)
+		response, err := client.Call(ctx, target, http.MethodPost, "/lots/a%2Fb?n=1", nil, strings.NewReader("{}"))
 		Expect(err).NotTo(HaveOccurred())
 		defer response.Body.Close()
 		answer, err := io.ReadAll(response.Body)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer).To(MatchJSON(`{"service":"s","method":"POST","path":"/lots/a%2Fb?n=1","request":"r1","runs":1}`))
 
-		to.Epoch = 1
-		_, err = client.Call(ctx, to, http.MethodPost, "/lots", nil, nil)
+		target.Epoch = 1
+		_, err = client.Call(ctx, target, http.MethodPost, "/lots", nil, nil)
 		Expect(err).To(MatchError(engine.ErrRefused))
 
-		elsewhere, seen := neverAnswersTwice()
-		_, err = client.Call(ctx, to, http.MethodPost, "@"+elsewhere+"/first", nil, nil)
+		otherAddress, seen := serveFirstPathOnly()
+		_, err = client.Call(ctx, target, http.MethodPost, "@"+otherAddress+"/first", nil, nil)
 		Expect(err).To(MatchError(engine.ErrNotSent))
 		Expect(seen.requests.Load()).To(BeZero(), "a path must not change the host")
 	})
 
-	// A backend server is restarted between two bookings. If the second went out on the first one's
-	// connection it would fail after it may have been sent, and a booking that never ran would be called unknown.
-	It("reaches a restarted backend server, and proves that a dead one was not reached", func() {
+	// A backend server restarts between two bookings. If the second were sent on the first one's connection, it
+	// would fail after it may have been sent, and a booking that never ran would have an unknown outcome.
+	It("reaches a restarted backend server and reports ErrNotSent for a stopped one", func() {
 		host, v := start("s")
 		for range 3 {
-			to := load(client, host, v)
-			response, err := client.Call(ctx, to, http.MethodPost, "/lots", nil, nil)
+			target := loadGroup(client, host, v)
+			response, err := client.Call(ctx, target, http.MethodPost, "/lots", nil, nil)
 			Expect(err).NotTo(HaveOccurred())
-			finish(response)
+			drain(response)
 			Expect(host.Switch("vm1", standin.Switches{Restart: true})).To(Succeed())
 		}
-		to := load(client, host, v)
+		target := loadGroup(client, host, v)
 		Expect(host.Switch("vm1", standin.Switches{Die: true})).To(Succeed())
-		_, err := client.Call(ctx, to, http.MethodPost, "/lots", nil, nil)
+		_, err := client.Call(ctx, target, http.MethodPost, "/lots", nil, nil)
 		Expect(err).To(MatchError(engine.ErrNotSent))
-		_, err = client.Complete(ctx, to, []byte(prompt))
+		_, err = client.Complete(ctx, target, []byte(prompt))
 		Expect(err).To(MatchError(engine.ErrNotSent))
 	})
 
-	// The backend server takes a booking and its connection breaks before the answer. net/http, given the
-	// caller's Idempotency-Key or a GET, would send it again on its own, and the lot is booked twice.
-	It("sends a request once on the wire", func() {
-		address, seen := neverAnswersTwice()
-		to := engine.Target{Address: address, RequestID: "r1"}
+	// The backend server accepts a booking and its connection breaks before the response. Given an Idempotency-Key
+	// or a GET, net/http would resend the request on its own and the booking would be made twice.
+	It("sends each request exactly once", func() {
+		address, seen := serveFirstPathOnly()
+		target := engine.Target{Address: address, RequestID: "r1"}
 		header := http.Header{"Idempotency-Key": {"k"}, "X-Idempotency-Key": {"k"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}}
 		for _, method := range []string{http.MethodGet, http.MethodPut, http.MethodPost} {
-			response, err := client.Call(ctx, to, method, "/first", header, nil)
+			response, err := client.Call(ctx, target, method, "/first", header, nil)
 			Expect(err).NotTo(HaveOccurred())
-			finish(response)
+			drain(response)
 			before := seen.requests.Load()
-			_, err = client.Call(ctx, to, method, "/breaks", header, nil)
+			_, err = client.Call(ctx, target, method, "/breaks", header, nil)
 			Expect(err).To(MatchError(engine.ErrInterrupted))
 			Expect(seen.requests.Load() - before).To(BeEquivalentTo(1))
 		}
 		Expect(seen.keys.Load()).To(BeZero(), "these headers are not forwarded")
 
-		// A plain http.Client sends it twice: this shows that the test would notice.
+		// A plain http.Client sends it twice, which shows that the test would detect a resent request.
 		plain := &http.Client{Transport: &http.Transport{}}
 		for _, path := range []string{"/first", "/breaks"} {
 			before := seen.requests.Load()
@@ -235,27 +235,28 @@
 				continue
 			}
 			Expect(err).NotTo(HaveOccurred())
-			finish(response)
+			drain(response)
 		}
 	})
 })
 
-// finish reads an answer to its end, so that its connection could be used again.
-func finish(response *http.Response) {
+// drain reads a response to its end so that its connection could be reused.
+func drain(response *http.Response) {
 	_, _ = io.Copy(io.Discard, response.Body)
 	response.Body.Close()
 }
 
-// sightings counts what a raw server saw.
-type sightings struct{ requests, keys atomic.Int64 }
+// requestCounters counts the requests that a raw server received, and those of their headers that must not be
+// forwarded.
+type requestCounters struct{ requests, keys atomic.Int64 }
 
-// neverAnswersTwice starts a server that answers "/first" and closes the connection at any other request
-// once that was read whole.
-func neverAnswersTwice() (string, *sightings) {
+// serveFirstPathOnly starts a server that answers "/first". On any other request it reads the request and
+// closes the connection without a response.
+func serveFirstPathOnly() (string, *requestCounters) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(listener.Close)
-	seen := new(sightings)
+	seen := new(requestCounters)
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -268,7 +269,7 @@
 	return listener.Addr().String(), seen
 }
 
-func (s *sightings) serve(conn net.Conn) {
+func (s *requestCounters) serve(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
--- a/link/engine/header.go
+++ b/link/engine/header.go
@@ -5,11 +5,12 @@
 	"strings"
 )
 
-// notForwarded are the headers of a caller's request that end at the front.
+// unforwardedHeaders lists the headers of a caller's request that are not forwarded to backend servers.
 //
-// Idempotency-Key must not reach net/http, which takes it as leave to send a request again. Authorization is
-// the team's key and none of the backend server's business. The others concern one connection only.
-var notForwarded = []string{
+// Idempotency-Key and X-Idempotency-Key must not reach net/http, which would consider the request safe to
+// resend. Authorization holds the team's key, which the backend server must not see. The others apply to a
+// single connection.
+var unforwardedHeaders = []string{
 	"Idempotency-Key",
 	"X-Idempotency-Key",
 	"Authorization",
@@ -26,19 +27,19 @@
 	"Upgrade",
 }
 
-// endToEnd returns a copy of the headers that a backend server should see.
-func endToEnd(header http.Header) http.Header {
-	kept := header.Clone()
-	if kept == nil {
-		kept = make(http.Header)
+// forwardedHeader returns a copy of header without the headers that must not be forwarded.
+func forwardedHeader(header http.Header) http.Header {
+	forwarded := header.Clone()
+	if forwarded == nil {
+		forwarded = make(http.Header)
 	}
 	for _, list := range header.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
-			kept.Del(strings.TrimSpace(name))
+			forwarded.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range notForwarded {
-		kept.Del(name)
+	for _, name := range unforwardedHeaders {
+		forwarded.Del(name)
 	}
-	return kept
+	return forwarded
 }
--- a/link/engine/stream.go
+++ b/link/engine/stream.go
@@ -11,18 +11,19 @@
 	"github.com/tmaxmax/go-sse"
 )
 
-// maxEventBytes bounds one event.
+// maxEventBytes limits the size of one event.
 const maxEventBytes = 1 << 20
 
-// stream reads the events of one completion. Next is called by one goroutine at a time; Close by any.
+// stream decodes the events of one completion. Next must not be called concurrently; Close may be called
+// from any goroutine.
 type stream struct {
 	body   io.ReadCloser
 	cancel context.CancelFunc
 	next   func() (sse.Event, error, bool)
 	stop   func()
-	final  bool // used by Next only
+	final  bool // only accessed by Next
 
-	mu      sync.Mutex // guards what follows; a leaf lock
+	mu      sync.Mutex // guards the fields below; no other lock is acquired while it is held
 	reading bool
 	closed  bool
 }
@@ -39,11 +40,11 @@
 	if s.final {
 		return event, io.EOF
 	}
-	if !s.begin() {
+	if !s.beginRead() {
 		return event, eris.Wrap(ErrInterrupted, "stream is closed")
 	}
 	message, err, more := s.next()
-	s.end()
+	s.endRead()
 	switch {
 	case err != nil:
 		return event, eris.Wrap(ErrInterrupted, err.Error())
@@ -57,16 +58,17 @@
 	return event, nil
 }
 
-// begin marks a read, during which the iterator must not be stopped.
-func (s *stream) begin() bool {
+// beginRead marks the start of a read, during which the iterator must not be stopped. It returns false if the
+// stream is closed.
+func (s *stream) beginRead() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reading = !s.closed
 	return s.reading
 }
 
-// end stops the iterator in the place of a Close that came during the read.
-func (s *stream) end() {
+// endRead marks the end of a read. If Close was called during the read, it stops the iterator on its behalf.
+func (s *stream) endRead() {
 	s.mu.Lock()
 	s.reading = false
 	closed := s.closed
@@ -76,16 +78,16 @@
 	}
 }
 
-// Close implements Stream. It ends a Next that waits; the backend server cancels the request when the
+// Close implements Stream. It unblocks a pending Next. The backend server cancels the request when the
 // connection closes.
 func (s *stream) Close() error {
 	s.mu.Lock()
-	stops := !s.closed && !s.reading
+	stopNow := !s.closed && !s.reading
 	s.closed = true
 	s.mu.Unlock()
 	s.cancel()
 	err := s.body.Close()
-	if stops {
+	if stopNow {
 		s.stop()
 	}
 	return err
--- a/link/engine/stream_test.go
+++ b/link/engine/stream_test.go
@@ -7,22 +7,22 @@
 	. "github.com/onsi/gomega"
 )
 
-// stubbornBody blocks in Read until it is released, also after Close.
-type stubbornBody struct{ entered, release chan struct{} }
+// uncancellableBody blocks in Read until released, even after Close.
+type uncancellableBody struct{ entered, release chan struct{} }
 
-func (b *stubbornBody) Read([]byte) (int, error) {
+func (b *uncancellableBody) Read([]byte) (int, error) {
 	close(b.entered)
 	<-b.release
 	return 0, io.ErrClosedPipe
 }
 
-func (b *stubbornBody) Close() error { return nil }
+func (b *uncancellableBody) Close() error { return nil }
 
-// A caller leaves while the home waits for the next event. The iterator below the stream must not be
-// stopped from a second goroutine during a read: Close would hang, and with it what waits for the home.
-func TestCloseDuringARead(t *testing.T) {
+// A caller disconnects while the home waits for the next event. Close must not stop the iterator from a second
+// goroutine during a read: it would hang, and so would everything that waits for the home.
+func TestCloseDuringRead(t *testing.T) {
 	g := NewWithT(t)
-	body := &stubbornBody{entered: make(chan struct{}), release: make(chan struct{})}
+	body := &uncancellableBody{entered: make(chan struct{}), release: make(chan struct{})}
 	s := newStream(body, func() {})
 	ended := make(chan error, 1)
 	go func() {
