--- a/entry/gateway/assemble.go
+++ b/entry/gateway/assemble.go
@@ -120,7 +120,7 @@
 }
 
 func provideSuspects(remote *turn.Remote) *suspects.Watch {
-	return suspects.New(suspects.Deps{Refuses: upstream.Refuses, Tell: remote.Send})
+	return suspects.New(suspects.Deps{Refuses: upstream.RefusesConnections, Tell: remote.Send})
 }
 
 func provideRetries(s *shell) *relay.Retries {
@@ -195,7 +195,7 @@
 func (g *Gateway) gauges() {
 	for name, value := range map[string]func() int64{
 		"requests.in_progress":   func() int64 { return int64(g.relay.InProgress()) },
-		"connections.to_servers": g.pool.Dialled,
+		"connections.to_servers": g.pool.DialCount,
 		"config.version":         func() int64 { version, _ := g.catalog.Config(); return int64(version) },
 		"servers.listed":         func() int64 { return int64(len(g.catalog.Listing().Servers)) },
 		"servers.revision":       func() int64 { return int64(g.catalog.Listing().Revision) },
--- a/entry/gateway/gateway.go
+++ b/entry/gateway/gateway.go
@@ -148,7 +148,7 @@
 func (g *Gateway) sweep(ctx context.Context) {
 	for wait.Pause(ctx, sweepEvery) {
 		listing := g.catalog.Listing()
-		g.pool.Sweep(func(to upstream.Endpoint) bool {
+		g.pool.CloseStale(func(to upstream.Endpoint) bool {
 			server := listing.Servers[to.ID]
 			return server != nil && upstream.EndpointOf(server) == to
 		})
--- a/entry/grouping/grouping_test.go
+++ b/entry/grouping/grouping_test.go
@@ -252,7 +252,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			time.Sleep(20 * time.Millisecond)
 		}
-		Expect(pool.Dialled()).To(Equal(int64(1)))
+		Expect(pool.DialCount()).To(Equal(int64(1)))
 	})
 
 	// A spare has the weights only on its host. If it loaded them only after a loss, all other members of the group would wait
--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -242,7 +242,7 @@
 }
 
 // rejected ends an attempt that the server did not run.
-func (e *exchange) rejected(t *turn.Turn, answer *upstream.Answer) {
+func (e *exchange) rejected(t *turn.Turn, answer *upstream.Response) {
 	_ = answer.Body.Close()
 	e.endAttempt()
 	t.Done(turn.Result{Rejected: true})
@@ -256,7 +256,7 @@
 }
 
 // send sends the request to one server, under a watch that is over when the attempt is: the caller stops it by endAttempt.
-func (e *exchange) send(t *turn.Turn, lastEvent string) (*upstream.Answer, error) {
+func (e *exchange) send(t *turn.Turn, lastEvent string) (*upstream.Response, error) {
 	e.ended.Servers = append(e.ended.Servers, string(t.Server.ID))
 	e.sent, e.first = time.Now(), 0
 	if e.route.Kind == route.Streaming {
@@ -271,7 +271,7 @@
 			Server: t.Server.ID, Team: e.team, Left: time.Until(e.deadline), LastEvent: lastEvent,
 		}),
 		Body: e.body,
-		Owns: func(header http.Header) bool { return platform.Belongs(e.call.ID, header) },
+		Matches: func(header http.Header) bool { return platform.Belongs(e.call.ID, header) },
 	})
 	if err != nil {
 		e.endAttempt()
@@ -331,7 +331,7 @@
 
 // whole hands back an answer that is not a stream. It is taken in before any of it goes out, so that one that
 // breaks off can be replaced.
-func (e *exchange) whole(t *turn.Turn, answer *upstream.Answer) bool {
+func (e *exchange) whole(t *turn.Turn, answer *upstream.Response) bool {
 	body, err := io.ReadAll(answer.Body)
 	_ = answer.Body.Close()
 	e.endAttempt()
--- a/entry/relay/stream.go
+++ b/entry/relay/stream.go
@@ -25,7 +25,7 @@
 var errCaller = eris.New("writing to the caller")
 
 // stream hands on the events of a stream as they come. It returns whether the request is over.
-func (e *exchange) stream(t *turn.Turn, answer *upstream.Answer) bool {
+func (e *exchange) stream(t *turn.Turn, answer *upstream.Response) bool {
 	if !platform.Signed(answer.Header) {
 		_ = answer.Body.Close()
 		e.endAttempt()
@@ -77,7 +77,7 @@
 
 // copyEvents hands on whole events until the stream ends, and returns the id of the last one that went out. An event
 // that breaks off in its middle does not go out: the stream goes on elsewhere after the last whole one.
-func (e *exchange) copyEvents(t *turn.Turn, answer *upstream.Answer, head http.Header, last string) (string, error) {
+func (e *exchange) copyEvents(t *turn.Turn, answer *upstream.Response, head http.Header, last string) (string, error) {
 	events := newEventReader(answer.Body)
 	suspicion := time.AfterFunc(suspectFirst, t.ReportStall)
 	defer suspicion.Stop()
@@ -106,7 +106,7 @@
 }
 
 // resume sends the request again, to go on after the last event that went out. It returns nil when the request is over.
-func (e *exchange) resume(last, detail string) (*turn.Turn, *upstream.Answer) {
+func (e *exchange) resume(last, detail string) (*turn.Turn, *upstream.Response) {
 	for {
 		t := e.takeNext()
 		if t == nil {
--- a/link/upstream/conn.go
+++ b/link/upstream/conn.go
@@ -45,8 +45,8 @@
 	return nil, err
 }
 
-// Refuses says whether nobody listens at an address: the process there has ended, and its VM goes on.
-func Refuses(ctx context.Context, address string) bool {
+// RefusesConnections says whether nobody listens at an address: the process there has ended, and its VM goes on.
+func RefusesConnections(ctx context.Context, address string) bool {
 	c, err := dial(ctx, address)
 	if err == nil {
 		_ = c.Close()
@@ -112,7 +112,7 @@
 		if answer.StatusCode < http.StatusOK {
 			continue
 		}
-		if request.Owns == nil || request.Owns(answer.Header) {
+		if request.Matches == nil || request.Matches(answer.Header) {
 			return answer, nil
 		}
 		if _, err := io.Copy(io.Discard, answer.Body); err != nil {
--- a/link/upstream/pool.go
+++ b/link/upstream/pool.go
@@ -22,11 +22,11 @@
 // NewPool returns an empty pool.
 func NewPool() *Pool { return &Pool{idle: make(map[Endpoint][]*conn)} }
 
-// Dialled returns how many connections were made.
-func (p *Pool) Dialled() int64 { return p.dialled.Load() }
+// DialCount returns how many connections were made.
+func (p *Pool) DialCount() int64 { return p.dialled.Load() }
 
-// Answer is the answer to one request. Its Body must be closed.
-type Answer struct {
+// Response is the answer to one request. Its Body must be closed.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   *Body
@@ -47,7 +47,7 @@
 }
 
 // Send sends the request once and returns the head of its answer. Ending ctx ends the connection.
-func (p *Pool) Send(ctx context.Context, to Endpoint, request *Request) (*Answer, error) {
+func (p *Pool) Send(ctx context.Context, to Endpoint, request *Request) (*Response, error) {
 	c, err := p.take(ctx, to)
 	if err != nil {
 		return nil, eris.Wrapf(ErrNotSent, "%s at %s: %v", to.ID, to.Address, err)
@@ -57,11 +57,11 @@
 	if err != nil {
 		stop()
 		_ = c.Close()
-		return nil, eris.Wrapf(ErrUnknown, "%s at %s: %v", to.ID, to.Address, err)
+		return nil, eris.Wrapf(ErrOutcomeUnknown, "%s at %s: %v", to.ID, to.Address, err)
 	}
 	c.keep = keepFor(answer.Header)
 	body := &Body{answer: answer, conn: c, pool: p, to: to, stop: stop}
-	return &Answer{Status: answer.StatusCode, Header: answer.Header, Body: body, Length: answer.ContentLength}, nil
+	return &Response{Status: answer.StatusCode, Header: answer.Header, Body: body, Length: answer.ContentLength}, nil
 }
 
 func (c *conn) exchange(request *Request) (*http.Response, error) {
@@ -145,8 +145,8 @@
 	return true
 }
 
-// Sweep closes connections that were idle for too long, and those to endpoints that are no longer known.
-func (p *Pool) Sweep(known func(Endpoint) bool) {
+// CloseStale closes connections that were idle for too long, and those to endpoints that are no longer known.
+func (p *Pool) CloseStale(known func(Endpoint) bool) {
 	for _, c := range p.expired(known) {
 		_ = c.Close()
 	}
--- a/link/upstream/upstream.go
+++ b/link/upstream/upstream.go
@@ -18,8 +18,8 @@
 var (
 	// ErrNotSent: no byte of the request was given to a connection. It has not run.
 	ErrNotSent = eris.New("request was not sent")
-	// ErrUnknown: the request was sent, wholly or in part, and has no answer. It may have run.
-	ErrUnknown = eris.New("request was sent and has no answer")
+	// ErrOutcomeUnknown: the request was sent, wholly or in part, and has no answer. It may have run.
+	ErrOutcomeUnknown = eris.New("request was sent and has no answer")
 )
 
 // Endpoint is one life of one backend server. Connections are kept by endpoint, since addresses are used again.
@@ -42,9 +42,9 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Owns says whether an answer belongs to this request. One that does not is skipped: a faulty server
+	// Matches says whether an answer belongs to this request. One that does not is skipped: a faulty server
 	// may send an answer twice, and the second copy comes where the next answer is due.
-	Owns func(header http.Header) bool
+	Matches func(header http.Header) bool
 }
 
 // Bounds of connections.
--- a/link/upstream/upstream_test.go
+++ b/link/upstream/upstream_test.go
@@ -70,7 +70,7 @@
 func request(id string) *upstream.Request {
 	return &upstream.Request{
 		Method: http.MethodGet, Target: "/p/x?q=1", Host: "h.example", Header: http.Header{"X-Id": {id}},
-		Owns: func(h http.Header) bool { return h.Get("X-Id") == id },
+		Matches: func(h http.Header) bool { return h.Get("X-Id") == id },
 	}
 }
 
@@ -119,7 +119,7 @@
 		pool := upstream.NewPool()
 		Expect(read(pool, s.endpoint(), request("a"))).To(Equal("body"))
 		_, err := read(pool, s.endpoint(), request("b"))
-		Expect(errors.Is(err, upstream.ErrUnknown)).To(BeTrue())
+		Expect(errors.Is(err, upstream.ErrOutcomeUnknown)).To(BeTrue())
 		Consistently(s.requests.Load, "100ms").Should(Equal(int32(2)))
 	})
 
@@ -253,7 +253,7 @@
 		})
 		pool := upstream.NewPool()
 		Expect(read(pool, s.endpoint(), request("a"))).To(Equal("ok"))
-		pool.Sweep(func(upstream.Endpoint) bool { return false })
+		pool.CloseStale(func(upstream.Endpoint) bool { return false })
 		Expect(read(pool, s.endpoint(), request("b"))).To(Equal("ok"))
 		Expect(s.conns.Load()).To(Equal(int32(2)))
 	})
