--- a/link/upstream/conn.go
+++ b/link/upstream/conn.go
@@ -15,16 +15,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// conn is one connection. One request at a time uses it.
+// conn is a connection to a backend server. It carries one request at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// keep is how long it may stay idle; idleSince is when it became so.
-	keep      time.Duration
-	idleSince time.Time
-	// writing is closed once a body that is written beside the answer is out; nil where it was written before.
-	writing chan struct{}
-	broken  bool
+	// idleTimeout is how long the connection may stay idle; idleSince is when it became idle.
+	idleTimeout time.Duration
+	idleSince   time.Time
+	// bodyWritten is closed when a concurrently written body has been sent. It is nil if the body was written
+	// before the response was read.
+	bodyWritten chan struct{}
+	broken      bool
 }
 
 func dial(ctx context.Context, address string) (*conn, error) {
@@ -32,11 +33,11 @@
 		Enable: true, Idle: time.Second, Interval: time.Second, Count: 3,
 	}}
 	var err error
-	for range dialTries {
+	for range dialAttempts {
 		var raw net.Conn
 		raw, err = dialer.DialContext(ctx, "tcp", address)
 		if err == nil {
-			return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer), keep: keptIdle}, nil
+			return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize), idleTimeout: defaultIdleTimeout}, nil
 		}
 		if ctx.Err() != nil || eris.Is(err, syscall.ECONNREFUSED) || eris.Is(err, syscall.ECONNRESET) {
 			break
@@ -45,7 +46,8 @@
 	return nil, err
 }
 
-// RefusesConnections says whether nobody listens at an address: the process there has ended, and its VM goes on.
+// RefusesConnections reports whether connections to address are refused or reset, which means that the process
+// has ended while its VM is still running.
 func RefusesConnections(ctx context.Context, address string) bool {
 	c, err := dial(ctx, address)
 	if err == nil {
@@ -55,9 +57,9 @@
 	return eris.Is(err, syscall.ECONNREFUSED) || eris.Is(err, syscall.ECONNRESET)
 }
 
-// quiet says whether a kept connection is open and has nothing to read. Whatever a server sends while no request
-// is in progress belongs to none, and a connection that the server has closed must not be written to.
-func (c *conn) quiet() bool {
+// isIdle reports whether the connection is open and has no data to read. Data that the server sends while no
+// request is in progress belongs to no request, and a connection that the server has closed must not be used.
+func (c *conn) isIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -65,17 +67,18 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
 		var buffer [1]byte
 		_, err := syscall.Read(int(fd), buffer[:])
-		quiet = err == syscall.EAGAIN
+		idle = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
-// write sends the request. It returns whether any byte may have left.
+// write sends the request. A large body is sent by a separate goroutine. After an error, part of the request
+// may have been sent.
 func (c *conn) write(request *Request) error {
 	var head bytes.Buffer
 	head.WriteString(request.Method + " " + request.Target + " HTTP/1.1\r\nHost: " + request.Host + "\r\n")
@@ -84,7 +87,7 @@
 		head.WriteString("Content-Length: " + strconv.Itoa(len(request.Body)) + "\r\n")
 	}
 	head.WriteString("\r\n")
-	if len(request.Body) <= inlineBody {
+	if len(request.Body) <= maxInlineBody {
 		head.Write(request.Body)
 		_, err := c.Conn.Write(head.Bytes())
 		return err
@@ -92,45 +95,45 @@
 	if _, err := c.Conn.Write(head.Bytes()); err != nil {
 		return err
 	}
-	c.writing = make(chan struct{})
+	c.bodyWritten = make(chan struct{})
 	go func() {
-		defer close(c.writing)
+		defer close(c.bodyWritten)
 		if _, err := c.Conn.Write(request.Body); err != nil {
-			c.broken = true // read only after writing was closed
+			c.broken = true // only read after bodyWritten is closed
 		}
 	}()
 	return nil
 }
 
-// read returns the answer that the request owns. Interim answers and those of other requests are skipped.
+// read returns the response to the request. It skips interim responses and those to other requests.
 func (c *conn) read(request *Request) (*http.Response, error) {
-	for range maxForeign + 1 {
-		answer, err := http.ReadResponse(c.reader, &http.Request{Method: request.Method})
+	for range maxSkippedResponses + 1 {
+		response, err := http.ReadResponse(c.reader, &http.Request{Method: request.Method})
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode < http.StatusOK {
+		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if request.Matches == nil || request.Matches(answer.Header) {
-			return answer, nil
+		if request.Matches == nil || request.Matches(response.Header) {
+			return response, nil
 		}
-		if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+		if _, err := io.Copy(io.Discard, response.Body); err != nil {
 			return nil, err
 		}
 	}
 	return nil, eris.New("answers of other requests")
 }
 
-// reusable says whether another request may follow the answer. After one whose end is that of the connection,
-// after bytes beyond the end, and while the request is still being written, none may.
-func (c *conn) reusable(answer *http.Response) bool {
-	if answer.Close || c.reader.Buffered() > 0 {
+// reusable reports whether the connection can carry another request after response. It can't if the response
+// ends with the connection, if data follows the response, or if the request body is still being written.
+func (c *conn) reusable(response *http.Response) bool {
+	if response.Close || c.reader.Buffered() > 0 {
 		return false
 	}
-	if c.writing != nil {
+	if c.bodyWritten != nil {
 		select {
-		case <-c.writing:
+		case <-c.bodyWritten:
 		default:
 			return false
 		}
@@ -138,16 +141,17 @@
 	return !c.broken
 }
 
-// keepFor reads how long the server keeps an idle connection.
-func keepFor(header http.Header) time.Duration {
+// idleTimeoutOf derives a connection's idle timeout from the Keep-Alive header of a response. It never exceeds
+// defaultIdleTimeout.
+func idleTimeoutOf(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !found {
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil {
-			return min(keptIdle, time.Duration(seconds)*time.Second-keptMargin)
+			return min(defaultIdleTimeout, time.Duration(seconds)*time.Second-idleTimeoutMargin)
 		}
 	}
-	return keptIdle
+	return defaultIdleTimeout
 }
--- a/link/upstream/pool.go
+++ b/link/upstream/pool.go
@@ -11,57 +11,59 @@
 	"github.com/rotisserie/eris"
 )
 
-// Pool sends requests and keeps connections. It is safe for concurrent use.
+// Pool sends requests and reuses connections. It is safe for concurrent use.
 type Pool struct {
 	mu   sync.Mutex // guards idle; not held over I/O
 	idle map[Endpoint][]*conn
-	// dialled counts new connections.
-	dialled atomic.Int64
+	// dialCount counts the connection attempts; see DialCount.
+	dialCount atomic.Int64
 }
 
 // NewPool returns an empty pool.
 func NewPool() *Pool { return &Pool{idle: make(map[Endpoint][]*conn)} }
 
-// DialCount returns how many connections were made.
-func (p *Pool) DialCount() int64 { return p.dialled.Load() }
+// DialCount returns how many times the pool has dialed a new connection.
+func (p *Pool) DialCount() int64 { return p.dialCount.Load() }
 
-// Response is the answer to one request. Its Body must be closed.
+// Response is the response to a request. Its Body must be closed.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   *Body
-	// Length is that of the body, or -1 where it is not told.
+	// Length is the length of the body, or -1 if it is unknown.
 	Length int64
 }
 
-// Body is the body of an answer. One goroutine uses it. Reading it to its end gives the connection back; closing it before that
-// ends the connection, by which the server learns that nobody waits.
+// Body is the body of a response. It is not safe for concurrent use. Reading it to the end returns the
+// connection to the pool. Closing it earlier closes the connection, which tells the server that the caller no
+// longer waits.
 type Body struct {
-	answer *http.Response
-	conn   *conn
-	pool   *Pool
-	to     Endpoint
-	stop   func() bool
-	// over says that the connection was given back or closed. It is used by the reader alone.
-	over bool
+	response   *http.Response
+	conn       *conn
+	pool       *Pool
+	endpoint   Endpoint
+	stopCancel func() bool
+	// released means that the connection was returned to the pool or closed.
+	released bool
 }
 
-// Send sends the request once and returns the head of its answer. Ending ctx ends the connection.
-func (p *Pool) Send(ctx context.Context, to Endpoint, request *Request) (*Response, error) {
-	c, err := p.take(ctx, to)
+// Send sends the request once and returns the response after reading its header. If ctx ends, the connection
+// is closed.
+func (p *Pool) Send(ctx context.Context, endpoint Endpoint, request *Request) (*Response, error) {
+	c, err := p.take(ctx, endpoint)
 	if err != nil {
-		return nil, eris.Wrapf(ErrNotSent, "%s at %s: %v", to.ID, to.Address, err)
+		return nil, eris.Wrapf(ErrNotSent, "%s at %s: %v", endpoint.ID, endpoint.Address, err)
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
-	answer, err := c.exchange(request)
+	response, err := c.exchange(request)
 	if err != nil {
 		stop()
 		_ = c.Close()
-		return nil, eris.Wrapf(ErrOutcomeUnknown, "%s at %s: %v", to.ID, to.Address, err)
+		return nil, eris.Wrapf(ErrOutcomeUnknown, "%s at %s: %v", endpoint.ID, endpoint.Address, err)
 	}
-	c.keep = keepFor(answer.Header)
-	body := &Body{answer: answer, conn: c, pool: p, to: to, stop: stop}
-	return &Response{Status: answer.StatusCode, Header: answer.Header, Body: body, Length: answer.ContentLength}, nil
+	c.idleTimeout = idleTimeoutOf(response.Header)
+	body := &Body{response: response, conn: c, pool: p, endpoint: endpoint, stopCancel: stop}
+	return &Response{Status: response.StatusCode, Header: response.Header, Body: body, Length: response.ContentLength}, nil
 }
 
 func (c *conn) exchange(request *Request) (*http.Response, error) {
@@ -71,81 +73,82 @@
 	return c.read(request)
 }
 
-// Read implements io.Reader. An end before the promised length is io.ErrUnexpectedEOF.
+// Read implements io.Reader. A body shorter than its announced length ends with io.ErrUnexpectedEOF.
 func (b *Body) Read(buffer []byte) (int, error) {
-	n, err := b.answer.Body.Read(buffer)
+	n, err := b.response.Body.Read(buffer)
 	if err == io.EOF {
-		b.release(b.conn.reusable(b.answer))
+		b.release(b.conn.reusable(b.response))
 	}
 	return n, err
 }
 
-// Close ends the connection unless the body was read to its end.
+// Close closes the connection unless the body has been read to the end.
 func (b *Body) Close() error {
 	b.release(false)
 	return nil
 }
 
 func (b *Body) release(reusable bool) {
-	if b.over {
+	if b.released {
 		return
 	}
-	b.over = true
-	stopped := b.stop()
+	b.released = true
+	stopped := b.stopCancel()
 	if !reusable || !stopped {
 		_ = b.conn.Close()
 		return
 	}
-	b.pool.put(b.to, b.conn)
+	b.pool.put(b.endpoint, b.conn)
 }
 
-// take returns a kept connection that is quiet, or a new one.
-func (p *Pool) take(ctx context.Context, to Endpoint) (*conn, error) {
+// take returns an idle connection that is still usable, or dials a new one.
+func (p *Pool) take(ctx context.Context, endpoint Endpoint) (*conn, error) {
 	for {
-		kept := p.pop(to)
-		if kept == nil {
+		candidate := p.pop(endpoint)
+		if candidate == nil {
 			break
 		}
-		if time.Since(kept.idleSince) < kept.keep && kept.quiet() {
-			return kept, nil
+		if time.Since(candidate.idleSince) < candidate.idleTimeout && candidate.isIdle() {
+			return candidate, nil
 		}
-		_ = kept.Close()
+		_ = candidate.Close()
 	}
-	p.dialled.Add(1)
-	return dial(ctx, to.Address)
+	p.dialCount.Add(1)
+	return dial(ctx, endpoint.Address)
 }
 
-func (p *Pool) pop(to Endpoint) *conn {
+func (p *Pool) pop(endpoint Endpoint) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[to]
-	if len(kept) == 0 {
+	conns := p.idle[endpoint]
+	if len(conns) == 0 {
 		return nil
 	}
-	last := kept[len(kept)-1]
-	p.idle[to] = kept[:len(kept)-1]
+	last := conns[len(conns)-1]
+	p.idle[endpoint] = conns[:len(conns)-1]
 	return last
 }
 
-func (p *Pool) put(to Endpoint, c *conn) {
+func (p *Pool) put(endpoint Endpoint, c *conn) {
 	c.idleSince = time.Now()
-	c.writing = nil
-	if c.SetDeadline(time.Time{}) != nil || c.keep <= 0 || !p.push(to, c) {
+	c.bodyWritten = nil
+	if c.SetDeadline(time.Time{}) != nil || c.idleTimeout <= 0 || !p.push(endpoint, c) {
 		_ = c.Close()
 	}
 }
 
-func (p *Pool) push(to Endpoint, c *conn) bool {
+func (p *Pool) push(endpoint Endpoint, c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[to]) >= keptPerServer {
+	if len(p.idle[endpoint]) >= maxIdlePerServer {
 		return false
 	}
-	p.idle[to] = append(p.idle[to], c)
+	p.idle[endpoint] = append(p.idle[endpoint], c)
 	return true
 }
 
-// CloseStale closes connections that were idle for too long, and those to endpoints that are no longer known.
+// CloseStale closes connections that have exceeded their idle timeout and those to endpoints for which known
+// returns false.
 func (p *Pool) CloseStale(known func(Endpoint) bool) {
 	for _, c := range p.expired(known) {
 		_ = c.Close()
@@ -156,18 +159,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var expired []*conn
-	for to, kept := range p.idle {
+	for endpoint, conns := range p.idle {
 		var live []*conn
-		for _, c := range kept {
-			if known(to) && time.Since(c.idleSince) < c.keep {
+		for _, c := range conns {
+			if known(endpoint) && time.Since(c.idleSince) < c.idleTimeout {
 				live = append(live, c)
 				continue
 			}
 			expired = append(expired, c)
 		}
-		p.idle[to] = live
+		p.idle[endpoint] = live
 		if len(live) == 0 {
-			delete(p.idle, to)
+			delete(p.idle, endpoint)
 		}
 	}
 	return expired
--- a/link/upstream/upstream.go
+++ b/link/upstream/upstream.go
@@ -1,8 +1,8 @@
-// Package upstream sends requests to backend servers as they are, each exactly once on the wire.
+// Package upstream sends requests to backend servers unmodified, each exactly once.
 //
-// net/http's own client won't do for requests that may not be repeated: it sends again by itself when a kept connection
-// turns out to be closed, and it does not tell whether anything was sent. Here a request is written once to
-// one connection, and an error says whether the server can have seen it.
+// The net/http client is unsuitable for requests that must not be repeated: it resends a request on its own
+// when a reused connection turns out to be closed, and it doesn't report whether anything was sent. This
+// package writes each request once to one connection, and its errors state whether the server can have seen it.
 package upstream
 
 import (
@@ -14,15 +14,17 @@
 	"github.com/skylarkpond/skylarkpond/backend"
 )
 
-// Errors of Send. Every failure is wrapped into one of them.
+// Errors returned by Send. Every failure wraps one of them.
 var (
-	// ErrNotSent: no byte of the request was given to a connection. It has not run.
+	// ErrNotSent means that no byte of the request was written to a connection. The request has not run.
 	ErrNotSent = eris.New("request was not sent")
-	// ErrOutcomeUnknown: the request was sent, wholly or in part, and has no answer. It may have run.
+	// ErrOutcomeUnknown means that the request was sent in whole or in part and no response arrived. It may have
+	// run.
 	ErrOutcomeUnknown = eris.New("request was sent and has no answer")
 )
 
-// Endpoint is one life of one backend server. Connections are kept by endpoint, since addresses are used again.
+// Endpoint identifies one incarnation of a backend server. Idle connections are kept per endpoint rather than
+// per address, because addresses are reused.
 type Endpoint struct {
 	ID      backend.ID
 	Address string
@@ -34,37 +36,39 @@
 	return Endpoint{ID: server.ID, Address: server.Address, Born: server.Born}
 }
 
-// Request is what is sent. Nothing is added to Header but the framing.
+// Request is a request to a backend server. Only framing headers are added to Header.
 type Request struct {
 	Method string
-	// Target is the path and query, as the caller sent them.
+	// Target is the path and query exactly as the caller sent them.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Matches says whether an answer belongs to this request. One that does not is skipped: a faulty server
-	// may send an answer twice, and the second copy comes where the next answer is due.
+	// Matches reports whether a response belongs to this request; nil accepts every response. A response that
+	// doesn't match is skipped, because a faulty server may send a response twice and the second copy would then
+	// arrive in place of the next response.
 	Matches func(header http.Header) bool
 }
 
-// Bounds of connections.
+// Connection limits.
 const (
-	// dialTimeout bounds one try to connect. Servers are within a few milliseconds; a server that is gone does not answer.
+	// dialTimeout limits one connection attempt. Servers are a few milliseconds away, and a server that is gone
+	// doesn't respond at all.
 	dialTimeout = 200 * time.Millisecond
-	// dialTries is two, since one lost packet holds a connection up for a second.
-	dialTries = 2
-	// keptIdle is how long an idle connection is kept where the server names no time of its own.
-	keptIdle = 4 * time.Second
-	// keptMargin is taken off the time that a server names, so that it is rarely the server that closes first:
-	// a request that meets such a closing has an unknown outcome.
-	keptMargin = 500 * time.Millisecond
-	// keptPerServer bounds the idle connections to one server.
-	keptPerServer = 16
-	// maxForeign is how many answers of other requests are skipped on one connection.
-	maxForeign = 2
-	// inlineBody is the largest body that is written before the answer is read. A larger one is written beside
-	// it, since a server may answer before it has read the whole.
-	inlineBody = 32 << 10
-	// readBuffer holds the answers' headers and some events of a stream, in bytes.
-	readBuffer = 2 << 10
+	// dialAttempts is two because a single lost packet would delay one attempt by a second.
+	dialAttempts = 2
+	// defaultIdleTimeout is how long an idle connection is kept if the server doesn't announce a shorter timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutMargin is subtracted from the timeout that a server announces, so that the server rarely closes
+	// the connection first: a request sent on a connection that is being closed has an unknown outcome.
+	idleTimeoutMargin = 500 * time.Millisecond
+	// maxIdlePerServer limits the idle connections to one server.
+	maxIdlePerServer = 16
+	// maxSkippedResponses limits the interim and mismatched responses skipped before one response.
+	maxSkippedResponses = 2
+	// maxInlineBody is the largest body that is written before the response is read. A larger body is written
+	// concurrently, because the server may respond before it has read all of it.
+	maxInlineBody = 32 << 10
+	// readBufferSize is the read buffer size in bytes. It fits the response headers and a few events of a stream.
+	readBufferSize = 2 << 10
 )
