--- a/link/peer/client.go
+++ b/link/peer/client.go
@@ -204,7 +204,7 @@
 }
 
 // Next decodes the next item into v. It returns io.EOF after the last one, if the peer's handler ended
-// without an error, else ErrBroken.
+// without an error, else ErrInterrupted.
 func (r *Receiver) Next(v any) error {
 	r.limited.left = MaxMessageBytes
 	err := r.decoder.Decode(v)
--- a/link/peer/peer.go
+++ b/link/peer/peer.go
@@ -21,8 +21,8 @@
 	// ErrNotSent: the request can't have been taken: there was no connection, or the peer refused it
 	// before any handler saw it.
 	ErrNotSent = eris.New("peer not reached")
-	// ErrBroken: the request was or may have been taken, and the answer ended early.
-	ErrBroken = eris.New("peer broke off")
+	// ErrInterrupted: the request was or may have been taken, and the answer ended early.
+	ErrInterrupted = eris.New("peer broke off")
 	// ErrRejected: the peer's handler, or the peer's check of the request, answered with an error.
 	ErrRejected = eris.New("peer rejected the request")
 	// ErrTooLarge: a message is over MaxMessageBytes. A request that is too large is not sent (the error
@@ -89,7 +89,7 @@
 }
 
 func broken(address string, cause error) error {
-	return fmt.Errorf("%w: %s: %w", ErrBroken, address, cause)
+	return fmt.Errorf("%w: %s: %w", ErrInterrupted, address, cause)
 }
 
 // refusedUnseen tells whether err proves that the peer turned the request away before a handler saw
--- a/link/peer/peer_test.go
+++ b/link/peer/peer_test.go
@@ -242,7 +242,7 @@
 		go func() { result <- f.client.Call(ctx, f.address(), "/take", echo{}, nil) }()
 		Eventually(taken, patience).Should(Receive())
 		f.socket.setCut(true)
-		Eventually(result, patience).Should(Receive(MatchError(ErrBroken)))
+		Eventually(result, patience).Should(Receive(MatchError(ErrInterrupted)))
 		Expect(f.client.Call(ctx, f.address(), "/echo", echo{}, nil)).To(MatchError(ErrNotSent))
 		f.socket.setCut(false)
 		Eventually(func() error {
@@ -258,7 +258,7 @@
 		defer r.Close()
 		Expect(r.Next(new(echo))).To(Succeed())
 		f.client.Disconnect(f.address())
-		Expect(r.Next(new(echo))).To(MatchError(ErrBroken))
+		Expect(r.Next(new(echo))).To(MatchError(ErrInterrupted))
 	})
 })
 
@@ -280,7 +280,7 @@
 	// take half an answer for the whole one.
 	It("never ends as if whole after an error", func() {
 		f := newFixture(registerEcho)
-		Expect(f.readAll(echo{Count: 2, Text: "break"})).To(MatchError(ErrBroken))
+		Expect(f.readAll(echo{Count: 2, Text: "break"})).To(MatchError(ErrInterrupted))
 		_, err := f.client.Stream(testContext(), f.address(), "/count", echo{Text: "break"})
 		Expect(err).To(MatchError(ErrRejected))
 	})
@@ -300,7 +300,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.Next(new(echo))).To(Succeed())
 		cancel()
-		Expect(r.Next(new(echo))).To(And(MatchError(ErrBroken), MatchError(context.Canceled)))
+		Expect(r.Next(new(echo))).To(And(MatchError(ErrInterrupted), MatchError(context.Canceled)))
 		Eventually(ended, patience).Should(Receive())
 		r.Close()
 
--- a/link/peer/server.go
+++ b/link/peer/server.go
@@ -80,7 +80,7 @@
 
 // HandleStream registers the handler of path, before Serve. Each send is one item of the caller's
 // stream and may block while the caller reads slowly. An error before the first item becomes the
-// caller's ErrRejected, a later one ErrBroken, which may overtake items sent shortly before it: a
+// caller's ErrRejected, a later one ErrInterrupted, which may overtake items sent shortly before it: a
 // handler that has a reason to tell sends it as its last item and returns nil.
 func HandleStream[Req any](s *Server, path string, handler func(ctx context.Context, from string, req Req, send func(v any) error) error) {
 	s.handle(path, func(ctx context.Context, from string, body []byte, out *sender) error {
