--- a/link/peer/identity.go
+++ b/link/peer/identity.go
@@ -15,15 +15,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// Identity is the key and certificate of this process. It lives as long as the process does: nothing
-// is kept, and the next start publishes the fingerprint of a new one.
+// Identity is the key and certificate of this process. It is never stored; each start of the process creates a
+// new one and publishes its fingerprint.
 type Identity struct {
 	name        string
 	certificate tls.Certificate
 	fingerprint string
 }
 
-// NewIdentity makes a key and a self-signed certificate for the entry name.
+// NewIdentity generates a key and a self-signed certificate for the entry with the given name.
 func NewIdentity(name string) (*Identity, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -41,7 +41,8 @@
 	}, nil
 }
 
-// Validity is not checked by peers, whose clocks differ: a fingerprint counts as long as it is known.
+// certificateTemplate sets a validity period that never matters: peers don't check it, because their clocks
+// differ. A certificate is accepted as long as its fingerprint is known.
 func certificateTemplate(name string) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(1),
@@ -56,7 +57,7 @@
 // Name returns the entry's name.
 func (i *Identity) Name() string { return i.name }
 
-// Fingerprint returns the SHA-256 of the certificate, in hex.
+// Fingerprint returns the SHA-256 of the certificate in hex.
 func (i *Identity) Fingerprint() string { return i.fingerprint }
 
 func fingerprintOf(der []byte) string {
@@ -64,7 +65,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// peerName returns the name of the peer at the other end, by its certificate.
+// peerName returns the name of the remote entry, looked up by the fingerprint of its certificate.
 func peerName(state *tls.ConnectionState, trust Trust) (string, error) {
 	if state == nil || len(state.PeerCertificates) == 0 {
 		return "", ErrUntrusted
@@ -76,8 +77,9 @@
 	return name, nil
 }
 
-// tlsConfig serves both sides. The library's check of a chain is replaced by the check of the
-// fingerprint, which runs in each handshake; without tickets each connection has a full one.
+// tlsConfig returns the configuration for both clients and servers. Chain verification is replaced by a
+// fingerprint check, which runs in every handshake; without session tickets every connection does a full
+// handshake.
 func tlsConfig(id *Identity, trust Trust) *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -92,7 +94,7 @@
 	}
 }
 
-// TLSConfig returns the configuration of one side of a connection for an own protocol over QUIC.
+// TLSConfig returns the configuration of either side of a connection that runs another protocol over QUIC.
 func TLSConfig(id *Identity, trust Trust, protocol string) *tls.Config {
 	config := tlsConfig(id, trust)
 	config.NextProtos = []string{protocol}
--- a/link/peer/peer.go
+++ b/link/peer/peer.go
@@ -1,8 +1,8 @@
-// Package peer carries calls between entries: HTTP/3 over QUIC, bodies in CBOR, a stream of answers as
-// a CBOR sequence, both sides known to each other by the fingerprint of a certificate made at start.
+// Package peer implements calls between entries over HTTP/3 and QUIC. Bodies are CBOR, and a streamed response
+// is a CBOR sequence. Both sides authenticate by the fingerprint of a certificate generated at process start.
 //
-// A call is one send: nothing here sends a request a second time unless the first surely never left.
-// Session tickets and 0-RTT are off, because early data can be replayed by anybody on the path.
+// Each call is sent once: a request is sent again only if the first attempt provably sent nothing. Session
+// tickets and 0-RTT are disabled because early data can be replayed by anyone on the network path.
 package peer
 
 import (
@@ -16,44 +16,44 @@
 	"github.com/rotisserie/eris"
 )
 
-// Errors of a call. Every failure of Call, Stream and Next (but io.EOF) is one of them by errors.Is.
+// Errors of a call. Every failure of Call, Stream and Next except io.EOF matches one of them with errors.Is.
 var (
-	// ErrNotSent: the request can't have been taken: there was no connection, or the peer refused it
-	// before any handler saw it.
+	// ErrNotSent means that no handler can have received the request: there was no connection, or the peer rejected
+	// the request before any handler saw it.
 	ErrNotSent = eris.New("peer not reached")
-	// ErrInterrupted: the request was or may have been taken, and the answer ended early.
+	// ErrInterrupted means that the request was or may have been received, and the response ended early.
 	ErrInterrupted = eris.New("peer broke off")
-	// ErrRejected: the peer's handler, or the peer's check of the request, answered with an error.
+	// ErrRejected means that the peer's handler or its request validation returned an error.
 	ErrRejected = eris.New("peer rejected the request")
-	// ErrTooLarge: a message is over MaxMessageBytes. A request that is too large is not sent (the error
-	// is ErrNotSent as well).
+	// ErrTooLarge means that a message exceeds MaxMessageBytes. A request that is too large is not sent, so its
+	// error also matches ErrNotSent.
 	ErrTooLarge = eris.New("message over the size limit")
-	// ErrUntrusted: the peer's certificate is none that Trust knows.
+	// ErrUntrusted means that Trust doesn't know the peer's certificate.
 	ErrUntrusted = eris.New("peer certificate not trusted")
 )
 
-// MaxMessageBytes bounds one request, one reply, and one item of a stream. It leaves room for a value
-// of the platform (a megabyte) and for a long prompt.
+// MaxMessageBytes limits one request, one reply and one item of a stream. It leaves room for a platform value
+// (1 MiB) and for a long prompt.
 const MaxMessageBytes = 8 << 20
 
-// Timeouts of a connection.
+// Connection timeouts.
 const (
-	// idleTimeout is how long a connection lives without a packet from the peer. A process that was
-	// killed or frozen says nothing; without this a caller would wait on it for its whole deadline.
+	// idleTimeout closes a connection that has received no packet from the peer. A killed or frozen process sends
+	// nothing; without this timeout a caller would wait for it until its own deadline.
 	idleTimeout = 4 * time.Second
-	// keepAlivePeriod makes a live but silent peer answer several times within idleTimeout, so that a
-	// request that waits for its first token isn't taken for a dead peer.
+	// keepAlivePeriod makes a live peer respond several times within idleTimeout, so that a request that waits for
+	// its first token is not mistaken for a dead peer.
 	keepAlivePeriod = time.Second
-	// handshakeTimeout bounds the silence while dialling.
+	// handshakeTimeout limits the time without a packet from the peer during the handshake.
 	handshakeTimeout = 2 * time.Second
-	// unusedTimeout closes a connection without a request in progress, since its keep-alives cost
-	// control bytes: with 330 entries all of them would cost more than the whole budget.
+	// unusedTimeout closes a connection that has no request in progress, because keep-alives consume control
+	// bandwidth: with 330 entries, keeping all connections open would exceed the whole budget.
 	unusedTimeout = 5 * time.Second
 )
 
 const (
 	maxHeaderBytes = 16 << 10
-	// maxStreams bounds the requests in progress on one connection.
+	// maxStreams limits the requests in progress on one connection.
 	maxStreams       = 4096
 	streamWindow     = 64 << 10
 	maxStreamWindow  = 1 << 20
@@ -63,9 +63,9 @@
 	maxErrorTextSize = 4 << 10
 )
 
-// Trust knows the peers. It must be safe for concurrent use.
+// Trust maps certificate fingerprints to peers. Implementations must be safe for concurrent use.
 type Trust interface {
-	// Trusted returns the name of the entry whose certificate has the fingerprint (SHA-256, hex).
+	// Trusted returns the name of the entry whose certificate has the given fingerprint (SHA-256 in hex).
 	Trusted(fingerprint string) (name string, ok bool)
 }
 
@@ -83,25 +83,25 @@
 	}
 }
 
-// notSent and broken keep the cause, so that errors.Is also finds a context's error in it.
+// notSent and interrupted wrap the cause, so that errors.Is also matches a context error in it.
 func notSent(address string, cause error) error {
 	return fmt.Errorf("%w: %s: %w", ErrNotSent, address, cause)
 }
 
-func broken(address string, cause error) error {
+func interrupted(address string, cause error) error {
 	return fmt.Errorf("%w: %s: %w", ErrInterrupted, address, cause)
 }
 
-// refusedUnseen tells whether err proves that the peer turned the request away before a handler saw
-// it: it resets streams so after it began to shut down.
-func refusedUnseen(err error) bool {
+// rejectedBeforeHandler reports whether err proves that the peer rejected the request before a handler saw it.
+// A server that is shutting down resets streams with this code.
+func rejectedBeforeHandler(err error) bool {
 	reset, ok := errors.AsType[*http3.Error](err)
 	return ok && reset.Remote && reset.ErrorCode == http3.ErrCodeRequestRejected
 }
 
-// handshakeRefused tells whether err is the peer's TLS alert. In TLS 1.3 a client may send before the
-// peer has checked its certificate; a peer that refuses it never decrypts what was sent.
-func handshakeRefused(err error) bool {
+// handshakeRejected reports whether err is a TLS alert from the peer. In TLS 1.3 a client may send data before
+// the peer has verified its certificate; a peer that rejects the certificate never decrypts that data.
+func handshakeRejected(err error) bool {
 	failure, ok := errors.AsType[*quic.TransportError](err)
 	return ok && failure.Remote && failure.ErrorCode.IsCryptoError()
 }
--- a/link/peer/peer_test.go
+++ b/link/peer/peer_test.go
@@ -18,28 +18,28 @@
 	RunSpecs(t, "link/peer")
 }
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// trustList is a Trust that tests change.
-type trustList struct {
+// fakeTrust is a Trust that tests can modify.
+type fakeTrust struct {
 	mu    sync.Mutex
 	names map[string]string
 }
 
-func (t *trustList) Trusted(fingerprint string) (string, bool) {
+func (t *fakeTrust) Trusted(fingerprint string) (string, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	name, ok := t.names[fingerprint]
 	return name, ok
 }
 
-func (t *trustList) add(id *Identity) {
+func (t *fakeTrust) add(id *Identity) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.names[id.Fingerprint()] = id.Name()
 }
 
-func (t *trustList) remove(id *Identity) {
+func (t *fakeTrust) remove(id *Identity) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.names, id.Fingerprint())
@@ -50,63 +50,64 @@
 	Count int    `cbor:"2,keyasint"`
 }
 
-// fixture is one server and one client that trust each other by trust.
+// fixture holds a client and a server that share one Trust.
 type fixture struct {
-	trust           *trustList
-	clientID, srvID *Identity
-	client          *Client
-	server          *Server
-	socket          *relay
-	stop            context.CancelFunc
+	trust              *fakeTrust
+	clientID, serverID *Identity
+	client             *Client
+	server             *Server
+	socket             *droppingConn
+	stop               context.CancelFunc
 }
 
-// relay is the server's socket; cut drops all packets in and out, as a frozen process or a dead path does.
-type relay struct {
+// droppingConn is the server's socket. While dropping is set, it drops all packets in both directions, like a
+// frozen process or a broken network path.
+type droppingConn struct {
 	net.PacketConn
-	mu  sync.Mutex
-	cut bool
+	mu       sync.Mutex
+	dropping bool
 }
 
-func (r *relay) setCut(cut bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.cut = cut
+func (c *droppingConn) setDropping(dropping bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.dropping = dropping
 }
 
-func (r *relay) isCut() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.cut
+func (c *droppingConn) isDropping() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.dropping
 }
 
-func (r *relay) ReadFrom(p []byte) (int, net.Addr, error) {
+func (c *droppingConn) ReadFrom(p []byte) (int, net.Addr, error) {
 	for {
-		n, from, err := r.PacketConn.ReadFrom(p)
-		if err != nil || !r.isCut() {
+		n, from, err := c.PacketConn.ReadFrom(p)
+		if err != nil || !c.isDropping() {
 			return n, from, err
 		}
 	}
 }
 
-func (r *relay) WriteTo(p []byte, to net.Addr) (int, error) {
-	if r.isCut() {
+func (c *droppingConn) WriteTo(p []byte, to net.Addr) (int, error) {
+	if c.isDropping() {
 		return len(p), nil
 	}
-	return r.PacketConn.WriteTo(p, to)
+	return c.PacketConn.WriteTo(p, to)
 }
 
 func newFixture(register func(*Server)) *fixture {
-	f := &fixture{trust: &trustList{names: map[string]string{}}}
+	f := &fixture{trust: &fakeTrust{names: map[string]string{}}}
 	f.clientID = identity("entry-1")
-	f.srvID = identity("entry-2")
+	f.serverID = identity("entry-2")
 	f.trust.add(f.clientID)
-	f.trust.add(f.srvID)
+	f.trust.add(f.serverID)
 	f.client = NewClient(f.clientID, f.trust, nil)
-	f.server = NewServer(f.srvID, f.trust)
+	f.server = NewServer(f.serverID, f.trust)
 	register(f.server)
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	f.socket = &relay{PacketConn: socket}
+	f.socket = &droppingConn{PacketConn: socket}
 	f.serve()
 	DeferCleanup(func() {
 		f.client.Close()
@@ -122,8 +123,8 @@
 	go func() { _ = f.server.Serve(ctx, f.socket) }()
 }
 
-// readAll returns the first error of a stream, be it before or after its items.
-func (f *fixture) readAll(req echo) error {
+// readStream reads a whole stream and returns its first error, including io.EOF.
+func (f *fixture) readStream(req echo) error {
 	r, err := f.client.Stream(testContext(), f.address(), "/count", req)
 	if err != nil {
 		return err
@@ -144,7 +145,7 @@
 }
 
 func testContext() context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	DeferCleanup(cancel)
 	return ctx
 }
@@ -173,7 +174,7 @@
 }
 
 var _ = Describe("a call", func() {
-	It("hands over the caller's name and the whole answer, on one connection", func() {
+	It("passes the caller's name and returns the complete response on one connection", func() {
 		f := newFixture(registerEcho)
 		for i := range 20 {
 			var reply echo
@@ -183,7 +184,7 @@
 		Expect(f.client.pool.conns).To(HaveLen(1))
 	})
 
-	It("tells a handler's error, an unknown path and a malformed body as rejected", func() {
+	It("reports a handler's error, an unknown path and a malformed body as rejected", func() {
 		f := newFixture(registerEcho)
 		err := f.client.Call(testContext(), f.address(), "/echo", echo{Text: "fail"}, nil)
 		Expect(err).To(MatchError(ErrRejected))
@@ -192,21 +193,21 @@
 		Expect(f.client.Call(testContext(), f.address(), "/echo", "text", nil)).To(MatchError(ErrRejected))
 	})
 
-	It("does not send what is too large or to no address", func() {
+	It("does not send an oversized request or one to an invalid address", func() {
 		f := newFixture(registerEcho)
 		err := f.client.Call(testContext(), f.address(), "/echo", make([]byte, MaxMessageBytes+1), nil)
 		Expect(err).To(And(MatchError(ErrNotSent), MatchError(ErrTooLarge)))
 		Expect(f.client.Call(testContext(), "nowhere", "/echo", echo{}, nil)).To(MatchError(ErrNotSent))
 	})
 
-	// An entry that the platform's list does not name, or no longer names, connects with a key of its
-	// own. If it were let in, anybody on the network could dispatch requests. It is told that nothing
-	// was taken, so that a new entry whose fingerprint has not spread yet can try again.
-	It("is refused both ways without a known fingerprint, and nothing was taken", func() {
-		taken := make(chan string, 10)
+	// An entry that is missing from the platform's list, or was removed from it, connects with its own key.
+	// Accepting it would let anyone on the network dispatch requests. The caller learns that the request was not
+	// sent, so that a new entry whose fingerprint has not propagated yet can retry.
+	It("is rejected by either side if the fingerprint is unknown, and no handler runs", func() {
+		handled := make(chan string, 10)
 		f := newFixture(func(s *Server) {
 			Handle(s, "/take", func(_ context.Context, from string, _ echo) (echo, error) {
-				taken <- from
+				handled <- from
 				return echo{}, nil
 			})
 		})
@@ -214,25 +215,25 @@
 		err := f.client.Call(testContext(), f.address(), "/take", echo{}, nil)
 		Expect(err).To(And(MatchError(ErrNotSent), MatchError(ErrUntrusted)))
 		f.trust.add(f.clientID)
-		f.trust.remove(f.srvID)
+		f.trust.remove(f.serverID)
 		Expect(f.client.Call(testContext(), f.address(), "/take", echo{}, nil)).To(MatchError(ErrNotSent))
-		Expect(taken).To(BeEmpty())
-		f.trust.add(f.srvID)
+		Expect(handled).To(BeEmpty())
+		f.trust.add(f.serverID)
 		Expect(f.client.Call(testContext(), f.address(), "/take", echo{}, nil)).To(Succeed())
-		Expect(taken).To(Receive(Equal("entry-1")))
+		Expect(handled).To(Receive(Equal("entry-1")))
 		f.trust.remove(f.clientID)
 		Expect(f.client.Call(testContext(), f.address(), "/take", echo{}, nil)).To(MatchError(ErrRejected))
-		Expect(taken).To(BeEmpty())
+		Expect(handled).To(BeEmpty())
 	})
 
-	// The peer is frozen or its path is cut after it took a request. A second send would run the
-	// request twice once the peer wakes; the caller must see "may have been taken" within seconds.
-	It("is one send, and is broken once the peer falls silent", func() {
-		taken := make(chan struct{}, 10)
+	// The peer freezes or its network path breaks after it received a request. Sending the request again would run
+	// it twice once the peer resumes; the caller must get ErrInterrupted within seconds.
+	It("is sent once and interrupted when the peer stops responding", func() {
+		handled := make(chan struct{}, 10)
 		f := newFixture(func(s *Server) {
 			registerEcho(s)
 			Handle(s, "/take", func(ctx context.Context, _ string, _ echo) (echo, error) {
-				taken <- struct{}{}
+				handled <- struct{}{}
 				<-ctx.Done()
 				return echo{}, ctx.Err()
 			})
@@ -240,18 +241,18 @@
 		result := make(chan error, 1)
 		ctx := testContext()
 		go func() { result <- f.client.Call(ctx, f.address(), "/take", echo{}, nil) }()
-		Eventually(taken, patience).Should(Receive())
-		f.socket.setCut(true)
-		Eventually(result, patience).Should(Receive(MatchError(ErrInterrupted)))
+		Eventually(handled, testTimeout).Should(Receive())
+		f.socket.setDropping(true)
+		Eventually(result, testTimeout).Should(Receive(MatchError(ErrInterrupted)))
 		Expect(f.client.Call(ctx, f.address(), "/echo", echo{}, nil)).To(MatchError(ErrNotSent))
-		f.socket.setCut(false)
+		f.socket.setDropping(false)
 		Eventually(func() error {
 			return f.client.Call(ctx, f.address(), "/echo", echo{}, nil)
-		}, patience).Should(Succeed())
-		Expect(taken).To(BeEmpty())
+		}, testTimeout).Should(Succeed())
+		Expect(handled).To(BeEmpty())
 	})
 
-	It("breaks at once when the caller is told that the peer is dead", func() {
+	It("is interrupted immediately by Disconnect", func() {
 		f := newFixture(registerEcho)
 		r, err := f.client.Stream(testContext(), f.address(), "/count", echo{Count: 1, Text: "wait"})
 		Expect(err).NotTo(HaveOccurred())
@@ -263,7 +264,7 @@
 })
 
 var _ = Describe("a stream", func() {
-	It("gives each item, then the end", func() {
+	It("returns each item, then io.EOF", func() {
 		f := newFixture(registerEcho)
 		r, err := f.client.Stream(testContext(), f.address(), "/count", echo{Count: 100})
 		Expect(err).NotTo(HaveOccurred())
@@ -276,20 +277,20 @@
 		Expect(r.Next(new(echo))).To(MatchError(io.EOF))
 	})
 
-	// A home loses its engine in the middle of an answer. If the stream just ended, the caller would
-	// take half an answer for the whole one.
-	It("never ends as if whole after an error", func() {
+	// A home loses its engine in the middle of a response. If the stream ended normally, the caller would treat a
+	// truncated response as complete.
+	It("never ends normally after an error", func() {
 		f := newFixture(registerEcho)
-		Expect(f.readAll(echo{Count: 2, Text: "break"})).To(MatchError(ErrInterrupted))
+		Expect(f.readStream(echo{Count: 2, Text: "break"})).To(MatchError(ErrInterrupted))
 		_, err := f.client.Stream(testContext(), f.address(), "/count", echo{Text: "break"})
 		Expect(err).To(MatchError(ErrRejected))
 	})
 
-	It("ends the handler's context when the caller goes, by context or by Close", func() {
+	It("ends the handler's context when the caller cancels or closes", func() {
 		ended := make(chan struct{}, 10)
 		f := newFixture(func(s *Server) {
 			HandleStream(s, "/wait", func(ctx context.Context, _ string, _ echo, send func(any) error) error {
-				err := send(echo{}) // fails if the caller closes before the item is written
+				err := send(echo{}) // fails if the caller closes the stream before the item is written
 				<-ctx.Done()
 				ended <- struct{}{}
 				return err
@@ -301,18 +302,18 @@
 		Expect(r.Next(new(echo))).To(Succeed())
 		cancel()
 		Expect(r.Next(new(echo))).To(And(MatchError(ErrInterrupted), MatchError(context.Canceled)))
-		Eventually(ended, patience).Should(Receive())
+		Eventually(ended, testTimeout).Should(Receive())
 		r.Close()
 
 		r, err = f.client.Stream(testContext(), f.address(), "/wait", echo{})
 		Expect(err).NotTo(HaveOccurred())
 		r.Close()
-		Eventually(ended, patience).Should(Receive())
+		Eventually(ended, testTimeout).Should(Receive())
 	})
 
-	// An entry stops while the last part of an answer is on its way. Closed at once, the connection drops
-	// it, and the caller of a whole answer is told that it broke off.
-	It("ends whole when the server stops, and refuses what comes after as not taken", func() {
+	// An entry stops while the last part of a response is in transit. Closing the connection immediately would drop
+	// that part and make a complete response appear interrupted.
+	It("completes when the server stops, and later calls get ErrNotSent", func() {
 		for range 3 {
 			release := make(chan struct{})
 			f := newFixture(func(s *Server) {
@@ -338,7 +339,7 @@
 		}
 	})
 
-	It("carries many at once on one connection", func() {
+	It("shares one connection among many streams", func() {
 		f := newFixture(registerEcho)
 		var wait sync.WaitGroup
 		for range 200 {
--- a/link/peer/pool.go
+++ b/link/peer/pool.go
@@ -13,23 +13,23 @@
 	"github.com/rotisserie/eris"
 )
 
-// errClosed is the cause when the client was closed.
+// errClosed is returned by calls on a closed client.
 var errClosed = eris.New("client closed")
 
-// pool keeps one connection per peer address.
+// pool maintains one connection per peer address.
 type pool struct {
 	tls  *tls.Config
 	http http3.Transport
-	// source is the local address of all connections; nil lets the system choose.
+	// source is the local address of all connections. If it is nil, the system chooses one.
 	source net.IP
 
-	mu        sync.Mutex // guards what follows; a leaf lock, not held while dialling
+	mu        sync.Mutex // guards the fields below; a leaf lock, not held while dialing
 	conns     map[string]*connection
 	transport *quic.Transport
 	closed    bool
 }
 
-// connection is a connection that is being dialled, or open, or over.
+// connection is a connection that is being dialed, open or closed.
 type connection struct {
 	address string
 	dialled chan struct{} // closed when quic, h3 and err are set
@@ -37,10 +37,10 @@
 	h3      *http3.ClientConn
 	err     error
 
-	// guarded by pool.mu
-	active int
-	unused *time.Timer
-	// answered is set by the first answer: it proves that the peer accepted our certificate.
+	// Guarded by pool.mu.
+	active      int
+	unusedTimer *time.Timer
+	// answered is set by the first response, which proves that the peer accepted our certificate.
 	answered bool
 }
 
@@ -55,10 +55,10 @@
 	}
 }
 
-// acquire returns an open connection to address; release must follow. Callers that come while it is
-// being dialled wait for the same dial, which outlives each of them.
+// acquire returns an open connection to address. The caller must call release afterwards. Concurrent callers
+// share one dial, which continues even if all of them give up.
 func (p *pool) acquire(ctx context.Context, address string) (*connection, error) {
-	c, err := p.take(address)
+	c, err := p.getOrDial(address)
 	if err != nil {
 		return nil, err
 	}
@@ -75,27 +75,27 @@
 	return c, nil
 }
 
-func (p *pool) take(address string) (*connection, error) {
+func (p *pool) getOrDial(address string) (*connection, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil, errClosed
 	}
 	c := p.conns[address]
-	if c == nil || c.over() {
+	if c == nil || c.ended() {
 		c = &connection{address: address, dialled: make(chan struct{})}
 		p.conns[address] = c
 		go p.dial(c)
 	}
 	c.active++
-	if c.unused != nil {
-		c.unused.Stop()
-		c.unused = nil
+	if c.unusedTimer != nil {
+		c.unusedTimer.Stop()
+		c.unusedTimer = nil
 	}
 	return c, nil
 }
 
-func (c *connection) over() bool {
+func (c *connection) ended() bool {
 	select {
 	case <-c.dialled:
 		return c.err != nil || c.quic.Context().Err() != nil
@@ -109,7 +109,7 @@
 	defer p.mu.Unlock()
 	c.active--
 	if c.active == 0 {
-		c.unused = time.AfterFunc(unusedTimeout, func() { p.closeUnused(c) })
+		c.unusedTimer = time.AfterFunc(unusedTimeout, func() { p.closeUnused(c) })
 	}
 }
 
@@ -119,13 +119,13 @@
 		p.mu.Unlock()
 		return
 	}
-	p.forget(c)
+	p.removeLocked(c)
 	p.mu.Unlock()
 	c.close()
 }
 
-// forget must be called with mu held.
-func (p *pool) forget(c *connection) {
+// removeLocked removes c from the pool. The caller must hold mu.
+func (p *pool) removeLocked(c *connection) {
 	if p.conns[c.address] == c {
 		delete(p.conns, c.address)
 	}
@@ -133,7 +133,7 @@
 
 func (p *pool) dial(c *connection) {
 	defer close(c.dialled)
-	transport, err := p.socket()
+	transport, err := p.outgoingTransport()
 	if err != nil {
 		c.err = err
 		return
@@ -143,15 +143,15 @@
 		c.err = err
 		return
 	}
-	// Dial returns after the handshake: no byte of a request travels as early data.
+	// Dial returns after the handshake, so no part of a request is sent as early data.
 	c.quic, c.err = transport.Dial(context.Background(), net.UDPAddrFromAddrPort(address), p.tls, quicConfig())
 	if c.err == nil {
 		c.h3 = p.http.NewClientConn(c.quic)
 	}
 }
 
-// socket returns the one UDP socket of all outgoing connections.
-func (p *pool) socket() (*quic.Transport, error) {
+// outgoingTransport returns the transport of the single UDP socket that all outgoing connections share.
+func (p *pool) outgoingTransport() (*quic.Transport, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -174,14 +174,14 @@
 	c.answered = true
 }
 
-func (p *pool) wasAnswered(c *connection) bool {
+func (p *pool) hasAnswered(c *connection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return c.answered
 }
 
-// drop closes the connection to address, if any.
-func (p *pool) drop(address string) {
+// disconnect closes the connection to address, if any.
+func (p *pool) disconnect(address string) {
 	p.mu.Lock()
 	c := p.conns[address]
 	delete(p.conns, address)
@@ -191,11 +191,11 @@
 	}
 }
 
-// discard forgets c so that the next call dials anew. Streams that are open on it go on.
-func (p *pool) discard(c *connection) {
+// remove removes c from the pool, so that the next call dials a new connection. Open streams on c continue.
+func (p *pool) remove(c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forget(c)
+	p.removeLocked(c)
 }
 
 func (c *connection) close() {
@@ -210,8 +210,8 @@
 	p.closed = true
 	transport := p.transport
 	for _, c := range p.conns {
-		if c.unused != nil {
-			c.unused.Stop()
+		if c.unusedTimer != nil {
+			c.unusedTimer.Stop()
 		}
 	}
 	clear(p.conns)
--- a/link/peer/server.go
+++ b/link/peer/server.go
@@ -13,14 +13,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// Server answers calls of other entries.
+// Server serves calls from other entries.
 type Server struct {
 	trust Trust
 	mux   *http.ServeMux
 	http  *http3.Server
 }
 
-// NewServer returns a server that shows id to peers and accepts those that trust knows.
+// NewServer returns a server that authenticates with id and accepts only peers that trust knows.
 func NewServer(id *Identity, trust Trust) *Server {
 	mux := http.NewServeMux()
 	return &Server{
@@ -35,13 +35,13 @@
 	}
 }
 
-// shutdownGrace bounds the time for requests in progress after the end of Serve's context. Whoever stops
-// gracefully has waited for them before; what remains is that the last bytes of their answers are on the
-// way. A connection closed at once would drop them, and a whole answer would look broken off.
+// shutdownGrace limits how long requests in progress may continue after Serve's context ends. A graceful stop
+// waits for them beforehand; this period lets the last bytes of their responses arrive. Closing a connection
+// immediately would drop those bytes, and a complete response would appear interrupted.
 const shutdownGrace = 2 * time.Second
 
-// Serve answers on conn until ctx ends. Then it refuses new requests as not taken, and returns after
-// those in progress, or shutdownGrace.
+// Serve serves requests on conn until ctx ends. It then rejects new requests in a way that callers report as
+// ErrNotSent, and returns when the requests in progress have ended or shutdownGrace has expired.
 func (s *Server) Serve(ctx context.Context, conn net.PacketConn) error {
 	closed := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
@@ -50,7 +50,7 @@
 	})
 	err := s.http.Serve(conn)
 	if stop() {
-		return eris.Wrap(err, "serving peers")
+		return eris.Wrap(err, "serving peer connections")
 	}
 	<-closed
 	return nil
@@ -62,44 +62,45 @@
 	_ = s.http.Shutdown(grace)
 }
 
-// Handle registers the handler of path, before Serve. The handler gets the name of the calling entry;
-// its context ends when the caller goes. An error becomes the caller's ErrRejected, with its text.
+// Handle registers the handler for path and must be called before Serve. The handler receives the name of the
+// calling entry; its context ends when the caller disconnects. The caller receives a handler's error as
+// ErrRejected with the error's text.
 func Handle[Req, Resp any](s *Server, path string, handler func(ctx context.Context, from string, req Req) (Resp, error)) {
-	s.handle(path, func(ctx context.Context, from string, body []byte, out *sender) error {
+	s.handle(path, func(ctx context.Context, from string, body []byte, writer *itemWriter) error {
 		var req Req
 		if err := decMode.Unmarshal(body, &req); err != nil {
-			return &malformed{err}
+			return &malformedRequest{err}
 		}
 		resp, err := handler(ctx, from, req)
 		if err != nil {
 			return err
 		}
-		return out.write(resp)
+		return writer.write(resp)
 	})
 }
 
-// HandleStream registers the handler of path, before Serve. Each send is one item of the caller's
-// stream and may block while the caller reads slowly. An error before the first item becomes the
-// caller's ErrRejected, a later one ErrInterrupted, which may overtake items sent shortly before it: a
-// handler that has a reason to tell sends it as its last item and returns nil.
+// HandleStream registers the handler for path and must be called before Serve. Each send writes one item of the
+// response stream and may block if the caller reads slowly. The caller receives an error before the first item
+// as ErrRejected and a later one as ErrInterrupted, which can overtake items sent shortly before it. A handler
+// that must report a reason after its first item sends it as the last item and returns nil.
 func HandleStream[Req any](s *Server, path string, handler func(ctx context.Context, from string, req Req, send func(v any) error) error) {
-	s.handle(path, func(ctx context.Context, from string, body []byte, out *sender) error {
+	s.handle(path, func(ctx context.Context, from string, body []byte, writer *itemWriter) error {
 		var req Req
 		if err := decMode.Unmarshal(body, &req); err != nil {
-			return &malformed{err}
+			return &malformedRequest{err}
 		}
-		return handler(ctx, from, req, out.send)
+		return handler(ctx, from, req, writer.send)
 	})
 }
 
-type rawHandler func(ctx context.Context, from string, body []byte, out *sender) error
+type rawHandler func(ctx context.Context, from string, body []byte, writer *itemWriter) error
 
-// malformed marks an error of the request itself.
-type malformed struct{ error }
+// malformedRequest marks an error in the request itself, as opposed to a failure of the handler.
+type malformedRequest struct{ error }
 
 func (s *Server) handle(path string, handler rawHandler) {
 	s.mux.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
-		// Asked again at each request: a connection may outlive its peer's place in the trust.
+		// Checked on every request, because a connection can outlast the trust in its peer.
 		from, err := peerName(r.TLS, s.trust)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusForbidden)
@@ -110,8 +111,8 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		out := &sender{w: w}
-		finish(r.Context(), out, handler(r.Context(), from, body, out))
+		writer := &itemWriter{response: w}
+		finishResponse(r.Context(), writer, handler(r.Context(), from, body, writer))
 	})
 }
 
@@ -126,50 +127,50 @@
 	return body, nil
 }
 
-// finish ends the answer so that the caller can tell a whole one from one that ended early: the stream
-// closes only after a handler that ended well, and is reset otherwise.
-func finish(ctx context.Context, out *sender, err error) {
+// finishResponse ends the response so that the caller can distinguish a complete one from a truncated one: the
+// stream is closed normally only after a successful handler, and is reset otherwise.
+func finishResponse(ctx context.Context, writer *itemWriter, err error) {
 	switch {
 	case err == nil && ctx.Err() == nil:
-		out.start()
-	case err != nil && !out.started:
-		http.Error(out.w, err.Error(), statusOf(err))
+		writer.writeHeader()
+	case err != nil && !writer.started:
+		http.Error(writer.response, err.Error(), statusForError(err))
 	default:
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func statusOf(err error) int {
-	if _, ok := errors.AsType[*malformed](err); ok {
+func statusForError(err error) int {
+	if _, ok := errors.AsType[*malformedRequest](err); ok {
 		return http.StatusBadRequest
 	}
 	return http.StatusInternalServerError
 }
 
-// sender writes items of an answer.
-type sender struct {
-	w       http.ResponseWriter
-	started bool
+// itemWriter writes the items of a response.
+type itemWriter struct {
+	response http.ResponseWriter
+	started  bool
 }
 
-func (o *sender) start() {
-	if o.started {
+func (w *itemWriter) writeHeader() {
+	if w.started {
 		return
 	}
-	o.started = true
-	o.w.Header()["Date"] = nil
-	o.w.Header()["Content-Type"] = nil
-	o.w.WriteHeader(http.StatusOK)
+	w.started = true
+	w.response.Header()["Date"] = nil
+	w.response.Header()["Content-Type"] = nil
+	w.response.WriteHeader(http.StatusOK)
 }
 
-func (o *sender) send(v any) error {
-	if err := o.write(v); err != nil {
+func (w *itemWriter) send(v any) error {
+	if err := w.write(v); err != nil {
 		return err
 	}
-	return http.NewResponseController(o.w).Flush()
+	return http.NewResponseController(w.response).Flush()
 }
 
-func (o *sender) write(v any) error {
+func (w *itemWriter) write(v any) error {
 	item, err := cbor.Marshal(v)
 	if err != nil {
 		return err
@@ -177,7 +178,7 @@
 	if len(item) > MaxMessageBytes {
 		return ErrTooLarge
 	}
-	o.start()
-	_, err = o.w.Write(item)
+	w.writeHeader()
+	_, err = w.response.Write(item)
 	return err
 }
