--- a/entry/inforce.go
+++ b/entry/inforce.go
@@ -57,12 +57,12 @@
 	}
 	tree, err := settings.ParseTree(object.Value)
 	if err != nil {
-		f.log.WithError(err).WithField("version", object.Version).Error("cannot parse settings tree; keeping the version in force")
+		f.log.WithError(err).WithField("version", object.Version).Error("settings tree can't be read; the version in force stays")
 		return
 	}
 	snapshot, err := tree.Resolve(uint64(object.Version))
 	if err != nil {
-		f.log.WithError(err).WithField("version", object.Version).Error("cannot resolve settings tree; keeping the version in force")
+		f.log.WithError(err).WithField("version", object.Version).Error("settings tree does not resolve; the version in force stays")
 		return
 	}
 	f.mu.Lock()
--- a/pondctl/rig_test.go
+++ b/pondctl/rig_test.go
@@ -188,7 +188,7 @@
 	api := operator.New(operator.Deps{
 		Entry: "e1", Store: r.side, Snapshots: r.side, Mirror: noCopies{}, Publisher: r.side, Status: r.side, Timeline: r.side,
 		Quarantine: r.side, VMs: r.side, Recorder: r.side, Log: log, Clock: time.Now,
-		NewNonce:            func() string { nonce++; return fmt.Sprint(nonce) },
+		NewNonce:         func() string { nonce++; return fmt.Sprint(nonce) },
 		BootstrapKeyHash: operator.HashKey(examples.DevOperatorKey),
 	}).Handler()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
