--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -270,7 +270,7 @@
 		Header: platform.ForwardHeader(e.request.Header, platform.Forward{
 			Server: t.Server.ID, Team: e.team, Left: time.Until(e.deadline), LastEvent: lastEvent,
 		}),
-		Body: e.body,
+		Body:    e.body,
 		Matches: func(header http.Header) bool { return platform.Belongs(e.call.ID, header) },
 	})
 	if err != nil {
--- a/link/upstream/pool.go
+++ b/link/upstream/pool.go
@@ -15,14 +15,14 @@
 type Pool struct {
 	mu   sync.Mutex // guards idle; not held over I/O
 	idle map[Endpoint][]*conn
-	// dialCount counts the connection attempts; see DialCount.
+	// dialCount counts the connections dialed.
 	dialCount atomic.Int64
 }
 
 // NewPool returns an empty pool.
 func NewPool() *Pool { return &Pool{idle: make(map[Endpoint][]*conn)} }
 
-// DialCount returns how many times the pool has dialed a new connection.
+// DialCount returns how many connections the pool has dialed, successfully or not.
 func (p *Pool) DialCount() int64 { return p.dialCount.Load() }
 
 // Response is the response to a request. Its Body must be closed.
