--- a/entry/gateway/check.go
+++ b/entry/gateway/check.go
@@ -11,8 +11,8 @@
 	"github.com/skylarkpond/skylarkpond/platform"
 )
 
-// CheckPlatform reports whether the platform answers, and what it holds for this process. It starts and writes nothing. It returns an error
-// if the platform does not answer, or holds a configuration that can't be read.
+// CheckPlatform writes to out whether the platform answers and what it stores for this process. It starts nothing and writes nothing
+// to the platform. It returns an error if the platform does not answer or holds a configuration that can't be decoded.
 func CheckPlatform(ctx context.Context, config Config, out io.Writer) error {
 	client := newClient(config)
 	configs, err := client.List(ctx, platform.KindConfig)
--- a/entry/gateway/config.go
+++ b/entry/gateway/config.go
@@ -1,5 +1,5 @@
-// Package gateway assembles the process that serves callers of a platform whose backend servers register themselves: it
-// forwards requests as they are, answers which entries to use, and takes its part in forming groups.
+// Package gateway assembles the gateway process, which serves callers of a platform whose backend servers register themselves. It
+// forwards requests unmodified, tells callers which entries to use, and takes part in forming groups.
 package gateway
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Config is what the process is told at its start, by flag or environment variable.
+// Config holds the process's settings, given at start by flag or environment variable.
 type Config struct {
 	Name          string  `arg:"--name,env:POND_NAME,required" help:"name of this entry, unique and stable over restarts"`
 	Place         string  `arg:"--place,env:POND_PLACE,required" help:"place (region) this entry is in"`
@@ -26,7 +26,7 @@
 	MemoryMB      int     `arg:"--memory-mb,env:POND_MEMORY_MB" default:"206" help:"memory of this VM, in MB"`
 	LinkMbps      float64 `arg:"--link-mbps,env:POND_LINK_MBPS" help:"link of this VM in Mbit/s; VMs with more rather take charge of the groups (0: not known)"`
 	Cores         float64 `arg:"--cores,env:POND_CORES" help:"processors that this VM may use, a share counting as such (0: not known)"`
-	// The bounds that operators promise to their callers.
+	// Limits that operators promise to their callers.
 	AddressTTL   float64 `arg:"--address-ttl,env:POND_ADDRESS_TTL" default:"5" help:"seconds for which callers may keep an answer of the directory, at most"`
 	Grace        float64 `arg:"--stop-grace,env:POND_STOP_GRACE" default:"8" help:"seconds from a request to stop until the process is killed"`
 	RetryRatio   float64 `arg:"--retry-ratio,env:POND_RETRY_RATIO" default:"0.2" help:"repeats that all entries may send to a service, as a share of its requests"`
@@ -36,15 +36,15 @@
 	LogQueueSize int     `arg:"--log-queue,env:POND_LOG_QUEUE" default:"1024" help:"log lines that wait for a slow reader before further ones are dropped and counted"`
 }
 
-// ErrConfig is wrapped by every fault of a Config.
+// ErrConfig is wrapped by every error that Config.Check returns.
 var ErrConfig = eris.New("invalid setting")
 
-// Check returns all faults of the settings, each with the setting's name and what would be right.
+// Check reports all invalid settings in one error, each with the flag's name and the valid range.
 func (c *Config) Check() error {
-	var faults []string
-	check := func(ok bool, setting, right string) {
+	var problems []string
+	check := func(ok bool, setting, valid string) {
 		if !ok {
-			faults = append(faults, setting+": "+right)
+			problems = append(problems, setting+": "+valid)
 		}
 	}
 	for _, address := range []struct{ setting, value string }{
@@ -68,10 +68,10 @@
 	check(c.LinkMbps >= 0, "--link-mbps", "must be 0 or more")
 	check(c.Cores >= 0, "--cores", "must be 0 or more")
 	check(c.LogQueueSize >= 1, "--log-queue", "must be 1 or more")
-	if len(faults) == 0 {
+	if len(problems) == 0 {
 		return nil
 	}
-	return eris.Wrap(ErrConfig, strings.Join(faults, "; "))
+	return eris.Wrap(ErrConfig, strings.Join(problems, "; "))
 }
 
 func (c *Config) addressTTL() time.Duration {
--- a/entry/gateway/follow.go
+++ b/entry/gateway/follow.go
@@ -13,10 +13,10 @@
 	"github.com/skylarkpond/skylarkpond/logline"
 )
 
-// relink is the pause between two tries to link.
-const relink = 150 * time.Millisecond
+// relinkPause is the pause between two attempts to connect to the leader.
+const relinkPause = 150 * time.Millisecond
 
-// follow keeps a link to the entry in charge, which may be this one.
+// follow keeps this entry connected to the leader, which may be this entry itself.
 func (g *Gateway) follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		holder, known := g.lease.Holder()
@@ -26,30 +26,30 @@
 		case known && holder.Entry != g.config.Name:
 			g.followOther(ctx, holder)
 		}
-		wait.Pause(ctx, relink)
+		wait.Pause(ctx, relinkPause)
 	}
 }
 
-// selfQueue is how many messages of this entry to itself may wait.
-const selfQueue = 4096
+// loopbackQueueSize bounds the messages from the leader to its own entry that wait to be handled.
+const loopbackQueueSize = 4096
 
-// selfLink takes the leader's messages to its own entry. They are queued, since the leader sends under its lock.
-type selfLink struct{ queue chan link.Down }
+// loopbackLink delivers the leader's messages to its own entry. They are queued because the leader sends while it holds its lock.
+type loopbackLink struct{ queue chan link.Down }
 
-// Send implements the leader's way to an entry. Requests whose answer finds the queue full are decided by the entry itself.
-func (s *selfLink) Send(message link.Down) {
+// Send queues a message and drops it if the queue is full. The entry then decides by itself on a request whose reply was dropped.
+func (s *loopbackLink) Send(message link.Down) {
 	select {
 	case s.queue <- message:
 	default:
 	}
 }
 
-// SendShared implements the leader's way to an entry.
-func (s *selfLink) SendShared(message *link.Shared) { s.Send(message.Down) }
+// SendShared queues a message that the leader sends to several entries.
+func (s *loopbackLink) SendShared(message *link.Shared) { s.Send(message.Down) }
 
-// followSelf works while this entry is in charge.
+// followSelf handles the leader's messages while this entry is the leader.
 func (g *Gateway) followSelf(ctx context.Context) {
-	self := &selfLink{queue: make(chan link.Down, selfQueue)}
+	self := &loopbackLink{queue: make(chan link.Down, loopbackQueueSize)}
 	send := func(message link.Up) { g.leader.Receive(g.config.Name, self, message) }
 	version, _ := g.catalog.Config()
 	g.leader.RefreshGroups()
@@ -57,14 +57,14 @@
 		Entry: g.config.Name, ConfigVersion: version, Crashes: g.suspects.Reports(),
 	})
 	g.remote.Attach(send)
-	g.following.newLeader()
+	g.leaderState.leaderChanged()
 	defer g.remote.Attach(nil)
-	check := time.NewTicker(relink)
+	check := time.NewTicker(relinkPause)
 	defer check.Stop()
 	for {
 		select {
 		case message := <-self.queue:
-			g.fromLeader(ctx, send, message)
+			g.handleLeaderMessage(ctx, send, message)
 		case <-check.C:
 			if !g.lease.IsLeader() {
 				return
@@ -75,7 +75,8 @@
 	}
 }
 
-// followOther links to another entry until the link ends or that entry no longer says that it is in charge.
+// followOther connects to another entry that is the leader and handles its messages until the link ends or the lease has another
+// holder.
 func (g *Gateway) followOther(ctx context.Context, holder lease.Holder) {
 	version, _ := g.catalog.Config()
 	hello := link.Hello{
@@ -84,8 +85,8 @@
 	}
 	dialling, stopDialling := context.WithCancel(ctx)
 	defer stopDialling()
-	go g.whileHolder(dialling, stopDialling, holder)
-	to, err := link.Dial(dialling, g.identity, sourceOf(g.config.Callers), holder.Address, holder.Fingerprint, hello)
+	go g.stopOnHolderChange(dialling, stopDialling, holder)
+	to, err := link.Dial(dialling, g.identity, sourceIP(g.config.Callers), holder.Address, holder.Fingerprint, hello)
 	if err != nil {
 		g.log.WithError(err).WithField("leader", holder.Entry).Debug("no link to the leader")
 		g.lease.HolderUnreachable()
@@ -93,29 +94,29 @@
 	}
 	g.log.WithField("leader", holder.Entry).Info(logline.Linked)
 	g.remote.Attach(to.Send)
-	g.following.newLeader()
+	g.leaderState.leaderChanged()
 	g.catalog.LeaderChanged()
 	defer g.remote.Attach(nil)
 	defer to.Close("over")
 	stopDialling()
 	watching, stopWatching := context.WithCancel(ctx)
 	defer stopWatching()
-	go g.whileHolder(watching, func() { to.Close("not in charge") }, holder)
+	go g.stopOnHolderChange(watching, func() { to.Close("not in charge") }, holder)
 	context.AfterFunc(ctx, func() { to.Close("stopping") })
-	err = to.Receive(func(message link.Down) { g.fromLeader(ctx, to.Send, message) })
+	err = to.Receive(func(message link.Down) { g.handleLeaderMessage(ctx, to.Send, message) })
 	g.log.WithError(err).WithField("leader", holder.Entry).Info(logline.LinkEnded)
 	if link.IsIdleTimeout(err) {
-		g.following.lost(holder.Entry)
+		g.leaderState.leaderLost(holder.Entry)
 	}
 }
 
-// holderLook is how often an entry looks whether the lease has another holder.
-const holderLook = 50 * time.Millisecond
+// holderPollInterval is how often an entry checks whether the lease has another holder.
+const holderPollInterval = 50 * time.Millisecond
 
-// whileHolder calls stop once another entry holds the lease. A leader that can't confirm it, because the platform is away, goes on
-// giving turns.
-func (g *Gateway) whileHolder(ctx context.Context, stop func(), holder lease.Holder) {
-	for wait.Pause(ctx, holderLook) {
+// stopOnHolderChange calls stop once another entry holds the lease. A leader that can't renew the lease because the platform is
+// unavailable stays the holder and goes on granting turns.
+func (g *Gateway) stopOnHolderChange(ctx context.Context, stop func(), holder lease.Holder) {
+	for wait.Pause(ctx, holderPollInterval) {
 		if now, _ := g.lease.Holder(); now.Token != holder.Token {
 			stop()
 			return
@@ -123,8 +124,8 @@
 	}
 }
 
-// fromLeader handles one message of the leader.
-func (g *Gateway) fromLeader(ctx context.Context, send func(link.Up), message link.Down) {
+// handleLeaderMessage handles one message from the leader.
+func (g *Gateway) handleLeaderMessage(ctx context.Context, send func(link.Up), message link.Down) {
 	g.remote.LeaderAlive()
 	switch {
 	case message.Grant != nil || message.Refusal != nil || message.Queued != 0:
@@ -132,53 +133,53 @@
 	case message.Config != nil:
 		g.catalog.UpdateConfig(message.Config.Spec)
 	case message.Renewal != nil:
-		g.leaderRenewed(send, *message.Renewal)
+		g.handleRenewal(send, *message.Renewal)
 	case message.ChangeSet != nil:
 		g.catalog.ApplyNews(*message.ChangeSet)
 	case message.Quarantine != nil:
 		g.suspects.Take(*message.Quarantine)
 	case message.Probe != nil:
-		go g.look(ctx, send, *message.Probe)
+		go g.answerProbe(ctx, send, *message.Probe)
 	}
 }
 
-func (g *Gateway) leaderRenewed(send func(link.Up), renewed link.Renewal) {
-	g.lease.ObserveRenewal(renewed.Version)
-	g.following.renewed(renewed, g.roster.Names())
-	g.catalog.ConfirmAges(renewed.Ages)
+func (g *Gateway) handleRenewal(send func(link.Up), renewal link.Renewal) {
+	g.lease.ObserveRenewal(renewal.Version)
+	g.leaderState.applyRenewal(renewal, g.roster.Names())
+	g.catalog.ConfirmAges(renewal.Ages)
 	version, spec := g.catalog.Config()
 	switch {
-	case version > renewed.ConfigVersion && spec != nil:
+	case version > renewal.ConfigVersion && spec != nil:
 		send(link.Up{Config: &link.Config{Spec: spec}})
-	case g.following.stillBehind(version < renewed.ConfigVersion):
+	case g.leaderState.stillBehind(version < renewal.ConfigVersion):
 		send(link.Up{ConfigVersion: max(1, version)})
 	}
 }
 
-// look answers the leader's question whether this entry reaches a server.
-func (g *Gateway) look(ctx context.Context, send func(link.Up), asked link.Probe) {
-	seen := link.ProbeResult{Server: asked.Server}
-	report, err := g.controller.Report(ctx, &backend.Server{ID: asked.Server, Address: asked.Address})
+// answerProbe probes a server on the leader's behalf and reports whether it answers and whether it serves a group.
+func (g *Gateway) answerProbe(ctx context.Context, send func(link.Up), probe link.Probe) {
+	result := link.ProbeResult{Server: probe.Server}
+	report, err := g.controller.Report(ctx, &backend.Server{ID: probe.Server, Address: probe.Address})
 	if err == nil {
-		seen.Answered = true
-		seen.Group = report.Group.GroupKey
-		seen.Serving = report.Group.State.Serving()
+		result.Answered = true
+		result.Group = report.Group.GroupKey
+		result.Serving = report.Group.State.Serving()
 	}
-	send(link.Up{ProbeResult: &seen})
+	send(link.Up{ProbeResult: &result})
 }
 
-// reached asks the other entries whether a server that this one does not reach serves a group.
-func (s *shell) reached(ctx context.Context, server *backend.Server, key backend.GroupKey) bool {
-	seen, answered := s.parts.leader.ProbeIndirectly(ctx, server)
+// peersSeeServing asks the other entries whether a server that this entry can't reach is serving the given group.
+func (s *shared) peersSeeServing(ctx context.Context, server *backend.Server, key backend.GroupKey) bool {
+	seen, answered := s.components.leader.ProbeIndirectly(ctx, server)
 	serving := answered && seen.Group == key && seen.Serving
 	s.log.WithFields(logrus.Fields{
-		"vm": server.ID, "group": key.String(), "answered": answered, "serving": serving, "asked_of": s.parts.leader.FollowerCount(),
+		"vm": server.ID, "group": key.String(), "answered": answered, "serving": serving, "asked_of": s.components.leader.FollowerCount(),
 	}).Info(logline.AskedOthers)
 	return serving
 }
 
-// answers asks the other entries whether they reach a server that this one does not reach.
-func (s *shell) answers(ctx context.Context, server *backend.Server) bool {
-	_, answered := s.parts.leader.ProbeIndirectly(ctx, server)
+// peersReach asks the other entries whether they can reach a server that this entry can't reach.
+func (s *shared) peersReach(ctx context.Context, server *backend.Server) bool {
+	_, answered := s.components.leader.ProbeIndirectly(ctx, server)
 	return answered
 }
--- a/entry/gateway/gateway.go
+++ b/entry/gateway/gateway.go
@@ -37,29 +37,29 @@
 	directory "github.com/skylarkpond/skylarkpond/policy/directory"
 )
 
-// Gateway is one assembled process. Run makes it work.
+// Gateway is an assembled gateway process. Run starts it.
 type Gateway struct {
-	*shell
-	parts
+	*shared
+	components
 }
 
-// shell is what is there before the parts are made. Parts that need each other both ways reach one another through it: parts is set once
-// all are made, and used only from Run on.
-type shell struct {
-	config    Config
-	log       *logrus.Entry
-	registry  metrics.Registry
-	following *following
-	// first and took are the times to the first part of an answer and to its end.
-	first, took metrics.Histogram
-	leaving     atomic.Bool
-	started     time.Time
+// shared holds what exists before the components are built and is shared by them. Components that depend on each other in both
+// directions reach one another through the field components, which is set once all are built and used only from Run on.
+type shared struct {
+	config      Config
+	log         *logrus.Entry
+	registry    metrics.Registry
+	leaderState *leaderState
+	// firstByteTimes and totalTimes record the times to the first byte of an answer and to its end.
+	firstByteTimes, totalTimes metrics.Histogram
+	leaving                    atomic.Bool
+	started                    time.Time
 
-	parts *parts
+	components *components
 }
 
-// parts are the objects that a process works with.
-type parts struct {
+// components are the parts of a gateway that assemble builds.
+type components struct {
 	catalog    *catalog.Catalog
 	roster     *roster.Roster
 	lease      *lease.Lease
@@ -76,26 +76,28 @@
 	gate       *drain.Gate
 }
 
-// Serve runs one gateway until ctx ends and it has drained. reload tells that the platform has changed the settings file.
+// Serve runs a gateway until ctx ends and it has drained. A value on reload asks the process to read its settings again; it is only
+// logged.
 func Serve(ctx context.Context, config Config, reload <-chan os.Signal) error {
-	// Memory is bounded well below that of the VM, so that the collector works harder before the process is killed.
+	// The memory limit is half of the VM's memory, so that the garbage collector works harder well before the process is killed for
+	// its memory use.
 	debug.SetMemoryLimit(int64(config.MemoryMB) << 20 / 2)
-	shell, err := newShell(config)
+	common, err := newShared(config)
 	if err != nil {
 		return err
 	}
-	g, err := assemble(shell)
+	g, err := assemble(common)
 	if err != nil {
 		return err
 	}
 	g.connect()
-	go g.reloads(ctx, reload)
+	go g.logReloads(ctx, reload)
 	return g.Run(ctx)
 }
 
-// reloads notes each wish to read the settings anew. Those of this process come with its start, and everything that changes while it
-// runs comes from the platform; without the handler the signal would end the process and cut its requests.
-func (g *Gateway) reloads(ctx context.Context, reload <-chan os.Signal) {
+// logReloads logs each reload signal and changes nothing: the process's own settings are read at its start, and everything that
+// changes at run time comes from the platform. Without a handler the signal would terminate the process and cut its requests.
+func (g *Gateway) logReloads(ctx context.Context, reload <-chan os.Signal) {
 	for {
 		select {
 		case <-reload:
@@ -142,11 +144,11 @@
 	}
 }
 
-// sweepEvery is how often what is no longer needed is let go.
-const sweepEvery = time.Second
+// sweepInterval is how often unused connections and expired state are discarded.
+const sweepInterval = time.Second
 
 func (g *Gateway) sweep(ctx context.Context) {
-	for wait.Pause(ctx, sweepEvery) {
+	for wait.Pause(ctx, sweepInterval) {
 		listing := g.catalog.Listing()
 		g.pool.Sweep(func(to upstream.Endpoint) bool {
 			server := listing.Servers[to.ID]
@@ -168,21 +170,22 @@
 func (s *server) serve() error {
 	err := s.http.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) {
-		select {} // it was closed in order; Run returns
+		select {} // closed by drain; Run returns by itself
 	}
 	return err
 }
 
 const (
-	// idleTimeout is above what operators tell callers, so that it is the caller who closes an idle connection.
+	// idleTimeout is longer than the keep-alive time that operators announce to callers, so that callers, not the gateway, close idle
+	// connections.
 	idleTimeout = 60 * time.Second
-	// headerTimeout and headerBytes bound a request's header.
-	headerTimeout = 5 * time.Second
-	headerBytes   = 16 << 10
+	// headerTimeout bounds the time in which a request's header is read, maxHeaderBytes its size.
+	headerTimeout  = 5 * time.Second
+	maxHeaderBytes = 16 << 10
 )
 
 func (g *Gateway) listen() ([]*server, error) {
-	mux := []struct {
+	listeners := []struct {
 		address string
 		handler http.Handler
 	}{
@@ -192,7 +195,7 @@
 		{g.config.Metrics, http.HandlerFunc(g.metrics)},
 	}
 	var servers []*server
-	for _, m := range mux {
+	for _, m := range listeners {
 		listener, err := net.Listen("tcp", m.address)
 		if err != nil {
 			return nil, eris.Wrap(err, "listening at "+m.address)
@@ -200,15 +203,15 @@
 		servers = append(servers, &server{
 			listener: lateread.Listen(listener),
 			http: &http.Server{
-				Handler: m.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headerBytes,
-				ErrorLog: log.New(io.Discard, "", 0), // what matters of a request is reported by the relay
+				Handler: m.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+				ErrorLog: log.New(io.Discard, "", 0), // the relay reports failures of requests
 			},
 		})
 	}
 	return servers, nil
 }
 
-// ready answers the platform's checks.
+// ready answers the platform's readiness checks.
 func (g *Gateway) ready(w http.ResponseWriter, request *http.Request) {
 	if request.URL.Path != platform.PathReady {
 		http.NotFound(w, request)
@@ -221,7 +224,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// lookup tells a caller which entries to use.
+// lookup answers a caller's query for the entries to use.
 func (g *Gateway) lookup(w http.ResponseWriter, request *http.Request) {
 	if request.URL.Path != platform.PathLookup {
 		http.NotFound(w, request)
@@ -239,28 +242,29 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(body) // a caller that is gone asks again
+	_, _ = w.Write(body) // a caller that lost its connection asks again
 }
 
-// uninformedFor is how long a process that starts among others answers no caller before it has heard which of them are live. An entry links
-// to the one in charge within some four seconds also when all have started at once; callers keep their last answer meanwhile.
-const uninformedFor = 8 * time.Second
+// startupHoldoff is how long a process that joins running entries answers no look-ups before it has learned which entries are live. An
+// entry connects to the leader within about four seconds, even when all have started at once; callers keep their last answer
+// meanwhile.
+const startupHoldoff = 8 * time.Second
 
-// knowsEntries says whether this process can tell which entries work. What is registered includes those that were lost for good: right
-// after its start it would send callers there. Callers ask another entry meanwhile.
+// knowsEntries reports whether this process can tell which entries are live. The registrations include entries that were lost for
+// good, and a process that has just started would send callers there. Callers ask another entry meanwhile.
 func (g *Gateway) knowsEntries() bool {
-	return g.config.First || g.following.informed() || time.Since(g.started) > uninformedFor
+	return g.config.First || g.leaderState.hasMembership() || time.Since(g.started) > startupHoldoff
 }
 
 func (g *Gateway) metrics(w http.ResponseWriter, _ *http.Request) {
 	metrics.WriteOnce(g.registry, w)
 }
 
-// drainLook is how often a stopping process looks whether its requests are done.
-const drainLook = 20 * time.Millisecond
+// drainPollInterval is how often a stopping process checks whether its requests are finished.
+const drainPollInterval = 20 * time.Millisecond
 
-// drain is the planned stop: out of the directory and not ready at once; it serves on while callers may still come, and
-// ends when the grace is nearly over, or earlier once nothing comes any more.
+// drain performs a planned stop: it takes the entry out of the directory and reports not ready at once, goes on serving while callers
+// may still send requests, and returns shortly before the grace period ends, or earlier once no more requests arrive.
 func (g *Gateway) drain(servers []*server) {
 	g.log.Info(logline.Leaving)
 	g.leaving.Store(true)
@@ -269,7 +273,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	go g.roster.Leave(ctx)
-	g.serveOn(ctx)
+	g.serveUntilQuiet(ctx)
 	closed := make(chan struct{})
 	go func() {
 		_ = servers[0].http.Shutdown(ctx)
@@ -280,30 +284,31 @@
 	case <-ctx.Done():
 	}
 	for g.relay.InProgress() > 0 && ctx.Err() == nil {
-		time.Sleep(drainLook)
+		time.Sleep(drainPollInterval)
 	}
 	g.log.WithField("unfinished", g.relay.InProgress()).Info(logline.Stopped)
 }
 
 const (
-	// graceMargin is left of the grace, so that the process ends by itself.
+	// graceMargin is the part of the grace period that is left unused, so that the process exits before it is killed.
 	graceMargin = 300 * time.Millisecond
-	// takeFor is how long a stopping process takes new requests at the most, and half of the grace in any case. A stream may last nearly as
-	// long as the grace; one that is taken later is cut when the grace is over, while other entries could have served it whole.
-	// Operators excuse that for what was sent up to 3 s after the signal.
-	takeFor = 2800 * time.Millisecond
-	// quietFor is how long no request must have come before the listener is closed.
-	quietFor = 1500 * time.Millisecond
+	// maxAcceptTime is the longest time for which a stopping process accepts new requests; half of the grace period is the limit in
+	// any case. A stream may last nearly as long as the grace period; one accepted later is cut when the period ends, while another
+	// entry could have served it whole. Operators tolerate that for requests sent up to 3 s after the signal.
+	maxAcceptTime = 2800 * time.Millisecond
+	// quietPeriod is how long no request may be in progress before the listener is closed.
+	quietPeriod = 1500 * time.Millisecond
 )
 
-// serveOn returns when callers have stopped coming, or when what comes later might not end inside the grace.
-func (g *Gateway) serveOn(ctx context.Context) {
-	latest := time.Now().Add(min(takeFor, g.config.grace()/2))
+// serveUntilQuiet returns when callers have stopped sending requests, or when requests accepted later might not finish within the
+// grace period.
+func (g *Gateway) serveUntilQuiet(ctx context.Context) {
+	latest := time.Now().Add(min(maxAcceptTime, g.config.grace()/2))
 	quiet := time.Now()
-	for time.Now().Before(latest) && time.Since(quiet) < quietFor && ctx.Err() == nil {
+	for time.Now().Before(latest) && time.Since(quiet) < quietPeriod && ctx.Err() == nil {
 		if g.relay.InProgress() > 0 {
 			quiet = time.Now()
 		}
-		time.Sleep(drainLook)
+		time.Sleep(drainPollInterval)
 	}
 }
--- a/entry/gateway/gateway_test.go
+++ b/entry/gateway/gateway_test.go
@@ -25,9 +25,9 @@
 		Metrics: "10.0.0.1:5", Platform: "10.0.0.2:1", PlatformRate: 40, MemoryMB: 200, AddressTTL: 5, Grace: 8, RetryRatio: 0.2, LogQueueSize: 10,
 	}
 
-	It("accepts right settings", func() { Expect(good.Check()).To(Succeed()) })
+	It("accepts valid settings", func() { Expect(good.Check()).To(Succeed()) })
 
-	DescribeTable("names the setting that is wrong",
+	DescribeTable("names the invalid setting",
 		func(change func(*Config), setting string) {
 			c := good
 			change(&c)
@@ -52,49 +52,49 @@
 	names := []string{"e-1", "e-2", "e-3", "e-4"}
 	settled := func(live ...string) link.Renewal { return link.Renewal{Live: live, Settled: true} }
 
-	It("follows a settled leader, and what it tells of those that come and go", func() {
-		f := newFollowing()
-		Expect(f.informed()).To(BeFalse())
-		f.renewed(settled("e-1", "e-2", "e-3"), names)
-		Expect(f.informed()).To(BeTrue())
-		Expect(f.dead("e-4")).To(BeTrue())
-		f.renewed(link.Renewal{Joined: []string{"e-4"}, Left: []string{"e-1"}, Settled: true}, names)
-		Expect(f.dead("e-4")).To(BeFalse())
-		Expect(f.dead("e-1")).To(BeTrue())
+	It("follows a settled leader and its reports of joining and leaving entries", func() {
+		f := newLeaderState()
+		Expect(f.hasMembership()).To(BeFalse())
+		f.applyRenewal(settled("e-1", "e-2", "e-3"), names)
+		Expect(f.hasMembership()).To(BeTrue())
+		Expect(f.isDown("e-4")).To(BeTrue())
+		f.applyRenewal(link.Renewal{Joined: []string{"e-4"}, Left: []string{"e-1"}, Settled: true}, names)
+		Expect(f.isDown("e-4")).To(BeFalse())
+		Expect(f.isDown("e-1")).To(BeTrue())
 	})
 
-	// The entry in charge is lost for good. Its successor needs seconds to know who else is there, and callers would be told to use the dead
-	// one until then.
-	It("takes a leader that fell silent for dead, unless its successor hears from it", func() {
-		f := newFollowing()
-		f.renewed(settled(names...), names)
-		f.lost("e-1")
-		Expect(f.dead("e-1")).To(BeTrue())
-		f.newLeader()
-		Expect(f.dead("e-1")).To(BeTrue())
-		f.renewed(link.Renewal{Live: []string{"e-1", "e-2"}}, names)
-		Expect(f.dead("e-1")).To(BeFalse())
+	// The leader is lost for good. Its successor needs seconds to learn which entries are live, and until then callers would be told
+	// to use the dead one.
+	It("treats a leader that stopped responding as down, unless its successor hears from it", func() {
+		f := newLeaderState()
+		f.applyRenewal(settled(names...), names)
+		f.leaderLost("e-1")
+		Expect(f.isDown("e-1")).To(BeTrue())
+		f.leaderChanged()
+		Expect(f.isDown("e-1")).To(BeTrue())
+		f.applyRenewal(link.Renewal{Live: []string{"e-1", "e-2"}}, names)
+		Expect(f.isDown("e-1")).To(BeFalse())
 	})
 
-	// All entries are linked to the dead leader. Its successor hears from the first of them: the others are not down, only later.
-	It("takes no entry for dead before a new leader has settled, and keeps those dead that were", func() {
-		f := newFollowing()
-		f.renewed(settled("e-1", "e-2", "e-3"), names)
-		f.newLeader()
-		f.renewed(link.Renewal{Live: []string{"e-2"}}, names)
-		Expect(f.dead("e-3")).To(BeFalse())
-		Expect(f.dead("e-4")).To(BeTrue())
+	// All entries were linked to the dead leader. Its successor hears from them one after the other: those not heard yet are not down.
+	It("treats no further entry as down before a new leader has settled, and keeps those down that were", func() {
+		f := newLeaderState()
+		f.applyRenewal(settled("e-1", "e-2", "e-3"), names)
+		f.leaderChanged()
+		f.applyRenewal(link.Renewal{Live: []string{"e-2"}}, names)
+		Expect(f.isDown("e-3")).To(BeFalse())
+		Expect(f.isDown("e-4")).To(BeTrue())
 	})
 
-	It("does not believe a leader that hears from few", func() {
-		f := newFollowing()
-		f.renewed(settled("e-1"), names)
-		Expect(f.dead("e-2")).To(BeFalse())
-		Expect(f.informed()).To(BeFalse())
+	It("ignores a leader that hears from few entries", func() {
+		f := newLeaderState()
+		f.applyRenewal(settled("e-1"), names)
+		Expect(f.isDown("e-2")).To(BeFalse())
+		Expect(f.hasMembership()).To(BeFalse())
 	})
 
-	It("asks for a configuration only when it is behind for a second time", func() {
-		f := newFollowing()
+	It("requests a configuration only when it is behind at two renewals in a row", func() {
+		f := newLeaderState()
 		Expect(f.stillBehind(true)).To(BeFalse())
 		Expect(f.stillBehind(true)).To(BeTrue())
 		Expect(f.stillBehind(false)).To(BeFalse())
@@ -103,7 +103,7 @@
 })
 
 var _ = Describe("Check of the platform", func() {
-	It("tells what the platform holds, and that a configuration can't be read", func() {
+	It("reports what the platform holds, and that a configuration can't be decoded", func() {
 		api := objects.New()
 		DeferCleanup(api.Close)
 		config := Config{Callers: "127.0.0.1:1", Platform: api.Address(), PlatformRate: 40}
--- a/entry/gateway/lines.go
+++ b/entry/gateway/lines.go
@@ -17,30 +17,31 @@
 	"github.com/skylarkpond/skylarkpond/policy/turns"
 )
 
-func (s *shell) platformLost(kind store.Kind, err error) {
+func (s *shared) platformLost(kind store.Kind, err error) {
 	metrics.GetOrRegisterCounter("platform.lost."+string(kind), s.registry).Inc(1)
 	s.log.WithError(err).WithField("kind", kind).Warn(logline.PlatformLost)
 }
 
-func (s *shell) platformRegained(kind store.Kind, away time.Duration) {
+func (s *shared) platformRegained(kind store.Kind, away time.Duration) {
 	s.log.WithFields(logrus.Fields{"kind": kind, "away_ms": away.Milliseconds()}).Info(logline.PlatformRegained)
 }
 
-func (s *shell) unreadable(object store.Object, err error) {
+func (s *shared) objectUnreadable(object store.Object, err error) {
 	s.log.WithError(err).WithFields(logrus.Fields{"kind": object.Kind, "object": object.Name}).Warn(logline.LeftOut)
 }
 
-func (s *shell) configInForce(table *route.Table) {
+func (s *shared) configInForce(table *route.Table) {
 	s.log.WithField("config_version", table.Version).Info(logline.ConfigInForce)
 }
 
-func (s *shell) serverLeaves(server *backend.Server, fromLeader bool) {
+func (s *shared) serverLeaving(server *backend.Server, fromLeader bool) {
 	s.log.WithFields(logrus.Fields{"vm": server.ID, "revision": server.Revision, "from_leader": fromLeader}).Info(logline.ServerLeaves)
 }
 
-// requestRejected tells by what the request was sent to a server that did not run it, and what this entry knows of the server.
-func (s *shell) requestRejected(rejection relay.Rejection) {
-	listing := s.parts.catalog.Listing()
+// requestRejected logs that a server did not run a request, with the server list by which the request was sent there and what this
+// entry now knows of the server.
+func (s *shared) requestRejected(rejection relay.Rejection) {
+	listing := s.components.catalog.Listing()
 	listed := listing.Servers[rejection.Server.ID]
 	leaving := listed == nil || listed.Leaving
 	metrics.GetOrRegisterCounter("requests.rejected_by_server", s.registry).Inc(1)
@@ -50,17 +51,17 @@
 	s.log.WithFields(logrus.Fields{
 		"request": rejection.Request, "vm": rejection.Server.ID, "status": rejection.Status, "leaving": leaving,
 		"by_leader": rejection.Basis.FromLeader, "basis_revision": rejection.Basis.Revision, "basis_age_ms": rejection.Basis.Age.Milliseconds(),
-		"list_revision": listing.Revision, "list_age_ms": s.parts.catalog.ServersAge().Milliseconds(),
+		"list_revision": listing.Revision, "list_age_ms": s.components.catalog.ServersAge().Milliseconds(),
 	}).Info(logline.RequestRejected)
 }
 
-func (s *shell) leaseChanged(holder lease.Holder, held bool) {
+func (s *shared) leaseChanged(holder lease.Holder, held bool) {
 	s.log.WithFields(logrus.Fields{"holder": holder.Entry, "held": held}).Info(logline.Lease)
 }
 
-func (s *shell) leaseRefused() { s.log.Info(logline.LeaseRefused) }
+func (s *shared) leaseWriteConflict() { s.log.Info(logline.LeaseRefused) }
 
-func (s *shell) groupEvent(event grouping.Event) {
+func (s *shared) groupEvent(event grouping.Event) {
 	if event.Kind == grouping.FleetReport {
 		s.log.WithFields(logrus.Fields{"service": event.Service, "detail": event.Detail}).Info(string(event.Kind))
 		return
@@ -71,11 +72,11 @@
 	}).Info(string(event.Kind))
 }
 
-func (s *shell) heldBack(held link.Quarantine) {
-	s.log.WithFields(logrus.Fields{"service": held.Service, "fingerprints": held.Fingerprints}).Warn(logline.RequestsHeldBack)
+func (s *shared) requestsQuarantined(quarantine link.Quarantine) {
+	s.log.WithFields(logrus.Fields{"service": quarantine.Service, "fingerprints": quarantine.Fingerprints}).Warn(logline.RequestsHeldBack)
 }
 
-func (s *shell) demand(demand turns.Demand) {
+func (s *shared) logDemand(demand turns.Demand) {
 	s.log.WithFields(logrus.Fields{
 		"model": demand.Model, "groups": demand.Groups, "places": demand.Slots, "running": demand.Running, "waiting": demand.Waiting,
 		"asked": demand.Requests, "granted": demand.Granted, "refused": demand.Rejected, "took_ms": demand.MeanTurnTime.Milliseconds(),
@@ -83,15 +84,15 @@
 	}).Info(logline.Demand)
 }
 
-func (s *shell) requestEnded(report relay.Report) {
+func (s *shared) requestEnded(report relay.Report) {
 	metrics.GetOrRegisterCounter("requests."+string(report.Outcome), s.registry).Inc(1)
 	route := report.Route
 	if route == "" {
 		route = "none"
 	}
 	metrics.GetOrRegisterCounter("requests.route."+route+"."+string(report.Outcome), s.registry).Inc(1)
-	s.first.Update(report.First.Milliseconds())
-	s.took.Update(report.Took.Milliseconds())
+	s.firstByteTimes.Update(report.First.Milliseconds())
+	s.totalTimes.Update(report.Took.Milliseconds())
 	if report.Resumed {
 		metrics.GetOrRegisterCounter("requests.resumed", s.registry).Inc(1)
 	}
--- a/entry/gateway/live.go
+++ b/entry/gateway/live.go
@@ -8,100 +8,101 @@
 	link "github.com/skylarkpond/skylarkpond/link/leader"
 )
 
-// following is what an entry hears from the one in charge.
-type following struct {
+// leaderState is what an entry has learned from the leader.
+type leaderState struct {
 	mu sync.Mutex // guards what follows; a leaf lock
-	// heard is when the leader last said that it holds the lease.
-	heard time.Time
-	// live are the entries that the leader hears from; nil before it has said so.
+	// lastRenewal is when the leader last reported that it holds the lease.
+	lastRenewal time.Time
+	// live holds the entries that the leader hears from; nil until the leader has sent the full set.
 	live map[string]bool
-	// down are the entries that a settled leader did not hear from.
+	// down holds the entries that a settled leader did not hear from.
 	down map[string]bool
-	// told says that a settled leader has said once which entries it hears from.
-	told bool
-	// behind says that the leader had a newer configuration when it last renewed the lease.
+	// settledSeen is set once a settled leader has reported which entries it hears from.
+	settledSeen bool
+	// behind records that the leader had a newer configuration at the last renewal.
 	behind bool
 }
 
-func newFollowing() *following { return &following{down: make(map[string]bool)} }
+func newLeaderState() *leaderState { return &leaderState{down: make(map[string]bool)} }
 
-// heardFor is how long the leader's word counts that it holds the lease: longer than two renewals.
-const heardFor = 1300 * time.Millisecond
+// renewalValidity is how long a renewal report of the leader stays valid: longer than two renewal intervals.
+const renewalValidity = 1300 * time.Millisecond
 
-// linked says whether this entry hears from a leader that holds the lease, so that its news are current.
-func (f *following) linked() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return time.Since(f.heard) < heardFor
+// linked reports whether this entry hears from a leader that holds the lease, so that the changes it receives are current.
+func (s *leaderState) linked() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return time.Since(s.lastRenewal) < renewalValidity
 }
 
-// dead says whether an entry is known to be down.
-func (f *following) dead(name string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.down[name] && !f.live[name]
+// isDown reports whether an entry is known to be down.
+func (s *leaderState) isDown(name string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.down[name] && !s.live[name]
 }
 
-// informed says whether this process has ever heard which entries are live.
-func (f *following) informed() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.told
+// hasMembership reports whether this process has ever learned which entries are live.
+func (s *leaderState) hasMembership() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.settledSeen
 }
 
-// newLeader forgets which entries the last leader heard from. Those that it knew to be down count as down until the next one has settled:
-// callers would otherwise be sent to an entry that is long gone.
-func (f *following) newLeader() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.live = nil
+// leaderChanged forgets which entries the previous leader heard from. Entries known to be down stay down until the new leader has
+// settled; otherwise callers would be sent to an entry that is long gone.
+func (s *leaderState) leaderChanged() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.live = nil
 }
 
-// lost notes that a leader has fallen silent. Callers would otherwise be sent to it until its successor has settled, which
-// takes some four seconds. One that is alive is among those that the successor hears from.
-func (f *following) lost(leader string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.down[leader] = true
-	delete(f.live, leader)
+// leaderLost records that a leader stopped responding. Otherwise callers would be sent to it until its successor has settled, which
+// takes about four seconds. If it is alive, its successor hears from it and lists it as live.
+func (s *leaderState) leaderLost(leader string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.down[leader] = true
+	delete(s.live, leader)
 }
 
-// renewed takes the leader's word on which entries are live; names are all that are known and not leaving.
-func (f *following) renewed(renewed link.Renewal, names []string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.heard = time.Now()
-	if renewed.Live != nil {
-		f.live = make(map[string]bool, len(renewed.Live))
+// applyRenewal applies the leader's report of live entries; names are all known entries that are not leaving.
+func (s *leaderState) applyRenewal(renewal link.Renewal, names []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastRenewal = time.Now()
+	if renewal.Live != nil {
+		s.live = make(map[string]bool, len(renewal.Live))
 	}
-	if f.live == nil {
-		return // it was not told the whole yet
+	if s.live == nil {
+		return // the full set has not arrived yet
 	}
-	for _, name := range slices.Concat(renewed.Live, renewed.Joined) {
-		f.live[name] = true
+	for _, name := range slices.Concat(renewal.Live, renewal.Joined) {
+		s.live[name] = true
 	}
-	for _, name := range renewed.Left {
-		delete(f.live, name)
+	for _, name := range renewal.Left {
+		delete(s.live, name)
 	}
-	if renewed.Settled && 2*len(f.live) >= len(names) { // a leader that hears from few is more likely cut off itself
-		f.note(names)
+	if renewal.Settled && 2*len(s.live) >= len(names) { // a leader that hears from few is more likely partitioned itself
+		s.updateDown(names)
 	}
 }
 
-// note takes over which entries are down. It is called under the lock.
-func (f *following) note(names []string) {
-	f.told = true
+// updateDown recomputes which entries are down. The caller holds the lock.
+func (s *leaderState) updateDown(names []string) {
+	s.settledSeen = true
 	for _, name := range names {
-		f.down[name] = !f.live[name]
+		s.down[name] = !s.live[name]
 	}
 }
 
-// stillBehind says whether this entry has an older configuration than the leader, as it had at the renewal before. All entries read a large
-// configuration from the platform at the same time; were each to ask the leader for it at once as well, its link would be full.
-func (f *following) stillBehind(behind bool) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	still := behind && f.behind
-	f.behind = behind
+// stillBehind reports whether this entry's configuration is older than the leader's for the second renewal in a row. All entries read
+// a large configuration from the platform at the same time; if each also requested it from the leader at once, the leader's link would
+// be saturated.
+func (s *leaderState) stillBehind(behind bool) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	still := behind && s.behind
+	s.behind = behind
 	return still
 }
--- a/entry/gateway/wire.go
+++ b/entry/gateway/wire.go
@@ -11,12 +11,12 @@
 
 //go:generate ../../.bin/wire
 
-// assemble makes the parts of a process and ties them to its shell.
-func assemble(s *shell) (*Gateway, error) {
+// assemble builds the components of a gateway on top of the shared state.
+func assemble(s *shared) (*Gateway, error) {
 	wire.Build(
 		provideStore, provideIdentity, provideHolder, provideCatalog, provideRoster, provideLease, provideController, provideLeader,
 		provideLinks, provideLocal, provideRemote, provideSuspects, provideRetries, provideRelay, upstream.NewPool, wire.Struct(new(drain.Gate)),
-		wire.Struct(new(parts), "*"), wire.Struct(new(Gateway), "*"),
+		wire.Struct(new(components), "*"), wire.Struct(new(Gateway), "*"),
 	)
 	return nil, nil
 }
--- a/entry/gateway/wire_gen.go
+++ b/entry/gateway/wire_gen.go
@@ -13,8 +13,8 @@
 
 // Injectors from wire.go:
 
-// assemble makes the parts of a process and ties them to its shell.
-func assemble(s *shell) (*Gateway, error) {
+// assemble builds the components of a gateway on top of the shared state.
+func assemble(s *shared) (*Gateway, error) {
 	client := provideStore(s)
 	catalog := provideCatalog(s, client)
 	roster := provideRoster(s, client)
@@ -34,7 +34,7 @@
 	leader := provideLeader(s, catalog, lease, controller)
 	leaderServer := provideLinks(identity, holder, leader)
 	gate := &drain.Gate{}
-	gatewayParts := parts{
+	gatewayComponents := components{
 		catalog:    catalog,
 		roster:     roster,
 		lease:      lease,
@@ -51,8 +51,8 @@
 		gate:       gate,
 	}
 	gateway := &Gateway{
-		shell: s,
-		parts: gatewayParts,
+		shared:     s,
+		components: gatewayComponents,
 	}
 	return gateway, nil
 }
