--- a/entry/gateway/assemble.go
+++ b/entry/gateway/assemble.go
@@ -60,7 +60,7 @@
 
 // provideHolder returns the record that the lease holds while this entry is the leader.
 func provideHolder(s *shared, identity *peer.Identity) lease.Holder {
-	return lease.Holder{Entry: s.config.Name, Address: s.config.Peer, Fingerprint: identity.Fingerprint(), Token: uuid.NewString()}
+	return lease.Holder{Entry: s.config.Name, Address: s.config.PeerAddress, Fingerprint: identity.Fingerprint(), Token: uuid.NewString()}
 }
 
 func provideCatalog(s *shared, client *store.Client) *catalog.Catalog {
@@ -147,9 +147,9 @@
 
 // newClient returns a client for the platform's object API.
 func newClient(config Config, options ...store.Option) *store.Client {
-	options = append(options, store.WithWire(platform.Objects{}), store.WithCallTimeout(platformTimeout), store.WithSource(sourceIP(config.Callers)),
+	options = append(options, store.WithWire(platform.Objects{}), store.WithCallTimeout(platformTimeout), store.WithSource(sourceIP(config.CallerAddress)),
 		store.WithRates(store.Rates{Shared: config.PlatformRate * (1 - reservedShare), Reserved: config.PlatformRate * reservedShare}))
-	return store.NewClient("http://"+config.Platform, options...)
+	return store.NewClient("http://"+config.PlatformAddress, options...)
 }
 
 // platformTimeout bounds one call to the platform. A call that the platform dropped during an outage must not keep the entry from
@@ -169,7 +169,7 @@
 
 func selfEntry(config Config) store.Entry {
 	return store.Entry{
-		Name: config.Name, PublicAddress: config.Callers, PeerAddress: config.Peer, AdminAddress: config.Metrics,
+		Name: config.Name, PublicAddress: config.CallerAddress, PeerAddress: config.PeerAddress, AdminAddress: config.MetricsAddress,
 		Place: config.Place, FailureDomain: config.FailureDomain,
 	}
 }
@@ -181,7 +181,7 @@
 const noTrafficPeriod = 9 * time.Second
 
 func (s *shared) beforeTraffic() bool {
-	return s.config.First && time.Since(s.started) < noTrafficPeriod && s.components.relay.InProgress() == 0
+	return s.config.FirstStart && time.Since(s.started) < noTrafficPeriod && s.components.relay.InProgress() == 0
 }
 
 // mayIssueOrders reports whether this entry may order servers to form or dissolve groups. While the platform is unavailable nobody can
--- a/entry/gateway/check.go
+++ b/entry/gateway/check.go
@@ -17,11 +17,11 @@
 	client := newClient(config)
 	configs, err := client.List(ctx, platform.KindConfig)
 	if err != nil {
-		return eris.Wrap(err, "platform "+config.Platform)
+		return eris.Wrap(err, "platform "+config.PlatformAddress)
 	}
 	servers, err := client.List(ctx, platform.KindServers)
 	if err != nil {
-		return eris.Wrap(err, "platform "+config.Platform)
+		return eris.Wrap(err, "platform "+config.PlatformAddress)
 	}
 	readable := 0
 	for _, object := range servers.Objects {
--- a/entry/gateway/config.go
+++ b/entry/gateway/config.go
@@ -12,23 +12,23 @@
 
 // Config holds the process's settings, given at start by flag or environment variable.
 type Config struct {
-	Name          string  `arg:"--name,env:POND_NAME,required" help:"name of this entry, unique and stable over restarts"`
-	Place         string  `arg:"--place,env:POND_PLACE,required" help:"place (region) this entry is in"`
-	FailureDomain string  `arg:"--failure-domain,env:POND_FAILURE_DOMAIN,required" help:"failure domain this entry is in"`
-	Callers       string  `arg:"--caller-address,env:POND_CALLER_ADDRESS,required" help:"IP:port for callers' requests"`
-	Ready         string  `arg:"--ready-address,env:POND_READY_ADDRESS,required" help:"IP:port for readiness checks"`
-	Directory     string  `arg:"--directory-address,env:POND_DIRECTORY_ADDRESS,required" help:"IP:port for callers that ask which entries to use"`
-	Peer          string  `arg:"--peer-address,env:POND_PEER_ADDRESS,required" help:"IP:port for other entries (UDP)"`
-	Metrics       string  `arg:"--metrics-address,env:POND_METRICS_ADDRESS,required" help:"IP:port for metrics, as text"`
-	Platform      string  `arg:"--platform-address,env:POND_PLATFORM_ADDRESS,required" help:"IP:port of the platform's object API"`
-	PlatformRate  float64 `arg:"--platform-rate,env:POND_PLATFORM_RATE" default:"40" help:"calls a second this entry may make to the platform"`
-	First         bool    `arg:"--first-start,env:POND_FIRST_START" help:"the whole system starts for the first time, and no caller has come yet"`
-	MemoryMB      int     `arg:"--memory-mb,env:POND_MEMORY_MB" default:"206" help:"memory of this VM, in MB"`
-	LinkMbps      float64 `arg:"--link-mbps,env:POND_LINK_MBPS" help:"link of this VM in Mbit/s; VMs with more rather take charge of the groups (0: not known)"`
-	Cores         float64 `arg:"--cores,env:POND_CORES" help:"processors that this VM may use, a share counting as such (0: not known)"`
+	Name             string  `arg:"--name,env:POND_NAME,required" help:"name of this entry, unique and stable over restarts"`
+	Place            string  `arg:"--place,env:POND_PLACE,required" help:"place (region) this entry is in"`
+	FailureDomain    string  `arg:"--failure-domain,env:POND_FAILURE_DOMAIN,required" help:"failure domain this entry is in"`
+	CallerAddress    string  `arg:"--caller-address,env:POND_CALLER_ADDRESS,required" help:"IP:port for callers' requests"`
+	ReadyAddress     string  `arg:"--ready-address,env:POND_READY_ADDRESS,required" help:"IP:port for readiness checks"`
+	DirectoryAddress string  `arg:"--directory-address,env:POND_DIRECTORY_ADDRESS,required" help:"IP:port for callers that ask which entries to use"`
+	PeerAddress      string  `arg:"--peer-address,env:POND_PEER_ADDRESS,required" help:"IP:port for other entries (UDP)"`
+	MetricsAddress   string  `arg:"--metrics-address,env:POND_METRICS_ADDRESS,required" help:"IP:port for metrics, as text"`
+	PlatformAddress  string  `arg:"--platform-address,env:POND_PLATFORM_ADDRESS,required" help:"IP:port of the platform's object API"`
+	PlatformRate     float64 `arg:"--platform-rate,env:POND_PLATFORM_RATE" default:"40" help:"calls a second this entry may make to the platform"`
+	FirstStart       bool    `arg:"--first-start,env:POND_FIRST_START" help:"the whole system starts for the first time, and no caller has come yet"`
+	MemoryMB         int     `arg:"--memory-mb,env:POND_MEMORY_MB" default:"206" help:"memory of this VM, in MB"`
+	LinkMbps         float64 `arg:"--link-mbps,env:POND_LINK_MBPS" help:"link of this VM in Mbit/s; VMs with more rather take charge of the groups (0: not known)"`
+	Cores            float64 `arg:"--cores,env:POND_CORES" help:"processors that this VM may use, a share counting as such (0: not known)"`
 	// Limits that operators promise to their callers.
 	AddressTTL   float64 `arg:"--address-ttl,env:POND_ADDRESS_TTL" default:"5" help:"seconds for which callers may keep an answer of the directory, at most"`
-	Grace        float64 `arg:"--stop-grace,env:POND_STOP_GRACE" default:"8" help:"seconds from a request to stop until the process is killed"`
+	StopGrace    float64 `arg:"--stop-grace,env:POND_STOP_GRACE" default:"8" help:"seconds from a request to stop until the process is killed"`
 	RetryRatio   float64 `arg:"--retry-ratio,env:POND_RETRY_RATIO" default:"0.2" help:"repeats that all entries may send to a service, as a share of its requests"`
 	RetryExtra   float64 `arg:"--retry-extra,env:POND_RETRY_EXTRA" default:"280" help:"repeats that all entries may send to a service beside that, in some ten seconds"`
 	CheckOnly    bool    `arg:"--check,env:POND_CHECK" help:"check these settings and whether the platform answers, and start nothing"`
@@ -48,12 +48,12 @@
 		}
 	}
 	for _, address := range []struct{ setting, value string }{
-		{"--caller-address", c.Callers},
-		{"--ready-address", c.Ready},
-		{"--directory-address", c.Directory},
-		{"--peer-address", c.Peer},
-		{"--metrics-address", c.Metrics},
-		{"--platform-address", c.Platform},
+		{"--caller-address", c.CallerAddress},
+		{"--ready-address", c.ReadyAddress},
+		{"--directory-address", c.DirectoryAddress},
+		{"--peer-address", c.PeerAddress},
+		{"--metrics-address", c.MetricsAddress},
+		{"--platform-address", c.PlatformAddress},
 	} {
 		_, err := netip.ParseAddrPort(address.value)
 		check(err == nil, address.setting, "must be IP:port by number, such as 10.0.0.7:8080, not \""+address.value+"\"")
@@ -61,7 +61,7 @@
 	check(c.Name != "", "--name", "must not be empty")
 	check(c.PlatformRate >= 1 && c.PlatformRate <= 10_000, "--platform-rate", "must be between 1 and 10000 calls a second")
 	check(c.AddressTTL >= 1 && c.AddressTTL <= 3600, "--address-ttl", "must be between 1 and 3600 seconds")
-	check(c.Grace >= 1 && c.Grace <= 3600, "--stop-grace", "must be between 1 and 3600 seconds")
+	check(c.StopGrace >= 1 && c.StopGrace <= 3600, "--stop-grace", "must be between 1 and 3600 seconds")
 	check(c.RetryRatio >= 0 && c.RetryRatio <= 1, "--retry-ratio", "must be between 0 and 1")
 	check(c.RetryExtra >= 0 && c.RetryExtra <= 1e6, "--retry-extra", "must be between 0 and 1000000")
 	check(c.MemoryMB >= 32, "--memory-mb", "must be 32 or more")
@@ -78,4 +78,4 @@
 	return time.Duration(c.AddressTTL * float64(time.Second))
 }
 
-func (c *Config) grace() time.Duration { return time.Duration(c.Grace * float64(time.Second)) }
+func (c *Config) stopGrace() time.Duration { return time.Duration(c.StopGrace * float64(time.Second)) }
--- a/entry/gateway/follow.go
+++ b/entry/gateway/follow.go
@@ -86,7 +86,7 @@
 	dialling, stopDialling := context.WithCancel(ctx)
 	defer stopDialling()
 	go g.stopOnHolderChange(dialling, stopDialling, holder)
-	to, err := link.Dial(dialling, g.identity, sourceIP(g.config.Callers), holder.Address, holder.Fingerprint, hello)
+	to, err := link.Dial(dialling, g.identity, sourceIP(g.config.CallerAddress), holder.Address, holder.Fingerprint, hello)
 	if err != nil {
 		g.log.WithError(err).WithField("leader", holder.Entry).Debug("no link to the leader")
 		g.lease.HolderUnreachable()
--- a/entry/gateway/gateway.go
+++ b/entry/gateway/gateway.go
@@ -118,9 +118,9 @@
 	if err != nil {
 		return err
 	}
-	socket, err := net.ListenPacket("udp", g.config.Peer)
+	socket, err := net.ListenPacket("udp", g.config.PeerAddress)
 	if err != nil {
-		return eris.Wrap(err, "listening at "+g.config.Peer)
+		return eris.Wrap(err, "listening at "+g.config.PeerAddress)
 	}
 	g.log.Info(logline.Started)
 	failed := make(chan error, len(servers)+1)
@@ -189,10 +189,10 @@
 		address string
 		handler http.Handler
 	}{
-		{g.config.Callers, g.gate.Wrap(g.relay)},
-		{g.config.Ready, http.HandlerFunc(g.ready)},
-		{g.config.Directory, http.HandlerFunc(g.lookup)},
-		{g.config.Metrics, http.HandlerFunc(g.metrics)},
+		{g.config.CallerAddress, g.gate.Wrap(g.relay)},
+		{g.config.ReadyAddress, http.HandlerFunc(g.ready)},
+		{g.config.DirectoryAddress, http.HandlerFunc(g.lookup)},
+		{g.config.MetricsAddress, http.HandlerFunc(g.metrics)},
 	}
 	var servers []*server
 	for _, m := range listeners {
@@ -253,7 +253,7 @@
 // knowsEntries reports whether this process can tell which entries are live. The registrations include entries that were lost for
 // good, and a process that has just started would send callers there. Callers ask another entry meanwhile.
 func (g *Gateway) knowsEntries() bool {
-	return g.config.First || g.leaderState.hasMembership() || time.Since(g.started) > startupHoldoff
+	return g.config.FirstStart || g.leaderState.hasMembership() || time.Since(g.started) > startupHoldoff
 }
 
 func (g *Gateway) metrics(w http.ResponseWriter, _ *http.Request) {
@@ -269,7 +269,7 @@
 	g.log.Info(logline.Leaving)
 	g.leaving.Store(true)
 	g.gate.Leave()
-	deadline := time.Now().Add(g.config.grace() - graceMargin)
+	deadline := time.Now().Add(g.config.stopGrace() - graceMargin)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	go g.roster.Leave(ctx)
@@ -303,7 +303,7 @@
 // serveUntilQuiet returns when callers have stopped sending requests, or when requests accepted later might not finish within the
 // grace period.
 func (g *Gateway) serveUntilQuiet(ctx context.Context) {
-	latest := time.Now().Add(min(maxAcceptTime, g.config.grace()/2))
+	latest := time.Now().Add(min(maxAcceptTime, g.config.stopGrace()/2))
 	quiet := time.Now()
 	for time.Now().Before(latest) && time.Since(quiet) < quietPeriod && ctx.Err() == nil {
 		if g.relay.InProgress() > 0 {
--- a/entry/gateway/gateway_test.go
+++ b/entry/gateway/gateway_test.go
@@ -21,8 +21,8 @@
 
 var _ = Describe("Config", func() {
 	good := Config{
-		Name: "e", Place: "r", FailureDomain: "z", Callers: "10.0.0.1:1", Ready: "10.0.0.1:2", Directory: "10.0.0.1:3", Peer: "10.0.0.1:4",
-		Metrics: "10.0.0.1:5", Platform: "10.0.0.2:1", PlatformRate: 40, MemoryMB: 200, AddressTTL: 5, Grace: 8, RetryRatio: 0.2, LogQueueSize: 10,
+		Name: "e", Place: "r", FailureDomain: "z", CallerAddress: "10.0.0.1:1", ReadyAddress: "10.0.0.1:2", DirectoryAddress: "10.0.0.1:3",
+		PeerAddress: "10.0.0.1:4", MetricsAddress: "10.0.0.1:5", PlatformAddress: "10.0.0.2:1", PlatformRate: 40, MemoryMB: 200, AddressTTL: 5, StopGrace: 8, RetryRatio: 0.2, LogQueueSize: 10,
 	}
 
 	It("accepts valid settings", func() { Expect(good.Check()).To(Succeed()) })
@@ -33,12 +33,12 @@
 			change(&c)
 			Expect(c.Check()).To(MatchError(ContainSubstring(setting)))
 		},
-		Entry(nil, func(c *Config) { c.Callers = "host:80" }, "--caller-address"),
-		Entry(nil, func(c *Config) { c.Peer = "" }, "--peer-address"),
+		Entry(nil, func(c *Config) { c.CallerAddress = "host:80" }, "--caller-address"),
+		Entry(nil, func(c *Config) { c.PeerAddress = "" }, "--peer-address"),
 		Entry(nil, func(c *Config) { c.Name = "" }, "--name"),
 		Entry(nil, func(c *Config) { c.PlatformRate = 0 }, "--platform-rate"),
 		Entry(nil, func(c *Config) { c.AddressTTL = 0 }, "--address-ttl"),
-		Entry(nil, func(c *Config) { c.Grace = 0 }, "--stop-grace"),
+		Entry(nil, func(c *Config) { c.StopGrace = 0 }, "--stop-grace"),
 		Entry(nil, func(c *Config) { c.RetryRatio = 2 }, "--retry-ratio"),
 		Entry(nil, func(c *Config) { c.RetryExtra = -1 }, "--retry-extra"),
 		Entry(nil, func(c *Config) { c.MemoryMB = 1 }, "--memory-mb"),
@@ -106,7 +106,7 @@
 	It("reports what the platform holds, and that a configuration can't be decoded", func() {
 		api := objects.New()
 		DeferCleanup(api.Close)
-		config := Config{Callers: "127.0.0.1:1", Platform: api.Address(), PlatformRate: 40}
+		config := Config{CallerAddress: "127.0.0.1:1", PlatformAddress: api.Address(), PlatformRate: 40}
 		var out bytes.Buffer
 		Expect(CheckPlatform(context.Background(), config, &out)).To(Succeed())
 		Expect(out.String()).To(ContainSubstring("configuration: none yet"))
