--- a/entry/relay/event.go
+++ b/entry/relay/event.go
@@ -6,28 +6,28 @@
 	"io"
 )
 
-// event is one whole server-sent event, with the blank line that ends it.
+// event is one complete server-sent event, including the blank line that ends it.
 type event struct {
 	bytes []byte
-	// id is empty where the event has none.
+	// id is empty if the event has none.
 	id string
 }
 
-// eventReader splits a stream into whole events.
+// eventReader splits a stream into complete server-sent events.
 type eventReader struct {
 	reader *bufio.Reader
 	buffer []byte
 }
 
-// eventBuffer is above the usual event, in bytes.
+// eventBuffer is the read buffer size in bytes; most events are smaller.
 const eventBuffer = 1 << 10
 
 func newEventReader(r io.Reader) *eventReader {
 	return &eventReader{reader: bufio.NewReaderSize(r, eventBuffer)}
 }
 
-// next returns the next event, which is valid until the following call. io.EOF is the regular end of the stream; bytes
-// before it without a blank line are the last event.
+// next returns the next event, which is valid until the following call. io.EOF marks the regular end of the stream; trailing bytes
+// without a blank line are returned as the last event.
 func (r *eventReader) next() (event, error) {
 	r.buffer = r.buffer[:0]
 	id := ""
--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -19,7 +19,7 @@
 	"github.com/skylarkpond/skylarkpond/policy/turns"
 )
 
-// exchange is one caller's request on its way. One goroutine uses it.
+// exchange is the processing of one caller's request. It is confined to one goroutine.
 type exchange struct {
 	relay   *Relay
 	writer  http.ResponseWriter
@@ -27,7 +27,7 @@
 	ctx     context.Context
 	call    platform.Call
 	arrived time.Time
-	// deadline is the caller's or the route's, whichever is first.
+	// deadline is the earlier of the caller's and the route's.
 	deadline time.Time
 	table    *route.Table
 	route    *route.Route
@@ -35,22 +35,22 @@
 	priority int
 	service  string
 	body     []byte
-	// fingerprint is alike for requests of one caller with the same path and body.
+	// fingerprint is equal for requests of one caller with the same method, path and body.
 	fingerprint string
 	tried       []backend.ID
-	// attempts counts the sends that reached a server; mayHaveRun says that one of them may have run.
+	// attempts counts the attempts that reached a server; mayHaveRun is set if one of them may have run.
 	attempts   int
 	mayHaveRun bool
-	// next is a turn that was taken before the last attempt was given up.
-	next *turn.Turn
-	// sent is when the present attempt was sent, first what passed until it gave the first part of a stream.
-	sent  time.Time
-	first time.Duration
-	// begun says that a part of the answer has gone out.
-	begun bool
-	// watch is that over the present attempt.
-	watch *watch
-	ended Report
+	// nextTurn is a turn that was acquired before the last attempt was abandoned.
+	nextTurn *turn.Turn
+	// sentAt is when the current attempt was sent, timeToFirstEvent the time from then to the first event of its stream.
+	sentAt           time.Time
+	timeToFirstEvent time.Duration
+	// headerSent is set once the answer's header has been sent.
+	headerSent bool
+	// watch detects a stall of the current attempt.
+	watch   *stallWatch
+	summary Report
 }
 
 func newExchange(r *Relay, w http.ResponseWriter, request *http.Request) *exchange {
@@ -66,27 +66,27 @@
 	}
 	e.fingerprint = contract.Fingerprint(e.request.Method, e.request.RequestURI, e.call.Key, string(e.body))
 	if e.relay.deps.Suspects.Held(e.service, e.fingerprint) {
-		e.refuse(HeldBack, http.StatusServiceUnavailable, retryHeld, "requests like this one have crashed servers")
+		e.refuse(HeldBack, http.StatusServiceUnavailable, retryAfterQuarantined, "requests like this one have crashed servers")
 		return
 	}
 	ctx, cancel := context.WithDeadline(e.request.Context(), e.deadline)
 	defer cancel()
 	e.ctx = ctx
-	defer e.returnNext()
-	e.drive()
+	defer e.releaseNextTurn()
+	e.sendUntilDone()
 }
 
-// returnNext gives a turn back that was taken and is of no use any more.
-func (e *exchange) returnNext() {
-	if t := e.takeNext(); t != nil {
+// releaseNextTurn gives back a turn that was acquired and is no longer needed.
+func (e *exchange) releaseNextTurn() {
+	if t := e.takeNextTurn(); t != nil {
 		t.Done(turn.Result{Rejected: true})
 	}
 }
 
-// admit finds the route and checks the key. A table that is not known yet says nothing about either.
+// admit matches the route and checks the key. Without a configuration neither is known, so the request is refused as retryable.
 func (e *exchange) admit() bool {
 	if e.table == nil {
-		return e.refuse(NoConfig, http.StatusServiceUnavailable, retryUnknown, "no configuration yet")
+		return e.refuse(NoConfig, http.StatusServiceUnavailable, retryAfterUnavailable, "no configuration yet")
 	}
 	path, _, _ := strings.Cut(e.request.RequestURI, "?")
 	found, ok := e.table.Match(hostOf(e.request.Host), path)
@@ -102,7 +102,7 @@
 	if e.call.Left > 0 && e.call.Left < found.Timeout {
 		e.deadline = e.arrived.Add(e.call.Left)
 	}
-	e.service = e.target()
+	e.service = e.pickService()
 	return true
 }
 
@@ -125,8 +125,8 @@
 	return true
 }
 
-// target draws the service by the weights of the route's targets.
-func (e *exchange) target() string {
+// pickService draws a service at random by the weights of the route's targets.
+func (e *exchange) pickService() string {
 	targets := e.route.Targets
 	sum := 0.0
 	for _, target := range targets {
@@ -142,7 +142,7 @@
 	return targets[len(targets)-1].Service
 }
 
-// readBody takes the whole body in. It is sent on with its length, and may have to be sent again.
+// readBody reads the whole body, because it is forwarded with its length and may have to be sent again.
 func (e *exchange) readBody() bool {
 	limit := e.table.Limits.BodyBytes
 	if limit <= 0 {
@@ -155,8 +155,8 @@
 	_ = controller.SetReadDeadline(e.deadline)
 	body, err := io.ReadAll(io.LimitReader(e.request.Body, limit+1))
 	if err != nil {
-		e.ended.Outcome = CallerLeft
-		e.ended.Detail = "reading the body: " + err.Error()
+		e.summary.Outcome = CallerLeft
+		e.summary.Detail = "reading the body: " + err.Error()
 		e.abort()
 	}
 	if int64(len(body)) > limit {
@@ -167,17 +167,17 @@
 	return true
 }
 
-// defaultBodyBytes bounds a body where the configuration says nothing.
+// defaultBodyBytes is the body limit if the configuration sets none.
 const defaultBodyBytes = 4 << 20
 
-// drive tries servers until one answers, or until the request is given up.
-func (e *exchange) drive() {
+// sendUntilDone tries servers until one answers or the request is abandoned.
+func (e *exchange) sendUntilDone() {
 	for {
-		t := e.takeNext()
+		t := e.takeNextTurn()
 		if t == nil {
 			var refusal *turn.Refusal
-			if t, refusal = e.relay.deps.Turns.Acquire(e.ctx, e.ask()); refusal != nil {
-				e.giveUp(refusal)
+			if t, refusal = e.relay.deps.Turns.Acquire(e.ctx, e.turnRequest()); refusal != nil {
+				e.endWithoutTurn(refusal)
 				return
 			}
 		}
@@ -187,28 +187,28 @@
 	}
 }
 
-// takeNext returns the turn for which a silent server was given up, once.
-func (e *exchange) takeNext() *turn.Turn {
-	t := e.next
-	e.next = nil
+// takeNextTurn returns and clears the turn for which a stalled attempt was abandoned.
+func (e *exchange) takeNextTurn() *turn.Turn {
+	t := e.nextTurn
+	e.nextTurn = nil
 	return t
 }
 
-func (e *exchange) ask() turn.Request {
-	returning := e.attempts > 0
-	due, patience := turns.WaitBounds(e.route.LatencyTarget, time.Since(e.arrived), returning)
-	ask := turn.Request{
-		Service: e.service, Model: e.call.Model, Priority: e.priority, Retry: returning, Tried: e.tried,
+func (e *exchange) turnRequest() turn.Request {
+	retrying := e.attempts > 0
+	firstTokenBudget, maxWait := turns.WaitBounds(e.route.LatencyTarget, time.Since(e.arrived), retrying)
+	request := turn.Request{
+		Service: e.service, Model: e.call.Model, Priority: e.priority, Retry: retrying, Tried: e.tried,
 		PromptTokens: e.call.PromptTokens, OutputTokens: e.call.ExpectedAnswer(),
-		FirstTokenBudget: due, MaxWait: patience, Fingerprint: contract.ShortFingerprint(e.fingerprint),
+		FirstTokenBudget: firstTokenBudget, MaxWait: maxWait, Fingerprint: contract.ShortFingerprint(e.fingerprint),
 	}
 	if e.attempts > 0 {
-		ask.Priority = turn.PriorityRetry // it has spent its time at a server that failed it, and its caller leaves soon
+		request.Priority = turn.PriorityRetry // it lost time at a server that failed, and its caller leaves soon
 	}
-	return ask
+	return request
 }
 
-// attempt sends the request to one server and returns whether the request is over.
+// attempt sends the request to one server and reports whether the request is done.
 func (e *exchange) attempt(t *turn.Turn) bool {
 	e.tried = append(e.tried, t.Server.ID)
 	if len(e.tried) == 1 {
@@ -217,54 +217,54 @@
 	answer, err := e.send(t, "")
 	if errors.Is(err, upstream.ErrNotSent) {
 		t.Done(turn.Result{Unreachable: true})
-		return e.overUnsent()
+		return e.doneAfterUnsent()
 	}
 	e.attempts++
 	if err != nil {
-		t.Done(e.resultOf())
+		t.Done(e.failedResult())
 		e.mayHaveRun = true
-		e.lost(t, err)
-		return e.overBroken("no answer: " + err.Error())
+		e.checkForCrash(t, err)
+		return e.doneAfterFailure("no answer: " + err.Error())
 	}
-	said := platform.DecodeAnswer(answer.Status, answer.Header)
-	if said.Load != nil {
-		t.ReportLoad(said.Load.Running, said.Load.Waiting, said.Load.Slots)
+	decoded := platform.DecodeAnswer(answer.Status, answer.Header)
+	if decoded.Load != nil {
+		t.ReportLoad(decoded.Load.Running, decoded.Load.Waiting, decoded.Load.Slots)
 	}
-	if said.NotRun {
-		e.rejected(t, answer)
-		return e.overRejected(t)
+	if decoded.NotRun {
+		e.endRejected(t, answer)
+		return e.doneAfterRejection(t)
 	}
 	e.mayHaveRun = true
 	if e.route.Kind == route.Streaming && answer.Status == http.StatusOK {
-		return e.stream(t, answer)
+		return e.relayStream(t, answer)
 	}
-	return e.whole(t, answer)
+	return e.relayWhole(t, answer)
 }
 
-// rejected ends an attempt that the server did not run.
-func (e *exchange) rejected(t *turn.Turn, answer *upstream.Answer) {
+// endRejected ends an attempt that the server did not run.
+func (e *exchange) endRejected(t *turn.Turn, answer *upstream.Answer) {
 	_ = answer.Body.Close()
 	e.endAttempt()
 	t.Done(turn.Result{Rejected: true})
 	e.relay.deps.Rejected(Rejection{Request: e.call.ID, Server: t.Server, Status: answer.Status, Basis: t.Basis})
 }
 
-// resultOf says how a turn ended whose server gave no answer, or a part of one.
-func (e *exchange) resultOf() turn.Result {
-	silent := e.next != nil
-	return turn.Result{Stalled: silent, Failed: !silent && e.ctx.Err() == nil, TimeToFirstToken: e.first}
+// failedResult returns the result of a turn whose server gave no answer or an incomplete one.
+func (e *exchange) failedResult() turn.Result {
+	stalled := e.nextTurn != nil
+	return turn.Result{Stalled: stalled, Failed: !stalled && e.ctx.Err() == nil, TimeToFirstToken: e.timeToFirstEvent}
 }
 
-// send sends the request to one server, under a watch that is over when the attempt is: the caller stops it by endAttempt.
+// send sends the request to one server and starts a stall watch on the attempt, which the caller stops with endAttempt.
 func (e *exchange) send(t *turn.Turn, lastEvent string) (*upstream.Answer, error) {
-	e.ended.Servers = append(e.ended.Servers, string(t.Server.ID))
-	e.sent, e.first = time.Now(), 0
+	e.summary.Servers = append(e.summary.Servers, string(t.Server.ID))
+	e.sentAt, e.timeToFirstEvent = time.Now(), 0
 	if e.route.Kind == route.Streaming {
-		suspicion := time.AfterFunc(suspectFirst, t.ReportStall)
+		suspicion := time.AfterFunc(firstStallReportDelay, t.ReportStall)
 		defer suspicion.Stop()
 	}
 	ctx, cancel := context.WithCancelCause(e.ctx)
-	e.watch = newWatch(e, cancel)
+	e.watch = newStallWatch(e, cancel)
 	answer, err := e.relay.deps.Pool.Send(ctx, upstream.EndpointOf(t.Server), &upstream.Request{
 		Method: e.request.Method, Target: e.request.RequestURI, Host: e.request.Host,
 		Header: platform.ForwardHeader(e.request.Header, platform.Forward{
@@ -277,77 +277,79 @@
 		e.endAttempt()
 		return nil, err
 	}
-	e.watch.heard()
+	e.watch.noteActivity()
 	return answer, nil
 }
 
-// endAttempt ends the watch over an attempt, and keeps the turn for which it was given up.
-func (e *exchange) endAttempt() { e.next = e.watch.stop() }
+// endAttempt stops the stall watch and keeps the turn for which the attempt was abandoned, if any.
+func (e *exchange) endAttempt() { e.nextTurn = e.watch.stop() }
 
-// maxUnreachable bounds the servers that are tried in vain to connect to. Each takes up to 0.4 s.
+// maxUnreachable bounds the servers whose connection attempt may fail for one request. Each takes up to 0.4 s.
 const maxUnreachable = 3
 
-// overUnsent goes on with another server: nothing was sent, so that no budget is drawn on.
-func (e *exchange) overUnsent() bool {
+// doneAfterUnsent reports whether the request is done after a failed connection attempt. Nothing was sent, so another server is tried
+// without drawing on the retry budget.
+func (e *exchange) doneAfterUnsent() bool {
 	if e.ctx.Err() != nil || len(e.tried)-e.attempts >= maxUnreachable {
-		e.giveUp(&turn.Refusal{Reason: turn.NoServer, RetryAfter: retryUnknown, Detail: "servers can't be reached"})
+		e.endWithoutTurn(&turn.Refusal{Reason: turn.NoServer, RetryAfter: retryAfterUnavailable, Detail: "servers can't be reached"})
 		return true
 	}
 	return false
 }
 
-// overBroken decides after a send whose outcome is not known.
-func (e *exchange) overBroken(detail string) bool {
-	if e.next != nil {
+// doneAfterFailure reports whether the request is done after an attempt whose outcome is unknown.
+func (e *exchange) doneAfterFailure(detail string) bool {
+	if e.nextTurn != nil {
 		return false
 	}
-	if e.ctx.Err() != nil || !e.route.Repeatable() || !e.mayTryAgain() {
+	if e.ctx.Err() != nil || !e.route.Repeatable() || !e.mayRetry() {
 		e.fail(detail)
 		return true
 	}
 	return false
 }
 
-// overRejected decides after a server said that it did not run the request.
-func (e *exchange) overRejected(t *turn.Turn) bool {
-	if e.next != nil || e.ctx.Err() == nil && e.mayTryAgain() {
+// doneAfterRejection reports whether the request is done after a server stated that it did not run it.
+func (e *exchange) doneAfterRejection(t *turn.Turn) bool {
+	if e.nextTurn != nil || e.ctx.Err() == nil && e.mayRetry() {
 		return false
 	}
-	e.giveUp(&turn.Refusal{Reason: turn.Full, RetryAfter: retryFull, Detail: "rejected by " + string(t.Server.ID)})
+	e.endWithoutTurn(&turn.Refusal{Reason: turn.Full, RetryAfter: retryAfterFull, Detail: "rejected by " + string(t.Server.ID)})
 	return true
 }
 
-// lost has a server looked into that ended its connection in the middle of the request. Silence and the end of the time are no sign of a crash.
-func (e *exchange) lost(t *turn.Turn, err error) {
-	if e.ctx.Err() != nil || e.next != nil || errors.Is(err, os.ErrDeadlineExceeded) {
+// checkForCrash has a server checked that closed its connection in the middle of the request. A stall or an expired deadline is no
+// sign of a crash.
+func (e *exchange) checkForCrash(t *turn.Turn, err error) {
+	if e.ctx.Err() != nil || e.nextTurn != nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		return
 	}
 	go e.relay.deps.Suspects.Lost(context.WithoutCancel(e.ctx), e.fingerprint, t.Server)
 }
 
-func (e *exchange) mayTryAgain() bool {
+func (e *exchange) mayRetry() bool {
 	return e.attempts < e.route.MaxAttempts && e.relay.deps.Retries.Take(e.service, time.Until(e.deadline))
 }
 
-// whole hands back an answer that is not a stream. It is taken in before any of it goes out, so that one that
-// breaks off can be replaced.
-func (e *exchange) whole(t *turn.Turn, answer *upstream.Answer) bool {
+// relayWhole forwards an answer that is not a stream. It is buffered before any of it is sent, so that an answer that breaks off can
+// be replaced by another attempt's.
+func (e *exchange) relayWhole(t *turn.Turn, answer *upstream.Answer) bool {
 	body, err := io.ReadAll(answer.Body)
 	_ = answer.Body.Close()
 	e.endAttempt()
 	if err != nil {
-		t.Done(e.resultOf())
-		e.lost(t, err)
-		return e.overBroken("answer broke off: " + err.Error())
+		t.Done(e.failedResult())
+		e.checkForCrash(t, err)
+		return e.doneAfterFailure("answer broke off: " + err.Error())
 	}
 	e.relay.deps.Suspects.Finished(e.service, e.fingerprint)
 	failed := answer.Status >= http.StatusInternalServerError
 	t.Done(turn.Result{Failed: failed})
-	if failed && e.route.Kind == route.Idempotent && e.mayTryAgain() {
+	if failed && e.route.Kind == route.Idempotent && e.mayRetry() {
 		return false
 	}
-	e.ended.First = time.Since(e.arrived)
-	e.answer(answer.Status, platform.AnswerHeader(answer.Header), body)
-	e.ended.Outcome = Served
+	e.summary.First = time.Since(e.arrived)
+	e.writeAnswer(answer.Status, platform.AnswerHeader(answer.Header), body)
+	e.summary.Outcome = Served
 	return true
 }
--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -1,9 +1,9 @@
-// Package relay forwards callers' requests as they are: it finds the route, checks the key, takes a turn at a backend
-// server, sends the request there, and hands back the server's answer unchanged.
+// Package relay forwards callers' requests unmodified: it matches the route, checks the key, acquires a turn at a backend server,
+// sends the request there, and returns the server's answer unchanged.
 //
-// What it promises: a request that may not be repeated is sent at most once unless the server itself says that
-// it did not run; an answer of 429 or 503 means that the request has not run and never will; an answer that ends early
-// never looks complete.
+// It guarantees that a request that may not be repeated is sent at most once unless the server itself states that it did not run it;
+// that an answer of 429 or 503 means that the request has not run and never will; and that an answer that ends early never looks
+// complete.
 package relay
 
 import (
@@ -18,31 +18,32 @@
 	"github.com/skylarkpond/skylarkpond/link/upstream"
 )
 
-// Deps is what a Relay works with.
+// Deps holds the dependencies of a Relay.
 type Deps struct {
-	// Table returns the operators' configuration in force, or nil before the first.
+	// Table returns the configuration in force, or nil before the first one is known.
 	Table func() *route.Table
 	Turns turn.Source
 	Pool  *upstream.Pool
-	// Retries bounds repeats.
+	// Retries is the retry budget.
 	Retries *Retries
-	// Suspects knows the requests that crash servers.
+	// Suspects tracks requests that crash servers.
 	Suspects Suspects
-	// Report is told how each request ended.
+	// Report is called with the outcome of each request.
 	Report func(Report)
-	// Rejected is told of each request that a server did not run, by the server's own word.
+	// Rejected is called for each request that a server stated it did not run.
 	Rejected func(Rejection)
-	// Random is from 0 to 1; it draws targets of split routes and spreads retries.
+	// Random returns a number in [0, 1); it selects among the targets of a route.
 	Random func() float64
 }
 
-// Suspects knows which requests crash the servers that run them. It is safe for concurrent use.
+// Suspects tracks requests that crash the servers that run them. It is safe for concurrent use.
 type Suspects interface {
-	// Held says whether a request may not be sent to any server of a service.
+	// Held reports whether a request must not be sent to any server of a service.
 	Held(service, fingerprint string) bool
-	// Finished notes that a server answered a request in full.
+	// Finished records that a server answered a request in full.
 	Finished(service, fingerprint string)
-	// Lost looks into a server that ended its connection in the middle of a request. It takes some time.
+	// Lost checks whether a server that closed its connection in the middle of a request has crashed. It may block for some
+	// time.
 	Lost(ctx context.Context, fingerprint string, server *backend.Server)
 }
 
@@ -55,7 +56,7 @@
 // New returns a Relay.
 func New(deps Deps) *Relay { return &Relay{deps: deps} }
 
-// InProgress counts the requests without a complete answer.
+// InProgress returns the number of requests without a complete answer.
 func (r *Relay) InProgress() int { return int(r.inFlight.Load()) }
 
 // ServeHTTP implements http.Handler.
@@ -67,7 +68,7 @@
 	e.run()
 }
 
-// Report is the end of one request, for logs and metrics.
+// Report describes how one request ended, for logs and metrics.
 type Report struct {
 	ID      string
 	Route   string
@@ -75,53 +76,53 @@
 	Service string
 	Model   string
 	Outcome Outcome
-	// Status is the answer's; 0 where there was none.
+	// Status is the status code sent to the caller; 0 if there was no answer.
 	Status int
-	// Detail is why, with what decided it.
+	// Detail explains the outcome.
 	Detail string
-	// ConfigVersion is that of the table which the request saw.
+	// ConfigVersion is the version of the configuration that applied to the request.
 	ConfigVersion uint64
 	Attempts      int
-	// Servers are those that it was sent to.
+	// Servers are the servers to which the request was sent.
 	Servers []string
 	Resumed bool
 	Took    time.Duration
-	// First is the time to the first part of the answer.
+	// First is the time until the first part of the answer was sent.
 	First time.Duration
 }
 
-// Rejection is the refusal of one request by one server, for logs and metrics.
+// Rejection describes a request that one server did not run, for logs and metrics.
 type Rejection struct {
 	// Request is the id of the caller's attempt.
 	Request string
 	Server  *backend.Server
-	// Status is the server's answer.
+	// Status is the server's status code.
 	Status int
-	// Basis is the list of servers by which the request was sent there.
+	// Basis is the server list by which the request was sent there.
 	Basis turn.Basis
 }
 
-// Outcome is how a request ended.
+// Outcome is the way in which a request ended.
 type Outcome string
 
 // The outcomes.
 const (
-	// Served: the server's whole answer went out.
+	// Served: the server's complete answer was sent.
 	Served Outcome = "served"
 	// NoConfig: no configuration is known yet.
 	NoConfig Outcome = "no-config"
 	NoRoute  Outcome = "no-route"
 	NoKey    Outcome = "no-key"
 	TooLarge Outcome = "too-large"
-	// Refused: it has not run, and was told so.
+	// Refused: the request has not run, and the answer says so.
 	Refused Outcome = "refused"
-	// HeldBack: it has crashed servers, and has not run again.
+	// HeldBack: the request has crashed servers, and was not run again.
 	HeldBack Outcome = "held-back"
-	// Unknown: it may have run, and has no answer.
+	// Unknown: the request may have run, and there is no answer.
 	Unknown Outcome = "unknown"
-	// TimedOut: the deadline or the route's timeout passed.
+	// TimedOut: the caller's deadline or the route's timeout passed.
 	TimedOut Outcome = "timed-out"
-	// Cut: the answer ended midway.
+	// Cut: the answer broke off after a part of it was sent.
 	Cut Outcome = "cut"
 	// CallerLeft: the caller closed its connection.
 	CallerLeft Outcome = "caller-left"
--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -32,12 +32,12 @@
 	RunSpecs(t, "forwarding")
 }
 
-// inOrder gives turns at the servers in their order, each one once a request.
+// inOrder grants turns at the servers in their order, each once per request.
 type inOrder struct {
 	mu      sync.Mutex
 	servers []*backend.Server
 	results []turn.Result
-	silent  int
+	stalls  int
 }
 
 func (t *inOrder) Acquire(_ context.Context, ask turn.Request) (*turn.Turn, *turn.Refusal) {
@@ -51,7 +51,7 @@
 			ReportStall: func() {
 				t.mu.Lock()
 				defer t.mu.Unlock()
-				t.silent++
+				t.stalls++
 			},
 			Done: func(result turn.Result) {
 				t.mu.Lock()
@@ -69,49 +69,49 @@
 	return slices.Clone(t.results)
 }
 
-type rig struct {
-	world   *replica.World
-	api     *objects.API
-	servers []*replica.Server
-	turns   *inOrder
-	front   *httptest.Server
-	mu      sync.Mutex
-	reports []relay.Report
-	table   *route.Table
-	retries *relay.Retries
-	watched *suspects
+type harness struct {
+	world    *replica.World
+	api      *objects.API
+	servers  []*replica.Server
+	turns    *inOrder
+	gateway  *httptest.Server
+	mu       sync.Mutex
+	reports  []relay.Report
+	table    *route.Table
+	retries  *relay.Retries
+	suspects *fakeSuspects
 }
 
-// suspects holds back what a spec says, and notes what it is told.
-type suspects struct {
-	mu       sync.Mutex
-	held     bool
-	finished int
-	lost     []backend.ID
+// fakeSuspects quarantines requests if a spec sets quarantined, and records the calls it receives.
+type fakeSuspects struct {
+	mu          sync.Mutex
+	quarantined bool
+	finished    int
+	lost        []backend.ID
 }
 
-func (s *suspects) Held(string, string) bool { return s.held }
+func (s *fakeSuspects) Held(string, string) bool { return s.quarantined }
 
-func (s *suspects) Finished(string, string) {
+func (s *fakeSuspects) Finished(string, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.finished++
 }
 
-func (s *suspects) Lost(_ context.Context, _ string, server *backend.Server) {
+func (s *fakeSuspects) Lost(_ context.Context, _ string, server *backend.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lost = append(s.lost, server.ID)
 }
 
-func (s *suspects) told() (finished int, lost []backend.ID) {
+func (s *fakeSuspects) calls() (finished int, lost []backend.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.finished, slices.Clone(s.lost)
 }
 
-func newRig(config replica.Config, count int) *rig {
-	r := &rig{world: replica.NewWorld(), api: objects.New(), turns: &inOrder{}, watched: &suspects{}}
+func newHarness(config replica.Config, count int) *harness {
+	r := &harness{world: replica.NewWorld(), api: objects.New(), turns: &inOrder{}, suspects: &fakeSuspects{}}
 	DeferCleanup(r.api.Close)
 	for i := range count {
 		config.ID = fmt.Sprintf("i-%d", i)
@@ -132,7 +132,7 @@
 	r.retries = relay.NewRetries(relay.Allowed{Ratio: 1, Extra: 20}, 1)
 	handler := relay.New(relay.Deps{
 		Rejected: func(relay.Rejection) {},
-		Table:    func() *route.Table { return r.table }, Turns: r.turns, Pool: upstream.NewPool(), Retries: r.retries, Suspects: r.watched,
+		Table:    func() *route.Table { return r.table }, Turns: r.turns, Pool: upstream.NewPool(), Retries: r.retries, Suspects: r.suspects,
 		Random: func() float64 { return 0.5 },
 		Report: func(report relay.Report) {
 			r.mu.Lock()
@@ -140,13 +140,13 @@
 			r.reports = append(r.reports, report)
 		},
 	})
-	r.front = httptest.NewServer(handler)
-	DeferCleanup(r.front.Close)
+	r.gateway = httptest.NewServer(handler)
+	DeferCleanup(r.gateway.Close)
 	return r
 }
 
-func (r *rig) request(method, path, id string) *http.Request {
-	request, err := http.NewRequest(method, r.front.URL+path, strings.NewReader("body"))
+func (r *harness) request(method, path, id string) *http.Request {
+	request, err := http.NewRequest(method, r.gateway.URL+path, strings.NewReader("body"))
 	Expect(err).NotTo(HaveOccurred())
 	if method == http.MethodGet {
 		request.Body = nil
@@ -166,7 +166,7 @@
 	err    error
 }
 
-func (r *rig) send(request *http.Request) answer {
+func (r *harness) send(request *http.Request) answer {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(request)
 	if err != nil {
@@ -177,13 +177,13 @@
 	return answer{status: response.StatusCode, header: response.Header, body: string(body), err: err}
 }
 
-func (r *rig) last() relay.Report {
+func (r *harness) last() relay.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.reports[len(r.reports)-1]
 }
 
-func (r *rig) set(i int, faults replica.Faults) { r.servers[i].Set(faults) }
+func (r *harness) set(i int, faults replica.Faults) { r.servers[i].Set(faults) }
 
 var _ = Describe("Retries", func() {
 	take := func(r *relay.Retries, most int) int {
@@ -194,9 +194,9 @@
 		return n
 	}
 
-	// Groups break under all entries at once. Were each entry's share of the repeats the same however many there are, many entries would
-	// repeat more than the servers that are left can bear.
-	It("stay within what all entries may repeat together, however many there are", func() {
+	// Groups break for all entries at once. If the budget of an entry did not depend on the number of entries, many entries together
+	// would send more retries than the remaining servers can bear.
+	It("stay within the total allowance of all entries, however many there are", func() {
 		for _, entries := range []int{1, 13, 142, 330} {
 			total := 0
 			for range entries {
@@ -208,7 +208,7 @@
 		}
 	})
 
-	It("grow with the first tries, and shrink when entries come", func() {
+	It("grow with the first tries, and shrink when entries join", func() {
 		r := relay.NewRetries(relay.Allowed{Ratio: 0.2, Extra: 100}, 10)
 		Expect(take(r, 1000)).To(Equal(6))
 		for range 20 {
@@ -223,8 +223,8 @@
 })
 
 var _ = Describe("Relay", func() {
-	It("hands a request on as it is, under the team's name, and the answer back unchanged", func() {
-		r := newRig(replica.Config{}, 1)
+	It("forwards a request unmodified with the team's name, and returns the answer unchanged", func() {
+		r := newHarness(replica.Config{}, 1)
 		got := r.send(r.request(http.MethodPost, "/book/x?q=1", "a1"))
 		Expect(got.status).To(Equal(http.StatusOK))
 		Expect(got.body).To(Equal("answer to a1"))
@@ -235,9 +235,9 @@
 		)))
 	})
 
-	DescribeTable("answers for itself what no server is to see",
-		func(change func(*rig, *http.Request), status int) {
-			r := newRig(replica.Config{}, 1)
+	DescribeTable("answers requests that must not reach a server itself",
+		func(change func(*harness, *http.Request), status int) {
+			r := newHarness(replica.Config{}, 1)
 			request := r.request(http.MethodGet, "/look/x", "a1")
 			change(r, request)
 			got := r.send(request)
@@ -245,24 +245,25 @@
 			Expect(got.header.Get(platform.HeaderSignature)).To(BeEmpty())
 			Expect(r.servers[0].Runs()).To(BeEmpty())
 		},
-		// A machine has just started and has no configuration. "No such route" would be a lie, and callers don't come back after it.
-		Entry("before the first configuration", func(r *rig, _ *http.Request) { r.table = nil }, http.StatusServiceUnavailable),
-		Entry("no route", func(_ *rig, q *http.Request) { q.URL.Path = "/none/" }, http.StatusNotFound),
-		Entry("another host", func(_ *rig, q *http.Request) { q.Host = "other.example" }, http.StatusNotFound),
-		Entry("an unknown key", func(_ *rig, q *http.Request) { q.Header.Set(platform.HeaderKey, "no") }, http.StatusUnauthorized),
-		Entry("no key", func(_ *rig, q *http.Request) { q.Header.Del(platform.HeaderKey) }, http.StatusUnauthorized),
+		// An entry that has just started has no configuration. Answering 404 would be wrong, and callers don't retry after it.
+		Entry("before the first configuration", func(r *harness, _ *http.Request) { r.table = nil }, http.StatusServiceUnavailable),
+		Entry("no route", func(_ *harness, q *http.Request) { q.URL.Path = "/none/" }, http.StatusNotFound),
+		Entry("another host", func(_ *harness, q *http.Request) { q.Host = "other.example" }, http.StatusNotFound),
+		Entry("an unknown key", func(_ *harness, q *http.Request) { q.Header.Set(platform.HeaderKey, "no") }, http.StatusUnauthorized),
+		Entry("no key", func(_ *harness, q *http.Request) { q.Header.Del(platform.HeaderKey) }, http.StatusUnauthorized),
 	)
 
-	It("asks for no key on public routes", func() {
-		r := newRig(replica.Config{}, 1)
+	It("requires no key on public routes", func() {
+		r := newHarness(replica.Config{}, 1)
 		request := r.request(http.MethodGet, "/free/x", "a1")
 		request.Header.Del(platform.HeaderKey)
 		Expect(r.send(request).status).To(Equal(http.StatusOK))
 	})
 
-	// A booking ran and its answer was lost. Sent again it would run twice; told "not run" the caller would send it again.
-	It("sends what may not be repeated once, and promises nothing when the answer is lost", func() {
-		r := newRig(replica.Config{}, 2)
+	// A booking ran and its answer was lost. Sent again it would run twice; if the caller were told that it did not run, the caller
+	// would send it again.
+	It("sends a request that may not be repeated once, and does not report it as not run when the answer is lost", func() {
+		r := newHarness(replica.Config{}, 2)
 		r.set(0, replica.Faults{LoseAnswer: true})
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusBadGateway))
@@ -270,9 +271,9 @@
 		Expect(r.last().Outcome).To(Equal(relay.Unknown))
 	})
 
-	// A server is full and says so. The request has not run, so that another server may have it.
-	It("goes on to another server where the first one says that it did not run the request", func() {
-		r := newRig(replica.Config{}, 2)
+	// A server is full and says so. The request has not run, so another server may get it.
+	It("tries another server if the first one states that it did not run the request", func() {
+		r := newHarness(replica.Config{}, 2)
 		r.set(0, replica.Faults{Shed: true})
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusOK))
@@ -280,10 +281,10 @@
 		Expect(r.turns.ended()[0].Rejected).To(BeTrue())
 	})
 
-	// A request crashes each server that runs it, and its caller sends it again and again.
-	It("does not send what is held back, and says so at once", func() {
-		r := newRig(replica.Config{}, 1)
-		r.watched.held = true
+	// A request crashes every server that runs it, and its caller sends it repeatedly.
+	It("refuses a quarantined request at once", func() {
+		r := newHarness(replica.Config{}, 1)
+		r.suspects.quarantined = true
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header.Get("Retry-After")).To(Equal("60.000"))
@@ -291,20 +292,20 @@
 		Expect(r.last().Outcome).To(Equal(relay.HeldBack))
 	})
 
-	It("has a server looked into that ended its connection in the middle of a request", func() {
-		r := newRig(replica.Config{Events: 4}, 3)
+	It("has a server checked that closed its connection in the middle of a request", func() {
+		r := newHarness(replica.Config{Events: 4}, 3)
 		r.set(0, replica.Faults{LoseAnswer: true})
 		r.set(1, replica.Faults{Cut: 1})
 		Expect(r.send(r.request(http.MethodPost, "/look/x", "a1")).status).To(Equal(http.StatusBadGateway))
-		Eventually(func() []backend.ID { _, lost := r.watched.told(); return lost }).Should(ConsistOf(BeEquivalentTo("i-0"), BeEquivalentTo("i-1")))
+		Eventually(func() []backend.ID { _, lost := r.suspects.calls(); return lost }).Should(ConsistOf(BeEquivalentTo("i-0"), BeEquivalentTo("i-1")))
 		r.set(0, replica.Faults{})
 		Expect(r.send(r.request(http.MethodPost, "/chat/x", "a2")).status).To(Equal(http.StatusOK))
-		finished, _ := r.watched.told()
+		finished, _ := r.suspects.calls()
 		Expect(finished).To(Equal(1))
 	})
 
-	It("says not-run, with when to come back, where no server ran the request", func() {
-		r := newRig(replica.Config{}, 2)
+	It("answers 503 with Retry-After if no server ran the request", func() {
+		r := newHarness(replica.Config{}, 2)
 		r.set(0, replica.Faults{Shed: true})
 		r.set(1, replica.Faults{Shed: true})
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
@@ -313,9 +314,9 @@
 		Expect(r.world.Runs("a1")).To(BeZero())
 	})
 
-	It("repeats what may be repeated after a lost answer and after a server's failure", func() {
+	It("retries a repeatable request after a lost answer and after a server's failure", func() {
 		for _, faults := range []replica.Faults{{LoseAnswer: true}, {Fail: 500}} {
-			r := newRig(replica.Config{}, 2)
+			r := newHarness(replica.Config{}, 2)
 			r.set(0, faults)
 			got := r.send(r.request(http.MethodGet, "/look/x", "a1"))
 			Expect(got.status).To(Equal(http.StatusOK))
@@ -323,16 +324,16 @@
 		}
 	})
 
-	It("hands a server's failure back where no further attempt is allowed", func() {
-		r := newRig(replica.Config{}, 1)
+	It("returns a server's failure if no further attempt is allowed", func() {
+		r := newHarness(replica.Config{}, 1)
 		r.set(0, replica.Faults{Fail: 500})
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusInternalServerError))
 		Expect(got.header.Get(platform.HeaderSignature)).To(Equal("signed.i-0"))
 	})
 
-	It("tries a server that can't be reached for nothing, and another one then", func() {
-		r := newRig(replica.Config{}, 2)
+	It("tries another server after a failed connection attempt, which does not count as an attempt", func() {
+		r := newHarness(replica.Config{}, 2)
 		r.servers[0].Close()
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusOK))
@@ -340,11 +341,9 @@
 		Expect(r.last().Attempts).To(Equal(1))
 	})
 
-	// Many servers are gone. Were every vain try to connect one more first try, the budget would grow with the trouble that it is there to
-	// contain.
-	// A server is gone, and another one has its address. A booking that is sent there in good faith would run at a service that must not have it.
-	It("goes on to another server where an address belongs to another one now", func() {
-		r := newRig(replica.Config{}, 2)
+	// A server is gone and another one has its address. A booking that is sent there would run at a service that must not receive it.
+	It("tries another server if the address now belongs to a different one", func() {
+		r := newHarness(replica.Config{}, 2)
 		r.turns.servers[0].ID = "i-gone"
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusOK))
@@ -352,8 +351,10 @@
 		Expect(r.servers[0].Runs()).To(BeEmpty())
 	})
 
+	// Many servers are gone. If each failed connection attempt counted as a first try, the retry budget would grow with the failures that it is
+	// there to contain.
 	It("counts one first try for a request, however many servers it could not reach", func() {
-		r := newRig(replica.Config{}, 3)
+		r := newHarness(replica.Config{}, 3)
 		r.servers[0].Close()
 		r.servers[1].Close()
 		for r.retries.Take("s", time.Second) {
@@ -362,9 +363,10 @@
 		Expect(r.retries.Take("s", time.Second)).To(BeFalse())
 	})
 
-	// The server works for longer than the route allows. The caller gets its last word when the time is over, and no promise.
+	// The server takes longer than the route allows. The caller gets an answer when the timeout expires, without a promise that the
+	// request did not run.
 	It("ends a request at the route's timeout", func() {
-		r := newRig(replica.Config{}, 1)
+		r := newHarness(replica.Config{}, 1)
 		r.set(0, replica.Faults{Mute: true})
 		began := time.Now()
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
@@ -374,7 +376,7 @@
 	})
 
 	stream := replica.Config{Events: 6, EventTakes: 10 * time.Millisecond}
-	// whole is what the requests of these specs, which are named a1, are answered.
+	// whole returns the stream events numbered from through to as a server sends them in answer to request a1.
 	whole := func(from, to int) string {
 		text := ""
 		for i := from; i <= to; i++ {
@@ -383,18 +385,18 @@
 		return text
 	}
 
-	It("hands on a stream event by event", func() {
-		r := newRig(stream, 1)
+	It("forwards a stream event by event", func() {
+		r := newHarness(stream, 1)
 		got := r.send(r.request(http.MethodPost, "/chat/x", "a1"))
 		Expect(got.err).NotTo(HaveOccurred())
 		Expect(got.body).To(Equal(whole(1, 6)))
 	})
 
-	// A server crashes in the middle of an event, or keeps silent because its group has lost a member. The caller would get half of an event,
-	// wait in vain, or find a piece missing or twice.
-	DescribeTable("goes on with a stream elsewhere after its last whole event, as one answer of the first server",
+	// A server crashes in the middle of an event, or stalls because its group has lost a member. The caller would get half of an
+	// event, wait in vain, or find an event missing or duplicated.
+	DescribeTable("resumes a stream at another server after its last complete event, as one answer of the first server",
 		func(faults replica.Faults) {
-			r := newRig(stream, 2)
+			r := newHarness(stream, 2)
 			r.set(0, faults)
 			got := r.send(r.request(http.MethodPost, "/chat/x", "a1"))
 			Expect(got.err).NotTo(HaveOccurred())
@@ -407,10 +409,10 @@
 		Entry("silent", replica.Faults{Stall: 3}),
 	)
 
-	// A group has lost a member, and a request is sent to its head before anybody has noticed. The head takes it and says nothing. Its caller
-	// leaves after two seconds.
-	DescribeTable("sends what may be repeated elsewhere when its server does not begin to answer", func(path string) {
-		r := newRig(stream, 2)
+	// A group has lost a member, and a request is sent to its head before the loss is noticed. The head accepts the request and sends
+	// nothing. The caller leaves after two seconds.
+	DescribeTable("sends a repeatable request to another server when its server does not begin to answer", func(path string) {
+		r := newHarness(stream, 2)
 		r.set(0, replica.Faults{Mute: true})
 		began := time.Now()
 		got := r.send(r.request(http.MethodPost, path, "a1"))
@@ -420,34 +422,34 @@
 		Expect(r.turns.ended()[0].Stalled).To(BeTrue())
 	}, Entry("a stream", "/chat/x"), Entry("a look-up", "/look/x"))
 
-	// All other groups are full, or the budget of repeats is spent. A request that is given up for nothing gets no answer at all, where its server
-	// was only slow.
-	It("waits for a silent server while there is nowhere else to go", func() {
-		r := newRig(stream, 1)
+	// All other groups are full, or the retry budget is exhausted. A request that is abandoned without an alternative gets no answer
+	// at all, although its server was only slow.
+	It("waits for a silent server while no other server is available", func() {
+		r := newHarness(stream, 1)
 		r.servers[0].SetStream(3, 1500*time.Millisecond)
 		Expect(r.send(r.request(http.MethodPost, "/chat/x", "a1")).body).To(Equal(whole(1, 3)))
 	})
 
-	It("waits for the server of what may not be repeated", func() {
-		r := newRig(stream, 2)
+	It("waits for the server of a request that may not be repeated", func() {
+		r := newHarness(stream, 2)
 		r.set(0, replica.Faults{Mute: true})
 		Expect(r.send(r.request(http.MethodPost, "/book/x", "a1")).status).To(Equal(http.StatusGatewayTimeout))
 		Expect(r.servers[1].Runs()).To(BeEmpty())
 	})
 
-	It("tells of a silent server before it gives the stream up", func() {
-		r := newRig(stream, 2)
+	It("reports a stalled server before it abandons the stream", func() {
+		r := newHarness(stream, 2)
 		r.set(0, replica.Faults{Stall: 3})
 		r.send(r.request(http.MethodPost, "/chat/x", "a1"))
 		r.turns.mu.Lock()
 		defer r.turns.mu.Unlock()
-		Expect(r.turns.silent).To(BeNumerically(">=", 1))
+		Expect(r.turns.stalls).To(BeNumerically(">=", 1))
 		Expect(r.turns.results[0].Stalled).To(BeTrue())
 	})
 
-	// A stream that may not be repeated breaks off. Ended as if it were whole, the caller would act on a part.
-	It("breaks the connection off where a stream can't go on", func() {
-		r := newRig(stream, 2)
+	// A stream that may not be repeated breaks off. If it ended like a complete one, the caller would act on a part.
+	It("aborts the connection if a stream can't be resumed", func() {
+		r := newHarness(stream, 2)
 		r.set(0, replica.Faults{Cut: 3})
 		got := r.send(r.request(http.MethodPost, "/once/x", "a1"))
 		Expect(got.err).To(HaveOccurred())
@@ -456,16 +458,16 @@
 		Eventually(func() relay.Outcome { return r.last().Outcome }).Should(Equal(relay.Cut))
 	})
 
-	It("passes a caller's own last event on", func() {
-		r := newRig(stream, 1)
+	It("forwards the Last-Event-Id of the caller", func() {
+		r := newHarness(stream, 1)
 		request := r.request(http.MethodPost, "/chat/x", "a1")
 		request.Header.Set("Last-Event-Id", "4")
 		Expect(r.send(request).body).To(Equal(whole(5, 6)))
 	})
 
-	// The caller closes its connection in the middle of a stream. A server that is not told works on for nobody.
-	It("leaves the server as soon as the caller has gone", func() {
-		r := newRig(replica.Config{Events: 1000, EventTakes: 20 * time.Millisecond}, 1)
+	// The caller closes its connection in the middle of a stream. A server that is not told would continue for nobody.
+	It("cancels the request at the server when the caller disconnects", func() {
+		r := newHarness(replica.Config{Events: 1000, EventTakes: 20 * time.Millisecond}, 1)
 		ctx, cancel := context.WithCancel(context.Background())
 		request := r.request(http.MethodPost, "/chat/x", "a1").WithContext(ctx)
 		response, err := http.DefaultTransport.RoundTrip(request)
@@ -483,7 +485,7 @@
 	})
 
 	It("refuses a body over the limit", func() {
-		r := newRig(replica.Config{}, 1)
+		r := newHarness(replica.Config{}, 1)
 		request := r.request(http.MethodPost, "/book/x", "a1")
 		request.Body = io.NopCloser(strings.NewReader(strings.Repeat("x", 1<<20+1)))
 		request.ContentLength = -1
--- a/entry/relay/retries.go
+++ b/entry/relay/retries.go
@@ -7,10 +7,10 @@
 	"github.com/skylarkpond/skylarkpond/policy/retry"
 )
 
-// Retries keeps a budget for each service. It is safe for concurrent use.
+// Retries keeps a retry budget for each service. It is safe for concurrent use.
 //
-// All entries share what a service allows. Each keeps to the share that its own first tries earn, and to an even part of what is allowed
-// beyond that, so that the sum holds whoever can't reach whom.
+// All entries share what is allowed for a service. Each entry keeps to the share that its own first attempts earn and to an equal part
+// of the extra allowance, so that the total holds even among entries that can't reach each other.
 type Retries struct {
 	allowed Allowed
 	started time.Time
@@ -20,37 +20,39 @@
 	budgets map[string]*retry.Budget
 }
 
-// Allowed is what all entries together may repeat of a service's requests, in a window of some seconds.
+// Allowed is what all entries together may repeat of a service's requests in a window of some seconds.
 type Allowed struct {
-	// Ratio is the share of the first tries.
+	// Ratio is the number of retries per first attempt.
 	Ratio float64
-	// Extra is allowed on top of that in each window.
+	// Extra is the number of retries allowed on top of that in each window.
 	Extra float64
 }
 
 const (
-	// usedShare of what is allowed is given out; the rest covers entries that start or leave, and windows in which load falls.
-	usedShare = 0.8
-	// burstShare of the extra may be used at once, when a group breaks; the rest comes back within some windows.
+	// allocatedShare is the share of the allowance that is used; the rest covers entries that start or leave, and windows in which
+	// load falls.
+	allocatedShare = 0.8
+	// burstShare is the share of the extra allowance that may be used at once when a group breaks; the rest is refilled over some
+	// windows.
 	burstShare = 0.65
-	// refillSeconds is how long an empty budget takes to fill without any request.
+	// refillSeconds is how long an empty budget takes to refill without any request.
 	refillSeconds = 60
-	// leastBurst lets one request be repeated at an entry, however many entries there are.
-	leastBurst = 1
+	// minBurst lets each entry repeat one request, however many entries there are.
+	minBurst = 1
 )
 
-// NewRetries returns budgets for one of a number of entries.
+// NewRetries returns the budgets of one entry out of the given number.
 func NewRetries(allowed Allowed, entries int) *Retries {
 	r := &Retries{allowed: allowed, started: time.Now(), budgets: make(map[string]*retry.Budget)}
 	r.Resize(entries)
 	return r
 }
 
-// Resize divides what is allowed among another number of entries.
+// Resize divides the allowance among a new number of entries.
 func (r *Retries) Resize(entries int) {
 	config := retry.DefaultConfig()
-	config.Share = usedShare * r.allowed.Ratio
-	config.Burst = max(leastBurst, burstShare*r.allowed.Extra/float64(max(1, entries)))
+	config.Share = allocatedShare * r.allowed.Ratio
+	config.Burst = max(minBurst, burstShare*r.allowed.Extra/float64(max(1, entries)))
 	config.PerSecond = config.Burst / refillSeconds
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,14 +71,14 @@
 	return budget
 }
 
-// FirstTry counts the first send of a request.
+// FirstTry records the first attempt of a request.
 func (r *Retries) FirstTry(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.budget(service).FirstTry(time.Since(r.started))
 }
 
-// Take says whether a request may be sent once more, and takes that from the budget.
+// Take reports whether a request may be sent once more, with left being the time until its deadline, and charges the budget if so.
 func (r *Retries) Take(service string, left time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/relay/stream.go
+++ b/entry/relay/stream.go
@@ -14,23 +14,24 @@
 	"github.com/skylarkpond/skylarkpond/platform"
 )
 
-// Silence after which the leader is asked to look into the group, while the stream goes on: between two events, and before the first
-// one. Sound groups are rarely as quiet, and a look costs a few small calls.
+// Silence after which the leader is asked to check the group while the stream goes on: between two events, and before the first one.
+// Healthy groups are rarely silent for as long, and a check costs a few small calls.
 const (
-	suspect      = 300 * time.Millisecond
-	suspectFirst = 600 * time.Millisecond
+	eventStallReportDelay = 300 * time.Millisecond
+	firstStallReportDelay = 600 * time.Millisecond
 )
 
-// errCaller is wrapped by what goes wrong on the way to the caller.
-var errCaller = eris.New("writing to the caller")
+// errCallerWrite is wrapped by errors of writing to the caller.
+var errCallerWrite = eris.New("writing to the caller")
 
-// stream hands on the events of a stream as they come. It returns whether the request is over.
-func (e *exchange) stream(t *turn.Turn, answer *upstream.Answer) bool {
+// relayStream forwards the events of a stream as they arrive, resuming it at another server if it breaks off. It reports whether the
+// request is done.
+func (e *exchange) relayStream(t *turn.Turn, answer *upstream.Answer) bool {
 	if !platform.Signed(answer.Header) {
 		_ = answer.Body.Close()
 		e.endAttempt()
 		t.Done(turn.Result{Failed: true})
-		return e.overBroken("success without a signature")
+		return e.doneAfterFailure("success without a signature")
 	}
 	head := platform.AnswerHeader(answer.Header)
 	last := e.call.LastEvent
@@ -40,14 +41,14 @@
 		_ = answer.Body.Close()
 		e.endAttempt()
 		if err == nil {
-			t.Done(turn.Result{TimeToFirstToken: e.first})
+			t.Done(turn.Result{TimeToFirstToken: e.timeToFirstEvent})
 			e.relay.deps.Suspects.Finished(e.service, e.fingerprint)
-			e.finish(head)
+			e.finishStream(head)
 			return true
 		}
-		t.Done(e.resultOf())
-		if !errors.Is(err, errCaller) {
-			e.lost(t, err)
+		t.Done(e.failedResult())
+		if !errors.Is(err, errCallerWrite) {
+			e.checkForCrash(t, err)
 		}
 		t, answer = e.resume(last, "stream broke off: "+err.Error())
 		if t == nil {
@@ -56,30 +57,30 @@
 	}
 }
 
-// finish ends a stream whose last event has gone out.
-func (e *exchange) finish(head http.Header) {
-	e.begin(head)
-	e.ended.Outcome = Served
+// finishStream ends a stream whose last event has been sent.
+func (e *exchange) finishStream(head http.Header) {
+	e.sendHeader(head)
+	e.summary.Outcome = Served
 }
 
-// begin sends the head of the first server's answer, once.
-func (e *exchange) begin(head http.Header) {
-	if e.begun {
+// sendHeader sends the header of the first server's answer, once.
+func (e *exchange) sendHeader(head http.Header) {
+	if e.headerSent {
 		return
 	}
-	e.begun = true
-	e.first = time.Since(e.sent)
-	e.ended.Status = http.StatusOK
-	e.ended.First = time.Since(e.arrived)
+	e.headerSent = true
+	e.timeToFirstEvent = time.Since(e.sentAt)
+	e.summary.Status = http.StatusOK
+	e.summary.First = time.Since(e.arrived)
 	maps.Copy(e.writer.Header(), head)
 	e.writer.WriteHeader(http.StatusOK)
 }
 
-// copyEvents hands on whole events until the stream ends, and returns the id of the last one that went out. An event
-// that breaks off in its middle does not go out: the stream goes on elsewhere after the last whole one.
+// copyEvents forwards complete events until the stream ends, and returns the id of the last one sent. An event that breaks off in the
+// middle is not sent: the stream resumes at another server after the last complete one.
 func (e *exchange) copyEvents(t *turn.Turn, answer *upstream.Answer, head http.Header, last string) (string, error) {
 	events := newEventReader(answer.Body)
-	suspicion := time.AfterFunc(suspectFirst, t.ReportStall)
+	suspicion := time.AfterFunc(firstStallReportDelay, t.ReportStall)
 	defer suspicion.Stop()
 	controller := http.NewResponseController(e.writer)
 	for {
@@ -90,14 +91,14 @@
 		if err != nil {
 			return last, err
 		}
-		e.watch.heard()
-		suspicion.Reset(suspect)
-		e.begin(head)
+		e.watch.noteActivity()
+		suspicion.Reset(eventStallReportDelay)
+		e.sendHeader(head)
 		if _, err := e.writer.Write(event.bytes); err != nil {
-			return last, eris.Wrap(errCaller, err.Error())
+			return last, eris.Wrap(errCallerWrite, err.Error())
 		}
 		if err := controller.Flush(); err != nil {
-			return last, eris.Wrap(errCaller, err.Error())
+			return last, eris.Wrap(errCallerWrite, err.Error())
 		}
 		if event.id != "" {
 			last = event.id
@@ -105,12 +106,12 @@
 	}
 }
 
-// resume sends the request again, to go on after the last event that went out. It returns nil when the request is over.
+// resume sends the request to another server, to continue after the last event sent. It returns nil when the request is done.
 func (e *exchange) resume(last, detail string) (*turn.Turn, *upstream.Answer) {
 	for {
-		t := e.takeNext()
+		t := e.takeNextTurn()
 		if t == nil {
-			if t = e.turnToResume(detail); t == nil {
+			if t = e.acquireResumeTurn(detail); t == nil {
 				return nil, nil
 			}
 		}
@@ -122,26 +123,26 @@
 		}
 		e.attempts++
 		if err != nil {
-			t.Done(e.resultOf())
-			e.lost(t, err)
+			t.Done(e.failedResult())
+			e.checkForCrash(t, err)
 			continue
 		}
 		if platform.DecodeAnswer(answer.Status, answer.Header).NotRun || answer.Status != http.StatusOK || !platform.Signed(answer.Header) {
-			e.rejected(t, answer)
+			e.endRejected(t, answer)
 			continue
 		}
-		e.ended.Resumed = true
+		e.summary.Resumed = true
 		return t, answer
 	}
 }
 
-// turnToResume takes a turn for a stream that broke off. It returns nil when the request is over.
-func (e *exchange) turnToResume(detail string) *turn.Turn {
-	if e.ctx.Err() != nil || !e.route.Resumable || !e.mayTryAgain() {
+// acquireResumeTurn acquires a turn for a stream that broke off. It returns nil when the request is done.
+func (e *exchange) acquireResumeTurn(detail string) *turn.Turn {
+	if e.ctx.Err() != nil || !e.route.Resumable || !e.mayRetry() {
 		e.fail(detail)
 		return nil
 	}
-	t, refusal := e.relay.deps.Turns.Acquire(e.ctx, e.ask())
+	t, refusal := e.relay.deps.Turns.Acquire(e.ctx, e.turnRequest())
 	if refusal != nil {
 		e.fail(detail + "; " + string(refusal.Reason) + ": " + refusal.Detail)
 		return nil
--- a/entry/relay/watch.go
+++ b/entry/relay/watch.go
@@ -12,93 +12,94 @@
 	"github.com/skylarkpond/skylarkpond/entry/turn"
 )
 
-// Silence after which a request is sent elsewhere, if it may be repeated and there is a turn for it. A group that has lost a member takes
-// requests and does nothing for seconds, and callers leave after some two: waited for to the end, every tenth request on a day of steady
-// losses was given up by its caller in such a group. Where there is no turn elsewhere, its server is waited for: silence alone
-// ends no answer.
+// Silence after which a request is sent to another server, if it may be repeated and a turn is available. A group that has lost a
+// member accepts requests and makes no progress for seconds, and callers leave after about two: when the entry waited to the end,
+// every tenth request on a day of steady failures was abandoned by its caller in such a group. If no turn is available elsewhere, the
+// entry keeps waiting for the server: silence alone ends no attempt.
 const (
-	// silentStream is ten times the mean time to the first event of a stream, and above 95 in 100 of them on groups that are full.
-	silentStream = time.Second
-	// silentWhole is twenty times what a plain server takes.
-	silentWhole = 600 * time.Millisecond
-	// silentEvent is between two events: several times the pass of a loaded engine that reads prompts (about 0.3 s).
-	silentEvent = 900 * time.Millisecond
-	// silentAgain is how long after a turn was asked for in vain the next one is.
-	silentAgain = 300 * time.Millisecond
-	// turnElsewhere is how long a turn is waited for. An event that comes meanwhile is handed on that much later.
-	turnElsewhere = 100 * time.Millisecond
+	// streamStartTimeout is ten times the mean time to the first event of a stream, and above the 95th percentile on fully loaded
+	// groups.
+	streamStartTimeout = time.Second
+	// wholeAnswerTimeout is twenty times what a plain server takes.
+	wholeAnswerTimeout = 600 * time.Millisecond
+	// eventTimeout applies between two events: several times the interval of a loaded engine that is processing prompts (about 0.3 s).
+	eventTimeout = 900 * time.Millisecond
+	// alternateRetryInterval is the pause after a failed attempt to acquire a turn elsewhere.
+	alternateRetryInterval = 300 * time.Millisecond
+	// alternateTurnWait is how long to wait for a turn elsewhere. An event that arrives meanwhile is forwarded that much later.
+	alternateTurnWait = 100 * time.Millisecond
 )
 
-// errSilent ends an attempt whose request goes on elsewhere.
-var errSilent = eris.New("the server keeps silent, and the request goes on elsewhere")
+// errStalled cancels an attempt whose request continues at another server.
+var errStalled = eris.New("the server keeps silent, and the request goes on elsewhere")
 
-// watch gives one attempt up when its server keeps silent and the request can go on elsewhere: the turn there is taken first.
-type watch struct {
+// stallWatch abandons an attempt when its server stalls and the request can continue elsewhere: the turn there is acquired first.
+type stallWatch struct {
 	exchange *exchange
 	cancel   context.CancelCauseFunc
-	// sent counts the sends, this one included; tried are their servers.
-	sent  int
-	tried []backend.ID
+	// attempt is the number of this attempt, counted from 1; tried are the servers of all attempts, this one included.
+	attempt int
+	tried   []backend.ID
 
-	mu    sync.Mutex // guards what follows; held while a turn is asked for
-	timer *time.Timer
-	over  bool
-	// next is the turn elsewhere.
-	next *turn.Turn
+	mu      sync.Mutex // guards what follows; held while a turn is acquired
+	timer   *time.Timer
+	stopped bool
+	// alternate is the turn acquired at another server.
+	alternate *turn.Turn
 }
 
-// newWatch starts watching; cancel ends the attempt.
-func newWatch(e *exchange, cancel context.CancelCauseFunc) *watch {
-	w := &watch{exchange: e, cancel: cancel, sent: e.attempts + 1, tried: append([]backend.ID(nil), e.tried...)}
-	w.over = !e.route.Repeatable() || w.sent >= e.route.MaxAttempts
-	patience := silentWhole
+// newStallWatch starts a watch on the current attempt; cancel ends the attempt.
+func newStallWatch(e *exchange, cancel context.CancelCauseFunc) *stallWatch {
+	w := &stallWatch{exchange: e, cancel: cancel, attempt: e.attempts + 1, tried: append([]backend.ID(nil), e.tried...)}
+	w.stopped = !e.route.Repeatable() || w.attempt >= e.route.MaxAttempts
+	timeout := wholeAnswerTimeout
 	if e.route.Kind == route.Streaming {
-		patience = silentStream
+		timeout = streamStartTimeout
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(patience, w.fire)
+	w.timer = time.AfterFunc(timeout, w.onSilence)
 	return w
 }
 
-// heard notes that the server has sent something.
-func (w *watch) heard() {
+// noteActivity records that the server has sent something.
+func (w *stallWatch) noteActivity() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.over {
-		w.timer.Reset(silentEvent)
+	if !w.stopped {
+		w.timer.Reset(eventTimeout)
 	}
 }
 
-// stop ends the watch and returns the turn elsewhere, if the attempt was given up for one.
-func (w *watch) stop() *turn.Turn {
+// stop ends the watch and returns the turn at another server, if the attempt was abandoned for one.
+func (w *stallWatch) stop() *turn.Turn {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.over = true
+	w.stopped = true
 	w.timer.Stop()
 	w.cancel(nil)
-	return w.next
+	return w.alternate
 }
 
-func (w *watch) fire() {
+func (w *stallWatch) onSilence() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.over {
+	if w.stopped {
 		return
 	}
-	if w.next = w.elsewhere(); w.next == nil {
-		w.timer.Reset(silentAgain)
+	if w.alternate = w.acquireAlternate(); w.alternate == nil {
+		w.timer.Reset(alternateRetryInterval)
 		return
 	}
-	w.over = true
-	w.cancel(errSilent)
+	w.stopped = true
+	w.cancel(errStalled)
 }
 
-// elsewhere takes a turn at another server, or returns nil where there is none or the budget of repeats is spent.
-func (w *watch) elsewhere() *turn.Turn {
+// acquireAlternate acquires a turn at another server. It returns nil if there is none or the retry budget is exhausted.
+func (w *stallWatch) acquireAlternate() *turn.Turn {
 	e := w.exchange
 	t, refusal := e.relay.deps.Turns.Acquire(e.ctx, turn.Request{
-		Service: e.service, Model: e.call.Model, Priority: turn.PriorityRetry, Retry: true, Tried: w.tried, MaxWait: turnElsewhere,
+		Service: e.service, Model: e.call.Model, Priority: turn.PriorityRetry, Retry: true, Tried: w.tried, MaxWait: alternateTurnWait,
 	})
 	if refusal != nil {
 		return nil
