--- a/entry/member/answer.go
+++ b/entry/member/answer.go
@@ -8,7 +8,7 @@
 
 // Errors that a peer is answered with.
 var (
-	ErrOtherName    = eris.New("the caller's name is not that of its certificate")
+	ErrNameMismatch = eris.New("the caller's name is not that of its certificate")
 	ErrWrongTarget  = eris.New("another entry has this address")
 	ErrUnknownEntry = eris.New("entry not known")
 
@@ -21,7 +21,7 @@
 	defer m.unlock()
 	m.checkPause(now)
 	if ping.Self.Name != from {
-		return Ack{}, ErrOtherName
+		return Ack{}, ErrNameMismatch
 	}
 	if ping.Target != m.self.Name {
 		return Ack{}, ErrWrongTarget
@@ -53,13 +53,13 @@
 
 // relayed answers a Relay after the ping was made. A failed one is no reason for a suspicion here: the
 // entry that asked raises it.
-func (m *Members) relayed(now time.Time, c call, r result) Relayed {
+func (m *Members) relayed(now time.Time, c call, r result) RelayReply {
 	if r.err == nil {
 		m.finish(now, c, r)
 	}
 	m.mu.Lock()
 	defer m.unlock()
-	answer := Relayed{Reached: r.err == nil}
+	answer := RelayReply{Reached: r.err == nil}
 	if p := m.peers[c.to]; p != nil {
 		answer.Status = p.status
 	}
--- a/entry/member/fault_test.go
+++ b/entry/member/fault_test.go
@@ -97,7 +97,7 @@
 			took := s.until(healBound, func() bool { return s.trustedBy(s.nodes[1]) && s.agreed(everybody) })
 			Expect(took).To(BeNumerically("<", healBound))
 			old.dead = false
-			old.Know(s.nodes[1].entry, s.nodes[1].generation)
+			old.Upsert(s.nodes[1].entry, s.nodes[1].generation)
 			Expect(old.Superseded()).To(BeTrue())
 			Expect(old.Paused()).To(BeTrue())
 			Expect(liveNames(old)).NotTo(ContainElement(old.entry.Name))
--- a/entry/member/member.go
+++ b/entry/member/member.go
@@ -144,9 +144,9 @@
 	return watcher
 }
 
-// Know takes in an entry as the platform names it, and the version of its object. It is a reason to
+// Upsert takes in an entry as the platform names it, and the version of its object. It is a reason to
 // trust it and to try it, not to hold it alive.
-func (m *Members) Know(e platform.Entry, generation uint64) {
+func (m *Members) Upsert(e platform.Entry, generation uint64) {
 	m.mu.Lock()
 	defer m.unlock()
 	now := m.clock()
@@ -161,7 +161,7 @@
 // Join is Know for several, at the start.
 func (m *Members) Join(seeds []platform.Entry, generations []uint64) {
 	for i, seed := range seeds {
-		m.Know(seed, generations[i])
+		m.Upsert(seed, generations[i])
 	}
 }
 
--- a/entry/member/member_test.go
+++ b/entry/member/member_test.go
@@ -129,7 +129,7 @@
 		s := convergedSim(1, 4)
 		ping := s.nodes[0].pingCall(s.nodes[1].entry.Name).ping
 		_, err := s.nodes[1].receivePing(s.now, s.nodes[2].entry.Name, ping)
-		Expect(err).To(MatchError(ErrOtherName))
+		Expect(err).To(MatchError(ErrNameMismatch))
 		_, err = s.nodes[2].receivePing(s.now, s.nodes[0].entry.Name, ping)
 		Expect(err).To(MatchError(ErrWrongTarget))
 	})
--- a/entry/member/message.go
+++ b/entry/member/message.go
@@ -70,8 +70,8 @@
 	Target string `cbor:"1,keyasint"`
 }
 
-// Relayed answers a Relay.
-type Relayed struct {
+// RelayReply answers a Relay.
+type RelayReply struct {
 	Reached bool `cbor:"1,keyasint"`
 	// Status is what the helper now holds of the target; its counter may refute a suspicion.
 	Status Status `cbor:"2,keyasint"`
@@ -84,8 +84,8 @@
 	Buckets []uint64 `cbor:"3,keyasint"`
 }
 
-// Listing answers a Digest: what the answerer holds in the buckets that differ.
-type Listing struct {
+// DigestReply answers a Digest: what the answerer holds in the buckets that differ.
+type DigestReply struct {
 	Time     int64     `cbor:"1,keyasint"`
 	Self     Status    `cbor:"2,keyasint"`
 	Buckets  []int     `cbor:"3,keyasint,omitempty"`
@@ -102,13 +102,13 @@
 
 // Exchange hands over what the answerer of a Digest lacks and asks for what the sender lacks.
 type Exchange struct {
-	Give         []item    `cbor:"1,keyasint,omitempty"`
+	Items        []item    `cbor:"1,keyasint,omitempty"`
 	WantProfiles []string  `cbor:"2,keyasint,omitempty"`
 	WantRumours  []version `cbor:"3,keyasint,omitempty"`
 }
 
-// Exchanged answers an Exchange. More says that not all that was wanted fitted.
-type Exchanged struct {
+// ExchangeReply answers an Exchange. More says that not all that was wanted fitted.
+type ExchangeReply struct {
 	Items []item `cbor:"1,keyasint,omitempty"`
 	More  bool   `cbor:"2,keyasint,omitempty"`
 }
@@ -116,9 +116,9 @@
 // Pinger carries the messages to the entry at address.
 type Pinger interface {
 	Ping(ctx context.Context, address string, m Ping) (Ack, error)
-	Relay(ctx context.Context, address string, m Relay) (Relayed, error)
-	Digest(ctx context.Context, address string, m Digest) (Listing, error)
-	Exchange(ctx context.Context, address string, m Exchange) (Exchanged, error)
+	Relay(ctx context.Context, address string, m Relay) (RelayReply, error)
+	Digest(ctx context.Context, address string, m Digest) (DigestReply, error)
+	Exchange(ctx context.Context, address string, m Exchange) (ExchangeReply, error)
 	// Disconnect ends calls in progress to a dead entry.
 	Disconnect(address string)
 }
--- a/entry/member/probe.go
+++ b/entry/member/probe.go
@@ -87,9 +87,9 @@
 type result struct {
 	err       error
 	ack       Ack
-	relayed   Relayed
-	listing   Listing
-	exchanged Exchanged
+	relayed   RelayReply
+	listing   DigestReply
+	exchanged ExchangeReply
 }
 
 // tally collects the answers of the helpers for one target.
--- a/entry/member/run.go
+++ b/entry/member/run.go
@@ -35,20 +35,20 @@
 	return ack, err
 }
 
-func (p *peerPinger) Relay(ctx context.Context, address string, m Relay) (Relayed, error) {
-	var answer Relayed
+func (p *peerPinger) Relay(ctx context.Context, address string, m Relay) (RelayReply, error) {
+	var answer RelayReply
 	err := p.client.Call(ctx, address, pathRelay, m, &answer)
 	return answer, err
 }
 
-func (p *peerPinger) Digest(ctx context.Context, address string, m Digest) (Listing, error) {
-	var listing Listing
+func (p *peerPinger) Digest(ctx context.Context, address string, m Digest) (DigestReply, error) {
+	var listing DigestReply
 	err := p.client.Call(ctx, address, pathDigest, m, &listing)
 	return listing, err
 }
 
-func (p *peerPinger) Exchange(ctx context.Context, address string, m Exchange) (Exchanged, error) {
-	var answer Exchanged
+func (p *peerPinger) Exchange(ctx context.Context, address string, m Exchange) (ExchangeReply, error) {
+	var answer ExchangeReply
 	err := p.client.Call(ctx, address, pathExchange, m, &answer)
 	return answer, err
 }
@@ -61,16 +61,16 @@
 	peer.Handle(s, pathPing, func(_ context.Context, from string, ping Ping) (Ack, error) {
 		return m.receivePing(m.clock(), from, ping)
 	})
-	peer.Handle(s, pathDigest, func(_ context.Context, from string, d Digest) (Listing, error) {
+	peer.Handle(s, pathDigest, func(_ context.Context, from string, d Digest) (DigestReply, error) {
 		return m.receiveDigest(m.clock(), from, d)
 	})
-	peer.Handle(s, pathExchange, func(_ context.Context, from string, e Exchange) (Exchanged, error) {
+	peer.Handle(s, pathExchange, func(_ context.Context, from string, e Exchange) (ExchangeReply, error) {
 		return m.receiveExchange(m.clock(), from, e)
 	})
-	peer.Handle(s, pathRelay, func(ctx context.Context, _ string, ask Relay) (Relayed, error) {
+	peer.Handle(s, pathRelay, func(ctx context.Context, _ string, ask Relay) (RelayReply, error) {
 		c, err := m.relayPing(m.clock(), ask)
 		if err != nil {
-			return Relayed{}, err
+			return RelayReply{}, err
 		}
 		ctx, cancel := context.WithTimeout(ctx, relayedPingTimeout)
 		defer cancel()
--- a/entry/member/run_test.go
+++ b/entry/member/run_test.go
@@ -65,10 +65,10 @@
 		got := make(chan Rumour, 10)
 		c.Handle("settings", func(r Rumour) { got <- r })
 		// Only a and b know each other from the start; c is known to b, and knows b.
-		a.Know(b.entry, 2)
-		b.Know(a.entry, 1)
-		b.Know(c.entry, 3)
-		c.Know(b.entry, 2)
+		a.Upsert(b.entry, 2)
+		b.Upsert(a.entry, 1)
+		b.Upsert(c.entry, 3)
+		c.Upsert(b.entry, 2)
 		for _, p := range []*process{a, b, c} {
 			Eventually(func() int { return len(p.Live()) }, patience).Should(Equal(3))
 		}
--- a/entry/member/sim_test.go
+++ b/entry/member/sim_test.go
@@ -77,7 +77,7 @@
 	}
 	for _, a := range s.nodes {
 		for _, b := range s.nodes {
-			a.Know(b.entry, b.generation)
+			a.Upsert(b.entry, b.generation)
 		}
 		s.start(a)
 	}
@@ -218,18 +218,18 @@
 				return
 			}
 			s.perform(to, ping, relayedPingTimeout, func(r result) {
-				send(s, to, from, to.relayed(s.now, ping, r), func(m Relayed) { settle(result{relayed: m}) })
+				send(s, to, from, to.relayed(s.now, ping, r), func(m RelayReply) { settle(result{relayed: m}) })
 			})
 		})
 	case callDigest:
 		send(s, from, to, c.digest, func(m Digest) {
 			listing, err := to.receiveDigest(s.now, name, m)
-			send(s, to, from, listing, func(l Listing) { settle(result{listing: l, err: err}) })
+			send(s, to, from, listing, func(l DigestReply) { settle(result{listing: l, err: err}) })
 		})
 	case callExchange:
 		send(s, from, to, c.exchange, func(m Exchange) {
 			answer, err := to.receiveExchange(s.now, name, m)
-			send(s, to, from, answer, func(e Exchanged) { settle(result{exchanged: e, err: err}) })
+			send(s, to, from, answer, func(e ExchangeReply) { settle(result{exchanged: e, err: err}) })
 		})
 	}
 }
@@ -253,9 +253,9 @@
 	n := s.newNode(id)
 	s.nodes[id] = n
 	for i, other := range s.nodes {
-		n.Know(other.entry, other.generation)
+		n.Upsert(other.entry, other.generation)
 		if other != n && i%3 == id%3 && !other.dead && !other.frozen {
-			other.Know(n.entry, n.generation)
+			other.Upsert(n.entry, n.generation)
 		}
 	}
 	s.start(n)
--- a/entry/member/sync.go
+++ b/entry/member/sync.go
@@ -106,16 +106,16 @@
 }
 
 // receiveDigest answers with what is held in the buckets that differ.
-func (m *Members) receiveDigest(now time.Time, from string, d Digest) (Listing, error) {
+func (m *Members) receiveDigest(now time.Time, from string, d Digest) (DigestReply, error) {
 	m.mu.Lock()
 	defer m.unlock()
 	m.checkPause(now)
 	if d.Self.Name != from {
-		return Listing{}, ErrOtherName
+		return DigestReply{}, ErrNameMismatch
 	}
 	m.observe(d.Time)
 	m.heardFrom(now, d.Self)
-	listing := Listing{Time: m.stamp(), Self: m.self}
+	listing := DigestReply{Time: m.stamp(), Self: m.self}
 	for b, sum := range m.digest() {
 		if b >= len(d.Buckets) || sum != d.Buckets[b] {
 			listing.Buckets = append(listing.Buckets, b)
@@ -146,15 +146,15 @@
 		WantProfiles: m.compareStatuses(now, c.to, r.listing),
 		WantRumours:  m.lackingRumours(r.listing),
 	}
-	ask.Give = append(m.statusesToGive(r.listing), m.rumoursToGive(r.listing)...)
-	if len(ask.Give) == 0 && len(ask.WantProfiles) == 0 && len(ask.WantRumours) == 0 {
+	ask.Items = append(m.statusesToGive(r.listing), m.rumoursToGive(r.listing)...)
+	if len(ask.Items) == 0 && len(ask.WantProfiles) == 0 && len(ask.WantRumours) == 0 {
 		return nil
 	}
 	return []call{{kind: callExchange, to: c.to, address: c.address, exchange: ask}}
 }
 
 // compareStatuses takes in the listed statuses and returns whose profile is missing.
-func (m *Members) compareStatuses(now time.Time, from string, l Listing) []string {
+func (m *Members) compareStatuses(now time.Time, from string, l DigestReply) []string {
 	var lacking []string
 	for _, s := range l.Statuses {
 		p := m.peers[s.Name]
@@ -169,7 +169,7 @@
 
 // statusesToGive returns what the other lacks, or holds in an older state, as profiles. What it lists
 // and this entry holds dead is among them.
-func (m *Members) statusesToGive(l Listing) []item {
+func (m *Members) statusesToGive(l DigestReply) []item {
 	listed := make(map[string]Status, len(l.Statuses))
 	for _, s := range l.Statuses {
 		listed[s.Name] = s
@@ -192,7 +192,7 @@
 	return give
 }
 
-func (m *Members) lackingRumours(l Listing) []version {
+func (m *Members) lackingRumours(l DigestReply) []version {
 	var lacking []version
 	for _, v := range l.Versions {
 		if m.rumours[v.key()].rumour.Version < v.Version {
@@ -203,7 +203,7 @@
 }
 
 // rumoursToGive announces what is too large to give unasked.
-func (m *Members) rumoursToGive(l Listing) []item {
+func (m *Members) rumoursToGive(l DigestReply) []item {
 	theirs := make(map[rumourKey]uint64, len(l.Versions))
 	for _, v := range l.Versions {
 		theirs[v.key()] = v.Version
@@ -218,13 +218,13 @@
 }
 
 // receiveExchange takes what is given and answers what is wanted, and corrects what it knows better.
-func (m *Members) receiveExchange(now time.Time, from string, e Exchange) (Exchanged, error) {
+func (m *Members) receiveExchange(now time.Time, from string, e Exchange) (ExchangeReply, error) {
 	m.mu.Lock()
 	defer m.unlock()
 	m.checkPause(now)
-	m.applyItems(now, from, e.Give, false)
+	m.applyItems(now, from, e.Items, false)
 	var out parcel
-	for _, it := range e.Give {
+	for _, it := range e.Items {
 		if it.Profile != nil {
 			m.correct(&out, it.Profile.Status)
 		}
@@ -242,7 +242,7 @@
 			out.add(item{Rumour: &r})
 		}
 	}
-	return Exchanged{Items: out.items, More: out.full}, nil
+	return ExchangeReply{Items: out.items, More: out.full}, nil
 }
 
 // correct adds this entry's status of a name if it replaces the one that was given.
--- a/entry/member/wire_test.go
+++ b/entry/member/wire_test.go
@@ -57,8 +57,8 @@
 			return &countedSocket{s, &packets, &bytes}
 		})
 		for j, other := range all {
-			p.Know(other.entry, uint64(j+1))
-			other.Know(p.entry, uint64(i+1))
+			p.Upsert(other.entry, uint64(j+1))
+			other.Upsert(p.entry, uint64(i+1))
 		}
 		all = append(all, p)
 		defer p.stop()
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -164,7 +164,7 @@
 	if json.Unmarshal(object.Value, &entry) != nil {
 		return
 	}
-	e.members.Know(entry, uint64(object.Version))
+	e.members.Upsert(entry, uint64(object.Version))
 }
 
 func (e *Entry) takePlacement(object platform.Object) {
