--- a/entry/member/answer.go
+++ b/entry/member/answer.go
@@ -15,8 +15,8 @@
 	errBusy = eris.New("too many calls wait")
 )
 
-// receivePing answers a Ping of the entry from.
-func (m *Members) receivePing(now time.Time, from string, ping Ping) (Ack, error) {
+// handlePing answers a Ping of the entry from.
+func (m *Members) handlePing(now time.Time, from string, ping Ping) (Ack, error) {
 	m.mu.Lock()
 	defer m.unlock()
 	m.checkPause(now)
@@ -26,20 +26,20 @@
 	if ping.Target != m.self.Name {
 		return Ack{}, ErrWrongTarget
 	}
-	m.observe(ping.Time)
-	m.heardFrom(now, ping.Self)
+	m.observeTime(ping.Time)
+	m.recordContact(now, ping.Self)
 	known := m.applyItems(now, from, ping.Gossip, true)
-	ack := Ack{Time: m.stamp(), Self: m.self, Known: known}
+	ack := Ack{Time: m.timestamp(), Self: m.self, Known: known}
 	if p := m.peers[from]; p != nil {
 		gossip, keys := m.gossipFor(p)
-		m.queue.tell(from, keys)
+		m.queue.markKnown(from, keys)
 		ack.Gossip = gossip
 	}
 	return ack, nil
 }
 
-// relayPing returns the ping to make for a Relay.
-func (m *Members) relayPing(now time.Time, ask Relay) (call, error) {
+// prepareRelay returns the ping to make for a Relay.
+func (m *Members) prepareRelay(now time.Time, ask Relay) (call, error) {
 	m.mu.Lock()
 	defer m.unlock()
 	m.checkPause(now)
@@ -51,9 +51,9 @@
 	return c, nil
 }
 
-// relayed answers a Relay after the ping was made. A failed one is no reason for a suspicion here: the
+// completeRelay answers a Relay after the ping was made. A failed one is no reason for a suspicion here: the
 // entry that asked raises it.
-func (m *Members) relayed(now time.Time, c call, r result) RelayReply {
+func (m *Members) completeRelay(now time.Time, c call, r result) RelayReply {
 	if r.err == nil {
 		m.finish(now, c, r)
 	}
--- a/entry/member/apply.go
+++ b/entry/member/apply.go
@@ -19,10 +19,10 @@
 		case it.Profile != nil:
 			m.applyProfile(now, it.Profile, spread)
 		case it.Rumour != nil:
-			news = m.hearRumour(now, from, *it.Rumour, spread)
+			news = m.receiveRumour(now, from, *it.Rumour, spread)
 		}
 		if news {
-			m.queue.tell(from, []string{it.key()})
+			m.queue.markKnown(from, []string{it.key()})
 		} else if i <= math.MaxUint8 {
 			known = append(known, byte(i))
 		}
@@ -33,13 +33,13 @@
 // applyStatus takes in what from says of an entry and reports whether it was news. Called with mu held.
 func (m *Members) applyStatus(now time.Time, from string, s Status, spread bool) bool {
 	if s.Name == m.self.Name {
-		m.applySelf(now, s)
+		m.applySelfStatus(now, s)
 		return false
 	}
 	p := m.peers[s.Name]
 	if p == nil || (p.status.Incarnation != s.Incarnation && s.Generation > p.status.Generation) {
 		if s.State != Dead {
-			m.syncSoon(from) // its profile is missing: ask for it
+			m.scheduleSync(from) // its profile is missing: ask for it
 		}
 		return false
 	}
@@ -57,7 +57,7 @@
 func (m *Members) applyProfile(now time.Time, pr *profile, spread bool) {
 	s := pr.Status
 	if s.Name == m.self.Name {
-		m.applySelf(now, s)
+		m.applySelfStatus(now, s)
 		return
 	}
 	p := m.peers[s.Name]
@@ -69,24 +69,24 @@
 		return
 	}
 	if p != nil {
-		m.replaced(p, pr)
+		m.revokeReplaced(p, pr)
 	}
 	p = &peerState{entry: pr.entry(), hash: xxhash.Sum64String(s.Name), diedAt: now}
 	p.status = Status{Name: s.Name, Incarnation: s.Incarnation, Generation: s.Generation, State: Dead, Leaving: s.Leaving}
 	m.put(p)
 	m.trusted[pr.Fingerprint] = s.Name
-	m.changed()
+	m.markDirty()
 	if supersedes(s, p.status) {
 		m.setStatus(now, p, s, spread)
 	}
 }
 
-// applySelf answers what others hold of this entry. Called with mu held.
-func (m *Members) applySelf(now time.Time, s Status) {
+// applySelfStatus answers what others hold of this entry. Called with mu held.
+func (m *Members) applySelfStatus(now time.Time, s Status) {
 	if s.Incarnation != m.self.Incarnation {
 		if s.Generation > m.self.Generation && !m.superseded {
 			m.superseded = true
-			m.changed()
+			m.markDirty()
 		}
 		return
 	}
@@ -99,7 +99,7 @@
 	if s.State == Dead {
 		// Others have taken over what this entry owned: it was silent for them longer than it knows,
 		// as when its VM was stopped together with its clock.
-		m.goStale(now)
+		m.markStale(now)
 	}
 }
 
@@ -109,7 +109,7 @@
 	p.status = s
 	switch s.State {
 	case Alive:
-		p.strikes = 0
+		p.unconfirmedFailures = 0
 		if before.State != Alive {
 			m.record(timeline.Event{Kind: timeline.PeerAlive, Peer: s.Name})
 		}
@@ -120,37 +120,37 @@
 		p.diedAt = now
 		if before.State != Dead {
 			m.record(timeline.Event{Kind: timeline.PeerDead, Peer: s.Name})
-			m.disconnect(now, p)
+			m.scheduleDisconnect(now, p)
 		}
 	}
 	if spread {
 		m.queue.put(statusKey(s.Name), item{Status: &s})
 	}
 	if before.State != s.State || before.Leaving != s.Leaving || before.Overloaded != s.Overloaded {
-		m.changed()
+		m.markDirty()
 	}
 }
 
-// disconnect asks for the end of calls in progress to a dead peer, unless it spoke to this very entry a
+// scheduleDisconnect asks for the end of calls in progress to a dead peer, unless it spoke to this very entry a
 // moment ago: others may be cut off from it while answers still flow here. Called with mu held.
-func (m *Members) disconnect(now time.Time, p *peerState) {
-	if now.Sub(p.heard) >= suspicionTimeout {
-		m.cuts = append(m.cuts, p.entry.PeerAddress)
+func (m *Members) scheduleDisconnect(now time.Time, p *peerState) {
+	if now.Sub(p.lastContact) >= suspicionTimeout {
+		m.disconnectAddresses = append(m.disconnectAddresses, p.entry.PeerAddress)
 	}
 }
 
-// replaced ends the trust in the earlier process of a name. Called with mu held.
-func (m *Members) replaced(p *peerState, by *profile) {
+// revokeReplaced ends the trust in the earlier process of a name. Called with mu held.
+func (m *Members) revokeReplaced(p *peerState, by *profile) {
 	delete(m.trusted, p.entry.Fingerprint)
 	if p.entry.PeerAddress != by.PeerAddress {
-		m.cuts = append(m.cuts, p.entry.PeerAddress)
+		m.disconnectAddresses = append(m.disconnectAddresses, p.entry.PeerAddress)
 	}
 }
 
-// remove drops all that is known of p. Called with mu held.
-func (m *Members) remove(p *peerState) {
-	m.drop(p.status.Name)
+// removePeer drops all that is known of p. Called with mu held.
+func (m *Members) removePeer(p *peerState) {
+	m.deletePeer(p.status.Name)
 	delete(m.trusted, p.entry.Fingerprint)
-	m.queue.drop(statusKey(p.status.Name))
-	m.changed()
+	m.queue.remove(statusKey(p.status.Name))
+	m.markDirty()
 }
--- a/entry/member/budget_test.go
+++ b/entry/member/budget_test.go
@@ -22,7 +22,7 @@
 	// each other that they live.
 	It("keeps messages and bytes of each entry within bounds that do not grow with their number", func() {
 		for _, n := range []int{4, 16, 64, 330} {
-			quiet, busy := convergedSim(1, n).cost(4*time.Second, 8*time.Second)
+			quiet, busy := convergedSim(1, n).measureTraffic(4*time.Second, 8*time.Second)
 			fmt.Fprintf(GinkgoWriter, "n=%d quiet %v; busy %v\n", n, quiet, busy)
 			Expect(quiet.messages).To(BeNumerically("<", quietMessages))
 			Expect(quiet.bytes).To(BeNumerically("<", quietBytes))
@@ -35,7 +35,7 @@
 		s := convergedSim(2, 330)
 		s.run(time.Second)
 		s.nodes[7].Broadcast(Rumour{Topic: "test", Name: "news", Version: 1})
-		took := s.until(6*time.Second, s.informed)
+		took := s.runUntil(6*time.Second, s.rumoursConverged)
 		fmt.Fprintf(GinkgoWriter, "rumour at 330 entries after %v\n", took)
 		Expect(took).To(BeNumerically("<", 6*time.Second))
 	})
@@ -55,7 +55,7 @@
 			}
 			s.run(time.Second)
 		}
-		Expect(s.informed()).To(BeTrue())
+		Expect(s.rumoursConverged()).To(BeTrue())
 	})
 })
 
@@ -66,9 +66,9 @@
 		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				s := newSim(1, n)
-				joined := s.until(time.Minute, func() bool { return s.agreed(everybody) })
+				joined := s.runUntil(time.Minute, func() bool { return s.viewsAgree(allNodes) })
 				s.run(20 * time.Second)
-				quiet, busy := s.cost(30*time.Second, 30*time.Second)
+				quiet, busy := s.measureTraffic(30*time.Second, 30*time.Second)
 				b.ReportMetric(joined.Seconds(), "join-s")
 				b.ReportMetric(quiet.messages, "quiet-msg/s")
 				b.ReportMetric(quiet.bytes, "quiet-B/s")
@@ -89,7 +89,7 @@
 			}
 		}
 		a.queue = newQueue()
-		a.becomeFresh(s.now.Add(-learningTime))
+		a.markFresh(s.now.Add(-warmupTime))
 	}
 	return s
 }
@@ -100,9 +100,9 @@
 	return fmt.Sprintf("%.1f messages/s, %.0f bytes/s", r.messages, r.bytes)
 }
 
-// cost measures what one entry sends a second, on average over all: while nothing happens, and with one
+// measureTraffic measures what one entry sends a second, on average over all: while nothing happens, and with one
 // entry killed and a new rumour each second, which is more than a busy day.
-func (s *sim) cost(quietFor, busyFor time.Duration) (quiet, busy rate) {
+func (s *sim) measureTraffic(quietFor, busyFor time.Duration) (quiet, busy rate) {
 	quiet = s.rate(quietFor, func() {})
 	last := len(s.nodes) - 1
 	s.kill(s.nodes[last])
@@ -136,7 +136,7 @@
 			b.Run(fmt.Sprintf("entries=%d/per-second=%d", n, perSecond), func(b *testing.B) {
 				for b.Loop() {
 					s := convergedSim(1, n)
-					delays := s.tellSteadily(perSecond, 30*time.Second, 20*time.Second)
+					delays := s.broadcastSteadily(perSecond, 30*time.Second, 20*time.Second)
 					slices.Sort(delays)
 					b.ReportMetric(delays[len(delays)/2].Seconds(), "delay-50-s")
 					b.ReportMetric(delays[len(delays)*95/100].Seconds(), "delay-95-s")
@@ -147,9 +147,9 @@
 	}
 }
 
-// tellSteadily tells rumours at a rate and then returns, for each pair of entry and name at some moments,
+// broadcastSteadily tells rumours at a rate and then returns, for each pair of entry and name at some moments,
 // how long ago the newest version that the entry does not know was told.
-func (s *sim) tellSteadily(perSecond int, warmup, measured time.Duration) []time.Duration {
+func (s *sim) broadcastSteadily(perSecond int, warmup, measured time.Duration) []time.Duration {
 	const period = 20
 	told := make(map[string][]time.Time) // by name: when version i+1 was told
 	var delays []time.Duration
--- a/entry/member/fault_test.go
+++ b/entry/member/fault_test.go
@@ -20,7 +20,7 @@
 			s.cut = func(from, to int) bool { return from == a.id && s.nodes[to].entry.Name == target }
 			for range 15 {
 				s.run(time.Second)
-				Expect(s.agreed(everybody)).To(BeTrue())
+				Expect(s.viewsAgree(allNodes)).To(BeTrue())
 			}
 			Expect(a.peers[target].unreachable).To(BeTrue())
 			s.cut = func(int, int) bool { return false }
@@ -37,14 +37,14 @@
 			left := func(id int) bool { return id%3 == 0 }
 			right := func(id int) bool { return id%3 != 0 }
 			s.cut = func(from, to int) bool { return left(from) != left(to) }
-			took := s.until(3*deadBound, func() bool { return s.agreed(left) && s.agreed(right) })
-			Expect(took).To(BeNumerically("<", 3*deadBound))
+			took := s.runUntil(3*detectionBound, func() bool { return s.viewsAgree(left) && s.viewsAgree(right) })
+			Expect(took).To(BeNumerically("<", 3*detectionBound))
 			s.nodes[0].Broadcast(Rumour{Topic: "test", Name: "left", Version: 1})
 			s.run(time.Minute)
 			s.cut = func(int, int) bool { return false }
-			healed := s.until(healBound, func() bool { return s.agreed(everybody) })
-			Expect(healed).To(BeNumerically("<", healBound))
-			s.until(time.Minute, func() bool { return s.nodes[1].heard["left"] == 1 })
+			healed := s.runUntil(recoveryBound, func() bool { return s.viewsAgree(allNodes) })
+			Expect(healed).To(BeNumerically("<", recoveryBound))
+			s.runUntil(time.Minute, func() bool { return s.nodes[1].heard["left"] == 1 })
 			Expect(s.nodes[1].heard).To(HaveKeyWithValue("left", uint64(1)))
 			return healed
 		})
@@ -54,7 +54,7 @@
 		s := startedSim(1, 16)
 		for _, overloaded := range []bool{true, false} {
 			s.nodes[3].SetOverloaded(overloaded)
-			s.until(deadBound, func() bool { return s.nodes[9].peers[s.nodes[3].entry.Name].status.Overloaded == overloaded })
+			s.runUntil(detectionBound, func() bool { return s.nodes[9].peers[s.nodes[3].entry.Name].status.Overloaded == overloaded })
 			for _, p := range s.nodes[9].Live() {
 				Expect(p.Overloaded).To(Equal(overloaded && p.Name == s.nodes[3].entry.Name))
 			}
@@ -73,7 +73,7 @@
 				}
 				s.run(time.Second)
 				for _, n := range s.nodes {
-					missing += len(s.nodes) - s.seenBy(n.entry.Name)
+					missing += len(s.nodes) - s.liveViewsOf(n.entry.Name)
 				}
 			}
 			pairs := len(s.nodes) * len(s.nodes) * 40
@@ -94,8 +94,8 @@
 			old := s.nodes[1]
 			s.run(5 * time.Second)
 			s.restart(1)
-			took := s.until(healBound, func() bool { return s.trustedBy(s.nodes[1]) && s.agreed(everybody) })
-			Expect(took).To(BeNumerically("<", healBound))
+			took := s.runUntil(recoveryBound, func() bool { return s.trustedBy(s.nodes[1]) && s.viewsAgree(allNodes) })
+			Expect(took).To(BeNumerically("<", recoveryBound))
 			old.dead = false
 			old.Upsert(s.nodes[1].entry, s.nodes[1].generation)
 			Expect(old.Superseded()).To(BeTrue())
@@ -123,11 +123,11 @@
 			for range rapid.IntRange(1, 12).Draw(t, "steps") {
 				events++
 				version++
-				play(t, s, version)
+				injectFault(t, s, version)
 				s.run(time.Duration(rapid.IntRange(50, 6000).Draw(t, "ms")) * time.Millisecond)
 			}
-			s.calm()
-			if took := s.until(2*time.Minute, func() bool { return s.agreed(everybody) && s.informed() }); took >= 2*time.Minute {
+			s.endFaults()
+			if took := s.runUntil(2*time.Minute, func() bool { return s.viewsAgree(allNodes) && s.rumoursConverged() }); took >= 2*time.Minute {
 				t.Fatalf("no agreement %v after the last fault", took)
 			}
 		})
@@ -145,12 +145,12 @@
 	return true
 }
 
-// play makes one thing happen.
-func play(t *rapid.T, s *sim, version uint64) {
+// injectFault makes one thing happen.
+func injectFault(t *rapid.T, s *sim, version uint64) {
 	n := s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "entry")]
 	what := rapid.SampledFrom([]string{"freeze", "wake", "restart", "cut", "heal", "loss", "rumour", "leave"}).Draw(t, "what")
 	switch {
-	case what == "freeze" && len(s.running(everybody)) > 2:
+	case what == "freeze" && len(s.running(allNodes)) > 2:
 		s.freeze(n)
 	case what == "wake":
 		s.wake(n)
@@ -165,15 +165,15 @@
 	case what == "loss":
 		s.loss = rapid.Float64Range(0, 0.3).Draw(t, "loss")
 	case what == "rumour" && !n.frozen:
-		body := make([]byte, rapid.IntRange(0, 2*inlineBytes).Draw(t, "bytes"))
+		body := make([]byte, rapid.IntRange(0, 2*maxInlineBytes).Draw(t, "bytes"))
 		n.Broadcast(Rumour{Topic: "test", Name: "news", Version: version, Body: body})
-	case what == "leave" && !n.frozen && len(s.running(everybody)) > 2:
+	case what == "leave" && !n.frozen && len(s.running(allNodes)) > 2:
 		n.Leave()
 	}
 }
 
-// calm ends all faults.
-func (s *sim) calm() {
+// endFaults ends all faults.
+func (s *sim) endFaults() {
 	s.cut = func(int, int) bool { return false }
 	s.loss = 0
 	for _, n := range s.nodes {
@@ -181,8 +181,8 @@
 	}
 }
 
-// informed reports whether all entries hold the same rumours.
-func (s *sim) informed() bool {
+// rumoursConverged reports whether all entries hold the same rumours.
+func (s *sim) rumoursConverged() bool {
 	newest := uint64(0)
 	for _, n := range s.nodes {
 		newest = max(newest, n.rumours[rumourKey{"test", "news"}].rumour.Version)
--- a/entry/member/finish.go
+++ b/entry/member/finish.go
@@ -30,29 +30,29 @@
 func (m *Members) finishPing(now time.Time, c call, r result) []call {
 	p := m.peers[c.to]
 	if r.err == nil {
-		m.observe(r.ack.Time)
-		m.queue.tell(c.to, c.keys)
-		m.queue.boring(c.ping.Gossip, r.ack.Known)
-		m.heardFrom(now, r.ack.Self)
+		m.observeTime(r.ack.Time)
+		m.queue.markKnown(c.to, c.keys)
+		m.queue.countDuplicates(c.ping.Gossip, r.ack.Known)
+		m.recordContact(now, r.ack.Self)
 		if p != nil {
-			p.failed = 0
+			p.failedPings = 0
 			m.setUnreachable(p, false)
 		}
 		m.applyItems(now, c.to, r.ack.Gossip, true)
-		if m.exchanged(now, c.sentAt) {
-			m.syncSoon(c.to)
+		if m.confirmFresh(now, c.sentAt) {
+			m.scheduleSync(c.to)
 		}
 		return nil
 	}
 	if p == nil || p.status.State != Alive {
 		return nil
 	}
-	p.failed++
-	if p.heard.After(c.sentAt) {
-		m.setUnreachable(p, p.failed >= maxStrikes)
+	p.failedPings++
+	if p.lastContact.After(c.sentAt) {
+		m.setUnreachable(p, p.failedPings >= maxFailedPings)
 		return nil
 	}
-	return m.askHelpers(now, p)
+	return m.pingIndirectly(now, p)
 }
 
 // setUnreachable notes whether the path from here to a live peer fails. Called with mu held.
@@ -61,33 +61,33 @@
 		return
 	}
 	p.unreachable = unreachable
-	m.changed()
+	m.markDirty()
 }
 
-// heardFrom notes that the entry itself spoke. Called with mu held.
-func (m *Members) heardFrom(now time.Time, s Status) {
+// recordContact notes that the entry itself spoke. Called with mu held.
+func (m *Members) recordContact(now time.Time, s Status) {
 	m.applyStatus(now, s.Name, s, true)
 	p := m.peers[s.Name]
 	if p != nil && p.status.Incarnation == s.Incarnation {
-		p.heard = now
-		p.strikes = 0
+		p.lastContact = now
+		p.unconfirmedFailures = 0
 	}
 }
 
-// askHelpers asks others to ping p, since only the path from here may be cut.
-func (m *Members) askHelpers(now time.Time, p *peerState) []call {
+// pingIndirectly asks others to ping p, since only the path from here may be cut.
+func (m *Members) pingIndirectly(now time.Time, p *peerState) []call {
 	name := p.status.Name
 	chosen := m.chooseHelpers(name)
-	t := &tally{target: name, before: p.status, waiting: len(chosen)}
+	t := &indirectProbe{target: name, statusBefore: p.status, pending: len(chosen)}
 	if len(chosen) == 0 {
-		m.strike(now, p, t)
+		m.recordUnconfirmedFailure(now, p, t)
 		return nil
 	}
 	var calls []call
 	for _, helper := range chosen {
 		calls = append(calls, call{
 			kind: callRelay, to: helper, address: m.peers[helper].entry.PeerAddress,
-			relay: Relay{Target: name}, tally: t,
+			relay: Relay{Target: name}, indirect: t,
 		})
 	}
 	return calls
@@ -100,21 +100,21 @@
 		return p != nil && name != target && p.status.State == Alive && !p.unreachable
 	}
 	pool := slices.DeleteFunc(m.fingers(), func(name string) bool { return !usable(name) })
-	if len(pool) < helpers {
-		pool = slices.DeleteFunc(slices.Clone(m.places()), func(name string) bool { return !usable(name) })
+	if len(pool) < helpersPerProbe {
+		pool = slices.DeleteFunc(slices.Clone(m.currentRing()), func(name string) bool { return !usable(name) })
 	}
 	m.rand.Shuffle(len(pool), func(i, j int) { pool[i], pool[j] = pool[j], pool[i] })
-	return pool[:min(helpers, len(pool))]
+	return pool[:min(helpersPerProbe, len(pool))]
 }
 
 func (m *Members) finishRelay(now time.Time, c call, r result) {
-	t := c.tally
-	t.waiting--
+	t := c.indirect
+	t.pending--
 	if r.err == nil {
 		t.answered = true
-		t.reached = t.reached || r.relayed.Reached
-		if r.relayed.Status.Name == t.target {
-			m.applyStatus(now, c.to, r.relayed.Status, true)
+		t.reached = t.reached || r.relayReply.Reached
+		if r.relayReply.Status.Name == t.target {
+			m.applyStatus(now, c.to, r.relayReply.Status, true)
 		}
 	}
 	p := m.peers[t.target]
@@ -122,23 +122,23 @@
 		return
 	}
 	if t.reached {
-		m.setUnreachable(p, p.failed >= maxStrikes)
-		p.strikes = 0
+		m.setUnreachable(p, p.failedPings >= maxFailedPings)
+		p.unconfirmedFailures = 0
 		return
 	}
-	if t.waiting == 0 {
-		m.strike(now, p, t)
+	if t.pending == 0 {
+		m.recordUnconfirmedFailure(now, p, t)
 	}
 }
 
-// strike counts a ping that failed on every way. One failure suffices when a helper says so too; when no
+// recordUnconfirmedFailure counts a ping that failed on every way. One failure suffices when a helper says so too; when no
 // helper answered, this entry itself may be the one that is cut off, and it tries once more.
-func (m *Members) strike(now time.Time, p *peerState, t *tally) {
-	if p.status != t.before || p.status.State != Alive {
+func (m *Members) recordUnconfirmedFailure(now time.Time, p *peerState, t *indirectProbe) {
+	if p.status != t.statusBefore || p.status.State != Alive {
 		return
 	}
-	p.strikes++
-	if !t.answered && p.strikes < maxStrikes {
+	p.unconfirmedFailures++
+	if !t.answered && p.unconfirmedFailures < maxFailedPings {
 		return
 	}
 	suspect := p.status
--- a/entry/member/freshness.go
+++ b/entry/member/freshness.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// pauseBound is how late a tick may be before the process counts as paused. Ticks come ten times a
+	// pauseThreshold is how late a tick may be before the process counts as paused. Ticks come ten times a
 	// second, so that a busy machine alone does not reach it; and it is well under the time in which
 	// others declare this entry dead, so that nobody can have taken over before.
-	pauseBound = 2 * time.Second
-	// aloneBound is how long an entry that knows others, none of which lives, waits for one of them
+	pauseThreshold = 2 * time.Second
+	// isolationTimeout is how long an entry that knows others, none of which lives, waits for one of them
 	// before it works alone.
-	aloneBound = 3 * time.Second
+	isolationTimeout = 3 * time.Second
 )
 
 // freshness says whether this entry can trust what it knows. A process that wakes from a pause still
@@ -39,57 +39,57 @@
 // Called with mu held.
 func (m *Members) checkPause(now time.Time) {
 	gap := max(now.Sub(m.lastTick), now.Round(0).Sub(m.lastTick.Round(0)))
-	if gap <= pauseBound {
+	if gap <= pauseThreshold {
 		return
 	}
 	m.lastTick = now
 	m.record(timeline.Event{Kind: timeline.ClockPaused, Millis: gap.Milliseconds()})
-	m.goStale(now)
+	m.markStale(now)
 }
 
-// goStale expires what is known: nobody is held alive on evidence from before, and nobody is declared
+// markStale expires what is known: nobody is held alive on evidence from before, and nobody is declared
 // dead because time went by while nobody here listened. Called with mu held.
-func (m *Members) goStale(now time.Time) {
+func (m *Members) markStale(now time.Time) {
 	m.stale = true
 	m.staleSince = now
 	m.nextProbe = now
 	for _, p := range m.peers {
-		p.strikes = 0
+		p.unconfirmedFailures = 0
 		if p.status.State == Suspect {
 			p.suspectUntil = now.Add(suspicionTimeout)
 		}
 	}
-	m.changed()
+	m.markDirty()
 }
 
-// exchanged notes an answered call that was made at sentAt, and reports whether it ended a pause. Called
+// confirmFresh notes an answered call that was made at sentAt, and reports whether it ended a pause. Called
 // with mu held.
-func (m *Members) exchanged(now, sentAt time.Time) bool {
+func (m *Members) confirmFresh(now, sentAt time.Time) bool {
 	if !m.stale || sentAt.Before(m.staleSince) {
 		return false
 	}
-	m.becomeFresh(now)
+	m.markFresh(now)
 	return true
 }
 
-// checkAlone lets an entry without live peers work. Called with mu held.
-func (m *Members) checkAlone(now time.Time) {
-	if !m.stale || len(m.places()) > 1 {
+// checkIsolated lets an entry without live peers work. Called with mu held.
+func (m *Members) checkIsolated(now time.Time) {
+	if !m.stale || len(m.currentRing()) > 1 {
 		return
 	}
-	if len(m.peers) == 0 || now.Sub(m.staleSince) >= aloneBound {
-		m.becomeFresh(now)
+	if len(m.peers) == 0 || now.Sub(m.staleSince) >= isolationTimeout {
+		m.markFresh(now)
 	}
 }
 
-func (m *Members) becomeFresh(now time.Time) {
+func (m *Members) markFresh(now time.Time) {
 	m.stale = false
 	m.freshSince = now
-	m.changed()
+	m.markDirty()
 }
 
-// owns reports whether this entry may count itself as an owner. Called with mu held.
-func (m *Members) owns() bool {
+// canOwn reports whether this entry may count itself as an owner. Called with mu held.
+func (m *Members) canOwn() bool {
 	return !m.stale && !m.superseded && !m.self.Leaving
 }
 
--- a/entry/member/member.go
+++ b/entry/member/member.go
@@ -43,8 +43,8 @@
 	self      Status
 	selfEntry platform.Entry
 	queue     *queue
-	rumours   map[rumourKey]held
-	wants     map[rumourKey]*want
+	rumours   map[rumourKey]storedRumour
+	bodyFetches     map[rumourKey]*bodyFetch
 	handlers  map[string]func(Rumour)
 	inbox     map[rumourKey]Rumour
 	watchers  []chan struct{}
@@ -78,15 +78,15 @@
 			trusted: map[string]string{cfg.Self.Fingerprint: cfg.Self.Name},
 		},
 		queue:      newQueue(),
-		rumours:    make(map[rumourKey]held),
-		wants:      make(map[rumourKey]*want),
+		rumours:    make(map[rumourKey]storedRumour),
+		bodyFetches:      make(map[rumourKey]*bodyFetch),
 		handlers:   make(map[string]func(Rumour)),
 		inbox:      make(map[rumourKey]Rumour),
 		inboxReady: make(chan struct{}, 1),
 	}
 	m.startFreshness(m.clock())
 	m.announceSelf()
-	m.changed()
+	m.markDirty()
 	m.refresh()
 	return m
 }
@@ -151,7 +151,7 @@
 	defer m.unlock()
 	now := m.clock()
 	if e.Name == m.self.Name {
-		m.applySelf(now, Status{Name: e.Name, Incarnation: e.Incarnation, Generation: generation})
+		m.applySelfStatus(now, Status{Name: e.Name, Incarnation: e.Incarnation, Generation: generation})
 		return
 	}
 	status := Status{Name: e.Name, Incarnation: e.Incarnation, Generation: generation, State: Dead, Leaving: e.Leaving}
@@ -170,7 +170,7 @@
 	m.mu.Lock()
 	defer m.unlock()
 	if p := m.peers[name]; p != nil && p.status.State == Dead {
-		m.remove(p)
+		m.removePeer(p)
 	}
 }
 
@@ -184,7 +184,7 @@
 	m.self.Leaving = true
 	m.self.Counter++
 	m.announceSelf()
-	m.changed()
+	m.markDirty()
 }
 
 // SetOverloaded tells the others whether callers should be sent elsewhere. Each change is a rumour to all:
@@ -198,7 +198,7 @@
 	m.self.Overloaded = overloaded
 	m.self.Counter++
 	m.announceSelf()
-	m.changed()
+	m.markDirty()
 }
 
 // announceSelf queues the own status. Called with mu held. Who lacks the profile asks for it once: pushed
--- a/entry/member/member_test.go
+++ b/entry/member/member_test.go
@@ -18,8 +18,8 @@
 // Bounds in virtual time.
 const (
 	joinBound = 10 * time.Second
-	deadBound = 8 * time.Second
-	healBound = 25 * time.Second
+	detectionBound = 8 * time.Second
+	recoveryBound = 25 * time.Second
 )
 
 // sizes are the numbers of entries played, and how many schedules of each.
@@ -27,7 +27,7 @@
 
 func startedSim(seed uint64, n int) *sim {
 	s := newSim(seed, n)
-	took := s.until(joinBound, func() bool { return s.agreed(everybody) })
+	took := s.runUntil(joinBound, func() bool { return s.viewsAgree(allNodes) })
 	Expect(took).To(BeNumerically("<", joinBound), "n=%d seed=%d never agreed", n, seed)
 	return s
 }
@@ -48,7 +48,7 @@
 		forSizes("start", func(s *sim) time.Duration {
 			for range 20 {
 				s.run(time.Second)
-				Expect(s.agreed(everybody)).To(BeTrue())
+				Expect(s.viewsAgree(allNodes)).To(BeTrue())
 			}
 			return 0
 		})
@@ -59,8 +59,8 @@
 	It("drops a killed entry everywhere within seconds", func() {
 		forSizes("killed", func(s *sim) time.Duration {
 			s.kill(s.nodes[s.rand.IntN(len(s.nodes))])
-			took := s.until(deadBound, func() bool { return s.agreed(everybody) })
-			Expect(took).To(BeNumerically("<", deadBound))
+			took := s.runUntil(detectionBound, func() bool { return s.viewsAgree(allNodes) })
+			Expect(took).To(BeNumerically("<", detectionBound))
 			return took
 		})
 	})
@@ -72,19 +72,19 @@
 			n := s.nodes[s.rand.IntN(len(s.nodes))]
 			before := n.self.Counter
 			s.freeze(n)
-			took := s.until(deadBound, func() bool { return s.agreed(everybody) })
-			Expect(took).To(BeNumerically("<", deadBound))
+			took := s.runUntil(detectionBound, func() bool { return s.viewsAgree(allNodes) })
+			Expect(took).To(BeNumerically("<", detectionBound))
 			s.run(15 * time.Second)
 			n.frozen = false
 			Expect(n.Paused()).To(BeTrue())
 			Expect(liveNames(n)).NotTo(ContainElement(n.entry.Name))
 			Expect(liveNames(n)).To(HaveLen(len(s.nodes) - 1))
 			s.wake(n)
-			back := s.until(healBound, func() bool {
+			back := s.runUntil(recoveryBound, func() bool {
 				Expect(len(liveNames(n))).To(BeNumerically(">=", len(s.nodes)-1), "the waking entry blamed others")
-				return s.agreed(everybody)
+				return s.viewsAgree(allNodes)
 			})
-			Expect(back).To(BeNumerically("<", healBound))
+			Expect(back).To(BeNumerically("<", recoveryBound))
 			Expect(n.self.Counter).To(BeNumerically(">", before))
 			return took
 		})
@@ -118,7 +118,7 @@
 			held := a.peers[b.entry.Name].status
 			held.State = state
 			a.setStatus(s.now, a.peers[b.entry.Name], held, false)
-			ack, err := b.receivePing(s.now, a.entry.Name, a.pingCall(b.entry.Name).ping)
+			ack, err := b.handlePing(s.now, a.entry.Name, a.pingCall(b.entry.Name).ping)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(ack.Self.Counter).To(BeNumerically(">", held.Counter))
 			Expect(b.Paused()).To(Equal(state == Dead), "one that is held dead has lost what it owned")
@@ -128,9 +128,9 @@
 	It("refuses a ping under another's name or for another entry", func() {
 		s := convergedSim(1, 4)
 		ping := s.nodes[0].pingCall(s.nodes[1].entry.Name).ping
-		_, err := s.nodes[1].receivePing(s.now, s.nodes[2].entry.Name, ping)
+		_, err := s.nodes[1].handlePing(s.now, s.nodes[2].entry.Name, ping)
 		Expect(err).To(MatchError(ErrNameMismatch))
-		_, err = s.nodes[2].receivePing(s.now, s.nodes[0].entry.Name, ping)
+		_, err = s.nodes[2].handlePing(s.now, s.nodes[0].entry.Name, ping)
 		Expect(err).To(MatchError(ErrWrongTarget))
 	})
 
@@ -142,7 +142,7 @@
 		Expect(a.rumours[key].rumour.Version).To(Equal(uint64(5)))
 		a.expireRumours(a.clock().Add(time.Second))
 		Expect(a.rumours).NotTo(HaveKey(key))
-		Expect(a.queue.pieces).NotTo(HaveKey(key.String()))
+		Expect(a.queue.items).NotTo(HaveKey(key.String()))
 	})
 
 	// Most copies of a rumour reach entries that have it, and take the place of news.
@@ -151,16 +151,16 @@
 		old := item{Rumour: &Rumour{Topic: "t", Name: "x", Version: 1}}
 		fresh := item{Rumour: &Rumour{Topic: "t", Name: "x", Version: 2}}
 		q.put(old.key(), old)
-		q.boring([]item{old}, []byte{0, 9})
+		q.countDuplicates([]item{old}, []byte{0, 9})
 		q.put(old.key(), fresh)
-		for range maxKnown {
-			q.boring([]item{old}, []byte{0})
+		for range maxDuplicates {
+			q.countDuplicates([]item{old}, []byte{0})
 		}
-		Expect(q.pieces).To(HaveKey(fresh.key()))
-		for range maxKnown {
-			q.boring([]item{fresh}, []byte{0})
+		Expect(q.items).To(HaveKey(fresh.key()))
+		for range maxDuplicates {
+			q.countDuplicates([]item{fresh}, []byte{0})
 		}
-		Expect(q.pieces).To(BeEmpty())
+		Expect(q.items).To(BeEmpty())
 	})
 
 	It("sends each piece a limited number of times, those on liveness first, within the budget", func() {
@@ -170,11 +170,11 @@
 		}
 		q.put("status", item{Status: &Status{Name: "a"}})
 		sent := map[string]int{}
-		for len(q.pieces) > 0 {
-			items, keys := q.pick("b", gossipBytes, 3)
+		for len(q.items) > 0 {
+			items, keys := q.pick("b", maxGossipBytes, 3)
 			encoded, err := cbor.Marshal(items)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(len(encoded)).To(BeNumerically("<=", gossipBytes+1))
+			Expect(len(encoded)).To(BeNumerically("<=", maxGossipBytes+1))
 			Expect(sent["status"] == 3 || keys[0] == "status").To(BeTrue())
 			for _, key := range keys {
 				sent[key]++
--- a/entry/member/message.go
+++ b/entry/member/message.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// sameNews reports whether two items under one key say the same.
-func (it item) sameNews(other item) bool {
+// sameVersion reports whether two items under one key say the same.
+func (it item) sameVersion(other item) bool {
 	if it.Status != nil && other.Status != nil {
 		return *it.Status == *other.Status
 	}
@@ -90,11 +90,11 @@
 	Self     Status    `cbor:"2,keyasint"`
 	Buckets  []int     `cbor:"3,keyasint,omitempty"`
 	Statuses []Status  `cbor:"4,keyasint,omitempty"`
-	Versions []version `cbor:"5,keyasint,omitempty"`
+	Versions []rumourVersion `cbor:"5,keyasint,omitempty"`
 }
 
-// version names a rumour without its body.
-type version struct {
+// rumourVersion names a rumour without its body.
+type rumourVersion struct {
 	Topic   string `cbor:"1,keyasint"`
 	Name    string `cbor:"2,keyasint"`
 	Version uint64 `cbor:"3,keyasint"`
@@ -104,7 +104,7 @@
 type Exchange struct {
 	Items        []item    `cbor:"1,keyasint,omitempty"`
 	WantProfiles []string  `cbor:"2,keyasint,omitempty"`
-	WantRumours  []version `cbor:"3,keyasint,omitempty"`
+	WantRumours  []rumourVersion `cbor:"3,keyasint,omitempty"`
 }
 
 // ExchangeReply answers an Exchange. More says that not all that was wanted fitted.
--- a/entry/member/probe.go
+++ b/entry/member/probe.go
@@ -22,38 +22,38 @@
 	// since a dial that nobody answers costs some 6 KB.
 	retryPeriod  = 10 * time.Second
 	recentlyDead = 10 * time.Minute
-	longRetry    = 6
+	longDeadRetryInterval    = 6
 	// joinPeriod is how often joinPings known entries are tried while none is known to live: at the
 	// start, until the others have heard of this entry's key, and when cut off.
 	joinPeriod  = 500 * time.Millisecond
 	joinPings   = 2
 	syncPeriod  = 10 * time.Second
 	syncTimeout = 3 * time.Second
-	// learningSyncPeriod stands for syncPeriod for learningTime after a start or a pause.
-	learningSyncPeriod = 2 * time.Second
-	learningTime       = 15 * time.Second
+	// warmupSyncPeriod stands for syncPeriod for learningTime after a start or a pause.
+	warmupSyncPeriod = 2 * time.Second
+	warmupTime       = 15 * time.Second
 	// deadRetention is how long a dead entry is remembered, and tried, unless Forget is called.
 	deadRetention = 24 * time.Hour
 )
 
 const (
-	// gossipBytes bounds the gossip of one message. With three pings sent and three answered a second,
+	// maxGossipBytes bounds the gossip of one message. With three pings sent and three answered a second,
 	// each with an answer, it bounds all gossip of an entry to 12 x 400 bytes a second, both directions
 	// together.
-	gossipBytes = 400
-	helpers     = 2
-	// maxStrikes is how many pings in a row must fail to raise a suspicion when no helper answered
+	maxGossipBytes = 400
+	helpersPerProbe     = 2
+	// maxFailedPings is how many pings in a row must fail to raise a suspicion when no helper answered
 	// either: then the fault may lie with this entry; or to call a peer unreachable that others reach.
-	maxStrikes = 2
+	maxFailedPings = 2
 )
 
 // schedule holds when things are due.
 type schedule struct {
 	nextProbe, nextRetry, nextJoin, nextSync time.Time
-	finger                                   int
-	retried                                  int
-	syncFrom                                 string   // to be asked for a digest soon
-	cuts                                     []string // addresses to disconnect
+	nextFinger                                   int
+	retryCount                                  int
+	syncTarget                                 string   // to be asked for a digest soon
+	disconnectAddresses                                     []string // addresses to disconnect
 }
 
 // callKind says which call of a Pinger a call is.
@@ -80,23 +80,23 @@
 	digest   Digest
 	exchange Exchange
 	fetch    rumourKey // what exchange fetches, if it does
-	tally    *tally    // of the relays for one target
+	indirect    *indirectProbe    // of the relays for one target
 }
 
 // result is what came of a call.
 type result struct {
 	err       error
 	ack       Ack
-	relayed   RelayReply
-	listing   DigestReply
-	exchanged ExchangeReply
+	relayReply   RelayReply
+	digestReply   DigestReply
+	exchangeReply ExchangeReply
 }
 
-// tally collects the answers of the helpers for one target.
-type tally struct {
+// indirectProbe collects the answers of the helpers for one target.
+type indirectProbe struct {
 	target   string
-	before   Status
-	waiting  int
+	statusBefore   Status
+	pending  int
 	answered bool
 	reached  bool
 }
@@ -109,24 +109,24 @@
 	m.lastTick = now
 	m.expirePeers(now)
 	m.expireRumours(now)
-	m.checkAlone(now)
-	calls := m.disconnects()
-	calls = append(calls, m.probes(now)...)
-	calls = append(calls, m.retries(now)...)
-	calls = append(calls, m.syncs(now)...)
-	calls = append(calls, m.fetches()...)
+	m.checkIsolated(now)
+	calls := m.disconnectCalls()
+	calls = append(calls, m.probeCalls(now)...)
+	calls = append(calls, m.retryCalls(now)...)
+	calls = append(calls, m.syncCalls(now)...)
+	calls = append(calls, m.fetchCalls()...)
 	for i := range calls {
 		calls[i].sentAt = now
 	}
 	return calls
 }
 
-func (m *Members) disconnects() []call {
-	calls := make([]call, 0, len(m.cuts))
-	for _, address := range m.cuts {
+func (m *Members) disconnectCalls() []call {
+	calls := make([]call, 0, len(m.disconnectAddresses))
+	for _, address := range m.disconnectAddresses {
 		calls = append(calls, call{kind: callDisconnect, address: address})
 	}
-	m.cuts = m.cuts[:0]
+	m.disconnectAddresses = m.disconnectAddresses[:0]
 	return calls
 }
 
@@ -139,12 +139,12 @@
 			dead.State = Dead
 			m.setStatus(now, p, dead, true)
 		case p.status.State == Dead && now.Sub(p.diedAt) >= deadRetention:
-			m.remove(p)
+			m.removePeer(p)
 		}
 	}
 }
 
-func (m *Members) probes(now time.Time) []call {
+func (m *Members) probeCalls(now time.Time) []call {
 	if now.Before(m.nextProbe) {
 		return nil
 	}
@@ -153,8 +153,8 @@
 	if len(fingers) == 0 {
 		return nil
 	}
-	m.finger = (m.finger + 1) % len(fingers)
-	return []call{m.pingCall(fingers[m.finger])}
+	m.nextFinger = (m.nextFinger + 1) % len(fingers)
+	return []call{m.pingCall(fingers[m.nextFinger])}
 }
 
 func maxTime(a, b time.Time) time.Time {
@@ -166,7 +166,7 @@
 
 // fingers returns the entries at distances 1, 2, 4, ... along the ring.
 func (m *Members) fingers() []string {
-	ring := m.places()
+	ring := m.currentRing()
 	at := slices.Index(ring, m.self.Name)
 	var found []string
 	for d := 1; d < len(ring); d *= 2 {
@@ -181,7 +181,7 @@
 	gossip, keys := m.gossipFor(p)
 	return call{
 		kind: callPing, to: to, address: p.entry.PeerAddress, keys: keys,
-		ping: Ping{Time: m.stamp(), Self: m.self, Target: to, Gossip: gossip},
+		ping: Ping{Time: m.timestamp(), Self: m.self, Target: to, Gossip: gossip},
 	}
 }
 
@@ -195,7 +195,7 @@
 	if held.State == Dead {
 		return []item{{Status: &held}}, nil
 	}
-	picked, keys := m.queue.pick(held.Name, gossipBytes, sendLimit(len(m.places())))
+	picked, keys := m.queue.pick(held.Name, maxGossipBytes, sendLimit(len(m.currentRing())))
 	m.countDownTTL(picked)
 	if held.State == Suspect {
 		picked = append([]item{{Status: &held}}, picked...)
@@ -215,18 +215,18 @@
 	}
 }
 
-// retries pings a dead entry now and then, and some more often while none is known to live.
-func (m *Members) retries(now time.Time) []call {
-	if len(m.places()) == 1 {
-		return m.joins(now)
+// retryCalls pings a dead entry now and then, and some more often while none is known to live.
+func (m *Members) retryCalls(now time.Time) []call {
+	if len(m.currentRing()) == 1 {
+		return m.joinCalls(now)
 	}
 	if now.Before(m.nextRetry) {
 		return nil
 	}
 	m.nextRetry = now.Add(m.jitter(retryPeriod))
-	m.retried++
+	m.retryCount++
 	dead := m.deadNames(func(p *peerState) bool {
-		return m.retried%longRetry == 0 || now.Sub(p.diedAt) < recentlyDead
+		return m.retryCount%longDeadRetryInterval == 0 || now.Sub(p.diedAt) < recentlyDead
 	})
 	if len(dead) == 0 {
 		return nil
@@ -234,7 +234,7 @@
 	return []call{m.pingCall(dead[0])}
 }
 
-func (m *Members) joins(now time.Time) []call {
+func (m *Members) joinCalls(now time.Time) []call {
 	if now.Before(m.nextJoin) {
 		return nil
 	}
@@ -265,15 +265,15 @@
 	return d*4/5 + time.Duration(m.rand.Int64N(int64(d)*2/5))
 }
 
-// stamp returns a time for an outgoing message.
-func (m *Members) stamp() int64 {
+// timestamp returns a time for an outgoing message.
+func (m *Members) timestamp() int64 {
 	if m.events == nil {
 		return 0
 	}
 	return m.events.Now()
 }
 
-func (m *Members) observe(at int64) {
+func (m *Members) observeTime(at int64) {
 	if m.events != nil {
 		m.events.Observe(at)
 	}
--- a/entry/member/queue.go
+++ b/entry/member/queue.go
@@ -16,24 +16,24 @@
 // grows with the logarithm of the number of entries: that many rounds reach nearly all of them, and
 // the exchange of digests heals the rest.
 type queue struct {
-	pieces map[string]*piece
+	items map[string]*queuedItem
 	order  uint64
 }
 
-type piece struct {
+type queuedItem struct {
 	key   string
 	item  item
 	size  int
 	class class
 	order uint64
 	sent  int
-	// known counts the pings whose target knew it already.
-	known int
-	// told lists entries that are known to have it.
-	told map[string]bool
+	// duplicates counts the pings whose target knew it already.
+	duplicates int
+	// knownBy lists entries that are known to have it.
+	knownBy map[string]bool
 }
 
-func newQueue() *queue { return &queue{pieces: make(map[string]*piece)} }
+func newQueue() *queue { return &queue{items: make(map[string]*queuedItem)} }
 
 // class ranks pieces. Messages are bounded: when more is told than fits, the lower classes wait.
 type class uint8
@@ -41,10 +41,10 @@
 const (
 	// liveness first: a burst of rumours must not delay a refutation.
 	liveness class = iota
-	// lasting rumours, such as settings, are told once.
-	lasting
-	// passing rumours, those with a TTL, are told again and again.
-	passing
+	// persistent rumours, such as settings, are told once.
+	persistent
+	// transient rumours, those with a TTL, are told again and again.
+	transient
 )
 
 func classOf(it item) class {
@@ -52,9 +52,9 @@
 	case it.Rumour == nil:
 		return liveness
 	case it.Rumour.TTL == 0:
-		return lasting
+		return persistent
 	default:
-		return passing
+		return transient
 	}
 }
 
@@ -65,25 +65,25 @@
 		return
 	}
 	q.order++
-	q.pieces[key] = &piece{
-		key: key, item: it, size: len(encoded), class: classOf(it), order: q.order, told: make(map[string]bool),
+	q.items[key] = &queuedItem{
+		key: key, item: it, size: len(encoded), class: classOf(it), order: q.order, knownBy: make(map[string]bool),
 	}
-	if len(q.pieces) > maxQueued {
-		q.dropMostSent()
+	if len(q.items) > maxQueued {
+		q.evictMostSent()
 	}
 }
 
-func (q *queue) dropMostSent() {
-	var most *piece
-	for _, p := range q.pieces {
+func (q *queue) evictMostSent() {
+	var most *queuedItem
+	for _, p := range q.items {
 		if most == nil || cmp.Or(cmp.Compare(p.class, most.class), cmp.Compare(p.sent, most.sent), cmp.Compare(most.order, p.order)) > 0 {
 			most = p
 		}
 	}
-	delete(q.pieces, most.key)
+	delete(q.items, most.key)
 }
 
-func (q *queue) drop(key string) { delete(q.pieces, key) }
+func (q *queue) remove(key string) { delete(q.items, key) }
 
 // pick takes pieces for a message to an entry, within budget bytes: by class, then those sent least
 // often, then the newest. It returns their keys too.
@@ -99,53 +99,53 @@
 		keys = append(keys, p.key)
 		p.sent++
 		if p.sent >= limit {
-			delete(q.pieces, p.key)
+			delete(q.items, p.key)
 		}
 	}
 	return items, keys
 }
 
-func (q *queue) candidates(to string) []*piece {
-	found := make([]*piece, 0, len(q.pieces))
-	for _, p := range q.pieces {
-		if !p.told[to] {
+func (q *queue) candidates(to string) []*queuedItem {
+	found := make([]*queuedItem, 0, len(q.items))
+	for _, p := range q.items {
+		if !p.knownBy[to] {
 			found = append(found, p)
 		}
 	}
-	slices.SortFunc(found, func(a, b *piece) int {
+	slices.SortFunc(found, func(a, b *queuedItem) int {
 		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.sent, b.sent), cmp.Compare(b.order, a.order))
 	})
 	return found
 }
 
-// tell notes that an entry has the pieces.
-func (q *queue) tell(to string, keys []string) {
+// markKnown notes that an entry has the pieces.
+func (q *queue) markKnown(to string, keys []string) {
 	for _, key := range keys {
-		if p := q.pieces[key]; p != nil {
-			p.told[to] = true
+		if p := q.items[key]; p != nil {
+			p.knownBy[to] = true
 		}
 	}
 }
 
-// boring counts the items that their receiver knew already. A piece that was known maxKnown times has
+// countDuplicates counts the items that their receiver knew already. A piece that was known maxKnown times has
 // most likely reached nearly all, and to send it on would take the place of news.
-func (q *queue) boring(sent []item, known []byte) {
+func (q *queue) countDuplicates(sent []item, known []byte) {
 	for _, i := range known {
 		if int(i) >= len(sent) {
 			return
 		}
-		p := q.pieces[sent[i].key()]
-		if p == nil || !p.item.sameNews(sent[i]) {
+		p := q.items[sent[i].key()]
+		if p == nil || !p.item.sameVersion(sent[i]) {
 			continue // replaced by newer news meanwhile
 		}
-		p.known++
-		if p.known >= maxKnown {
-			delete(q.pieces, p.key)
+		p.duplicates++
+		if p.duplicates >= maxDuplicates {
+			delete(q.items, p.key)
 		}
 	}
 }
 
-const maxKnown = 2
+const maxDuplicates = 2
 
 // sendLimit is how often a piece is sent by each of n entries.
 func sendLimit(n int) int { return bits.Len(uint(n)) + 2 }
--- a/entry/member/rumours.go
+++ b/entry/member/rumours.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// inlineBytes is the largest body that is pushed with pings. A larger one would be sent many times over
+// maxInlineBytes is the largest body that is pushed with pings. A larger one would be sent many times over
 // by each entry; it is announced instead, and each entry fetches it once.
-const inlineBytes = 200
+const maxInlineBytes = 200
 
-// held is a rumour in the store.
-type held struct {
+// storedRumour is a rumour in the store.
+type storedRumour struct {
 	rumour  Rumour
 	expires time.Time // zero: never
 }
@@ -23,11 +23,11 @@
 
 func keyOf(r Rumour) rumourKey { return rumourKey{r.Topic, r.Name} }
 
-// want is a rumour whose body is to be fetched.
-type want struct {
+// bodyFetch is a rumour whose body is to be fetched.
+type bodyFetch struct {
 	version uint64
 	sources []string
-	asked   bool
+	inFlight   bool
 }
 
 const maxSources = 3
@@ -39,7 +39,7 @@
 	defer m.unlock()
 	now := m.clock()
 	r.Announced = 0
-	m.keepRumour(now, r, true)
+	m.storeRumour(now, r, true)
 }
 
 // Handle registers the handler of a topic, before Run. It is called for each rumour of other entries
@@ -50,58 +50,58 @@
 	m.handlers[topic] = handler
 }
 
-// keepRumour stores r if it is newer and reports whether it was. Called with mu held.
-func (m *Members) keepRumour(now time.Time, r Rumour, spread bool) bool {
+// storeRumour stores r if it is newer and reports whether it was. Called with mu held.
+func (m *Members) storeRumour(now time.Time, r Rumour, spread bool) bool {
 	key := keyOf(r)
 	if old, ok := m.rumours[key]; ok && old.rumour.Version >= r.Version {
 		return false
 	}
-	kept := held{rumour: r}
+	kept := storedRumour{rumour: r}
 	if r.TTL > 0 {
 		kept.expires = now.Add(r.TTL)
 	}
 	m.rumours[key] = kept
-	if w := m.wants[key]; w != nil && w.version <= r.Version {
-		delete(m.wants, key)
+	if w := m.bodyFetches[key]; w != nil && w.version <= r.Version {
+		delete(m.bodyFetches, key)
 	}
 	if spread {
-		m.queue.put(key.String(), item{Rumour: announced(r)})
+		m.queue.put(key.String(), item{Rumour: inlineOrAnnounced(r)})
 	}
 	return true
 }
 
-// announced returns r as it is pushed: without its body if that is large.
-func announced(r Rumour) *Rumour {
-	if len(r.Body) > inlineBytes {
+// inlineOrAnnounced returns r as it is pushed: without its body if that is large.
+func inlineOrAnnounced(r Rumour) *Rumour {
+	if len(r.Body) > maxInlineBytes {
 		r.Announced = len(r.Body)
 		r.Body = nil
 	}
 	return &r
 }
 
-// hearRumour takes in a rumour from another entry and reports whether it was news. Called with mu held.
-func (m *Members) hearRumour(now time.Time, from string, r Rumour, spread bool) bool {
+// receiveRumour takes in a rumour from another entry and reports whether it was news. Called with mu held.
+func (m *Members) receiveRumour(now time.Time, from string, r Rumour, spread bool) bool {
 	if r.Announced > 0 {
-		return m.noteWant(from, r)
+		return m.scheduleFetch(from, r)
 	}
-	if !m.keepRumour(now, r, spread) {
+	if !m.storeRumour(now, r, spread) {
 		return false
 	}
 	m.deliver(r)
 	return true
 }
 
-// noteWant remembers who can give the body of an announced rumour, and reports whether it is wanted.
+// scheduleFetch remembers who can give the body of an announced rumour, and reports whether it is wanted.
 // Called with mu held.
-func (m *Members) noteWant(from string, r Rumour) bool {
+func (m *Members) scheduleFetch(from string, r Rumour) bool {
 	key := keyOf(r)
 	if m.rumours[key].rumour.Version >= r.Version {
 		return false
 	}
-	w := m.wants[key]
+	w := m.bodyFetches[key]
 	if w == nil || w.version < r.Version {
-		w = &want{version: r.Version}
-		m.wants[key] = w
+		w = &bodyFetch{version: r.Version}
+		m.bodyFetches[key] = w
 	}
 	if len(w.sources) < maxSources {
 		w.sources = append(w.sources, from)
@@ -109,16 +109,16 @@
 	return true
 }
 
-// fetches returns the calls that fetch wanted bodies, one for each. Called with mu held.
-func (m *Members) fetches() []call {
+// fetchCalls returns the calls that fetch wanted bodies, one for each. Called with mu held.
+func (m *Members) fetchCalls() []call {
 	var calls []call
-	for _, key := range sortedKeys(m.wants) {
-		w := m.wants[key]
-		if w.asked {
+	for _, key := range sortedKeys(m.bodyFetches) {
+		w := m.bodyFetches[key]
+		if w.inFlight {
 			continue
 		}
 		if len(w.sources) == 0 {
-			delete(m.wants, key) // the exchange of digests will find it again
+			delete(m.bodyFetches, key) // the exchange of digests will find it again
 			continue
 		}
 		source := w.sources[0]
@@ -127,8 +127,8 @@
 		if p == nil {
 			continue
 		}
-		w.asked = true
-		ask := Exchange{WantRumours: []version{{Topic: key.topic, Name: key.name, Version: w.version}}}
+		w.inFlight = true
+		ask := Exchange{WantRumours: []rumourVersion{{Topic: key.topic, Name: key.name, Version: w.version}}}
 		calls = append(calls, call{kind: callExchange, to: source, address: p.entry.PeerAddress, exchange: ask, fetch: key})
 	}
 	return calls
@@ -139,7 +139,7 @@
 	for key, h := range m.rumours {
 		if !h.expires.IsZero() && !now.Before(h.expires) {
 			delete(m.rumours, key)
-			m.queue.drop(key.String())
+			m.queue.remove(key.String())
 		}
 	}
 }
--- a/entry/member/run.go
+++ b/entry/member/run.go
@@ -59,23 +59,23 @@
 // for.
 func (m *Members) Register(s *peer.Server, pinger Pinger) {
 	peer.Handle(s, pathPing, func(_ context.Context, from string, ping Ping) (Ack, error) {
-		return m.receivePing(m.clock(), from, ping)
+		return m.handlePing(m.clock(), from, ping)
 	})
 	peer.Handle(s, pathDigest, func(_ context.Context, from string, d Digest) (DigestReply, error) {
-		return m.receiveDigest(m.clock(), from, d)
+		return m.handleDigest(m.clock(), from, d)
 	})
 	peer.Handle(s, pathExchange, func(_ context.Context, from string, e Exchange) (ExchangeReply, error) {
-		return m.receiveExchange(m.clock(), from, e)
+		return m.handleExchange(m.clock(), from, e)
 	})
 	peer.Handle(s, pathRelay, func(ctx context.Context, _ string, ask Relay) (RelayReply, error) {
-		c, err := m.relayPing(m.clock(), ask)
+		c, err := m.prepareRelay(m.clock(), ask)
 		if err != nil {
 			return RelayReply{}, err
 		}
 		ctx, cancel := context.WithTimeout(ctx, relayedPingTimeout)
 		defer cancel()
 		r := perform(ctx, pinger, c)
-		return m.relayed(m.clock(), c, r), nil
+		return m.completeRelay(m.clock(), c, r), nil
 	})
 }
 
@@ -86,11 +86,11 @@
 	case callPing:
 		r.ack, r.err = pinger.Ping(ctx, c.address, c.ping)
 	case callRelay:
-		r.relayed, r.err = pinger.Relay(ctx, c.address, c.relay)
+		r.relayReply, r.err = pinger.Relay(ctx, c.address, c.relay)
 	case callDigest:
-		r.listing, r.err = pinger.Digest(ctx, c.address, c.digest)
+		r.digestReply, r.err = pinger.Digest(ctx, c.address, c.digest)
 	case callExchange:
-		r.exchanged, r.err = pinger.Exchange(ctx, c.address, c.exchange)
+		r.exchangeReply, r.err = pinger.Exchange(ctx, c.address, c.exchange)
 	case callDisconnect:
 		pinger.Disconnect(c.address)
 	}
@@ -113,7 +113,7 @@
 	pending := make(chan call, maxPending)
 	var wait sync.WaitGroup
 	for range workers {
-		wait.Go(func() { m.work(ctx, pinger, pending) })
+		wait.Go(func() { m.runWorker(ctx, pinger, pending) })
 	}
 	wait.Go(func() { m.dispatchUntil(ctx) })
 	ticker := time.NewTicker(tickPeriod)
@@ -139,7 +139,7 @@
 	}
 }
 
-func (m *Members) work(ctx context.Context, pinger Pinger, pending chan call) {
+func (m *Members) runWorker(ctx context.Context, pinger Pinger, pending chan call) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/entry/member/run_test.go
+++ b/entry/member/run_test.go
@@ -13,7 +13,7 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-const patience = 60 * time.Second
+const pollTimeout = 60 * time.Second
 
 // process is one entry on loopback, over the real link.
 type process struct {
@@ -70,25 +70,25 @@
 		b.Upsert(c.entry, 3)
 		c.Upsert(b.entry, 2)
 		for _, p := range []*process{a, b, c} {
-			Eventually(func() int { return len(p.Live()) }, patience).Should(Equal(3))
+			Eventually(func() int { return len(p.Live()) }, pollTimeout).Should(Equal(3))
 		}
 		changed := a.Subscribe()
 		a.Broadcast(Rumour{Topic: "settings", Name: "tree", Version: 7, Body: make([]byte, 300_000)})
-		Eventually(got, patience).Should(Receive(HaveField("Body", HaveLen(300_000))))
+		Eventually(got, pollTimeout).Should(Receive(HaveField("Body", HaveLen(300_000))))
 		a.Broadcast(Rumour{Topic: "settings", Name: "tree", Version: 8, Body: []byte("small")})
-		Eventually(got, patience).Should(Receive(HaveField("Version", uint64(8))))
+		Eventually(got, pollTimeout).Should(Receive(HaveField("Version", uint64(8))))
 		a.Broadcast(Rumour{Topic: "settings", Name: "tree", Version: 7, Body: []byte("old")})
 		c.stop()
-		Eventually(changed, patience).Should(Receive())
-		Eventually(func() []string { return names(a.Live()) }, patience).Should(Equal([]string{"a", "b"}))
+		Eventually(changed, pollTimeout).Should(Receive())
+		Eventually(func() []string { return names(a.Live()) }, pollTimeout).Should(Equal([]string{"a", "b"}))
 		b.Leave()
-		Eventually(func() []string { return names(a.Live()) }, patience).Should(Equal([]string{"a"}))
+		Eventually(func() []string { return names(a.Live()) }, pollTimeout).Should(Equal([]string{"a"}))
 		Expect(got).To(BeEmpty())
 	})
 
 	It("works alone when nobody else is known", func() {
 		a := startProcess("a", 1)
-		Eventually(func() []string { return names(a.Live()) }, patience).Should(Equal([]string{"a"}))
+		Eventually(func() []string { return names(a.Live()) }, pollTimeout).Should(Equal([]string{"a"}))
 		Expect(a.Paused()).To(BeFalse())
 	})
 })
--- a/entry/member/sim_test.go
+++ b/entry/member/sim_test.go
@@ -37,7 +37,7 @@
 	*Members
 	dead    bool
 	frozen  bool
-	waiting []func() // what the kernel keeps for a frozen process
+	backlog []func() // what the kernel keeps for a frozen process
 	heard   map[string]uint64
 }
 
@@ -64,7 +64,7 @@
 	return last
 }
 
-var errLost = eris.New("no answer in time")
+var errTimeout = eris.New("no answer in time")
 
 func newSim(seed uint64, n int) *sim {
 	s := &sim{
@@ -110,7 +110,7 @@
 }
 
 func (s *sim) tickLoop(n *node) {
-	s.on(n, func() {
+	s.runOn(n, func() {
 		for _, c := range n.tick(s.now) {
 			s.perform(n, c, timeoutOf(c.kind), func(r result) { s.finish(n, c, r) })
 		}
@@ -130,12 +130,12 @@
 	heap.Push(&s.events, event{at: s.now.Add(d), order: s.order, run: run})
 }
 
-// on runs something at a node: never if it is dead, after its wake if it is frozen.
-func (s *sim) on(n *node, run func()) {
+// runOn runs something at a node: never if it is dead, after its wake if it is frozen.
+func (s *sim) runOn(n *node, run func()) {
 	switch {
 	case n.dead:
 	case n.frozen:
-		n.waiting = append(n.waiting, run)
+		n.backlog = append(n.backlog, run)
 	default:
 		run()
 	}
@@ -151,8 +151,8 @@
 	s.now = end
 }
 
-// until runs until ok or the limit, and returns how long that took.
-func (s *sim) until(limit time.Duration, ok func() bool) time.Duration {
+// runUntil runs runUntil ok or the limit, and returns how long that took.
+func (s *sim) runUntil(limit time.Duration, ok func() bool) time.Duration {
 	start := s.now
 	for !ok() && s.now.Sub(start) < limit {
 		s.run(tickPeriod)
@@ -181,7 +181,7 @@
 	}
 	latency := time.Millisecond + time.Duration(s.rand.Int64N(int64(4*time.Millisecond)))
 	s.after(latency, func() {
-		s.on(to, func() {
+		s.runOn(to, func() {
 			var decoded T
 			Expect(cbor.Unmarshal(encoded, &decoded)).To(Succeed())
 			arrive(decoded)
@@ -200,36 +200,36 @@
 	settle := func(r result) {
 		if !over {
 			over = true
-			s.on(from, func() { done(r) })
+			s.runOn(from, func() { done(r) })
 		}
 	}
-	s.after(timeout, func() { settle(result{err: errLost}) })
+	s.after(timeout, func() { settle(result{err: errTimeout}) })
 	name := from.entry.Name
 	switch c.kind {
 	case callPing:
 		send(s, from, to, c.ping, func(m Ping) {
-			ack, err := to.receivePing(s.now, name, m)
+			ack, err := to.handlePing(s.now, name, m)
 			send(s, to, from, ack, func(ack Ack) { settle(result{ack: ack, err: err}) })
 		})
 	case callRelay:
 		send(s, from, to, c.relay, func(m Relay) {
-			ping, err := to.relayPing(s.now, m)
+			ping, err := to.prepareRelay(s.now, m)
 			if err != nil {
 				return
 			}
 			s.perform(to, ping, relayedPingTimeout, func(r result) {
-				send(s, to, from, to.relayed(s.now, ping, r), func(m RelayReply) { settle(result{relayed: m}) })
+				send(s, to, from, to.completeRelay(s.now, ping, r), func(m RelayReply) { settle(result{relayReply: m}) })
 			})
 		})
 	case callDigest:
 		send(s, from, to, c.digest, func(m Digest) {
-			listing, err := to.receiveDigest(s.now, name, m)
-			send(s, to, from, listing, func(l DigestReply) { settle(result{listing: l, err: err}) })
+			listing, err := to.handleDigest(s.now, name, m)
+			send(s, to, from, listing, func(l DigestReply) { settle(result{digestReply: l, err: err}) })
 		})
 	case callExchange:
 		send(s, from, to, c.exchange, func(m Exchange) {
-			answer, err := to.receiveExchange(s.now, name, m)
-			send(s, to, from, answer, func(e ExchangeReply) { settle(result{exchanged: e, err: err}) })
+			answer, err := to.handleExchange(s.now, name, m)
+			send(s, to, from, answer, func(e ExchangeReply) { settle(result{exchangeReply: e, err: err}) })
 		})
 	}
 }
@@ -240,10 +240,10 @@
 
 func (s *sim) wake(n *node) {
 	n.frozen = false
-	waiting := n.waiting
-	n.waiting = nil
+	waiting := n.backlog
+	n.backlog = nil
 	for _, run := range waiting {
-		s.on(n, run)
+		s.runOn(n, run)
 	}
 }
 
@@ -273,10 +273,10 @@
 	return names
 }
 
-func everybody(int) bool { return true }
+func allNodes(int) bool { return true }
 
-// agreed reports whether every running entry of side sees exactly the running entries of side.
-func (s *sim) agreed(side func(id int) bool) bool {
+// viewsAgree reports whether every running entry of side sees exactly the running entries of side.
+func (s *sim) viewsAgree(side func(id int) bool) bool {
 	want := s.running(side)
 	for _, n := range s.nodes {
 		if n.dead || n.frozen || !side(n.id) {
@@ -297,8 +297,8 @@
 	return names
 }
 
-// seenBy counts the running entries that hold name in Live.
-func (s *sim) seenBy(name string) int {
+// liveViewsOf counts the running entries that hold name in Live.
+func (s *sim) liveViewsOf(name string) int {
 	count := 0
 	for _, n := range s.nodes {
 		if !n.dead && !n.frozen && slices.Contains(liveNames(n), name) {
--- a/entry/member/sync.go
+++ b/entry/member/sync.go
@@ -13,21 +13,21 @@
 // compare one hash per bucket, list only the buckets that differ, and hand over what the other lacks.
 
 const (
-	buckets = 32
-	// exchangeBytes bounds the items of an Exchanged; one is always sent, however large.
-	exchangeBytes = 64 << 10
+	bucketCount = 32
+	// maxExchangeBytes bounds the items of an Exchanged; one is always sent, however large.
+	maxExchangeBytes = 64 << 10
 )
 
-// syncSoon asks for a digest exchange with an entry at the next tick. Called with mu held.
-func (m *Members) syncSoon(with string) {
+// scheduleSync asks for a digest exchange with an entry at the next tick. Called with mu held.
+func (m *Members) scheduleSync(with string) {
 	if with != "" {
-		m.syncFrom = with
+		m.syncTarget = with
 	}
 }
 
-func (m *Members) syncs(now time.Time) []call {
-	with := m.syncFrom
-	m.syncFrom = ""
+func (m *Members) syncCalls(now time.Time) []call {
+	with := m.syncTarget
+	m.syncTarget = ""
 	if with == "" {
 		if now.Before(m.nextSync) {
 			return nil
@@ -39,20 +39,20 @@
 	if p == nil {
 		return nil
 	}
-	digest := Digest{Time: m.stamp(), Self: m.self, Buckets: m.digest()}
+	digest := Digest{Time: m.timestamp(), Self: m.self, Buckets: m.digest()}
 	return []call{{kind: callDigest, to: with, address: p.entry.PeerAddress, digest: digest}}
 }
 
 // syncPeriod is short while this entry is still learning who is there.
 func (m *Members) syncPeriod(now time.Time) time.Duration {
-	if m.stale || now.Sub(m.freshSince) < learningTime {
-		return learningSyncPeriod
+	if m.stale || now.Sub(m.freshSince) < warmupTime {
+		return warmupSyncPeriod
 	}
 	return syncPeriod
 }
 
 func (m *Members) randomPeer() string {
-	others := slices.DeleteFunc(slices.Clone(m.places()), func(name string) bool { return name == m.self.Name })
+	others := slices.DeleteFunc(slices.Clone(m.currentRing()), func(name string) bool { return name == m.self.Name })
 	if len(others) == 0 {
 		return ""
 	}
@@ -62,20 +62,20 @@
 // digest hashes all that should be equal everywhere: entries that are not dead, and rumours without an
 // end. Suspicions are left out; they come and go faster than digests.
 func (m *Members) digest() []uint64 {
-	sums := make([]uint64, buckets)
+	sums := make([]uint64, bucketCount)
 	m.eachStatus(func(s Status) {
 		sums[memberBucket(s.Name)] ^= hash(statusKey(s.Name), s.Incarnation, strconv.FormatUint(s.Counter, 10), strconv.FormatBool(s.Leaving))
 	})
-	m.eachVersion(func(v version) {
+	m.eachVersion(func(v rumourVersion) {
 		sums[rumourBucket(v)] ^= hash(v.key().String(), strconv.FormatUint(v.Version, 10))
 	})
 	return sums
 }
 
-func (v version) key() rumourKey { return rumourKey{v.Topic, v.Name} }
+func (v rumourVersion) key() rumourKey { return rumourKey{v.Topic, v.Name} }
 
-func memberBucket(name string) int   { return int(hash(statusKey(name)) % buckets) }
-func rumourBucket(v version) int     { return int(hash(v.key().String()) % buckets) }
+func memberBucket(name string) int   { return int(hash(statusKey(name)) % bucketCount) }
+func rumourBucket(v rumourVersion) int     { return int(hash(v.key().String()) % bucketCount) }
 func (m *Members) selfBucket() int   { return memberBucket(m.self.Name) }
 func contains(set []int, b int) bool { return slices.Contains(set, b) }
 
@@ -97,25 +97,25 @@
 	}
 }
 
-func (m *Members) eachVersion(visit func(version)) {
+func (m *Members) eachVersion(visit func(rumourVersion)) {
 	for _, key := range sortedKeys(m.rumours) {
 		if h := m.rumours[key]; h.expires.IsZero() {
-			visit(version{Topic: key.topic, Name: key.name, Version: h.rumour.Version})
+			visit(rumourVersion{Topic: key.topic, Name: key.name, Version: h.rumour.Version})
 		}
 	}
 }
 
-// receiveDigest answers with what is held in the buckets that differ.
-func (m *Members) receiveDigest(now time.Time, from string, d Digest) (DigestReply, error) {
+// handleDigest answers with what is held in the buckets that differ.
+func (m *Members) handleDigest(now time.Time, from string, d Digest) (DigestReply, error) {
 	m.mu.Lock()
 	defer m.unlock()
 	m.checkPause(now)
 	if d.Self.Name != from {
 		return DigestReply{}, ErrNameMismatch
 	}
-	m.observe(d.Time)
-	m.heardFrom(now, d.Self)
-	listing := DigestReply{Time: m.stamp(), Self: m.self}
+	m.observeTime(d.Time)
+	m.recordContact(now, d.Self)
+	listing := DigestReply{Time: m.timestamp(), Self: m.self}
 	for b, sum := range m.digest() {
 		if b >= len(d.Buckets) || sum != d.Buckets[b] {
 			listing.Buckets = append(listing.Buckets, b)
@@ -126,7 +126,7 @@
 			listing.Statuses = append(listing.Statuses, s)
 		}
 	})
-	m.eachVersion(func(v version) {
+	m.eachVersion(func(v rumourVersion) {
 		if contains(listing.Buckets, rumourBucket(v)) {
 			listing.Versions = append(listing.Versions, v)
 		}
@@ -139,22 +139,22 @@
 	if r.err != nil {
 		return nil
 	}
-	m.observe(r.listing.Time)
-	m.heardFrom(now, r.listing.Self)
-	m.exchanged(now, c.sentAt)
+	m.observeTime(r.digestReply.Time)
+	m.recordContact(now, r.digestReply.Self)
+	m.confirmFresh(now, c.sentAt)
 	ask := Exchange{
-		WantProfiles: m.compareStatuses(now, c.to, r.listing),
-		WantRumours:  m.lackingRumours(r.listing),
+		WantProfiles: m.applyListedStatuses(now, c.to, r.digestReply),
+		WantRumours:  m.missingRumours(r.digestReply),
 	}
-	ask.Items = append(m.statusesToGive(r.listing), m.rumoursToGive(r.listing)...)
+	ask.Items = append(m.profilesToSend(r.digestReply), m.rumoursToSend(r.digestReply)...)
 	if len(ask.Items) == 0 && len(ask.WantProfiles) == 0 && len(ask.WantRumours) == 0 {
 		return nil
 	}
 	return []call{{kind: callExchange, to: c.to, address: c.address, exchange: ask}}
 }
 
-// compareStatuses takes in the listed statuses and returns whose profile is missing.
-func (m *Members) compareStatuses(now time.Time, from string, l DigestReply) []string {
+// applyListedStatuses takes in the listed statuses and returns whose profile is missing.
+func (m *Members) applyListedStatuses(now time.Time, from string, l DigestReply) []string {
 	var lacking []string
 	for _, s := range l.Statuses {
 		p := m.peers[s.Name]
@@ -167,9 +167,9 @@
 	return lacking
 }
 
-// statusesToGive returns what the other lacks, or holds in an older state, as profiles. What it lists
+// profilesToSend returns what the other lacks, or holds in an older state, as profiles. What it lists
 // and this entry holds dead is among them.
-func (m *Members) statusesToGive(l DigestReply) []item {
+func (m *Members) profilesToSend(l DigestReply) []item {
 	listed := make(map[string]Status, len(l.Statuses))
 	for _, s := range l.Statuses {
 		listed[s.Name] = s
@@ -192,8 +192,8 @@
 	return give
 }
 
-func (m *Members) lackingRumours(l DigestReply) []version {
-	var lacking []version
+func (m *Members) missingRumours(l DigestReply) []rumourVersion {
+	var lacking []rumourVersion
 	for _, v := range l.Versions {
 		if m.rumours[v.key()].rumour.Version < v.Version {
 			lacking = append(lacking, v)
@@ -202,31 +202,31 @@
 	return lacking
 }
 
-// rumoursToGive announces what is too large to give unasked.
-func (m *Members) rumoursToGive(l DigestReply) []item {
+// rumoursToSend announces what is too large to give unasked.
+func (m *Members) rumoursToSend(l DigestReply) []item {
 	theirs := make(map[rumourKey]uint64, len(l.Versions))
 	for _, v := range l.Versions {
 		theirs[v.key()] = v.Version
 	}
 	var give []item
-	m.eachVersion(func(v version) {
+	m.eachVersion(func(v rumourVersion) {
 		if contains(l.Buckets, rumourBucket(v)) && theirs[v.key()] < v.Version {
-			give = append(give, item{Rumour: announced(m.rumours[v.key()].rumour)})
+			give = append(give, item{Rumour: inlineOrAnnounced(m.rumours[v.key()].rumour)})
 		}
 	})
 	return give
 }
 
-// receiveExchange takes what is given and answers what is wanted, and corrects what it knows better.
-func (m *Members) receiveExchange(now time.Time, from string, e Exchange) (ExchangeReply, error) {
+// handleExchange takes what is given and answers what is wanted, and corrects what it knows better.
+func (m *Members) handleExchange(now time.Time, from string, e Exchange) (ExchangeReply, error) {
 	m.mu.Lock()
 	defer m.unlock()
 	m.checkPause(now)
 	m.applyItems(now, from, e.Items, false)
-	var out parcel
+	var out itemBatch
 	for _, it := range e.Items {
 		if it.Profile != nil {
-			m.correct(&out, it.Profile.Status)
+			m.addCorrection(&out, it.Profile.Status)
 		}
 	}
 	for _, name := range e.WantProfiles {
@@ -245,30 +245,30 @@
 	return ExchangeReply{Items: out.items, More: out.full}, nil
 }
 
-// correct adds this entry's status of a name if it replaces the one that was given.
-func (m *Members) correct(out *parcel, given Status) {
+// addCorrection adds this entry's status of a name if it replaces the one that was given.
+func (m *Members) addCorrection(out *itemBatch, given Status) {
 	if p := m.peers[given.Name]; p != nil && supersedes(p.status, given) {
 		s := p.status
 		out.add(item{Status: &s})
 	}
 }
 
-// parcel collects items up to exchangeBytes; a first one always fits.
-type parcel struct {
+// itemBatch collects items up to exchangeBytes; a first one always fits.
+type itemBatch struct {
 	items []item
 	bytes int
 	full  bool
 }
 
-// profileBytes is about the size of a profile or status.
-const profileBytes = 250
+// profileSizeEstimate is about the size of a profile or status.
+const profileSizeEstimate = 250
 
-func (p *parcel) add(it item) {
-	size := profileBytes
+func (p *itemBatch) add(it item) {
+	size := profileSizeEstimate
 	if it.Rumour != nil {
-		size = len(it.Rumour.Body) + profileBytes
+		size = len(it.Rumour.Body) + profileSizeEstimate
 	}
-	if p.full || (p.bytes+size > exchangeBytes && len(p.items) > 0) {
+	if p.full || (p.bytes+size > maxExchangeBytes && len(p.items) > 0) {
 		p.full = true
 		return
 	}
@@ -278,17 +278,17 @@
 
 // finishExchange takes in what was wanted. Called with mu held.
 func (m *Members) finishExchange(now time.Time, c call, r result) {
-	w := m.wants[c.fetch]
+	w := m.bodyFetches[c.fetch]
 	if w != nil {
-		w.asked = false
+		w.inFlight = false
 	}
 	if r.err != nil {
 		return
 	}
 	// What an announced rumour fetched is carried on as an announcement; what a digest found is old
 	// news to the others.
-	m.applyItems(now, c.to, r.exchanged.Items, w != nil)
-	if r.exchanged.More {
-		m.syncSoon(c.to)
+	m.applyItems(now, c.to, r.exchangeReply.Items, w != nil)
+	if r.exchangeReply.More {
+		m.scheduleSync(c.to)
 	}
 }
--- a/entry/member/table.go
+++ b/entry/member/table.go
@@ -33,7 +33,7 @@
 	t.order = slices.Insert(t.order, at, p)
 }
 
-func (t *table) drop(name string) {
+func (t *table) deletePeer(name string) {
 	delete(t.peers, name)
 	if at, found := slices.BinarySearchFunc(t.order, name, compareName); found {
 		t.order = slices.Delete(t.order, at, at+1)
@@ -42,8 +42,8 @@
 
 func compareName(p *peerState, name string) int { return cmp.Compare(p.status.Name, name) }
 
-// changed notes that live or ring may have changed. Called with mu held.
-func (m *Members) changed() { m.dirty = true }
+// markDirty notes that live or ring may have markDirty. Called with mu held.
+func (m *Members) markDirty() { m.dirty = true }
 
 // refresh brings live and ring up to date and tells the watchers. Called with mu held.
 func (m *Members) refresh() {
@@ -68,8 +68,8 @@
 	m.mu.Unlock()
 }
 
-// places returns the ring up to date. Called with mu held.
-func (m *Members) places() []string {
+// currentRing returns the ring up to date. Called with mu held.
+func (m *Members) currentRing() []string {
 	m.refresh()
 	return m.ring
 }
@@ -81,7 +81,7 @@
 			live = append(live, p.peer())
 		}
 	}
-	if !m.owns() {
+	if !m.canOwn() {
 		return live
 	}
 	at, _ := slices.BinarySearchFunc(live, m.self.Name, func(p Peer, name string) int {
@@ -91,21 +91,21 @@
 }
 
 func (m *Members) newRing() []string {
-	type place struct {
+	type position struct {
 		hash uint64
 		name string
 	}
-	places := []place{{xxhash.Sum64String(m.self.Name), m.self.Name}}
+	positions := []position{{xxhash.Sum64String(m.self.Name), m.self.Name}}
 	for _, p := range m.order {
 		if p.status.State != Dead {
-			places = append(places, place{p.hash, p.status.Name})
+			positions = append(positions, position{p.hash, p.status.Name})
 		}
 	}
-	slices.SortFunc(places, func(a, b place) int {
+	slices.SortFunc(positions, func(a, b position) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.name, b.name))
 	})
-	ring := make([]string, len(places))
-	for i, at := range places {
+	ring := make([]string, len(positions))
+	for i, at := range positions {
 		ring[i] = at.name
 	}
 	return ring
@@ -119,12 +119,12 @@
 	// suspectUntil is when a suspicion becomes a death, diedAt when it did.
 	suspectUntil time.Time
 	diedAt       time.Time
-	// heard is the last time the peer itself answered or called.
-	heard time.Time
-	// strikes counts failed pings in a row for which no helper answered either.
-	strikes int
-	// failed counts failed pings in a row, whatever the helpers say.
-	failed      int
+	// lastContact is the last time the peer itself answered or called.
+	lastContact time.Time
+	// unconfirmedFailures counts failed pings in a row for which no helper answered either.
+	unconfirmedFailures int
+	// failedPings counts failedPings pings in a row, whatever the helpers say.
+	failedPings      int
 	unreachable bool
 }
 
--- a/entry/member/wire_test.go
+++ b/entry/member/wire_test.go
@@ -14,20 +14,20 @@
 // udpHeader is the size of the headers of IP and UDP.
 const udpHeader = 28
 
-// countedSocket counts what passes a server's socket. Each packet between two entries passes exactly one.
-type countedSocket struct {
+// countingConn counts what passes a server's socket. Each packet between two entries passes exactly one.
+type countingConn struct {
 	net.PacketConn
 	packets, bytes *atomic.Int64
 }
 
-func (c *countedSocket) ReadFrom(p []byte) (int, net.Addr, error) {
+func (c *countingConn) ReadFrom(p []byte) (int, net.Addr, error) {
 	n, from, err := c.PacketConn.ReadFrom(p)
 	c.packets.Add(1)
 	c.bytes.Add(int64(n + udpHeader))
 	return n, from, err
 }
 
-func (c *countedSocket) WriteTo(p []byte, to net.Addr) (int, error) {
+func (c *countingConn) WriteTo(p []byte, to net.Addr) (int, error) {
 	c.packets.Add(1)
 	c.bytes.Add(int64(len(p) + udpHeader))
 	return c.PacketConn.WriteTo(p, to)
@@ -47,14 +47,14 @@
 	}
 }
 
-const wireTime = 20 * time.Second
+const measuredTime = 20 * time.Second
 
 func measureWire(b *testing.B, n int) {
 	var packets, bytes atomic.Int64
 	var all []*process
 	for i := range n {
 		p := newProcess(fmt.Sprintf("entry-%03d", i), uint64(i+1), func(s net.PacketConn) net.PacketConn {
-			return &countedSocket{s, &packets, &bytes}
+			return &countingConn{s, &packets, &bytes}
 		})
 		for j, other := range all {
 			p.Upsert(other.entry, uint64(j+1))
@@ -67,13 +67,13 @@
 		p.start()
 	}
 	for _, p := range all {
-		Eventually(func() int { return len(p.Live()) }, patience).Should(Equal(n))
+		Eventually(func() int { return len(p.Live()) }, pollTimeout).Should(Equal(n))
 	}
-	time.Sleep(learningTime)
+	time.Sleep(warmupTime)
 	packets.Store(0)
 	bytes.Store(0)
 	cpu, start := cpuTime(), time.Now()
-	for second := uint64(1); time.Since(start) < wireTime; second++ {
+	for second := uint64(1); time.Since(start) < measuredTime; second++ {
 		all[int(second)%n].Broadcast(Rumour{Topic: "load", Name: "x", Version: second, Body: make([]byte, 100)})
 		time.Sleep(time.Second)
 	}
