--- a/entry/serve.go
+++ b/entry/serve.go
@@ -166,7 +166,7 @@
 	if json.Unmarshal(object.Value, &entry) != nil {
 		return
 	}
-	e.members.Know(entry, uint64(object.Version))
+	e.members.Upsert(entry, uint64(object.Version))
 }
 
 func (e *Entry) applyPlacement(object platform.Object) {
