--- a/entry/drain/drain.go
+++ b/entry/drain/drain.go
@@ -1,8 +1,8 @@
-// Package drain is the planned stop of an entry, so that it cuts no request.
+// Package drain performs the planned stop of an entry without cutting requests.
 //
-// What goes wrong without it: callers keep the address they were told for a while, and connect to an entry
-// that is gone; fronts send to a home that is gone; answers in progress break off. A caller sees refused
-// connections and half answers on a day when nothing failed.
+// It guards against three faults of an abrupt stop: callers keep an entry's address for a while and would connect to an entry that is
+// gone; fronts would send to a home that is gone; and answers in progress would break off. Callers would see refused connections and
+// truncated answers although nothing failed.
 package drain
 
 import (
@@ -13,21 +13,21 @@
 	"github.com/rotisserie/eris"
 )
 
-// Phase is a phase of the stop. They come in this order, each once.
+// Phase is a phase of the stop. The phases follow each other in the order of the constants, each entered once.
 type Phase uint8
 
 // The phases.
 const (
-	// Serving: no stop was asked for.
+	// Serving: no stop was requested.
 	Serving Phase = iota
-	// Leaving: the others are told, by rumour and by the platform; requests are still taken in, since
-	// callers may keep the address.
+	// Leaving: the other entries learn of the stop by gossip and from the platform; requests are still accepted, since callers may
+	// keep the address.
 	Leaving
-	// Closing: nobody may hold the address any more; no request is taken in.
+	// Closing: no caller may still use the address; new requests are no longer accepted.
 	Closing
-	// Finishing: requests in progress are waited for.
+	// Finishing: the entry waits for the requests in progress.
 	Finishing
-	// Stopped: nothing is in progress, or the time was over.
+	// Stopped: nothing is in progress, or FinishTimeout has passed.
 	Stopped
 )
 
@@ -39,43 +39,43 @@
 // ErrCut is returned when requests were still in progress at the end.
 var ErrCut = eris.New("stopped with requests in progress")
 
-// Steps is what a stop does. Each step returns without waiting for its effect, but for Publish.
+// Steps are the actions of a stop. Each returns without waiting for its effect, except Publish.
 type Steps struct {
-	// Leave takes the entry out of what callers are told, by rumour. Its homes move as the news spread,
-	// and from now on it refuses dispatches to them as not run: so none is left to give up at the end.
+	// Leave removes the entry from what callers are told, by gossip. Its role as the home of requests moves to other entries as the
+	// news spreads, and from now on it refuses dispatches to it as a home as not run, so that none has to be abandoned at the end.
 	Leave func()
-	// Publish writes the same into the platform. It waits out an outage; the stop does not wait for it.
+	// Publish writes the same to the platform. It retries through an outage; the stop does not wait for it.
 	Publish func(ctx context.Context) error
-	// KeptUntil returns until when a caller that asked by now may keep the address.
+	// KeptUntil returns the time until which a caller that has asked by now may keep the address.
 	KeptUntil func() time.Time
-	// Close stops taking in connections and requests of callers; those in progress go on.
+	// Close stops accepting connections and requests from callers; those in progress continue.
 	Close func()
-	// InProgress counts the requests in progress, of callers and of other entries' fronts.
+	// InProgress returns the number of requests in progress, from callers and from other entries' fronts.
 	InProgress func() int
-	// Entered is told of each phase, and may be nil.
+	// Entered is called on entering each phase; it may be nil.
 	Entered func(Phase)
 }
 
-// Config holds the times of a stop.
+// Config holds the time limits of a stop.
 type Config struct {
-	// Margin is added to the time that callers may keep the address. It covers the time that the news
-	// takes to reach all entries, which give the address out until then, and the callers' clocks.
+	// Margin is added to the time for which callers may keep the address. It covers the time that the news takes to reach all entries,
+	// which hand out the address until then, and the skew of callers' clocks.
 	Margin time.Duration
-	// FinishTimeout bounds the wait for requests in progress; it is longer than any request may last.
+	// FinishTimeout bounds the wait for requests in progress; it must exceed the longest time that a request may take.
 	FinishTimeout time.Duration
 }
 
-// pollPeriod is how often requests in progress are counted.
+// pollPeriod is how often the requests in progress are counted.
 const pollPeriod = 50 * time.Millisecond
 
-// Clock is the time as the stop sees it.
+// Clock provides the time, so that tests can replace it.
 type Clock interface {
 	Now() time.Time
-	// Sleep returns after d, or when ctx ends.
+	// Sleep returns after d or when ctx ends.
 	Sleep(ctx context.Context, d time.Duration)
 }
 
-// Drain is one stop of one entry.
+// Drain is the planned stop of one entry.
 type Drain struct {
 	cfg   Config
 	steps Steps
@@ -85,25 +85,25 @@
 	phase Phase
 }
 
-// New returns a Drain that has not begun.
+// New returns a Drain in the phase Serving.
 func New(cfg Config, steps Steps, clock Clock) *Drain {
 	return &Drain{cfg: cfg, steps: steps, clock: clock}
 }
 
-// Phase returns the present phase.
+// Phase returns the current phase.
 func (d *Drain) Phase() Phase {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.phase
 }
 
-// Run goes through the phases. It returns nil when nothing was cut, else ErrCut: after FinishTimeout, or
-// when ctx ended, by which an operator who can't wait says so.
+// Run goes through the phases. It returns nil if no request was cut and ErrCut otherwise: requests are cut after FinishTimeout, or
+// when ctx ends, with which an operator calls off the waiting.
 func (d *Drain) Run(ctx context.Context) error {
 	publishing, stopPublishing := context.WithCancel(ctx)
 	published := make(chan struct{})
 	d.leave(publishing, published)
-	d.linger(ctx)
+	d.waitForAddressExpiry(ctx)
 	d.enter(Closing)
 	d.steps.Close()
 	d.enter(Finishing)
@@ -126,8 +126,8 @@
 	}()
 }
 
-// linger waits until no caller may hold the address.
-func (d *Drain) linger(ctx context.Context) {
+// waitForAddressExpiry waits until no caller may still use the address.
+func (d *Drain) waitForAddressExpiry(ctx context.Context) {
 	until := d.steps.KeptUntil().Add(d.cfg.Margin)
 	for ctx.Err() == nil {
 		left := until.Sub(d.clock.Now())
@@ -159,7 +159,7 @@
 	}
 }
 
-// SystemClock is the clock of the machine.
+// SystemClock is the system's clock.
 type SystemClock struct{}
 
 // Now implements Clock.
--- a/entry/drain/drain_test.go
+++ b/entry/drain/drain_test.go
@@ -17,7 +17,7 @@
 	RunSpecs(t, "entry/drain")
 }
 
-// fakeClock jumps ahead when somebody sleeps.
+// fakeClock advances by the duration of each Sleep instead of waiting.
 type fakeClock struct {
 	now     time.Time
 	onSleep func()
@@ -32,8 +32,8 @@
 	}
 }
 
-// stop is a Drain whose steps are written down with the time since the start.
-type stop struct {
+// testDrain is a Drain that logs its steps and phases with the time since the start.
+type testDrain struct {
 	*Drain
 	clock      *fakeClock
 	log        []string
@@ -43,11 +43,11 @@
 
 const ttl = time.Minute
 
-func newStop() *stop {
+func newTestDrain() *testDrain {
 	start := time.Unix(1_700_000_000, 0)
-	s := &stop{clock: &fakeClock{now: start}, publish: func(context.Context) error { return nil }}
-	note := func(what string) {
-		s.log = append(s.log, what+" "+s.clock.now.Sub(start).Truncate(time.Second).String())
+	s := &testDrain{clock: &fakeClock{now: start}, publish: func(context.Context) error { return nil }}
+	note := func(event string) {
+		s.log = append(s.log, event+" "+s.clock.now.Sub(start).Truncate(time.Second).String())
 	}
 	s.Drain = New(Config{Margin: 5 * time.Second, FinishTimeout: 10 * time.Minute}, Steps{
 		Leave:      func() { note("leave") },
@@ -61,8 +61,8 @@
 }
 
 var _ = Describe("a planned stop", func() {
-	// A caller keeps its connection for the next request, which it sends just as the listener closes.
-	It("asks callers to let go of their connections from the moment it leaves", func() {
+	// A caller reuses its connection for the next request, which it sends just as the listener closes.
+	It("asks callers to close their connections from the moment it leaves", func() {
 		var gate Gate
 		server := httptest.NewServer(gate.Wrap(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			Expect(gate.InProgress()).To(Equal(1))
@@ -78,8 +78,8 @@
 		Expect(gate.InProgress()).To(BeZero())
 	})
 
-	It("leaves first, closes only when no caller may hold the address, then finishes", func() {
-		s := newStop()
+	It("leaves first, closes only when no caller may still use the address, then finishes", func() {
+		s := newTestDrain()
 		Expect(s.Phase()).To(Equal(Serving))
 		Expect(s.Run(context.Background())).To(Succeed())
 		Expect(s.log).To(Equal([]string{
@@ -90,9 +90,9 @@
 		Expect(s.Phase()).To(Equal(Stopped))
 	})
 
-	// A long answer is still streaming when the time to hold the address is over.
-	It("waits for requests in progress, and says so when some were cut", func() {
-		s := newStop()
+	// A long answer is still streaming when callers may no longer use the address.
+	It("waits for requests in progress, and returns an error when some were cut", func() {
+		s := newTestDrain()
 		s.inProgress = 3
 		s.clock.onSleep = func() {
 			if s.clock.now.Sub(time.Unix(1_700_000_000, 0)) > 3*time.Minute {
@@ -102,16 +102,16 @@
 		Expect(s.Run(context.Background())).To(Succeed())
 		Expect(s.log).To(ContainElement("stopped 3m0s"))
 
-		s = newStop()
+		s = newTestDrain()
 		s.inProgress = 1
 		Expect(s.Run(context.Background())).To(MatchError(ErrCut))
 		Expect(s.log).To(ContainElement("stopped 11m5s"))
 	})
 
-	// The platform is out while the entry is stopped, so that nothing can be written. The others know by
-	// rumour; a stop that waited for the platform would last as long as the outage.
+	// The platform is unavailable while the entry is stopped, so nothing can be written to it. The other entries learn of the stop by
+	// gossip; a stop that waited for the platform would last as long as the outage.
 	It("does not wait for the platform", func() {
-		s := newStop()
+		s := newTestDrain()
 		ended := make(chan struct{})
 		s.publish = func(ctx context.Context) error {
 			<-ctx.Done()
@@ -122,8 +122,8 @@
 		Expect(ended).To(BeClosed())
 	})
 
-	It("is over at once when it is called off", func() {
-		s := newStop()
+	It("stops at once when its context is cancelled", func() {
+		s := newTestDrain()
 		s.inProgress = 2
 		ctx, cancel := context.WithCancel(context.Background())
 		s.clock.onSleep = cancel
--- a/entry/drain/gate.go
+++ b/entry/drain/gate.go
@@ -5,15 +5,14 @@
 	"sync/atomic"
 )
 
-// Gate counts the callers' requests in progress and, once the entry leaves, asks callers to let go of
-// their connections. Without that a caller that keeps one open sends its next request just as the
-// listener closes, and can't tell whether it was taken.
+// Gate counts callers' requests in progress and, once the entry leaves, asks callers to close their connections. Otherwise a caller
+// with a kept-alive connection may send its next request just as the listener closes, and can't tell whether it was processed.
 type Gate struct {
 	inProgress atomic.Int64
 	leaving    atomic.Bool
 }
 
-// Wrap returns handler behind the gate.
+// Wrap returns a handler that counts the requests of handler and sets Connection: close on its answers once Leave was called.
 func (g *Gate) Wrap(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		g.inProgress.Add(1)
@@ -25,8 +24,8 @@
 	})
 }
 
-// Leave makes each further answer the last of its connection.
+// Leave makes each further answer the last one on its connection.
 func (g *Gate) Leave() { g.leaving.Store(true) }
 
-// InProgress counts the requests whose answers are not written.
+// InProgress returns the number of requests that are not answered in full.
 func (g *Gate) InProgress() int { return int(g.inProgress.Load()) }
