--- a/entry/suspects/suspects.go
+++ b/entry/suspects/suspects.go
@@ -1,11 +1,12 @@
-// Package suspects sees to it that a request which crashes the servers that run it is not run on one after the other.
+// Package suspects keeps a request that crashes the servers that run it from being run on one server after the other.
 //
-// Each entry tells the one in charge which request lost its server, and that one counts the crashes over all entries
-// (policy/quarantine). What it holds back is told to all entries, which refuse such a request at once. Without this, a caller that comes
-// again and again with one request ends one server after the other, and the requests that each of them was running.
+// Each entry reports to the leader which request it suspects of having crashed its server, and the leader counts the crashes over all
+// entries (see policy/quarantine). The leader sends the resulting quarantine to all entries, which refuse such requests at once.
+// Without this, a caller that keeps repeating one request would crash one server after the other, and with them the requests that each
+// was running.
 //
-// A server that fails some requests resets connections as well. What tells a crash from that is that the server's process is gone: it
-// refuses connections. And a request that finishes anywhere was not the cause.
+// A server that fails some of its requests also resets connections. A crash differs in that the server's process is gone: it refuses
+// new connections. A request that finishes on any server was not the cause.
 package suspects
 
 import (
@@ -19,122 +20,124 @@
 	link "github.com/skylarkpond/skylarkpond/link/leader"
 )
 
-// Deps is what a Watch works with.
+// Deps holds the dependencies of a Watch.
 type Deps struct {
-	// Refuses says whether nobody listens at an address any more.
+	// Refuses reports whether no process listens at an address any more.
 	Refuses func(ctx context.Context, address string) bool
-	// Tell reaches the entry in charge, if there is one.
+	// Tell sends a message to the leader, if there is one.
 	Tell func(message link.Up)
 }
 
 const (
-	// settleTime is how long a process may take to end after it has cut its connections.
-	settleTime = 100 * time.Millisecond
-	// finishedFor is how long at least it is known that a request finished.
-	finishedFor = 30 * time.Second
-	// reportsKept is how many reports are told again to the next entry in charge: the latest of some minutes.
-	reportsKept = 256
+	// exitDelay is how long a process may take to exit after it has closed its connections.
+	exitDelay = 100 * time.Millisecond
+	// finishedRetention is the minimum time for which a finished request is remembered.
+	finishedRetention = 30 * time.Second
+	// maxReports bounds the crash reports that are repeated to the next leader: the latest of some minutes.
+	maxReports = 256
 )
 
-// Watch is safe for concurrent use.
+// Watch tracks which requests crash servers, and the requests that the leader has quarantined. It is safe for concurrent use.
 type Watch struct {
 	deps Deps
 
 	mu sync.Mutex // guards what follows; a leaf lock
-	// held are the requests that may not be sent, by service and fingerprint.
-	held map[string]map[string]bool
-	// finished are the requests that finished lately; before is the generation before this one, which began at turned.
-	finished, before map[request]bool
-	turned           time.Time
-	// reports are the crashes that this entry told of, oldest first.
+	// quarantined holds the requests that must not be sent, by service and fingerprint.
+	quarantined map[string]map[string]bool
+	// finished holds the requests that finished since rotatedAt, previousFinished those of the period before.
+	finished, previousFinished map[request]bool
+	rotatedAt                  time.Time
+	// reports holds the crashes that this entry has reported, oldest first.
 	reports []link.Crash
 }
 
-// request is what a server was asked for.
+// request identifies a request by its service and fingerprint.
 type request struct{ service, fingerprint string }
 
-// New returns a Watch that holds nothing back.
+// New returns a Watch with nothing quarantined.
 func New(deps Deps) *Watch {
 	return &Watch{
-		deps: deps, held: make(map[string]map[string]bool), finished: make(map[request]bool), before: make(map[request]bool),
-		turned: time.Now(),
+		deps: deps, quarantined: make(map[string]map[string]bool), finished: make(map[request]bool), previousFinished: make(map[request]bool),
+		rotatedAt: time.Now(),
 	}
 }
 
-// Held says whether a request may not be sent to any server of a service.
+// Held reports whether a request must not be sent to any server of a service.
 func (w *Watch) Held(service, fingerprint string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.held[service][fingerprint]
+	return w.quarantined[service][fingerprint]
 }
 
-// Take takes the word of the entry in charge on a service, and tells it of what has finished all the same.
-func (w *Watch) Take(held link.Quarantine) {
-	for _, fingerprint := range w.take(held) {
-		w.deps.Tell(link.Up{Cleared: &link.Cleared{Service: held.Service, Fingerprint: fingerprint}})
+// Take sets the quarantined requests of a service as the leader reports them, and tells the leader which of them have
+// finished on a server recently.
+func (w *Watch) Take(quarantine link.Quarantine) {
+	for _, fingerprint := range w.apply(quarantine) {
+		w.deps.Tell(link.Up{Cleared: &link.Cleared{Service: quarantine.Service, Fingerprint: fingerprint}})
 	}
 }
 
-// take returns what is held back although it finished lately.
-func (w *Watch) take(held link.Quarantine) []string {
+// apply replaces the quarantine of a service and returns the fingerprints in it that finished recently.
+func (w *Watch) apply(quarantine link.Quarantine) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	set := make(map[string]bool, len(held.Fingerprints))
-	var innocent []string
-	for _, fingerprint := range held.Fingerprints {
+	set := make(map[string]bool, len(quarantine.Fingerprints))
+	var cleared []string
+	for _, fingerprint := range quarantine.Fingerprints {
 		set[fingerprint] = true
-		if w.hasFinished(request{held.Service, fingerprint}) {
-			innocent = append(innocent, fingerprint)
+		if w.hasFinished(request{quarantine.Service, fingerprint}) {
+			cleared = append(cleared, fingerprint)
 		}
 	}
-	w.held[held.Service] = set
-	return innocent
+	w.quarantined[quarantine.Service] = set
+	return cleared
 }
 
-// Finished notes that a server answered a request in full.
+// Finished records that a server answered a request in full. If the request is quarantined, the leader is told.
 func (w *Watch) Finished(service, fingerprint string) {
-	if w.finish(request{service, fingerprint}) {
+	if w.recordFinished(request{service, fingerprint}) {
 		w.deps.Tell(link.Up{Cleared: &link.Cleared{Service: service, Fingerprint: fingerprint}})
 	}
 }
 
-// finish says whether the request is held back.
-func (w *Watch) finish(r request) bool {
+// recordFinished records a finished request and reports whether it is quarantined.
+func (w *Watch) recordFinished(r request) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if time.Since(w.turned) > finishedFor {
-		w.before, w.finished, w.turned = w.finished, make(map[request]bool), time.Now()
+	if time.Since(w.rotatedAt) > finishedRetention {
+		w.previousFinished, w.finished, w.rotatedAt = w.finished, make(map[request]bool), time.Now()
 	}
 	w.finished[r] = true
-	return w.held[r.service][r.fingerprint]
+	return w.quarantined[r.service][r.fingerprint]
 }
 
-// hasFinished is called under the lock.
-func (w *Watch) hasFinished(r request) bool { return w.finished[r] || w.before[r] }
+// hasFinished reports whether a request finished recently. The caller holds the lock.
+func (w *Watch) hasFinished(r request) bool { return w.finished[r] || w.previousFinished[r] }
 
-// Lost looks into a server that ended its connection in the middle of a request, and tells if it has crashed.
+// Lost checks whether a server that closed its connection in the middle of a request has crashed, and if so reports the request
+// to the leader. A request that finished recently is not suspected.
 func (w *Watch) Lost(ctx context.Context, fingerprint string, server *backend.Server) {
 	w.mu.Lock()
-	innocent := w.hasFinished(request{server.Service, fingerprint})
+	cleared := w.hasFinished(request{server.Service, fingerprint})
 	w.mu.Unlock()
-	if innocent || !wait.Pause(ctx, settleTime) || !w.deps.Refuses(ctx, server.Address) {
+	if cleared || !wait.Pause(ctx, exitDelay) || !w.deps.Refuses(ctx, server.Address) {
 		return
 	}
 	crash := link.Crash{Service: server.Service, Fingerprint: fingerprint, Server: server.ID, Born: server.Born}
-	w.keep(crash)
+	w.recordCrash(crash)
 	w.deps.Tell(link.Up{Crash: &crash})
 }
 
-func (w *Watch) keep(crash link.Crash) {
+func (w *Watch) recordCrash(crash link.Crash) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.reports = append(w.reports, crash)
-	if over := len(w.reports) - reportsKept; over > 0 {
+	if over := len(w.reports) - maxReports; over > 0 {
 		w.reports = slices.Delete(w.reports, 0, over)
 	}
 }
 
-// Reports returns the crashes that this entry told of, for the next entry in charge.
+// Reports returns the latest crashes that this entry has reported, for the next leader.
 func (w *Watch) Reports() []link.Crash {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/entry/suspects/suspects_test.go
+++ b/entry/suspects/suspects_test.go
@@ -19,48 +19,50 @@
 
 var _ = Describe("Watch", func() {
 	var (
-		told    []link.Up
+		sent    []link.Up
 		refuses bool
 		watch   *suspects.Watch
 	)
 	ctx := context.Background()
 	server := &backend.Server{ID: "i-1", Service: "desk", Address: "10.0.0.1:1", Born: 7}
 	BeforeEach(func() {
-		told, refuses = nil, true
+		sent, refuses = nil, true
 		watch = suspects.New(suspects.Deps{
 			Refuses: func(context.Context, string) bool { return refuses },
-			Tell:    func(message link.Up) { told = append(told, message) },
+			Tell:    func(message link.Up) { sent = append(sent, message) },
 		})
 	})
 
-	It("tells of a request whose server is gone, and again to the next leader", func() {
+	It("reports a request whose server is gone, and reports it again to the next leader", func() {
 		watch.Lost(ctx, "poison", server)
 		crash := link.Crash{Service: "desk", Fingerprint: "poison", Server: "i-1", Born: 7}
-		Expect(told).To(Equal([]link.Up{{Crash: &crash}}))
+		Expect(sent).To(Equal([]link.Up{{Crash: &crash}}))
 		Expect(watch.Reports()).To(Equal([]link.Crash{crash}))
 	})
 
-	// A server resets a part of its requests and goes on. Taken for crashes, three of them would lock a sound request out.
-	It("does not take a reset by a server that goes on for a crash", func() {
+	// A server resets some of its requests and keeps running. Counted as crashes, three such resets would quarantine a harmless
+	// request.
+	It("does not count a reset by a server that keeps running as a crash", func() {
 		refuses = false
 		watch.Lost(ctx, "innocent", server)
-		Expect(told).To(BeEmpty())
+		Expect(sent).To(BeEmpty())
 	})
 
-	// A server dies of its VM, with requests in progress that look like many others. Were they held back, all those would be refused.
-	It("does not suspect what has finished elsewhere", func() {
+	// A server dies with its VM while it runs requests that look like many others. If they were quarantined, all of those would be
+	// refused.
+	It("does not suspect a request that has finished elsewhere", func() {
 		watch.Finished("desk", "usual")
 		watch.Lost(ctx, "usual", server)
-		Expect(told).To(BeEmpty())
+		Expect(sent).To(BeEmpty())
 	})
 
-	It("holds back what the leader says, and tells it of what has finished all the same", func() {
+	It("quarantines requests as the leader says, and tells it which of them have finished", func() {
 		Expect(watch.Held("desk", "poison")).To(BeFalse())
 		watch.Finished("desk", "usual")
 		watch.Take(link.Quarantine{Service: "desk", Fingerprints: []string{"poison", "usual"}})
 		Expect(watch.Held("desk", "poison")).To(BeTrue())
 		Expect(watch.Held("other", "poison")).To(BeFalse())
-		Expect(told).To(Equal([]link.Up{{Cleared: &link.Cleared{Service: "desk", Fingerprint: "usual"}}}))
+		Expect(sent).To(Equal([]link.Up{{Cleared: &link.Cleared{Service: "desk", Fingerprint: "usual"}}}))
 		watch.Take(link.Quarantine{Service: "desk"})
 		Expect(watch.Held("desk", "poison")).To(BeFalse())
 	})
