--- a/entry/gateway/assemble.go
+++ b/entry/gateway/assemble.go
@@ -76,7 +76,7 @@
 	return roster.New(roster.Deps{
 		Store: client, Self: selfEntry(s.config), Choice: directory.DefaultConfig(), Keep: s.config.addressTTL(),
 		Dead:   func(name string) bool { return name != s.config.Name && s.leaderState.isDown(name) },
-		Failed: func(doing string, err error) { s.log.WithError(err).Warn(doing + " failed") },
+		Failed: func(operation string, err error) { s.log.WithError(err).Warn(operation + " failed") },
 	})
 }
 
--- a/entry/roster/roster.go
+++ b/entry/roster/roster.go
@@ -1,4 +1,4 @@
-// Package roster registers this entry with the platform, follows the other entries, and tells callers which to use.
+// Package roster registers this entry with the platform, tracks the other entries, and tells callers which entries to use.
 package roster
 
 import (
@@ -17,24 +17,24 @@
 	policy "github.com/skylarkpond/skylarkpond/policy/directory"
 )
 
-// retryPause is the mean pause after a failed call.
+// retryPause is the mean pause after a failed call to the platform.
 const retryPause = 500 * time.Millisecond
 
-// Deps is what a Roster works with.
+// Deps holds the dependencies of a Roster.
 type Deps struct {
 	Store platform.Store
 	Self  platform.Entry
-	// Choice says how many entries a caller is told, and where they stand.
+	// Choice configures how many entries a caller is told, and in which places they are.
 	Choice policy.Config
 	// Keep is how long a caller may keep an answer.
 	Keep time.Duration
-	// Dead says whether an entry is known to be down.
+	// Dead reports whether an entry is known to be down. It is called without the roster's lock.
 	Dead func(name string) bool
-	// Failed tells of a call to the platform that did not succeed.
-	Failed func(doing string, err error)
+	// Failed is called when an operation on the platform's objects fails.
+	Failed func(operation string, err error)
 }
 
-// Roster is safe for concurrent use.
+// Roster holds the known entries, this one included. It is safe for concurrent use.
 type Roster struct {
 	deps Deps
 
@@ -43,15 +43,15 @@
 	leaving bool
 }
 
-// New returns a roster that knows this entry alone.
+// New returns a Roster that knows only this entry.
 func New(deps Deps) *Roster {
 	return &Roster{deps: deps, entries: map[string]platform.Entry{deps.Self.Name: deps.Self}}
 }
 
-// Run registers this entry.
+// Run registers this entry with the platform, retrying until it succeeds or ctx ends.
 func (r *Roster) Run(ctx context.Context) { r.publish(ctx, r.deps.Self) }
 
-// Leave takes this entry out of all answers.
+// Leave marks this entry as leaving and publishes that, so that no entry names it to callers any more.
 func (r *Roster) Leave(ctx context.Context) {
 	leaving := r.deps.Self
 	leaving.Leaving = true
@@ -62,7 +62,7 @@
 	r.publish(ctx, leaving)
 }
 
-// Names returns the entries that are known and not leaving.
+// Names returns the names of the known entries that are not leaving.
 func (r *Roster) Names() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,12 +75,12 @@
 	return names
 }
 
-// Len returns how many entries are known and not leaving.
+// Len returns the number of known entries that are not leaving.
 func (r *Roster) Len() int { return len(r.Names()) }
 
-// Answer names entries for a caller, and for how long it may keep the answer.
+// Answer returns the addresses of the entries that a caller should use, and how long it may keep them.
 func (r *Roster) Answer(caller policy.Caller) ([]string, time.Duration) {
-	entries := r.all() // Dead asks others, so the lock is not held
+	entries := r.snapshot() // Dead takes locks of its own, so the roster's is not held
 	candidates := make([]policy.Candidate, 0, len(entries))
 	addresses := make(map[string]string, len(entries))
 	for name, entry := range entries {
@@ -98,18 +98,18 @@
 	return answer, r.deps.Keep
 }
 
-func (r *Roster) all() map[string]platform.Entry {
+func (r *Roster) snapshot() map[string]platform.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.entries)
 }
 
-// publish writes this entry's object until it is there. An object that says the same already is left alone, so that a
-// restart makes no change for others.
+// publish writes this entry's object until it is stored. An object that is already up to date is not written again, so that a restart
+// causes no change event at other entries.
 func (r *Roster) publish(ctx context.Context, entry platform.Entry) {
 	for {
 		done, err := r.publishOnce(ctx, entry)
-		if done || ctx.Err() != nil || r.overtaken(entry) {
+		if done || ctx.Err() != nil || r.superseded(entry) {
 			return
 		}
 		if err != nil {
@@ -119,31 +119,31 @@
 	}
 }
 
-// overtaken says that this entry has begun to leave since.
-func (r *Roster) overtaken(entry platform.Entry) bool {
+// superseded reports whether this entry has begun to leave since entry was prepared.
+func (r *Roster) superseded(entry platform.Entry) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leaving && !entry.Leaving
 }
 
 func (r *Roster) publishOnce(ctx context.Context, entry platform.Entry) (bool, error) {
-	held, err := r.deps.Store.Get(ctx, platform.KindEntry, entry.Name)
+	stored, err := r.deps.Store.Get(ctx, platform.KindEntry, entry.Name)
 	if err != nil && !eris.Is(err, platform.ErrNotFound) {
 		return false, err
 	}
-	var same platform.Entry
-	if err == nil && json.Unmarshal(held.Value, &same) == nil && reflect.DeepEqual(same, entry) {
+	var current platform.Entry
+	if err == nil && json.Unmarshal(stored.Value, &current) == nil && reflect.DeepEqual(current, entry) {
 		return true, nil
 	}
 	value, err := json.Marshal(entry)
 	if err != nil {
 		return false, err
 	}
-	_, err = r.deps.Store.Put(ctx, platform.KindEntry, entry.Name, held.Version, value)
+	_, err = r.deps.Store.Put(ctx, platform.KindEntry, entry.Name, stored.Version, value)
 	return err == nil, err
 }
 
-// Apply takes changed objects of the entries.
+// Apply applies changed entry objects from the platform. This entry's own object is ignored.
 func (r *Roster) Apply(objects []platform.Object) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
