--- a/entry/gateway/assemble.go
+++ b/entry/gateway/assemble.go
@@ -120,11 +120,11 @@
 }
 
 func provideSuspects(remote *turn.Remote) *suspects.Watch {
-	return suspects.New(suspects.Deps{Refuses: upstream.Refuses, Tell: remote.Send})
+	return suspects.New(suspects.Deps{ConnectionRefused: upstream.Refuses, SendToLeader: remote.Send})
 }
 
 func provideRetries(s *shared) *relay.Retries {
-	return relay.NewRetries(relay.Allowed{Ratio: s.config.RetryRatio, Extra: s.config.RetryExtra}, assumedEntries)
+	return relay.NewRetries(relay.Allowance{Ratio: s.config.RetryRatio, Extra: s.config.RetryExtra}, assumedEntries)
 }
 
 func provideRelay(
--- a/entry/gateway/follow.go
+++ b/entry/gateway/follow.go
@@ -137,7 +137,7 @@
 	case message.ChangeSet != nil:
 		g.catalog.ApplyNews(*message.ChangeSet)
 	case message.Quarantine != nil:
-		g.suspects.Take(*message.Quarantine)
+		g.suspects.ApplyQuarantine(*message.Quarantine)
 	case message.Probe != nil:
 		go g.answerProbe(ctx, send, *message.Probe)
 	}
--- a/entry/gateway/lines.go
+++ b/entry/gateway/lines.go
@@ -91,7 +91,7 @@
 		route = "none"
 	}
 	metrics.GetOrRegisterCounter("requests.route."+route+"."+string(report.Outcome), s.registry).Inc(1)
-	s.firstByteTimes.Update(report.First.Milliseconds())
+	s.firstByteTimes.Update(report.TimeToFirstByte.Milliseconds())
 	s.totalTimes.Update(report.Took.Milliseconds())
 	if report.Resumed {
 		metrics.GetOrRegisterCounter("requests.resumed", s.registry).Inc(1)
--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -65,8 +65,8 @@
 		return
 	}
 	e.fingerprint = contract.Fingerprint(e.request.Method, e.request.RequestURI, e.call.Key, string(e.body))
-	if e.relay.deps.Suspects.Held(e.service, e.fingerprint) {
-		e.refuse(HeldBack, http.StatusServiceUnavailable, retryAfterQuarantined, "requests like this one have crashed servers")
+	if e.relay.deps.Suspects.Quarantined(e.service, e.fingerprint) {
+		e.refuse(Quarantined, http.StatusServiceUnavailable, retryAfterQuarantined, "requests like this one have crashed servers")
 		return
 	}
 	ctx, cancel := context.WithDeadline(e.request.Context(), e.deadline)
@@ -324,7 +324,7 @@
 	if e.ctx.Err() != nil || e.nextTurn != nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		return
 	}
-	go e.relay.deps.Suspects.Lost(context.WithoutCancel(e.ctx), e.fingerprint, t.Server)
+	go e.relay.deps.Suspects.ServerLost(context.WithoutCancel(e.ctx), e.fingerprint, t.Server)
 }
 
 func (e *exchange) mayRetry() bool {
@@ -348,7 +348,7 @@
 	if failed && e.route.Kind == route.Idempotent && e.mayRetry() {
 		return false
 	}
-	e.summary.First = time.Since(e.arrived)
+	e.summary.TimeToFirstByte = time.Since(e.arrived)
 	e.writeAnswer(answer.Status, platform.AnswerHeader(answer.Header), body)
 	e.summary.Outcome = Served
 	return true
--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -38,13 +38,13 @@
 
 // Suspects tracks requests that crash the servers that run them. It is safe for concurrent use.
 type Suspects interface {
-	// Held reports whether a request must not be sent to any server of a service.
-	Held(service, fingerprint string) bool
+	// Quarantined reports whether a request must not be sent to any server of a service.
+	Quarantined(service, fingerprint string) bool
 	// Finished records that a server answered a request in full.
 	Finished(service, fingerprint string)
-	// Lost checks whether a server that closed its connection in the middle of a request has crashed. It may block for some
+	// ServerLost checks whether a server that closed its connection in the middle of a request has crashed. It may block for some
 	// time.
-	Lost(ctx context.Context, fingerprint string, server *backend.Server)
+	ServerLost(ctx context.Context, fingerprint string, server *backend.Server)
 }
 
 // Relay is an http.Handler. It is safe for concurrent use.
@@ -87,8 +87,8 @@
 	Servers []string
 	Resumed bool
 	Took    time.Duration
-	// First is the time until the first part of the answer was sent.
-	First time.Duration
+	// TimeToFirstByte is the time until the first part of the answer was sent.
+	TimeToFirstByte time.Duration
 }
 
 // Rejection describes a request that one server did not run, for logs and metrics.
@@ -116,8 +116,8 @@
 	TooLarge Outcome = "too-large"
 	// Refused: the request has not run, and the answer says so.
 	Refused Outcome = "refused"
-	// HeldBack: the request has crashed servers, and was not run again.
-	HeldBack Outcome = "held-back"
+	// Quarantined: the request has crashed servers, and was not run again.
+	Quarantined Outcome = "held-back"
 	// Unknown: the request may have run, and there is no answer.
 	Unknown Outcome = "unknown"
 	// TimedOut: the caller's deadline or the route's timeout passed.
--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -90,7 +90,7 @@
 	lost        []backend.ID
 }
 
-func (s *fakeSuspects) Held(string, string) bool { return s.quarantined }
+func (s *fakeSuspects) Quarantined(string, string) bool { return s.quarantined }
 
 func (s *fakeSuspects) Finished(string, string) {
 	s.mu.Lock()
@@ -98,7 +98,7 @@
 	s.finished++
 }
 
-func (s *fakeSuspects) Lost(_ context.Context, _ string, server *backend.Server) {
+func (s *fakeSuspects) ServerLost(_ context.Context, _ string, server *backend.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lost = append(s.lost, server.ID)
@@ -129,7 +129,7 @@
 		{Name: "chat", Host: "h.example", PathPrefix: "/chat/", Kind: route.Streaming, Timeout: 8 * time.Second, MaxAttempts: 2, Resumable: true, Targets: targets},
 		{Name: "once", Host: "h.example", PathPrefix: "/once/", Kind: route.Streaming, Timeout: 2 * time.Second, MaxAttempts: 2, Targets: targets},
 	}, nil, []route.Team{{Name: "one", Keys: []string{"key"}}}, route.Limits{BodyBytes: 1 << 20})
-	r.retries = relay.NewRetries(relay.Allowed{Ratio: 1, Extra: 20}, 1)
+	r.retries = relay.NewRetries(relay.Allowance{Ratio: 1, Extra: 20}, 1)
 	handler := relay.New(relay.Deps{
 		Rejected: func(relay.Rejection) {},
 		Table:    func() *route.Table { return r.table }, Turns: r.turns, Pool: upstream.NewPool(), Retries: r.retries, Suspects: r.suspects,
@@ -200,7 +200,7 @@
 		for _, entries := range []int{1, 13, 142, 330} {
 			total := 0
 			for range entries {
-				r := relay.NewRetries(relay.Allowed{Ratio: 0.2, Extra: 491}, entries)
+				r := relay.NewRetries(relay.Allowance{Ratio: 0.2, Extra: 491}, entries)
 				total += take(r, 1000)
 			}
 			Expect(total).To(BeNumerically("<=", 491), "%d entries", entries)
@@ -209,13 +209,13 @@
 	})
 
 	It("grow with the first tries, and shrink when entries join", func() {
-		r := relay.NewRetries(relay.Allowed{Ratio: 0.2, Extra: 100}, 10)
+		r := relay.NewRetries(relay.Allowance{Ratio: 0.2, Extra: 100}, 10)
 		Expect(take(r, 1000)).To(Equal(6))
 		for range 20 {
 			r.FirstTry("s")
 		}
 		Expect(take(r, 1000)).To(Equal(3))
-		fresh := relay.NewRetries(relay.Allowed{Ratio: 0.2, Extra: 100}, 1)
+		fresh := relay.NewRetries(relay.Allowance{Ratio: 0.2, Extra: 100}, 1)
 		Expect(fresh.Take("s", time.Second)).To(BeTrue())
 		fresh.Resize(65)
 		Expect(take(fresh, 1000)).To(Equal(1))
@@ -289,7 +289,7 @@
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header.Get("Retry-After")).To(Equal("60.000"))
 		Expect(r.world.Runs("a1")).To(BeZero())
-		Expect(r.last().Outcome).To(Equal(relay.HeldBack))
+		Expect(r.last().Outcome).To(Equal(relay.Quarantined))
 	})
 
 	It("has a server checked that closed its connection in the middle of a request", func() {
--- a/entry/relay/retries.go
+++ b/entry/relay/retries.go
@@ -12,16 +12,16 @@
 // All entries share what is allowed for a service. Each entry keeps to the share that its own first attempts earn and to an equal part
 // of the extra allowance, so that the total holds even among entries that can't reach each other.
 type Retries struct {
-	allowed Allowed
-	started time.Time
+	allowance Allowance
+	started   time.Time
 
 	mu      sync.Mutex // guards what follows; a leaf lock
 	config  retry.Config
 	budgets map[string]*retry.Budget
 }
 
-// Allowed is what all entries together may repeat of a service's requests in a window of some seconds.
-type Allowed struct {
+// Allowance is what all entries together may repeat of a service's requests in a window of some seconds.
+type Allowance struct {
 	// Ratio is the number of retries per first attempt.
 	Ratio float64
 	// Extra is the number of retries allowed on top of that in each window.
@@ -42,8 +42,8 @@
 )
 
 // NewRetries returns the budgets of one entry out of the given number.
-func NewRetries(allowed Allowed, entries int) *Retries {
-	r := &Retries{allowed: allowed, started: time.Now(), budgets: make(map[string]*retry.Budget)}
+func NewRetries(allowance Allowance, entries int) *Retries {
+	r := &Retries{allowance: allowance, started: time.Now(), budgets: make(map[string]*retry.Budget)}
 	r.Resize(entries)
 	return r
 }
@@ -51,8 +51,8 @@
 // Resize divides the allowance among a new number of entries.
 func (r *Retries) Resize(entries int) {
 	config := retry.DefaultConfig()
-	config.Share = allocatedShare * r.allowed.Ratio
-	config.Burst = max(minBurst, burstShare*r.allowed.Extra/float64(max(1, entries)))
+	config.Share = allocatedShare * r.allowance.Ratio
+	config.Burst = max(minBurst, burstShare*r.allowance.Extra/float64(max(1, entries)))
 	config.PerSecond = config.Burst / refillSeconds
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/relay/stream.go
+++ b/entry/relay/stream.go
@@ -71,7 +71,7 @@
 	e.headerSent = true
 	e.timeToFirstEvent = time.Since(e.sentAt)
 	e.summary.Status = http.StatusOK
-	e.summary.First = time.Since(e.arrived)
+	e.summary.TimeToFirstByte = time.Since(e.arrived)
 	maps.Copy(e.writer.Header(), head)
 	e.writer.WriteHeader(http.StatusOK)
 }
--- a/entry/suspects/suspects.go
+++ b/entry/suspects/suspects.go
@@ -22,10 +22,10 @@
 
 // Deps holds the dependencies of a Watch.
 type Deps struct {
-	// Refuses reports whether no process listens at an address any more.
-	Refuses func(ctx context.Context, address string) bool
-	// Tell sends a message to the leader, if there is one.
-	Tell func(message link.Up)
+	// ConnectionRefused reports whether no process listens at an address any more.
+	ConnectionRefused func(ctx context.Context, address string) bool
+	// SendToLeader sends a message to the leader, if there is one.
+	SendToLeader func(message link.Up)
 }
 
 const (
@@ -62,18 +62,18 @@
 	}
 }
 
-// Held reports whether a request must not be sent to any server of a service.
-func (w *Watch) Held(service, fingerprint string) bool {
+// Quarantined reports whether a request must not be sent to any server of a service.
+func (w *Watch) Quarantined(service, fingerprint string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.quarantined[service][fingerprint]
 }
 
-// Take sets the quarantined requests of a service as the leader reports them, and tells the leader which of them have
+// ApplyQuarantine sets the quarantined requests of a service as the leader reports them, and tells the leader which of them have
 // finished on a server recently.
-func (w *Watch) Take(quarantine link.Quarantine) {
+func (w *Watch) ApplyQuarantine(quarantine link.Quarantine) {
 	for _, fingerprint := range w.apply(quarantine) {
-		w.deps.Tell(link.Up{Cleared: &link.Cleared{Service: quarantine.Service, Fingerprint: fingerprint}})
+		w.deps.SendToLeader(link.Up{Cleared: &link.Cleared{Service: quarantine.Service, Fingerprint: fingerprint}})
 	}
 }
 
@@ -96,7 +96,7 @@
 // Finished records that a server answered a request in full. If the request is quarantined, the leader is told.
 func (w *Watch) Finished(service, fingerprint string) {
 	if w.recordFinished(request{service, fingerprint}) {
-		w.deps.Tell(link.Up{Cleared: &link.Cleared{Service: service, Fingerprint: fingerprint}})
+		w.deps.SendToLeader(link.Up{Cleared: &link.Cleared{Service: service, Fingerprint: fingerprint}})
 	}
 }
 
@@ -114,18 +114,18 @@
 // hasFinished reports whether a request finished recently. The caller holds the lock.
 func (w *Watch) hasFinished(r request) bool { return w.finished[r] || w.previousFinished[r] }
 
-// Lost checks whether a server that closed its connection in the middle of a request has crashed, and if so reports the request
+// ServerLost checks whether a server that closed its connection in the middle of a request has crashed, and if so reports the request
 // to the leader. A request that finished recently is not suspected.
-func (w *Watch) Lost(ctx context.Context, fingerprint string, server *backend.Server) {
+func (w *Watch) ServerLost(ctx context.Context, fingerprint string, server *backend.Server) {
 	w.mu.Lock()
 	cleared := w.hasFinished(request{server.Service, fingerprint})
 	w.mu.Unlock()
-	if cleared || !wait.Pause(ctx, exitDelay) || !w.deps.Refuses(ctx, server.Address) {
+	if cleared || !wait.Pause(ctx, exitDelay) || !w.deps.ConnectionRefused(ctx, server.Address) {
 		return
 	}
 	crash := link.Crash{Service: server.Service, Fingerprint: fingerprint, Server: server.ID, Born: server.Born}
 	w.recordCrash(crash)
-	w.deps.Tell(link.Up{Crash: &crash})
+	w.deps.SendToLeader(link.Up{Crash: &crash})
 }
 
 func (w *Watch) recordCrash(crash link.Crash) {
--- a/entry/suspects/suspects_test.go
+++ b/entry/suspects/suspects_test.go
@@ -28,13 +28,13 @@
 	BeforeEach(func() {
 		sent, refuses = nil, true
 		watch = suspects.New(suspects.Deps{
-			Refuses: func(context.Context, string) bool { return refuses },
-			Tell:    func(message link.Up) { sent = append(sent, message) },
+			ConnectionRefused: func(context.Context, string) bool { return refuses },
+			SendToLeader:      func(message link.Up) { sent = append(sent, message) },
 		})
 	})
 
 	It("reports a request whose server is gone, and reports it again to the next leader", func() {
-		watch.Lost(ctx, "poison", server)
+		watch.ServerLost(ctx, "poison", server)
 		crash := link.Crash{Service: "desk", Fingerprint: "poison", Server: "i-1", Born: 7}
 		Expect(sent).To(Equal([]link.Up{{Crash: &crash}}))
 		Expect(watch.Reports()).To(Equal([]link.Crash{crash}))
@@ -44,7 +44,7 @@
 	// request.
 	It("does not count a reset by a server that keeps running as a crash", func() {
 		refuses = false
-		watch.Lost(ctx, "innocent", server)
+		watch.ServerLost(ctx, "innocent", server)
 		Expect(sent).To(BeEmpty())
 	})
 
@@ -52,18 +52,18 @@
 	// refused.
 	It("does not suspect a request that has finished elsewhere", func() {
 		watch.Finished("desk", "usual")
-		watch.Lost(ctx, "usual", server)
+		watch.ServerLost(ctx, "usual", server)
 		Expect(sent).To(BeEmpty())
 	})
 
 	It("quarantines requests as the leader says, and tells it which of them have finished", func() {
-		Expect(watch.Held("desk", "poison")).To(BeFalse())
+		Expect(watch.Quarantined("desk", "poison")).To(BeFalse())
 		watch.Finished("desk", "usual")
-		watch.Take(link.Quarantine{Service: "desk", Fingerprints: []string{"poison", "usual"}})
-		Expect(watch.Held("desk", "poison")).To(BeTrue())
-		Expect(watch.Held("other", "poison")).To(BeFalse())
+		watch.ApplyQuarantine(link.Quarantine{Service: "desk", Fingerprints: []string{"poison", "usual"}})
+		Expect(watch.Quarantined("desk", "poison")).To(BeTrue())
+		Expect(watch.Quarantined("other", "poison")).To(BeFalse())
 		Expect(sent).To(Equal([]link.Up{{Cleared: &link.Cleared{Service: "desk", Fingerprint: "usual"}}}))
-		watch.Take(link.Quarantine{Service: "desk"})
-		Expect(watch.Held("desk", "poison")).To(BeFalse())
+		watch.ApplyQuarantine(link.Quarantine{Service: "desk"})
+		Expect(watch.Quarantined("desk", "poison")).To(BeFalse())
 	})
 })
