--- a/entry/drain/drain.go
+++ b/entry/drain/drain.go
@@ -46,14 +46,14 @@
 	Leave func()
 	// Publish writes the same to the platform. It retries through an outage; the stop does not wait for it.
 	Publish func(ctx context.Context) error
-	// KeptUntil returns the time until which a caller that has asked by now may keep the address.
-	KeptUntil func() time.Time
+	// AddressHeldUntil returns the time until which a caller that has asked by now may keep the address.
+	AddressHeldUntil func() time.Time
 	// Close stops accepting connections and requests from callers; those in progress continue.
 	Close func()
 	// InProgress returns the number of requests in progress, from callers and from other entries' fronts.
 	InProgress func() int
-	// Entered is called on entering each phase; it may be nil.
-	Entered func(Phase)
+	// OnPhase is called on entering each phase; it may be nil.
+	OnPhase func(Phase)
 }
 
 // Config holds the time limits of a stop.
@@ -128,7 +128,7 @@
 
 // waitForAddressExpiry waits until no caller may still use the address.
 func (d *Drain) waitForAddressExpiry(ctx context.Context) {
-	until := d.steps.KeptUntil().Add(d.cfg.Margin)
+	until := d.steps.AddressHeldUntil().Add(d.cfg.Margin)
 	for ctx.Err() == nil {
 		left := until.Sub(d.clock.Now())
 		if left <= 0 {
@@ -154,8 +154,8 @@
 	d.mu.Lock()
 	d.phase = phase
 	d.mu.Unlock()
-	if d.steps.Entered != nil {
-		d.steps.Entered(phase)
+	if d.steps.OnPhase != nil {
+		d.steps.OnPhase(phase)
 	}
 }
 
--- a/entry/drain/drain_test.go
+++ b/entry/drain/drain_test.go
@@ -50,12 +50,12 @@
 		s.log = append(s.log, event+" "+s.clock.now.Sub(start).Truncate(time.Second).String())
 	}
 	s.Drain = New(Config{Margin: 5 * time.Second, FinishTimeout: 10 * time.Minute}, Steps{
-		Leave:      func() { note("leave") },
-		Publish:    func(ctx context.Context) error { return s.publish(ctx) },
-		KeptUntil:  func() time.Time { return s.clock.now.Add(ttl) },
-		Close:      func() { note("close") },
-		InProgress: func() int { return s.inProgress },
-		Entered:    func(p Phase) { note(p.String()) },
+		Leave:            func() { note("leave") },
+		Publish:          func(ctx context.Context) error { return s.publish(ctx) },
+		AddressHeldUntil: func() time.Time { return s.clock.now.Add(ttl) },
+		Close:            func() { note("close") },
+		InProgress:       func() int { return s.inProgress },
+		OnPhase:          func(p Phase) { note(p.String()) },
 	}, s.clock)
 	return s
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -164,8 +164,8 @@
 			e.members.Leave()
 			e.gate.Leave()
 		},
-		Publish:   func(ctx context.Context) error { return e.registration.publish(ctx, true) },
-		KeptUntil: e.directory.KeptUntil,
+		Publish:          func(ctx context.Context) error { return e.registration.publish(ctx, true) },
+		AddressHeldUntil: e.directory.KeptUntil,
 		Close: func() {
 			go func() {
 				defer close(closed)
@@ -175,7 +175,7 @@
 		InProgress: func() int {
 			return int(e.dispatcher.serving.Load()) + e.dispatcher.home.PendingReleases() + max(e.gate.InProgress(), unfinished(closed))
 		},
-		Entered: e.recordPhase,
+		OnPhase: e.recordPhase,
 	}
 	config := drain.Config{Margin: e.config.DrainMargin, FinishTimeout: e.longestRequest() + finishMargin}
 	return drain.New(config, steps, drain.SystemClock{}).Run(context.Background())
--- a/entry/gateway/assemble.go
+++ b/entry/gateway/assemble.go
@@ -74,9 +74,9 @@
 
 func provideRoster(s *shared, client *store.Client) *roster.Roster {
 	return roster.New(roster.Deps{
-		Store: client, Self: selfEntry(s.config), Choice: directory.DefaultConfig(), Keep: s.config.addressTTL(),
-		Dead:   func(name string) bool { return name != s.config.Name && s.leaderState.isDown(name) },
-		Failed: func(operation string, err error) { s.log.WithError(err).Warn(operation + " failed") },
+		Store: client, Self: selfEntry(s.config), Selection: directory.DefaultConfig(), AddressTTL: s.config.addressTTL(),
+		IsDown:  func(name string) bool { return name != s.config.Name && s.leaderState.isDown(name) },
+		OnError: func(operation string, err error) { s.log.WithError(err).Warn(operation + " failed") },
 	})
 }
 
--- a/entry/roster/roster.go
+++ b/entry/roster/roster.go
@@ -24,14 +24,14 @@
 type Deps struct {
 	Store platform.Store
 	Self  platform.Entry
-	// Choice configures how many entries a caller is told, and in which places they are.
-	Choice policy.Config
-	// Keep is how long a caller may keep an answer.
-	Keep time.Duration
-	// Dead reports whether an entry is known to be down. It is called without the roster's lock.
-	Dead func(name string) bool
-	// Failed is called when an operation on the platform's objects fails.
-	Failed func(operation string, err error)
+	// Selection configures how many entries a caller is told, and in which places they are.
+	Selection policy.Config
+	// AddressTTL is how long a caller may keep an answer.
+	AddressTTL time.Duration
+	// IsDown reports whether an entry is known to be down. It is called without the roster's lock.
+	IsDown func(name string) bool
+	// OnError is called when an operation on the platform's objects fails.
+	OnError func(operation string, err error)
 }
 
 // Roster holds the known entries, this one included. It is safe for concurrent use.
@@ -80,22 +80,22 @@
 
 // Answer returns the addresses of the entries that a caller should use, and how long it may keep them.
 func (r *Roster) Answer(caller policy.Caller) ([]string, time.Duration) {
-	entries := r.snapshot() // Dead takes locks of its own, so the roster's is not held
+	entries := r.snapshot() // IsDown takes locks of its own, so the roster's is not held
 	candidates := make([]policy.Candidate, 0, len(entries))
 	addresses := make(map[string]string, len(entries))
 	for name, entry := range entries {
 		candidates = append(candidates, policy.Candidate{
-			Name: name, Place: entry.Place, FailureDomain: entry.FailureDomain, Leaving: entry.Leaving, Dead: r.deps.Dead(name),
+			Name: name, Place: entry.Place, FailureDomain: entry.FailureDomain, Leaving: entry.Leaving, Dead: r.deps.IsDown(name),
 		})
 		addresses[name] = entry.PublicAddress
 	}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	chosen := policy.Choose(r.deps.Choice, candidates, caller, random)
+	chosen := policy.Choose(r.deps.Selection, candidates, caller, random)
 	answer := make([]string, 0, len(chosen))
 	for _, candidate := range chosen {
 		answer = append(answer, addresses[candidate.Name])
 	}
-	return answer, r.deps.Keep
+	return answer, r.deps.AddressTTL
 }
 
 func (r *Roster) snapshot() map[string]platform.Entry {
@@ -113,7 +113,7 @@
 			return
 		}
 		if err != nil {
-			r.deps.Failed("publishing this entry", err)
+			r.deps.OnError("publishing this entry", err)
 		}
 		wait.Pause(ctx, retryPause/2+rand.N(retryPause))
 	}
@@ -157,7 +157,7 @@
 		}
 		var entry platform.Entry
 		if err := json.Unmarshal(object.Value, &entry); err != nil {
-			r.deps.Failed("reading entry "+object.Name, err)
+			r.deps.OnError("reading entry "+object.Name, err)
 			continue
 		}
 		r.entries[object.Name] = entry
