--- a/entry/drain/drain.go
+++ b/entry/drain/drain.go
@@ -1,8 +1,8 @@
-// Package drain performs the planned stop of an entry without cutting requests.
+// Package drain performs the planned stop of an entry (gateway process) without cutting requests.
 //
 // It guards against three faults of an abrupt stop: callers keep an entry's address for a while and would connect to an entry that is
-// gone; fronts would send to a home that is gone; and answers in progress would break off. Callers would see refused connections and
-// truncated answers although nothing failed.
+// gone; other entries would dispatch requests to a home, the entry that owns a group of servers, that is gone; and answers in progress
+// would break off. Callers would see refused connections and truncated answers although nothing failed.
 package drain
 
 import (
@@ -41,8 +41,8 @@
 
 // Steps are the actions of a stop. Each returns without waiting for its effect, except Publish.
 type Steps struct {
-	// Leave removes the entry from what callers are told, by gossip. Its role as the home of requests moves to other entries as the
-	// news spreads, and from now on it refuses dispatches to it as a home as not run, so that none has to be abandoned at the end.
+	// Leave removes the entry from what callers are told, by gossip. The groups whose home it is move to other entries as the news
+	// spreads, and from now on it refuses dispatches to them as not run, so that none has to be abandoned at the end.
 	Leave func()
 	// Publish writes the same to the platform. It retries through an outage; the stop does not wait for it.
 	Publish func(ctx context.Context) error
--- a/entry/gateway/assemble.go
+++ b/entry/gateway/assemble.go
@@ -100,10 +100,12 @@
 
 func provideLeader(s *shared, cat *catalog.Catalog, entryLease *lease.Lease, controller *grouping.Controller) *leader.Leader {
 	return leader.New(leader.Deps{
-		IsLeader: entryLease.IsLeader, ChangesSince: cat.NewsSince, Listing: cat.Listing, ListAge: cat.ServersAge, Table: cat.Table, Dissolving: controller.Closed,
+		IsLeader: entryLease.IsLeader, ChangesSince: cat.NewsSince, Listing: cat.Listing, ListAge: cat.ServersAge,
+		Table: cat.Table, Dissolving: controller.Closed,
 		UnregisteredMembers: controller.ResponsiveUnregistered,
 		Suspect:             func(key backend.GroupKey) { controller.Suspect(context.Background(), key) },
-		ReportDemand:        s.logDemand, Config: cat.Config, OfferConfig: cat.UpdateConfig, LeaseVersion: entryLease.Version, Ages: cat.Ages, ReportQuarantine: s.requestsQuarantined,
+		ReportDemand:        s.logDemand, Config: cat.Config, OfferConfig: cat.UpdateConfig, LeaseVersion: entryLease.Version,
+		Ages: cat.Ages, ReportQuarantine: s.requestsQuarantined,
 	})
 }
 
@@ -147,7 +149,8 @@
 
 // newClient returns a client for the platform's object API.
 func newClient(config Config, options ...store.Option) *store.Client {
-	options = append(options, store.WithWire(platform.Objects{}), store.WithCallTimeout(platformTimeout), store.WithSource(sourceIP(config.CallerAddress)),
+	options = append(options, store.WithWire(platform.Objects{}), store.WithCallTimeout(platformTimeout),
+		store.WithSource(sourceIP(config.CallerAddress)),
 		store.WithRates(store.Rates{Shared: config.PlatformRate * (1 - reservedShare), Reserved: config.PlatformRate * reservedShare}))
 	return store.NewClient("http://"+config.PlatformAddress, options...)
 }
--- a/entry/gateway/config.go
+++ b/entry/gateway/config.go
@@ -1,5 +1,6 @@
-// Package gateway assembles the gateway process, which serves callers of a platform whose backend servers register themselves. It
-// forwards requests unmodified, tells callers which entries to use, and takes part in forming groups.
+// Package gateway assembles the gateway process, called an entry, which serves callers of a platform whose backend servers register
+// themselves. An entry forwards requests unmodified and tells callers which entries to use. One of the entries is the leader: it
+// grants the turns, the rights to send a request to a server, to all entries, and forms the groups of servers.
 package gateway
 
 import (
--- a/entry/gateway/gateway_test.go
+++ b/entry/gateway/gateway_test.go
@@ -22,7 +22,8 @@
 var _ = Describe("Config", func() {
 	good := Config{
 		Name: "e", Place: "r", FailureDomain: "z", CallerAddress: "10.0.0.1:1", ReadyAddress: "10.0.0.1:2", DirectoryAddress: "10.0.0.1:3",
-		PeerAddress: "10.0.0.1:4", MetricsAddress: "10.0.0.1:5", PlatformAddress: "10.0.0.2:1", PlatformRate: 40, MemoryMB: 200, AddressTTL: 5, StopGrace: 8, RetryRatio: 0.2, LogQueueSize: 10,
+		PeerAddress: "10.0.0.1:4", MetricsAddress: "10.0.0.1:5", PlatformAddress: "10.0.0.2:1", PlatformRate: 40,
+		MemoryMB: 200, AddressTTL: 5, StopGrace: 8, RetryRatio: 0.2, LogQueueSize: 10,
 	}
 
 	It("accepts valid settings", func() { Expect(good.Check()).To(Succeed()) })
--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -19,7 +19,8 @@
 	"github.com/skylarkpond/skylarkpond/policy/turns"
 )
 
-// exchange is the processing of one caller's request. It is confined to one goroutine.
+// exchange is the processing of one caller's request. One goroutine drives it; the timer of its stallWatch only reads fields that are
+// set before the first attempt.
 type exchange struct {
 	relay   *Relay
 	writer  http.ResponseWriter
@@ -83,7 +84,7 @@
 	}
 }
 
-// admit matches the route and checks the key. Without a configuration neither is known, so the request is refused as retryable.
+// admit matches the route and checks the key. Without a configuration it can decide neither, and refuses the request with 503.
 func (e *exchange) admit() bool {
 	if e.table == nil {
 		return e.refuse(NoConfig, http.StatusServiceUnavailable, retryAfterUnavailable, "no configuration yet")
--- a/entry/relay/relay.go
+++ b/entry/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay forwards callers' requests unmodified: it matches the route, checks the key, acquires a turn at a backend server,
-// sends the request there, and returns the server's answer unchanged.
+// Package relay forwards callers' requests unmodified: it matches the route, checks the key, acquires a turn (the right to send a
+// request) at a backend server, sends the request there, and returns the server's answer unchanged.
 //
 // It guarantees that a request that may not be repeated is sent at most once unless the server itself states that it did not run it;
 // that an answer of 429 or 503 means that the request has not run and never will; and that an answer that ends early never looks
--- a/entry/roster/roster.go
+++ b/entry/roster/roster.go
@@ -1,4 +1,5 @@
-// Package roster registers this entry with the platform, tracks the other entries, and tells callers which entries to use.
+// Package roster registers this entry (gateway process) with the platform, tracks the other entries, and tells callers which entries
+// to use.
 package roster
 
 import (
--- a/entry/suspects/suspects.go
+++ b/entry/suspects/suspects.go
@@ -1,9 +1,9 @@
 // Package suspects keeps a request that crashes the servers that run it from being run on one server after the other.
 //
-// Each entry reports to the leader which request it suspects of having crashed its server, and the leader counts the crashes over all
-// entries (see policy/quarantine). The leader sends the resulting quarantine to all entries, which refuse such requests at once.
-// Without this, a caller that keeps repeating one request would crash one server after the other, and with them the requests that each
-// was running.
+// Each entry (gateway process) reports to the leader, the entry that coordinates all entries, which request it suspects of having
+// crashed its server. The leader counts the crashes over all entries (see policy/quarantine) and sends the resulting quarantine to all
+// of them, which refuse such requests at once. Without this, a caller that keeps repeating one request would crash one server after
+// the other, and with them the requests that each was running.
 //
 // A server that fails some of its requests also resets connections. A crash differs in that the server's process is gone: it refuses
 // new connections. A request that finishes on any server was not the cause.
