--- a/entry/entry.go
+++ b/entry/entry.go
@@ -166,7 +166,7 @@
 			e.gate.Leave()
 		},
 		Publish:   func(ctx context.Context) error { return e.registration.publish(ctx, true) },
-		KeptUntil: e.directory.LatestExpiry,
+		AddressHeldUntil: e.directory.LatestExpiry,
 		Close: func() {
 			go func() {
 				defer close(closed)
@@ -176,7 +176,7 @@
 		InProgress: func() int {
 			return int(e.dispatcher.serving.Load()) + e.dispatcher.home.PendingReleases() + max(e.gate.InProgress(), unfinished(closed))
 		},
-		Entered: e.recordPhase,
+		OnPhase: e.recordPhase,
 	}
 	config := drain.Config{Margin: e.config.DrainMargin, FinishTimeout: e.longestRequest() + finishTimeoutMargin}
 	return drain.New(config, steps, drain.SystemClock{}).Run(context.Background())
--- a/entry/gateway/assemble.go
+++ b/entry/gateway/assemble.go
@@ -74,9 +74,9 @@
 
 func provideRoster(s *shared, client *store.Client) *roster.Roster {
 	return roster.New(roster.Deps{
-		Store: client, Self: selfEntry(s.config), Choice: directory.DefaultConfig(), Keep: s.config.addressTTL(),
-		Dead:   func(name string) bool { return name != s.config.Name && s.leaderState.isDown(name) },
-		Failed: func(doing string, err error) { s.log.WithError(err).Warn(doing + " failed") },
+		Store: client, Self: selfEntry(s.config), Selection: directory.DefaultConfig(), AddressTTL: s.config.addressTTL(),
+		IsDown:  func(name string) bool { return name != s.config.Name && s.leaderState.isDown(name) },
+		OnError: func(operation string, err error) { s.log.WithError(err).Warn(operation + " failed") },
 	})
 }
 
@@ -100,10 +100,12 @@
 
 func provideLeader(s *shared, cat *catalog.Catalog, entryLease *lease.Lease, controller *grouping.Controller) *leader.Leader {
 	return leader.New(leader.Deps{
-		IsLeader: entryLease.IsLeader, ChangesSince: cat.NewsSince, Listing: cat.Listing, ListAge: cat.ServersAge, Table: cat.Table, Dissolving: controller.Closed,
+		IsLeader: entryLease.IsLeader, ChangesSince: cat.NewsSince, Listing: cat.Listing, ListAge: cat.ServersAge,
+		Table: cat.Table, Dissolving: controller.Closed,
 		UnregisteredMembers: controller.ResponsiveUnregistered,
 		Suspect:             func(key backend.GroupKey) { controller.Suspect(context.Background(), key) },
-		ReportDemand:        s.logDemand, Config: cat.Config, OfferConfig: cat.UpdateConfig, LeaseVersion: entryLease.Version, Ages: cat.Ages, ReportQuarantine: s.requestsQuarantined,
+		ReportDemand:        s.logDemand, Config: cat.Config, OfferConfig: cat.UpdateConfig, LeaseVersion: entryLease.Version,
+		Ages: cat.Ages, ReportQuarantine: s.requestsQuarantined,
 	})
 }
 
@@ -120,11 +122,11 @@
 }
 
 func provideSuspects(remote *turn.Remote) *suspects.Watch {
-	return suspects.New(suspects.Deps{Refuses: upstream.RefusesConnections, Tell: remote.Send})
+	return suspects.New(suspects.Deps{ConnectionRefused: upstream.RefusesConnections, SendToLeader: remote.Send})
 }
 
 func provideRetries(s *shared) *relay.Retries {
-	return relay.NewRetries(relay.Allowed{Ratio: s.config.RetryRatio, Extra: s.config.RetryExtra}, assumedEntries)
+	return relay.NewRetries(relay.Allowance{Ratio: s.config.RetryRatio, Extra: s.config.RetryExtra}, assumedEntries)
 }
 
 func provideRelay(
@@ -147,7 +149,8 @@
 
 // newClient returns a client for the platform's object API.
 func newClient(config Config, options ...store.Option) *store.Client {
-	options = append(options, store.WithCodec(platform.Objects{}), store.WithCallTimeout(platformTimeout), store.WithSource(sourceIP(config.CallerAddress)),
+	options = append(options, store.WithCodec(platform.Objects{}), store.WithCallTimeout(platformTimeout),
+		store.WithSource(sourceIP(config.CallerAddress)),
 		store.WithRates(store.Rates{Shared: config.PlatformRate * (1 - reservedShare), Reserved: config.PlatformRate * reservedShare}))
 	return store.NewClient("http://"+config.PlatformAddress, options...)
 }
--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -19,7 +19,8 @@
 	"github.com/skylarkpond/skylarkpond/policy/turns"
 )
 
-// exchange is the processing of one caller's request. It is confined to one goroutine.
+// exchange is the processing of one caller's request. One goroutine drives it; the timer of its stallWatch only reads fields that are
+// set before the first attempt.
 type exchange struct {
 	relay   *Relay
 	writer  http.ResponseWriter
@@ -65,8 +66,8 @@
 		return
 	}
 	e.fingerprint = contract.Fingerprint(e.request.Method, e.request.RequestURI, e.call.Key, string(e.body))
-	if e.relay.deps.Suspects.Held(e.service, e.fingerprint) {
-		e.refuse(HeldBack, http.StatusServiceUnavailable, retryAfterQuarantined, "requests like this one have crashed servers")
+	if e.relay.deps.Suspects.Quarantined(e.service, e.fingerprint) {
+		e.refuse(Quarantined, http.StatusServiceUnavailable, retryAfterQuarantined, "requests like this one have crashed servers")
 		return
 	}
 	ctx, cancel := context.WithDeadline(e.request.Context(), e.deadline)
@@ -83,7 +84,7 @@
 	}
 }
 
-// admit matches the route and checks the key. Without a configuration neither is known, so the request is refused as retryable.
+// admit matches the route and checks the key. Without a configuration it can decide neither, and refuses the request with 503.
 func (e *exchange) admit() bool {
 	if e.table == nil {
 		return e.refuse(NoConfig, http.StatusServiceUnavailable, retryAfterUnavailable, "no configuration yet")
@@ -324,7 +325,7 @@
 	if e.ctx.Err() != nil || e.nextTurn != nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		return
 	}
-	go e.relay.deps.Suspects.Lost(context.WithoutCancel(e.ctx), e.fingerprint, t.Server)
+	go e.relay.deps.Suspects.ServerLost(context.WithoutCancel(e.ctx), e.fingerprint, t.Server)
 }
 
 func (e *exchange) mayRetry() bool {
@@ -348,7 +349,7 @@
 	if failed && e.route.Kind == route.Idempotent && e.mayRetry() {
 		return false
 	}
-	e.summary.First = time.Since(e.arrived)
+	e.summary.TimeToFirstByte = time.Since(e.arrived)
 	e.writeAnswer(answer.Status, platform.AnswerHeader(answer.Header), body)
 	e.summary.Outcome = Served
 	return true
