--- a/entry/member/answer.go
+++ b/entry/member/answer.go
@@ -6,7 +6,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Errors that a peer is answered with.
+// Errors returned to the calling peer.
 var (
 	ErrNameMismatch = eris.New("the caller's name is not that of its certificate")
 	ErrWrongTarget  = eris.New("another entry has this address")
@@ -15,7 +15,7 @@
 	errBusy = eris.New("too many calls wait")
 )
 
-// handlePing answers a Ping of the entry from.
+// handlePing processes a Ping from the entry named from and returns its Ack.
 func (m *Members) handlePing(now time.Time, from string, ping Ping) (Ack, error) {
 	m.mu.Lock()
 	defer m.unlock()
@@ -38,21 +38,21 @@
 	return ack, nil
 }
 
-// prepareRelay returns the ping to make for a Relay.
-func (m *Members) prepareRelay(now time.Time, ask Relay) (call, error) {
+// prepareRelay returns the ping that a Relay asks this entry to make.
+func (m *Members) prepareRelay(now time.Time, request Relay) (call, error) {
 	m.mu.Lock()
 	defer m.unlock()
 	m.checkPause(now)
-	if m.peers[ask.Target] == nil {
+	if m.peers[request.Target] == nil {
 		return call{}, ErrUnknownEntry
 	}
-	c := m.pingCall(ask.Target)
+	c := m.pingCall(request.Target)
 	c.sentAt = now
 	return c, nil
 }
 
-// completeRelay answers a Relay after the ping was made. A failed one is no reason for a suspicion here: the
-// entry that asked raises it.
+// completeRelay returns the reply to a Relay once its ping has ended. A failed ping raises no suspicion
+// here; that is left to the entry that sent the Relay.
 func (m *Members) completeRelay(now time.Time, c call, r result) RelayReply {
 	if r.err == nil {
 		m.finish(now, c, r)
--- a/entry/member/apply.go
+++ b/entry/member/apply.go
@@ -9,19 +9,20 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// applyItems takes in gossip of the entry from, and returns which items were no news. Called with mu held.
+// applyItems applies gossip received from the entry named from and returns the indexes of the items that
+// were already known. Called with mu held.
 func (m *Members) applyItems(now time.Time, from string, items []item, spread bool) (known []byte) {
 	for i, it := range items {
-		news := true
+		isNew := true
 		switch {
 		case it.Status != nil:
-			news = m.applyStatus(now, from, *it.Status, spread)
+			isNew = m.applyStatus(now, from, *it.Status, spread)
 		case it.Profile != nil:
 			m.applyProfile(now, it.Profile, spread)
 		case it.Rumour != nil:
-			news = m.receiveRumour(now, from, *it.Rumour, spread)
+			isNew = m.receiveRumour(now, from, *it.Rumour, spread)
 		}
-		if news {
+		if isNew {
 			m.queue.markKnown(from, []string{it.key()})
 		} else if i <= math.MaxUint8 {
 			known = append(known, byte(i))
@@ -30,7 +31,8 @@
 	return known
 }
 
-// applyStatus takes in what from says of an entry and reports whether it was news. Called with mu held.
+// applyStatus merges a status received from the entry named from and reports whether it was new. Called
+// with mu held.
 func (m *Members) applyStatus(now time.Time, from string, s Status, spread bool) bool {
 	if s.Name == m.self.Name {
 		m.applySelfStatus(now, s)
@@ -39,7 +41,7 @@
 	p := m.peers[s.Name]
 	if p == nil || (p.status.Incarnation != s.Incarnation && s.Generation > p.status.Generation) {
 		if s.State != Dead {
-			m.scheduleSync(from) // its profile is missing: ask for it
+			m.scheduleSync(from) // the profile is missing: fetch it
 		}
 		return false
 	}
@@ -53,7 +55,7 @@
 	return true
 }
 
-// applyProfile takes in an entry with all that is needed to reach it. Called with mu held.
+// applyProfile merges a profile, which carries everything needed to reach an entry. Called with mu held.
 func (m *Members) applyProfile(now time.Time, pr *profile, spread bool) {
 	s := pr.Status
 	if s.Name == m.self.Name {
@@ -81,7 +83,8 @@
 	}
 }
 
-// applySelfStatus answers what others hold of this entry. Called with mu held.
+// applySelfStatus handles a status that others hold of this entry, and refutes it if it is wrong. Called
+// with mu held.
 func (m *Members) applySelfStatus(now time.Time, s Status) {
 	if s.Incarnation != m.self.Incarnation {
 		if s.Generation > m.self.Generation && !m.superseded {
@@ -97,19 +100,19 @@
 	m.self.Counter = s.Counter + 1
 	m.announceSelf()
 	if s.State == Dead {
-		// Others have taken over what this entry owned: it was silent for them longer than it knows,
-		// as when its VM was stopped together with its clock.
+		// Other entries have taken over what this entry owned. It was silent for longer than its clock
+		// shows, as happens when its VM is stopped together with the clock.
 		m.markStale(now)
 	}
 }
 
-// setStatus replaces what is held of p. Called with mu held.
+// setStatus replaces the status of p. Called with mu held.
 func (m *Members) setStatus(now time.Time, p *peerState, s Status, spread bool) {
 	before := p.status
 	p.status = s
 	switch s.State {
 	case Alive:
-		p.unconfirmedFailures = 0
+		p.failedProbes = 0
 		if before.State != Alive {
 			m.record(timeline.Event{Kind: timeline.PeerAlive, Peer: s.Name})
 		}
@@ -131,15 +134,17 @@
 	}
 }
 
-// scheduleDisconnect asks for the end of calls in progress to a dead peer, unless it spoke to this very entry a
-// moment ago: others may be cut off from it while answers still flow here. Called with mu held.
+// scheduleDisconnect schedules the end of calls in progress to a dead peer, unless the peer was in
+// contact with this entry within suspicionTimeout: other entries may be cut off from it while its
+// replies still arrive here. Called with mu held.
 func (m *Members) scheduleDisconnect(now time.Time, p *peerState) {
 	if now.Sub(p.lastContact) >= suspicionTimeout {
 		m.disconnectAddresses = append(m.disconnectAddresses, p.entry.PeerAddress)
 	}
 }
 
-// revokeReplaced ends the trust in the earlier process of a name. Called with mu held.
+// revokeReplaced removes trust in the previous process of a name, and schedules the end of calls to its
+// address if the new process has another. Called with mu held.
 func (m *Members) revokeReplaced(p *peerState, by *profile) {
 	delete(m.trusted, p.entry.Fingerprint)
 	if p.entry.PeerAddress != by.PeerAddress {
@@ -147,7 +152,7 @@
 	}
 }
 
-// removePeer drops all that is known of p. Called with mu held.
+// removePeer deletes all state of p. Called with mu held.
 func (m *Members) removePeer(p *peerState) {
 	m.deletePeer(p.status.Name)
 	delete(m.trusted, p.entry.Fingerprint)
--- a/entry/member/budget_test.go
+++ b/entry/member/budget_test.go
@@ -10,17 +10,17 @@
 	. "github.com/onsi/gomega"
 )
 
-// Bounds of what one entry sends, without the overhead of the link. An entry may spend 10 KB a second for
-// control, both directions and all overhead together.
+// Limits on what one entry sends, without the overhead of the transport. The budget of an entry for
+// control traffic is 10 KB a second, both directions and all overhead included.
 const (
 	quietMessages, quietBytes = 8, 600
 	busyMessages, busyBytes   = 9, 2_500
 )
 
 var _ = Describe("the cost of membership", func() {
-	// With messages that grow with the fleet, 330 entries would spend their whole network on telling
-	// each other that they live.
-	It("keeps messages and bytes of each entry within bounds that do not grow with their number", func() {
+	// Guards against messages that grow with the number of entries: at 330 entries, liveness traffic
+	// alone would then use up the network.
+	It("keeps the messages and bytes of each entry within limits that do not grow with the number of entries", func() {
 		for _, n := range []int{4, 16, 64, 330} {
 			quiet, busy := convergedSim(1, n).measureTraffic(4*time.Second, 8*time.Second)
 			fmt.Fprintf(GinkgoWriter, "n=%d quiet %v; busy %v\n", n, quiet, busy)
@@ -40,9 +40,10 @@
 		Expect(took).To(BeNumerically("<", 6*time.Second))
 	})
 
-	// Reports that are told again and again come faster than messages can carry them. A change of settings
-	// that waited among them would be in force late, and not at the same time everywhere.
-	It("carries a lasting rumour past a flood of passing ones", func() {
+	// Transient rumours that are rebroadcast all the time arrive faster than messages can carry them. A
+	// settings change queued behind them would take effect late, and at different times on different
+	// entries.
+	It("delivers a persistent rumour despite a flood of transient ones", func() {
 		s := convergedSim(3, 64)
 		for second := range 14 {
 			for i := range 40 {
@@ -59,7 +60,7 @@
 	})
 })
 
-// BenchmarkMembership measures in virtual time what one entry sends, from a cold start of all entries.
+// BenchmarkMembership measures in virtual time what one entry sends, starting with all entries cold.
 func BenchmarkMembership(b *testing.B) {
 	RegisterTestingT(b)
 	for _, n := range []int{4, 8, 16, 32, 64, 330} {
@@ -79,7 +80,7 @@
 	}
 }
 
-// convergedSim starts with entries that know each other alive already.
+// convergedSim returns a simulation in which all entries already hold each other alive.
 func convergedSim(seed uint64, n int) *sim {
 	s := newSim(seed, n)
 	for _, a := range s.nodes {
@@ -100,8 +101,9 @@
 	return fmt.Sprintf("%.1f messages/s, %.0f bytes/s", r.messages, r.bytes)
 }
 
-// measureTraffic measures what one entry sends a second, on average over all: while nothing happens, and with one
-// entry killed and a new rumour each second, which is more than a busy day.
+// measureTraffic measures what one entry sends per second, averaged over all entries: first while
+// nothing changes, then with one entry killed and a new rumour each second, which is more than a busy
+// day brings.
 func (s *sim) measureTraffic(quietFor, busyFor time.Duration) (quiet, busy rate) {
 	quiet = s.rate(quietFor, func() {})
 	last := len(s.nodes) - 1
@@ -126,9 +128,10 @@
 	return rate{float64(s.messages-messages) / per, float64(s.bytes-bytes) / per}
 }
 
-// BenchmarkRumourRate measures how fast rumours of 110 bytes reach all when more and more of them are told
-// a second: how old, on average and at 95 in 100, what an entry knows of a name is, beyond the time for
-// which its teller itself had nothing newer. Each name is told anew every 20 s.
+// BenchmarkRumourRate measures how fast rumours of 110 bytes spread as the number broadcast per second
+// grows. It reports the median and the 95th percentile of the staleness of an entry's copy: the time
+// since the oldest version that the entry lacks was broadcast, or zero if it lacks none. Each name is
+// broadcast again every 20 s.
 func BenchmarkRumourRate(b *testing.B) {
 	RegisterTestingT(b)
 	for _, n := range []int{21, 330} {
@@ -147,25 +150,26 @@
 	}
 }
 
-// broadcastSteadily tells rumours at a rate and then returns, for each pair of entry and name at some moments,
-// how long ago the newest version that the entry does not know was told.
+// broadcastSteadily broadcasts rumours at a constant rate. At sample times after the warm-up it records,
+// for each pair of entry and name, how long ago the oldest version that the entry lacks was broadcast,
+// or zero if it lacks none.
 func (s *sim) broadcastSteadily(perSecond int, warmup, measured time.Duration) []time.Duration {
 	const period = 20
-	told := make(map[string][]time.Time) // by name: when version i+1 was told
+	broadcastAt := make(map[string][]time.Time) // by name: when version i+1 was broadcast
 	var delays []time.Duration
 	start := s.now
 	for step := 0; s.now.Sub(start) < warmup+measured; step++ {
 		name := fmt.Sprint("group-", step%(period*perSecond))
-		told[name] = append(told[name], s.now)
+		broadcastAt[name] = append(broadcastAt[name], s.now)
 		s.nodes[step%(period*perSecond)%len(s.nodes)].Broadcast(Rumour{
-			Topic: "test", Name: name, Version: uint64(len(told[name])), Body: make([]byte, 80), TTL: time.Minute,
+			Topic: "test", Name: name, Version: uint64(len(broadcastAt[name])), Body: make([]byte, 80), TTL: time.Minute,
 		})
 		s.run(time.Second / time.Duration(perSecond))
 		if s.now.Sub(start) < warmup || step%(5*perSecond) != 0 {
 			continue
 		}
 		for _, n := range s.nodes {
-			for name, times := range told {
+			for name, times := range broadcastAt {
 				known := n.rumours[rumourKey{"test", name}].rumour.Version
 				delay := time.Duration(0)
 				if int(known) < len(times) {
--- a/entry/member/fault_test.go
+++ b/entry/member/fault_test.go
@@ -10,9 +10,9 @@
 )
 
 var _ = Describe("faults between entries", func() {
-	// The path from one entry to another fails in one direction only. If the first declared the other
-	// dead, a healthy entry would lose its homes because of one switch port.
-	It("keeps an entry that only one other can't reach, and marks it there", func() {
+	// The path from one entry to another fails in one direction only. If the first entry declared the
+	// other dead, a single faulty switch port would cost a healthy entry its homes.
+	It("keeps an entry live that only one other can't reach, and marks it unreachable there", func() {
 		forSizes("one-way cut", func(s *sim) time.Duration {
 			a := s.nodes[0]
 			fingers := a.fingers()
@@ -30,8 +30,8 @@
 		})
 	})
 
-	// Failure domains lose each other for minutes. Each side must go on with what it has, and both must
-	// find each other again without the platform.
+	// Failure domains can lose contact for minutes. Each side must carry on with the entries it reaches,
+	// and the two must find each other again without the platform.
 	It("splits along a partition and joins again", func() {
 		forSizes("partition healed", func(s *sim) time.Duration {
 			left := func(id int) bool { return id%3 == 0 }
@@ -50,7 +50,7 @@
 		})
 	})
 
-	It("tells all of an entry that is overloaded, and when it no longer is", func() {
+	It("announces to all entries when one is overloaded and when it no longer is", func() {
 		s := startedSim(1, 16)
 		for _, overloaded := range []bool{true, false} {
 			s.nodes[3].SetOverloaded(overloaded)
@@ -61,8 +61,8 @@
 		}
 	})
 
-	// A lossy network drops one message in twenty, without the retransmission that QUIC would add. An
-	// entry that is declared dead by mistake loses its homes for a moment.
+	// The network drops one message in twenty, without the retransmission that QUIC would add. An entry
+	// that is wrongly declared dead loses its homes for a moment.
 	It("rarely mistakes a live entry for a dead one at 5% loss, and loses no rumour", func() {
 		forSizes("5% loss", func(s *sim) time.Duration {
 			s.loss = 0.05
@@ -87,8 +87,8 @@
 		})
 	})
 
-	// A process is replaced by another of the same name, with a new key, while the old one is only
-	// frozen. If the old one could come back under the name, two processes would answer for one.
+	// A process is replaced by one of the same name with a new key while the old process is only frozen.
+	// If the old one could resume under that name, two processes would act as one entry.
 	It("lets a new process replace the old one, which never owns anything again", func() {
 		forSizes("replaced", func(s *sim) time.Duration {
 			old := s.nodes[1]
@@ -110,8 +110,8 @@
 		})
 	})
 
-	// Whatever comes at whatever moment: once it is over, all agree on who lives, and every entry has
-	// the newest version of every rumour. (That no version goes down is checked at each delivery.)
+	// After any sequence of faults has ended, all entries agree on who is alive and hold the newest
+	// version of every rumour. The rumour handler in newNode checks that versions never decrease.
 	It("agrees after any schedule of faults", func() {
 		schedules, events := 0, 0
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
@@ -135,7 +135,7 @@
 	})
 })
 
-// trustedBy reports whether every entry knows the key of n.
+// trustedBy reports whether every entry trusts the key of n.
 func (s *sim) trustedBy(n *node) bool {
 	for _, other := range s.nodes {
 		if name, _ := other.Trusted(n.entry.Fingerprint); name != n.entry.Name {
@@ -145,7 +145,7 @@
 	return true
 }
 
-// injectFault makes one thing happen.
+// injectFault applies one random fault, or broadcasts a rumour.
 func injectFault(t *rapid.T, s *sim, version uint64) {
 	n := s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "entry")]
 	what := rapid.SampledFrom([]string{"freeze", "wake", "restart", "cut", "heal", "loss", "rumour", "leave"}).Draw(t, "what")
@@ -172,7 +172,7 @@
 	}
 }
 
-// endFaults ends all faults.
+// endFaults ends all faults that were injected.
 func (s *sim) endFaults() {
 	s.cut = func(int, int) bool { return false }
 	s.loss = 0
@@ -181,7 +181,7 @@
 	}
 }
 
-// rumoursConverged reports whether all entries hold the same rumours.
+// rumoursConverged reports whether all entries hold the newest version of the rumour "news".
 func (s *sim) rumoursConverged() bool {
 	newest := uint64(0)
 	for _, n := range s.nodes {
--- a/entry/member/finish.go
+++ b/entry/member/finish.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// finish takes in what came of a call and returns the calls that follow from it.
+// finish processes the result of a call and returns the calls to make next.
 func (m *Members) finish(now time.Time, c call, r result) []call {
 	m.mu.Lock()
 	defer m.unlock()
@@ -55,7 +55,7 @@
 	return m.pingIndirectly(now, p)
 }
 
-// setUnreachable notes whether the path from here to a live peer fails. Called with mu held.
+// setUnreachable records whether direct pings to a live peer fail. Called with mu held.
 func (m *Members) setUnreachable(p *peerState, unreachable bool) {
 	if p.unreachable == unreachable {
 		return
@@ -64,23 +64,23 @@
 	m.markDirty()
 }
 
-// recordContact notes that the entry itself spoke. Called with mu held.
+// recordContact records a message from the entry itself. Called with mu held.
 func (m *Members) recordContact(now time.Time, s Status) {
 	m.applyStatus(now, s.Name, s, true)
 	p := m.peers[s.Name]
 	if p != nil && p.status.Incarnation == s.Incarnation {
 		p.lastContact = now
-		p.unconfirmedFailures = 0
+		p.failedProbes = 0
 	}
 }
 
-// pingIndirectly asks others to ping p, since only the path from here may be cut.
+// pingIndirectly asks helpers to ping p, since the fault may lie only on the path from this entry.
 func (m *Members) pingIndirectly(now time.Time, p *peerState) []call {
 	name := p.status.Name
 	chosen := m.chooseHelpers(name)
 	t := &indirectProbe{target: name, statusBefore: p.status, pending: len(chosen)}
 	if len(chosen) == 0 {
-		m.recordUnconfirmedFailure(now, p, t)
+		m.recordFailedProbe(now, p, t)
 		return nil
 	}
 	var calls []call
@@ -93,7 +93,7 @@
 	return calls
 }
 
-// chooseHelpers prefers the fingers, to which connections are open.
+// chooseHelpers prefers fingers, to which connections are already open.
 func (m *Members) chooseHelpers(target string) []string {
 	usable := func(name string) bool {
 		p := m.peers[name]
@@ -123,22 +123,23 @@
 	}
 	if t.reached {
 		m.setUnreachable(p, p.failedPings >= maxFailedPings)
-		p.unconfirmedFailures = 0
+		p.failedProbes = 0
 		return
 	}
 	if t.pending == 0 {
-		m.recordUnconfirmedFailure(now, p, t)
+		m.recordFailedProbe(now, p, t)
 	}
 }
 
-// recordUnconfirmedFailure counts a ping that failed on every way. One failure suffices when a helper says so too; when no
-// helper answered, this entry itself may be the one that is cut off, and it tries once more.
-func (m *Members) recordUnconfirmedFailure(now time.Time, p *peerState, t *indirectProbe) {
+// recordFailedProbe handles a ping that failed directly and through every helper. It raises a suspicion
+// at once if a helper replied. If none did, this entry may be the one that is cut off, so it waits for
+// maxFailedPings failures in a row.
+func (m *Members) recordFailedProbe(now time.Time, p *peerState, t *indirectProbe) {
 	if p.status != t.statusBefore || p.status.State != Alive {
 		return
 	}
-	p.unconfirmedFailures++
-	if !t.answered && p.unconfirmedFailures < maxFailedPings {
+	p.failedProbes++
+	if !t.answered && p.failedProbes < maxFailedPings {
 		return
 	}
 	suspect := p.status
--- a/entry/member/freshness.go
+++ b/entry/member/freshness.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// pauseThreshold is how late a tick may be before the process counts as paused. Ticks come ten times a
-	// second, so that a busy machine alone does not reach it; and it is well under the time in which
-	// others declare this entry dead, so that nobody can have taken over before.
+	// pauseThreshold is how late a tick may be before the process counts as paused. Ticks come ten times
+	// a second, so load on the machine alone does not reach it. It is well below the time in which other
+	// entries declare this one dead, so no other entry can have taken over before the pause is detected.
 	pauseThreshold = 2 * time.Second
-	// isolationTimeout is how long an entry that knows others, none of which lives, waits for one of them
-	// before it works alone.
+	// isolationTimeout is how long an entry that knows others, none of them alive, waits for one before
+	// it works alone.
 	isolationTimeout = 3 * time.Second
 )
 
-// freshness says whether this entry can trust what it knows. A process that wakes from a pause still
-// believes that it owns what others took over meanwhile; its callers would wait on requests that its
-// successor knows nothing of.
+// freshness tracks whether this entry can trust its own state. A process that resumes from a pause still
+// believes that it owns what others took over meanwhile; its callers would wait for requests that the
+// new owner knows nothing of.
 type freshness struct {
 	lastTick time.Time
-	// stale is set from a pause, or the start, until the first exchange with a peer after staleSince.
+	// stale is set at the start and after a pause, until a call made after staleSince has been answered.
 	stale      bool
 	staleSince time.Time
 	freshSince time.Time
-	// superseded: another process has taken this entry's name. There is no way back.
+	// superseded is set for good once another process has taken this entry's name.
 	superseded bool
 }
 
@@ -35,8 +35,8 @@
 	m.staleSince = now
 }
 
-// checkPause runs at each use, not only at ticks: after a wake, a request may be faster than the timer.
-// Called with mu held.
+// checkPause runs on every use, not only on ticks: after a resume, a request may arrive before the timer
+// fires. Called with mu held.
 func (m *Members) checkPause(now time.Time) {
 	gap := max(now.Sub(m.lastTick), now.Round(0).Sub(m.lastTick.Round(0)))
 	if gap <= pauseThreshold {
@@ -47,14 +47,15 @@
 	m.markStale(now)
 }
 
-// markStale expires what is known: nobody is held alive on evidence from before, and nobody is declared
-// dead because time went by while nobody here listened. Called with mu held.
+// markStale marks the state as stale: replies to calls made before now no longer prove contact with a peer.
+// It restarts all suspicion timeouts, so that no peer is declared dead for time that passed while this
+// process was not listening. Called with mu held.
 func (m *Members) markStale(now time.Time) {
 	m.stale = true
 	m.staleSince = now
 	m.nextProbe = now
 	for _, p := range m.peers {
-		p.unconfirmedFailures = 0
+		p.failedProbes = 0
 		if p.status.State == Suspect {
 			p.suspectUntil = now.Add(suspicionTimeout)
 		}
@@ -62,8 +63,8 @@
 	m.markDirty()
 }
 
-// confirmFresh notes an answered call that was made at sentAt, and reports whether it ended a pause. Called
-// with mu held.
+// confirmFresh records an answered call that was sent at sentAt and reports whether it ended a stale
+// period. Called with mu held.
 func (m *Members) confirmFresh(now, sentAt time.Time) bool {
 	if !m.stale || sentAt.Before(m.staleSince) {
 		return false
@@ -72,7 +73,8 @@
 	return true
 }
 
-// checkIsolated lets an entry without live peers work. Called with mu held.
+// checkIsolated marks an entry that has no live peers as fresh, so that it can work alone. Called with
+// mu held.
 func (m *Members) checkIsolated(now time.Time) {
 	if !m.stale || len(m.currentRing()) > 1 {
 		return
@@ -88,13 +90,13 @@
 	m.markDirty()
 }
 
-// canOwn reports whether this entry may count itself as an owner. Called with mu held.
+// canOwn reports whether this entry may consider itself an owner. Called with mu held.
 func (m *Members) canOwn() bool {
 	return !m.stale && !m.superseded && !m.self.Leaving
 }
 
-// Paused reports whether this entry was paused, or has just started, and has not spoken with a peer
-// since; or was replaced by another process of its name. Such an entry owns nothing.
+// Paused reports whether this entry was paused or has just started and has not been in contact with a
+// peer since, or whether another process has taken its name. Such an entry owns nothing.
 func (m *Members) Paused() bool {
 	m.mu.Lock()
 	defer m.unlock()
@@ -102,7 +104,8 @@
 	return m.stale || m.superseded
 }
 
-// FreshSince returns since when this entry has known its peers without a pause, and false while Paused.
+// FreshSince returns the time since which this entry has known its peers without a pause, and false
+// while Paused.
 func (m *Members) FreshSince() (time.Time, bool) {
 	m.mu.Lock()
 	defer m.unlock()
@@ -110,7 +113,7 @@
 	return m.freshSince, !m.stale && !m.superseded
 }
 
-// Superseded reports whether another process has taken this entry's name. It should stop.
+// Superseded reports whether another process has taken this entry's name. This process should then stop.
 func (m *Members) Superseded() bool {
 	m.mu.Lock()
 	defer m.unlock()
--- a/entry/member/member.go
+++ b/entry/member/member.go
@@ -1,14 +1,15 @@
-// Package member is what the entries know of each other: which live, and rumours, kept among themselves
-// without the platform.
+// Package member maintains the membership table of the entries and spreads rumours among them, without
+// depending on the platform.
 //
-// Each entry pings a few others a second, along a ring at distances 1, 2, 4, ...: every entry is watched
-// by several, the connections stay the same and few, and what the pings carry reaches all in a
-// logarithmic number of rounds. An entry that does not answer is pinged through two others, then
-// suspected, then, if it does not refute that by a higher counter, dead.
+// Failure detection resembles SWIM, with fixed instead of random ping targets. Each entry pings a few
+// others a second, at distances 1, 2, 4, ... along a ring. Every entry is thus watched by several
+// others, the set of connections stays small and stable, and gossip carried by the pings reaches all
+// entries in a logarithmic number of rounds. An entry that does not answer is pinged through two others
+// and then suspected. It becomes dead unless it refutes the suspicion with a higher counter in time.
 //
-// All of Members runs on times that are passed in; Run is the thin shell that adds the clock and the
-// network. A process that was paused can't trust what it knew: it notices by the clock and counts itself
-// as no owner until it has spoken with a peer.
+// The methods of Members work on explicit times; Run adds the clock and the network. A process that was
+// paused can't trust its state: it detects the pause by the clock and does not consider itself an owner
+// until it has been in contact with a peer.
 package member
 
 import (
@@ -20,34 +21,34 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// Config is what a Members needs.
+// Config configures a Members.
 type Config struct {
-	// Self is this entry, as it announced itself to the platform.
+	// Self is this entry, as registered with the platform.
 	Self platform.Entry
-	// Generation is the platform's version of that object.
+	// Generation is the platform's version of this entry's object.
 	Generation uint64
 	Rand       *rand.Rand
-	// Events may be nil.
+	// Events receives time line events; it may be nil.
 	Events *timeline.Recorder
-	// Clock is time.Now unless a test says otherwise.
+	// Clock defaults to time.Now.
 	Clock func() time.Time
 }
 
-// Members is the table of entries, and the rumours among them. It is safe for concurrent use.
+// Members is the membership table and rumour store of one entry. It is safe for concurrent use.
 type Members struct {
 	clock  func() time.Time
 	events *timeline.Recorder
 
-	mu        sync.Mutex // guards what follows; a leaf lock but for the recorder's
-	rand      *rand.Rand
-	self      Status
-	selfEntry platform.Entry
-	queue     *queue
-	rumours   map[rumourKey]storedRumour
-	bodyFetches     map[rumourKey]*bodyFetch
-	handlers  map[string]func(Rumour)
-	inbox     map[rumourKey]Rumour
-	watchers  []chan struct{}
+	mu          sync.Mutex // guards the fields below; only the recorder's lock is taken under it
+	rand        *rand.Rand
+	self        Status
+	selfEntry   platform.Entry
+	queue       *queue
+	rumours     map[rumourKey]storedRumour
+	bodyFetches map[rumourKey]*bodyFetch
+	handlers    map[string]func(Rumour)
+	inbox       map[rumourKey]Rumour
+	subscribers []chan struct{}
 
 	table
 	schedule
@@ -56,7 +57,7 @@
 	inboxReady chan struct{}
 }
 
-// New returns a Members that knows only itself.
+// New returns a Members that knows only its own entry.
 func New(cfg Config) *Members {
 	if cfg.Clock == nil {
 		cfg.Clock = time.Now
@@ -77,12 +78,12 @@
 			peers:   make(map[string]*peerState),
 			trusted: map[string]string{cfg.Self.Fingerprint: cfg.Self.Name},
 		},
-		queue:      newQueue(),
-		rumours:    make(map[rumourKey]storedRumour),
-		bodyFetches:      make(map[rumourKey]*bodyFetch),
-		handlers:   make(map[string]func(Rumour)),
-		inbox:      make(map[rumourKey]Rumour),
-		inboxReady: make(chan struct{}, 1),
+		queue:       newQueue(),
+		rumours:     make(map[rumourKey]storedRumour),
+		bodyFetches: make(map[rumourKey]*bodyFetch),
+		handlers:    make(map[string]func(Rumour)),
+		inbox:       make(map[rumourKey]Rumour),
+		inboxReady:  make(chan struct{}, 1),
 	}
 	m.startFreshness(m.clock())
 	m.announceSelf()
@@ -104,9 +105,9 @@
 	return Peer{Entry: entry, State: m.self.State, Self: true, Overloaded: m.self.Overloaded}
 }
 
-// Live returns the entries that can be given to callers and can own things: alive or only suspected,
-// and not leaving; by name. This entry is among them unless it is leaving, or was paused and has not
-// spoken with a peer since. The slice must not be changed.
+// Live returns, sorted by name, the entries that callers can be sent to and that can own things: alive
+// or only suspected, and not leaving. This entry is included unless it is leaving or Paused reports true.
+// The slice must not be modified.
 func (m *Members) Live() []Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -115,7 +116,7 @@
 	return m.live
 }
 
-// Peers returns all other entries that are known, the dead and the leaving too, by name.
+// Peers returns all other known entries, including dead and leaving ones, sorted by name.
 func (m *Members) Peers() []Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -126,7 +127,8 @@
 	return all
 }
 
-// Trusted tells whose certificate has the fingerprint. It makes Members the trust of link/peer.
+// Trusted returns the name of the entry whose certificate has the fingerprint. It lets link/peer use
+// Members as its trust store.
 func (m *Members) Trusted(fingerprint string) (string, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -134,18 +136,18 @@
 	return name, ok
 }
 
-// Subscribe returns a channel that is signalled after Live has changed. Signals that are not read are
-// merged into one.
+// Subscribe returns a channel that is signalled after Live has changed. Unread signals are merged into
+// one.
 func (m *Members) Subscribe() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	watcher := make(chan struct{}, 1)
-	m.watchers = append(m.watchers, watcher)
-	return watcher
+	subscriber := make(chan struct{}, 1)
+	m.subscribers = append(m.subscribers, subscriber)
+	return subscriber
 }
 
-// Upsert takes in an entry as the platform names it, and the version of its object. It is a reason to
-// trust it and to try it, not to hold it alive.
+// Upsert adds or updates an entry from its platform object and that object's version. The entry is then
+// trusted and probed, but not considered alive until it is heard of.
 func (m *Members) Upsert(e platform.Entry, generation uint64) {
 	m.mu.Lock()
 	defer m.unlock()
@@ -158,14 +160,14 @@
 	m.applyProfile(now, profileOf(status, e), false)
 }
 
-// Join is Know for several, at the start.
+// Join calls Upsert for each of the entries known at startup.
 func (m *Members) Join(seeds []platform.Entry, generations []uint64) {
 	for i, seed := range seeds {
 		m.Upsert(seed, generations[i])
 	}
 }
 
-// Forget drops an entry whose object was deleted, unless it lives.
+// Forget removes an entry whose object was deleted, if the entry is dead.
 func (m *Members) Forget(name string) {
 	m.mu.Lock()
 	defer m.unlock()
@@ -174,7 +176,7 @@
 	}
 }
 
-// Leave tells the others that this entry takes no new work. It goes on answering.
+// Leave announces that this entry takes no new work. The entry keeps answering.
 func (m *Members) Leave() {
 	m.mu.Lock()
 	defer m.unlock()
@@ -187,8 +189,8 @@
 	m.markDirty()
 }
 
-// SetOverloaded tells the others whether callers should be sent elsewhere. Each change is a rumour to all:
-// whoever calls it sees to it that it changes seldom.
+// SetOverloaded announces whether callers should be sent elsewhere. Each change is gossiped to all
+// entries, so the caller must make sure that changes are rare.
 func (m *Members) SetOverloaded(overloaded bool) {
 	m.mu.Lock()
 	defer m.unlock()
@@ -201,8 +203,8 @@
 	m.markDirty()
 }
 
-// announceSelf queues the own status. Called with mu held. Who lacks the profile asks for it once: pushed
-// along, it would be sent eleven times by each of 330 entries.
+// announceSelf queues this entry's status for gossip. Called with mu held. Entries that lack the profile
+// fetch it once; pushed with the status, it would be sent eleven times by each of 330 entries.
 func (m *Members) announceSelf() {
 	status := m.self
 	m.queue.put(statusKey(status.Name), item{Status: &status})
--- a/entry/member/member_test.go
+++ b/entry/member/member_test.go
@@ -15,14 +15,14 @@
 	RunSpecs(t, "entry/member")
 }
 
-// Bounds in virtual time.
+// Limits in virtual time.
 const (
-	joinBound = 10 * time.Second
+	joinBound      = 10 * time.Second
 	detectionBound = 8 * time.Second
-	recoveryBound = 25 * time.Second
+	recoveryBound  = 25 * time.Second
 )
 
-// sizes are the numbers of entries played, and how many schedules of each.
+// sizes lists the numbers of entries simulated and the number of seeds for each.
 var sizes = []struct{ entries, schedules int }{{4, 3}, {8, 3}, {16, 2}, {32, 1}, {64, 1}}
 
 func startedSim(seed uint64, n int) *sim {
@@ -32,7 +32,7 @@
 	return s
 }
 
-// forSizes plays a schedule at each size and prints the slowest.
+// forSizes runs a schedule at each size and prints the slowest result.
 func forSizes(what string, schedule func(s *sim) time.Duration) {
 	for _, size := range sizes {
 		var worst time.Duration
@@ -44,7 +44,7 @@
 }
 
 var _ = Describe("membership in virtual time", func() {
-	It("finds everybody and loses nobody while nothing fails", func() {
+	It("finds all entries and loses none while nothing fails", func() {
 		forSizes("start", func(s *sim) time.Duration {
 			for range 20 {
 				s.run(time.Second)
@@ -54,8 +54,8 @@
 		})
 	})
 
-	// An entry's process is killed. Until the others drop it, callers are sent to a dead address and
-	// the groups it was home of serve nobody.
+	// An entry's process is killed. Until the other entries drop it, callers are sent to a dead address
+	// and the groups it was home of are not served.
 	It("drops a killed entry everywhere within seconds", func() {
 		forSizes("killed", func(s *sim) time.Duration {
 			s.kill(s.nodes[s.rand.IntN(len(s.nodes))])
@@ -65,9 +65,10 @@
 		})
 	})
 
-	// An entry is stopped (SIGSTOP, a VM migration) and goes on as if nothing had happened. It still
-	// believes in what it owned; a caller would wait on work that another entry does by now.
-	It("drops a frozen entry, which owns nothing on waking until it has spoken with a peer", func() {
+	// An entry is stopped (SIGSTOP, a VM migration) and then resumes. It still believes that it owns
+	// what another entry took over meanwhile, and a caller would wait for work that the other entry
+	// does.
+	It("drops a frozen entry, which owns nothing after resuming until it has been in contact with a peer", func() {
 		forSizes("frozen", func(s *sim) time.Duration {
 			n := s.nodes[s.rand.IntN(len(s.nodes))]
 			before := n.self.Counter
@@ -81,7 +82,7 @@
 			Expect(liveNames(n)).To(HaveLen(len(s.nodes) - 1))
 			s.wake(n)
 			back := s.runUntil(recoveryBound, func() bool {
-				Expect(len(liveNames(n))).To(BeNumerically(">=", len(s.nodes)-1), "the waking entry blamed others")
+				Expect(len(liveNames(n))).To(BeNumerically(">=", len(s.nodes)-1), "the resumed entry declared others dead")
 				return s.viewsAgree(allNodes)
 			})
 			Expect(back).To(BeNumerically("<", recoveryBound))
@@ -92,9 +93,9 @@
 })
 
 var _ = Describe("single steps", func() {
-	// An entry suspects another, is frozen itself, and wakes when the time to refute is long over. The
-	// refutation lies unread in its socket; blaming the other would move homes for nothing.
-	It("gives a suspect its time again after an own pause", func() {
+	// An entry suspects another, is frozen itself, and resumes after the suspicion has timed out. The
+	// refutation is still unread in its socket; declaring the other dead would move homes for nothing.
+	It("restarts a suspicion timeout after a pause of the local process", func() {
 		s := convergedSim(1, 4)
 		a, b := s.nodes[0], s.nodes[1]
 		suspect := a.peers[b.entry.Name].status
@@ -110,8 +111,9 @@
 		Expect(a.peers[b.entry.Name].status.State).To(Equal(Dead))
 	})
 
-	// What is held against an entry may not reach it by rumour, when all copies were lost or spent.
-	It("tells an entry with each ping what is held against it", func() {
+	// Gossip of a suspicion or death may never reach the entry concerned, if all copies were lost or the
+	// send limit is used up.
+	It("includes in each ping a suspicion or death recorded for its target", func() {
 		for _, state := range []State{Suspect, Dead} {
 			s := convergedSim(1, 4)
 			a, b := s.nodes[0], s.nodes[1]
@@ -121,7 +123,7 @@
 			ack, err := b.handlePing(s.now, a.entry.Name, a.pingCall(b.entry.Name).ping)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(ack.Self.Counter).To(BeNumerically(">", held.Counter))
-			Expect(b.Paused()).To(Equal(state == Dead), "one that is held dead has lost what it owned")
+			Expect(b.Paused()).To(Equal(state == Dead), "an entry that was declared dead has lost what it owned")
 		}
 	})
 
@@ -145,8 +147,8 @@
 		Expect(a.queue.items).NotTo(HaveKey(key.String()))
 	})
 
-	// Most copies of a rumour reach entries that have it, and take the place of news.
-	It("stops sending what its receivers knew, but not the newer version of it", func() {
+	// Most copies of a rumour reach entries that already have it, and take the space of new items.
+	It("stops sending an item that its receivers knew, but not a newer version of it", func() {
 		q := newQueue()
 		old := item{Rumour: &Rumour{Topic: "t", Name: "x", Version: 1}}
 		fresh := item{Rumour: &Rumour{Topic: "t", Name: "x", Version: 2}}
@@ -163,7 +165,7 @@
 		Expect(q.items).To(BeEmpty())
 	})
 
-	It("sends each piece a limited number of times, those on liveness first, within the budget", func() {
+	It("sends each item a limited number of times, liveness first, within the budget", func() {
 		q := newQueue()
 		for i := range 20 {
 			q.put(fmt.Sprint(i), item{Rumour: &Rumour{Name: fmt.Sprint(i), Body: make([]byte, 100)}})
--- a/entry/member/probe.go
+++ b/entry/member/probe.go
@@ -7,56 +7,59 @@
 
 // Periods and timeouts.
 const (
-	// tickPeriod is how often tick runs.
+	// tickPeriod is the interval between calls of tick.
 	tickPeriod = 100 * time.Millisecond
-	// probePeriod: three pings a second, each to the next of the fingers.
+	// probePeriod gives three pings a second, which go to the fingers in turn.
 	probePeriod = time.Second / 3
 	pingTimeout = 500 * time.Millisecond
-	// relayTimeout bounds an indirect ping, relayedPingTimeout the helper's part of it.
+	// relayTimeout bounds an indirect ping as a whole, relayedPingTimeout the helper's ping within it.
 	relayTimeout       = 700 * time.Millisecond
 	relayedPingTimeout = 400 * time.Millisecond
-	// suspicionTimeout is the time to refute a suspicion. News reach all in about two seconds.
+	// suspicionTimeout is the time to refute a suspicion. Gossip reaches all entries in about two
+	// seconds.
 	suspicionTimeout = 2500 * time.Millisecond
-	// retryPeriod is how often one dead entry is tried, so that the halves of a healed partition find
-	// each other; one that is dead for longer than recentlyDead is tried only at every longRetry-th time,
-	// since a dial that nobody answers costs some 6 KB.
-	retryPeriod  = 10 * time.Second
-	recentlyDead = 10 * time.Minute
-	longDeadRetryInterval    = 6
-	// joinPeriod is how often joinPings known entries are tried while none is known to live: at the
-	// start, until the others have heard of this entry's key, and when cut off.
+	// retryPeriod is the interval between pings to dead entries, one entry at a time, so that the two
+	// sides of a healed partition find each other. Entries dead for longer than recentlyDead are
+	// included only in every longDeadRetryInterval-th retry, since an unanswered dial costs some 6 KB.
+	retryPeriod           = 10 * time.Second
+	recentlyDead          = 10 * time.Minute
+	longDeadRetryInterval = 6
+	// joinPeriod is the interval at which joinPings known entries are tried while none is known to be
+	// alive: at the start, until the other entries know this entry's key, and when this entry is cut
+	// off.
 	joinPeriod  = 500 * time.Millisecond
 	joinPings   = 2
 	syncPeriod  = 10 * time.Second
 	syncTimeout = 3 * time.Second
-	// warmupSyncPeriod stands for syncPeriod for learningTime after a start or a pause.
+	// warmupSyncPeriod replaces syncPeriod for warmupTime after a start or a pause.
 	warmupSyncPeriod = 2 * time.Second
 	warmupTime       = 15 * time.Second
-	// deadRetention is how long a dead entry is remembered, and tried, unless Forget is called.
+	// deadRetention is how long a dead entry is remembered and retried, unless Forget is called.
 	deadRetention = 24 * time.Hour
 )
 
 const (
-	// maxGossipBytes bounds the gossip of one message. With three pings sent and three answered a second,
-	// each with an answer, it bounds all gossip of an entry to 12 x 400 bytes a second, both directions
-	// together.
-	maxGossipBytes = 400
-	helpersPerProbe     = 2
-	// maxFailedPings is how many pings in a row must fail to raise a suspicion when no helper answered
-	// either: then the fault may lie with this entry; or to call a peer unreachable that others reach.
+	// maxGossipBytes bounds the gossip of one message. With three pings sent and three received a
+	// second, each with an Ack, all gossip of an entry is bounded by 12 x 400 bytes a second, both
+	// directions together.
+	maxGossipBytes  = 400
+	helpersPerProbe = 2
+	// maxFailedPings is the number of failed pings in a row that raises a suspicion when no helper
+	// replied, since then the fault may lie with this entry. The same number of failed pings marks a
+	// peer that others reach as unreachable from here.
 	maxFailedPings = 2
 )
 
-// schedule holds when things are due.
+// schedule holds the times at which periodic work is due, and work queued for the next tick.
 type schedule struct {
 	nextProbe, nextRetry, nextJoin, nextSync time.Time
-	nextFinger                                   int
-	retryCount                                  int
-	syncTarget                                 string   // to be asked for a digest soon
-	disconnectAddresses                                     []string // addresses to disconnect
+	fingerIndex                              int
+	retryCount                               int
+	syncTarget                               string   // peer to send a digest to at the next tick
+	disconnectAddresses                      []string // disconnected at the next tick
 }
 
-// callKind says which call of a Pinger a call is.
+// callKind selects the Pinger method of a call.
 type callKind uint8
 
 const (
@@ -67,7 +70,7 @@
 	callDisconnect
 )
 
-// call is one message to send. Whoever sends it hands the result to finish.
+// call is one message to send. The sender passes the result to finish.
 type call struct {
 	kind    callKind
 	to      string
@@ -79,29 +82,29 @@
 	relay    Relay
 	digest   Digest
 	exchange Exchange
-	fetch    rumourKey // what exchange fetches, if it does
-	indirect    *indirectProbe    // of the relays for one target
+	fetch    rumourKey      // the rumour that exchange fetches, if any
+	indirect *indirectProbe // shared by the relays for one target
 }
 
-// result is what came of a call.
+// result is the outcome of a call.
 type result struct {
-	err       error
-	ack       Ack
-	relayReply   RelayReply
+	err           error
+	ack           Ack
+	relayReply    RelayReply
 	digestReply   DigestReply
 	exchangeReply ExchangeReply
 }
 
-// indirectProbe collects the answers of the helpers for one target.
+// indirectProbe collects the replies of the helpers for one target.
 type indirectProbe struct {
-	target   string
-	statusBefore   Status
-	pending  int
-	answered bool
-	reached  bool
+	target       string
+	statusBefore Status
+	pending      int
+	answered     bool // a helper replied
+	reached      bool // a helper reached the target
 }
 
-// tick does what is due and returns the calls to make.
+// tick performs the work that is due and returns the calls to make.
 func (m *Members) tick(now time.Time) []call {
 	m.mu.Lock()
 	defer m.unlock()
@@ -130,7 +133,8 @@
 	return calls
 }
 
-// expirePeers turns suspicions into deaths and forgets those dead for long.
+// expirePeers declares peers dead whose suspicion has timed out and removes those dead for
+// deadRetention.
 func (m *Members) expirePeers(now time.Time) {
 	for _, p := range slices.Clone(m.order) {
 		switch {
@@ -153,8 +157,8 @@
 	if len(fingers) == 0 {
 		return nil
 	}
-	m.nextFinger = (m.nextFinger + 1) % len(fingers)
-	return []call{m.pingCall(fingers[m.nextFinger])}
+	m.fingerIndex = (m.fingerIndex + 1) % len(fingers)
+	return []call{m.pingCall(fingers[m.fingerIndex])}
 }
 
 func maxTime(a, b time.Time) time.Time {
@@ -175,7 +179,7 @@
 	return found
 }
 
-// pingCall must be called with mu held, for a known peer.
+// pingCall returns the call that pings a known peer. Called with mu held.
 func (m *Members) pingCall(to string) call {
 	p := m.peers[to]
 	gossip, keys := m.gossipFor(p)
@@ -185,20 +189,21 @@
 	}
 }
 
-// gossipFor picks gossip for p, which first learns what is held against it, so that it can refute it. A
-// dead entry gets nothing else: what is sent there in vain would be missed by others.
+// gossipFor selects gossip for p. A suspicion or death recorded for p comes first, so that p can refute
+// it. A dead entry gets nothing else: items sent to it in vain would still count towards their send
+// limit.
 func (m *Members) gossipFor(p *peerState) ([]item, []string) {
-	held := p.status
-	if held.State == Dead && held.Counter == 0 {
+	status := p.status
+	if status.State == Dead && status.Counter == 0 {
 		return nil, nil
 	}
-	if held.State == Dead {
-		return []item{{Status: &held}}, nil
+	if status.State == Dead {
+		return []item{{Status: &status}}, nil
 	}
-	picked, keys := m.queue.pick(held.Name, maxGossipBytes, sendLimit(len(m.currentRing())))
+	picked, keys := m.queue.pick(status.Name, maxGossipBytes, sendLimit(len(m.currentRing())))
 	m.countDownTTL(picked)
-	if held.State == Suspect {
-		picked = append([]item{{Status: &held}}, picked...)
+	if status.State == Suspect {
+		picked = append([]item{{Status: &status}}, picked...)
 	}
 	return picked, keys
 }
@@ -209,13 +214,14 @@
 		if it.Rumour == nil || it.Rumour.TTL == 0 {
 			continue
 		}
-		left := *it.Rumour
-		left.TTL = max(m.rumours[keyOf(left)].expires.Sub(now), 1)
-		items[i].Rumour = &left
+		remaining := *it.Rumour
+		remaining.TTL = max(m.rumours[keyOf(remaining)].expires.Sub(now), 1)
+		items[i].Rumour = &remaining
 	}
 }
 
-// retryCalls pings a dead entry now and then, and some more often while none is known to live.
+// retryCalls pings one dead entry every retryPeriod, and several entries more often while none is known
+// to be alive.
 func (m *Members) retryCalls(now time.Time) []call {
 	if len(m.currentRing()) == 1 {
 		return m.joinCalls(now)
@@ -248,7 +254,7 @@
 	return calls
 }
 
-// deadNames returns the dead that pass, shuffled.
+// deadNames returns the names of the dead peers that pass accepts, shuffled.
 func (m *Members) deadNames(pass func(*peerState) bool) []string {
 	var names []string
 	for _, p := range m.order {
@@ -260,12 +266,12 @@
 	return names
 }
 
-// jitter spreads d by a fifth either way, so that entries started together do not act in step.
+// jitter varies d by up to a fifth either way, so that entries started together do not act in lockstep.
 func (m *Members) jitter(d time.Duration) time.Duration {
 	return d*4/5 + time.Duration(m.rand.Int64N(int64(d)*2/5))
 }
 
-// timestamp returns a time for an outgoing message.
+// timestamp returns the hybrid logical time for an outgoing message.
 func (m *Members) timestamp() int64 {
 	if m.events == nil {
 		return 0
--- a/entry/member/queue.go
+++ b/entry/member/queue.go
@@ -8,16 +8,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxQueued bounds the gossip that waits to be carried on. Above it the piece of the lowest class that was
-// sent most often goes; it has the best chance to be known already.
+// maxQueued bounds the items queued for gossip. Above it, the item of the lowest class that was sent
+// most often is evicted, as the one most likely to be known already.
 const maxQueued = 4096
 
-// queue holds gossip that is still being carried on. Each piece is sent a limited number of times, which
-// grows with the logarithm of the number of entries: that many rounds reach nearly all of them, and
-// the exchange of digests heals the rest.
+// queue holds items that are still being gossiped. Each is sent a limited number of times, which grows
+// with the logarithm of the number of entries. That many rounds reach nearly all entries; the exchange
+// of digests repairs the rest.
 type queue struct {
 	items map[string]*queuedItem
-	order  uint64
+	order uint64
 }
 
 type queuedItem struct {
@@ -27,23 +27,24 @@
 	class class
 	order uint64
 	sent  int
-	// duplicates counts the pings whose target knew it already.
+	// duplicates counts the pings whose target already knew the item.
 	duplicates int
-	// knownBy lists entries that are known to have it.
+	// knownBy holds the entries known to have the item.
 	knownBy map[string]bool
 }
 
 func newQueue() *queue { return &queue{items: make(map[string]*queuedItem)} }
 
-// class ranks pieces. Messages are bounded: when more is told than fits, the lower classes wait.
+// class ranks items. Messages are bounded in size; when more is queued than fits, the lower classes
+// wait.
 type class uint8
 
 const (
-	// liveness first: a burst of rumours must not delay a refutation.
+	// liveness comes first: a burst of rumours must not delay a refutation.
 	liveness class = iota
-	// persistent rumours, such as settings, are told once.
+	// persistent rumours, such as settings, are broadcast once.
 	persistent
-	// transient rumours, those with a TTL, are told again and again.
+	// transient rumours, those with a TTL, are broadcast again and again.
 	transient
 )
 
@@ -58,7 +59,7 @@
 	}
 }
 
-// put adds a piece, in place of an older one under the same key.
+// put adds an item, replacing an older one with the same key.
 func (q *queue) put(key string, it item) {
 	encoded, err := cbor.Marshal(it)
 	if err != nil {
@@ -74,19 +75,19 @@
 }
 
 func (q *queue) evictMostSent() {
-	var most *queuedItem
+	var victim *queuedItem
 	for _, p := range q.items {
-		if most == nil || cmp.Or(cmp.Compare(p.class, most.class), cmp.Compare(p.sent, most.sent), cmp.Compare(most.order, p.order)) > 0 {
-			most = p
+		if victim == nil || cmp.Or(cmp.Compare(p.class, victim.class), cmp.Compare(p.sent, victim.sent), cmp.Compare(victim.order, p.order)) > 0 {
+			victim = p
 		}
 	}
-	delete(q.items, most.key)
+	delete(q.items, victim.key)
 }
 
 func (q *queue) remove(key string) { delete(q.items, key) }
 
-// pick takes pieces for a message to an entry, within budget bytes: by class, then those sent least
-// often, then the newest. It returns their keys too.
+// pick selects items for a message to an entry, within budget bytes: by class, then those sent least
+// often, then the newest. It also returns their keys.
 func (q *queue) pick(to string, budget, limit int) ([]item, []string) {
 	var items []item
 	var keys []string
@@ -118,7 +119,7 @@
 	return found
 }
 
-// markKnown notes that an entry has the pieces.
+// markKnown records that an entry has the items.
 func (q *queue) markKnown(to string, keys []string) {
 	for _, key := range keys {
 		if p := q.items[key]; p != nil {
@@ -127,8 +128,9 @@
 	}
 }
 
-// countDuplicates counts the items that their receiver knew already. A piece that was known maxKnown times has
-// most likely reached nearly all, and to send it on would take the place of news.
+// countDuplicates counts the items that their receiver already knew. An item that was known
+// maxDuplicates times has most likely reached nearly all entries, and sending it on would take the space
+// of new items.
 func (q *queue) countDuplicates(sent []item, known []byte) {
 	for _, i := range known {
 		if int(i) >= len(sent) {
@@ -136,7 +138,7 @@
 		}
 		p := q.items[sent[i].key()]
 		if p == nil || !p.item.sameVersion(sent[i]) {
-			continue // replaced by newer news meanwhile
+			continue // replaced by a newer version meanwhile
 		}
 		p.duplicates++
 		if p.duplicates >= maxDuplicates {
@@ -147,5 +149,5 @@
 
 const maxDuplicates = 2
 
-// sendLimit is how often a piece is sent by each of n entries.
+// sendLimit is how often each of n entries sends an item.
 func sendLimit(n int) int { return bits.Len(uint(n)) + 2 }
--- a/entry/member/rumours.go
+++ b/entry/member/rumours.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// maxInlineBytes is the largest body that is pushed with pings. A larger one would be sent many times over
-// by each entry; it is announced instead, and each entry fetches it once.
+// maxInlineBytes is the largest body that is pushed with pings. Pushed, a larger one would be sent many
+// times over by each entry; it is announced instead, and each entry fetches it once.
 const maxInlineBytes = 200
 
-// storedRumour is a rumour in the store.
+// storedRumour is a rumour and its expiry.
 type storedRumour struct {
 	rumour  Rumour
 	expires time.Time // zero: never
@@ -23,17 +23,17 @@
 
 func keyOf(r Rumour) rumourKey { return rumourKey{r.Topic, r.Name} }
 
-// bodyFetch is a rumour whose body is to be fetched.
+// bodyFetch tracks the fetch of an announced body.
 type bodyFetch struct {
-	version uint64
-	sources []string
-	inFlight   bool
+	version  uint64
+	sources  []string
+	inFlight bool
 }
 
 const maxSources = 3
 
-// Broadcast hands a rumour to all entries, in time. One that is not newer than what is known of its
-// Topic and Name is ignored.
+// Broadcast gossips a rumour to all entries, eventually. It is ignored unless it is newer than the known
+// version of its Topic and Name.
 func (m *Members) Broadcast(r Rumour) {
 	m.mu.Lock()
 	defer m.unlock()
@@ -42,8 +42,9 @@
 	m.storeRumour(now, r, true)
 }
 
-// Handle registers the handler of a topic, before Run. It is called for each rumour of other entries
-// that is newer than what was known, one at a time, without a lock held.
+// Handle registers the handler of a topic; it must be called before Run. The handler is called for each
+// rumour from another entry that is newer than the known version, one at a time and without a lock held.
+// A rumour that is replaced before its handler runs is skipped.
 func (m *Members) Handle(topic string, handler func(Rumour)) {
 	m.mu.Lock()
 	defer m.unlock()
@@ -56,11 +57,11 @@
 	if old, ok := m.rumours[key]; ok && old.rumour.Version >= r.Version {
 		return false
 	}
-	kept := storedRumour{rumour: r}
+	stored := storedRumour{rumour: r}
 	if r.TTL > 0 {
-		kept.expires = now.Add(r.TTL)
+		stored.expires = now.Add(r.TTL)
 	}
-	m.rumours[key] = kept
+	m.rumours[key] = stored
 	if w := m.bodyFetches[key]; w != nil && w.version <= r.Version {
 		delete(m.bodyFetches, key)
 	}
@@ -70,7 +71,8 @@
 	return true
 }
 
-// inlineOrAnnounced returns r as it is pushed: without its body if that is large.
+// inlineOrAnnounced returns r in the form in which it is pushed: without its body if that exceeds
+// maxInlineBytes.
 func inlineOrAnnounced(r Rumour) *Rumour {
 	if len(r.Body) > maxInlineBytes {
 		r.Announced = len(r.Body)
@@ -79,7 +81,8 @@
 	return &r
 }
 
-// receiveRumour takes in a rumour from another entry and reports whether it was news. Called with mu held.
+// receiveRumour processes a rumour from another entry and reports whether it was new. Called with mu
+// held.
 func (m *Members) receiveRumour(now time.Time, from string, r Rumour, spread bool) bool {
 	if r.Announced > 0 {
 		return m.scheduleFetch(from, r)
@@ -91,8 +94,8 @@
 	return true
 }
 
-// scheduleFetch remembers who can give the body of an announced rumour, and reports whether it is wanted.
-// Called with mu held.
+// scheduleFetch records a source for the body of an announced rumour and reports whether the body is
+// needed. Called with mu held.
 func (m *Members) scheduleFetch(from string, r Rumour) bool {
 	key := keyOf(r)
 	if m.rumours[key].rumour.Version >= r.Version {
@@ -109,7 +112,7 @@
 	return true
 }
 
-// fetchCalls returns the calls that fetch wanted bodies, one for each. Called with mu held.
+// fetchCalls returns the calls that fetch missing bodies, one per rumour. Called with mu held.
 func (m *Members) fetchCalls() []call {
 	var calls []call
 	for _, key := range sortedKeys(m.bodyFetches) {
@@ -128,13 +131,13 @@
 			continue
 		}
 		w.inFlight = true
-		ask := Exchange{WantRumours: []rumourVersion{{Topic: key.topic, Name: key.name, Version: w.version}}}
-		calls = append(calls, call{kind: callExchange, to: source, address: p.entry.PeerAddress, exchange: ask, fetch: key})
+		request := Exchange{WantRumours: []rumourVersion{{Topic: key.topic, Name: key.name, Version: w.version}}}
+		calls = append(calls, call{kind: callExchange, to: source, address: p.entry.PeerAddress, exchange: request, fetch: key})
 	}
 	return calls
 }
 
-// expireRumours drops what is past its time. Called with mu held.
+// expireRumours removes rumours whose TTL has passed. Called with mu held.
 func (m *Members) expireRumours(now time.Time) {
 	for key, h := range m.rumours {
 		if !h.expires.IsZero() && !now.Before(h.expires) {
@@ -144,14 +147,15 @@
 	}
 }
 
-// sortedKeys gives maps an order, so that a run can be played again.
+// sortedKeys returns the keys in a fixed order, so that simulations are reproducible.
 func sortedKeys[V any](table map[rumourKey]V) []rumourKey {
 	return slices.SortedFunc(maps.Keys(table), func(a, b rumourKey) int {
 		return cmp.Or(cmp.Compare(a.topic, b.topic), cmp.Compare(a.name, b.name))
 	})
 }
 
-// deliver queues r for its handler; only the newest of a topic and name waits. Called with mu held.
+// deliver queues r for its handler. Only the newest version of a topic and name is queued. Called with
+// mu held.
 func (m *Members) deliver(r Rumour) {
 	if m.handlers[r.Topic] == nil {
 		return
@@ -160,7 +164,7 @@
 	signal(m.inboxReady)
 }
 
-// dispatch calls the handlers of all rumours that wait.
+// dispatch calls the handlers of all queued rumours.
 func (m *Members) dispatch() {
 	m.mu.Lock()
 	waiting := m.inbox
@@ -172,7 +176,7 @@
 	}
 }
 
-// signal wakes whoever waits on a channel of capacity 1, without waiting itself.
+// signal wakes the receiver of a channel of capacity 1, without blocking.
 func signal(ready chan struct{}) {
 	select {
 	case ready <- struct{}{}:
--- a/entry/member/run.go
+++ b/entry/member/run.go
@@ -8,7 +8,7 @@
 	"github.com/skylarkpond/skylarkpond/link/peer"
 )
 
-// Paths between entries.
+// Request paths between entries.
 const (
 	pathPing     = "/member/ping"
 	pathRelay    = "/member/relay"
@@ -17,14 +17,14 @@
 )
 
 const (
-	// workers make the calls. Three pings a second of at most 1.2 s each, with their relays, and a sync
-	// need fewer.
+	// workers is the number of goroutines that make calls. Three pings a second of at most 1.2 s each,
+	// with their relays, and a sync need fewer.
 	workers = 16
-	// maxPending bounds the calls that wait for a worker; more than that are given up as failed.
+	// maxPending bounds the calls that wait for a worker. Calls beyond it fail at once.
 	maxPending = 256
 )
 
-// NewPinger returns the Pinger over client.
+// NewPinger returns a Pinger that sends through client.
 func NewPinger(client *peer.Client) Pinger { return &peerPinger{client} }
 
 type peerPinger struct{ client *peer.Client }
@@ -42,9 +42,9 @@
 }
 
 func (p *peerPinger) Digest(ctx context.Context, address string, m Digest) (DigestReply, error) {
-	var listing DigestReply
-	err := p.client.Call(ctx, address, pathDigest, m, &listing)
-	return listing, err
+	var reply DigestReply
+	err := p.client.Call(ctx, address, pathDigest, m, &reply)
+	return reply, err
 }
 
 func (p *peerPinger) Exchange(ctx context.Context, address string, m Exchange) (ExchangeReply, error) {
@@ -55,8 +55,8 @@
 
 func (p *peerPinger) Disconnect(address string) { p.client.Disconnect(address) }
 
-// Register adds the handlers of m to a server, before it serves. pinger makes the pings that others ask
-// for.
+// Register adds the handlers of m to a server; it must be called before the server starts. pinger makes
+// the pings that other entries ask for.
 func (m *Members) Register(s *peer.Server, pinger Pinger) {
 	peer.Handle(s, pathPing, func(_ context.Context, from string, ping Ping) (Ack, error) {
 		return m.handlePing(m.clock(), from, ping)
@@ -67,8 +67,8 @@
 	peer.Handle(s, pathExchange, func(_ context.Context, from string, e Exchange) (ExchangeReply, error) {
 		return m.handleExchange(m.clock(), from, e)
 	})
-	peer.Handle(s, pathRelay, func(ctx context.Context, _ string, ask Relay) (RelayReply, error) {
-		c, err := m.prepareRelay(m.clock(), ask)
+	peer.Handle(s, pathRelay, func(ctx context.Context, _ string, request Relay) (RelayReply, error) {
+		c, err := m.prepareRelay(m.clock(), request)
 		if err != nil {
 			return RelayReply{}, err
 		}
@@ -108,7 +108,7 @@
 	}
 }
 
-// Run keeps the table until ctx ends. It returns after all of its calls have ended.
+// Run maintains the table until ctx ends. It returns once all of its calls have ended.
 func (m *Members) Run(ctx context.Context, pinger Pinger) error {
 	pending := make(chan call, maxPending)
 	var wait sync.WaitGroup
--- a/entry/member/run_test.go
+++ b/entry/member/run_test.go
@@ -15,7 +15,7 @@
 
 const pollTimeout = 60 * time.Second
 
-// process is one entry on loopback, over the real link.
+// process is one entry on the loopback interface, over the real transport.
 type process struct {
 	*Members
 	entry platform.Entry
@@ -30,7 +30,7 @@
 	return p
 }
 
-// newProcess prepares an entry whose server reads and writes through the socket that wrap returns.
+// newProcess prepares an entry whose server uses the socket that wrap returns.
 func newProcess(name string, generation uint64, wrap func(net.PacketConn) net.PacketConn) *process {
 	id, err := peer.NewIdentity(name)
 	Expect(err).NotTo(HaveOccurred())
@@ -64,7 +64,7 @@
 		a, b, c := startProcess("a", 1), startProcess("b", 2), startProcess("c", 3)
 		got := make(chan Rumour, 10)
 		c.Handle("settings", func(r Rumour) { got <- r })
-		// Only a and b know each other from the start; c is known to b, and knows b.
+		// At first only a and b, and b and c, know each other.
 		a.Upsert(b.entry, 2)
 		b.Upsert(a.entry, 1)
 		b.Upsert(c.entry, 3)
--- a/entry/member/sim_test.go
+++ b/entry/member/sim_test.go
@@ -14,8 +14,8 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// sim plays entries in virtual time: one heap of events, no goroutine, one seed. Messages pass through
-// CBOR, so that nothing is shared by accident and bytes are counted as they would be sent.
+// sim simulates entries in virtual time, with one event heap, no goroutines and one seed. Messages are
+// encoded in CBOR, so that entries share no memory by accident and bytes are counted as sent.
 type sim struct {
 	now    time.Time
 	rand   *rand.Rand
@@ -23,7 +23,7 @@
 	order  int
 	nodes  []*node
 	loss   float64
-	// cut tells whether messages from one entry to another are dropped.
+	// cut reports whether messages from one entry to another are dropped.
 	cut      func(from, to int) bool
 	messages int
 	bytes    int
@@ -37,7 +37,7 @@
 	*Members
 	dead    bool
 	frozen  bool
-	backlog []func() // what the kernel keeps for a frozen process
+	backlog []func() // work held back while the process is frozen, as the kernel would keep it
 	heard   map[string]uint64
 }
 
@@ -99,7 +99,7 @@
 		Clock: func() time.Time { return s.now },
 	})
 	n.Handle("test", func(r Rumour) {
-		Expect(r.Version).To(BeNumerically(">", n.heard[r.Name]), "a version went down")
+		Expect(r.Version).To(BeNumerically(">", n.heard[r.Name]), "a version decreased")
 		n.heard[r.Name] = r.Version
 	})
 	return n
@@ -130,7 +130,7 @@
 	heap.Push(&s.events, event{at: s.now.Add(d), order: s.order, run: run})
 }
 
-// runOn runs something at a node: never if it is dead, after its wake if it is frozen.
+// runOn runs a function on a node: never if the node is dead, and after its wake if it is frozen.
 func (s *sim) runOn(n *node, run func()) {
 	switch {
 	case n.dead:
@@ -151,7 +151,8 @@
 	s.now = end
 }
 
-// runUntil runs runUntil ok or the limit, and returns how long that took.
+// runUntil advances the simulation until ok returns true or limit has passed, and returns the time
+// taken.
 func (s *sim) runUntil(limit time.Duration, ok func() bool) time.Duration {
 	start := s.now
 	for !ok() && s.now.Sub(start) < limit {
@@ -169,7 +170,7 @@
 	return nil
 }
 
-// send carries a message from one entry to another, or loses it.
+// send delivers a message from one entry to another, or loses it.
 func send[T any](s *sim, from, to *node, message T, arrive func(T)) {
 	encoded, err := cbor.Marshal(message)
 	Expect(err).NotTo(HaveOccurred())
@@ -190,26 +191,26 @@
 	})
 }
 
-// perform makes a call and gives its result, or errLost at the timeout, exactly once.
+// perform makes a call and passes on its result, or errTimeout at the timeout, exactly once.
 func (s *sim) perform(from *node, c call, timeout time.Duration, done func(result)) {
 	if c.kind == callDisconnect {
 		return
 	}
 	to := s.byAddress(c.address)
 	over := false
-	settle := func(r result) {
+	complete := func(r result) {
 		if !over {
 			over = true
 			s.runOn(from, func() { done(r) })
 		}
 	}
-	s.after(timeout, func() { settle(result{err: errTimeout}) })
+	s.after(timeout, func() { complete(result{err: errTimeout}) })
 	name := from.entry.Name
 	switch c.kind {
 	case callPing:
 		send(s, from, to, c.ping, func(m Ping) {
 			ack, err := to.handlePing(s.now, name, m)
-			send(s, to, from, ack, func(ack Ack) { settle(result{ack: ack, err: err}) })
+			send(s, to, from, ack, func(ack Ack) { complete(result{ack: ack, err: err}) })
 		})
 	case callRelay:
 		send(s, from, to, c.relay, func(m Relay) {
@@ -218,18 +219,18 @@
 				return
 			}
 			s.perform(to, ping, relayedPingTimeout, func(r result) {
-				send(s, to, from, to.completeRelay(s.now, ping, r), func(m RelayReply) { settle(result{relayReply: m}) })
+				send(s, to, from, to.completeRelay(s.now, ping, r), func(m RelayReply) { complete(result{relayReply: m}) })
 			})
 		})
 	case callDigest:
 		send(s, from, to, c.digest, func(m Digest) {
-			listing, err := to.handleDigest(s.now, name, m)
-			send(s, to, from, listing, func(l DigestReply) { settle(result{digestReply: l, err: err}) })
+			reply, err := to.handleDigest(s.now, name, m)
+			send(s, to, from, reply, func(l DigestReply) { complete(result{digestReply: l, err: err}) })
 		})
 	case callExchange:
 		send(s, from, to, c.exchange, func(m Exchange) {
 			answer, err := to.handleExchange(s.now, name, m)
-			send(s, to, from, answer, func(e ExchangeReply) { settle(result{exchangeReply: e, err: err}) })
+			send(s, to, from, answer, func(e ExchangeReply) { complete(result{exchangeReply: e, err: err}) })
 		})
 	}
 }
@@ -247,7 +248,8 @@
 	}
 }
 
-// restart puts a new process in the place of a dead one; the platform tells a few entries of it.
+// restart replaces an entry's process with a new one, killing the old. At most a third of the other
+// entries learn of it from the platform.
 func (s *sim) restart(id int) *node {
 	s.kill(s.nodes[id])
 	n := s.newNode(id)
@@ -262,7 +264,7 @@
 	return n
 }
 
-// running returns the names of those that run and are not leaving, within side.
+// running returns the names of the entries of side that are running and not leaving.
 func (s *sim) running(side func(id int) bool) []string {
 	var names []string
 	for _, n := range s.nodes {
@@ -275,14 +277,15 @@
 
 func allNodes(int) bool { return true }
 
-// viewsAgree reports whether every running entry of side sees exactly the running entries of side.
+// viewsAgree reports whether the live entries of every running entry of side are exactly the running
+// entries of side.
 func (s *sim) viewsAgree(side func(id int) bool) bool {
-	want := s.running(side)
+	expected := s.running(side)
 	for _, n := range s.nodes {
 		if n.dead || n.frozen || !side(n.id) {
 			continue
 		}
-		if !slices.Equal(liveNames(n), want) {
+		if !slices.Equal(liveNames(n), expected) {
 			return false
 		}
 	}
@@ -297,7 +300,7 @@
 	return names
 }
 
-// liveViewsOf counts the running entries that hold name in Live.
+// liveViewsOf counts the running entries whose Live includes name.
 func (s *sim) liveViewsOf(name string) int {
 	count := 0
 	for _, n := range s.nodes {
--- a/entry/member/status.go
+++ b/entry/member/status.go
@@ -4,10 +4,10 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// State says what an entry is held to be.
+// State is the liveness of an entry as another entry sees it.
 type State uint8
 
-// The states, in the order in which one replaces another at the same counter.
+// At equal counters, a later state in this list replaces an earlier one.
 const (
 	Alive State = iota + 1
 	Suspect
@@ -28,25 +28,26 @@
 	}
 }
 
-// Status is what entries tell each other about the liveness of one of them.
+// Status is the liveness of one entry, as gossiped between entries.
 type Status struct {
 	Name string `cbor:"1,keyasint"`
-	// Incarnation is the random mark of a process; Generation is the platform's version of the object
-	// that announced it, which tells an older process from a newer one of the same name.
+	// Incarnation is a random identifier of the process. Generation is the platform's version of the
+	// object that announced it, which orders processes of the same name.
 	Incarnation string `cbor:"2,keyasint"`
 	Generation  uint64 `cbor:"3,keyasint"`
-	// Counter grows only by the entry itself: it refutes a suspicion by one more than the suspicion's.
+	// Counter is increased only by the entry itself. To refute a suspicion, the entry sets it to one
+	// more than the suspicion's.
 	Counter uint64 `cbor:"4,keyasint"`
 	State   State  `cbor:"5,keyasint"`
 	// Leaving is set by the entry itself and stays set for the life of the process.
 	Leaving bool `cbor:"6,keyasint,omitempty"`
-	// Overloaded is set and unset by the entry itself.
+	// Overloaded is set and cleared by the entry itself.
 	Overloaded bool `cbor:"7,keyasint,omitempty"`
 }
 
-// supersedes reports whether a replaces b, both of one name. It is a strict order within a process, and
-// between processes it is decided by the platform's version: two entries that have seen the same
-// statuses, in whatever order, hold the same one.
+// supersedes reports whether a replaces b, where both have the same name. Statuses of one process are
+// strictly ordered by counter and state; processes are ordered by the platform's version. Entries that
+// have seen the same statuses, in whatever order, thus hold the same one.
 func supersedes(a, b Status) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Generation > b.Generation
@@ -57,7 +58,7 @@
 	return a.State > b.State
 }
 
-// profile is a status together with all that a stranger needs to reach the entry.
+// profile is a status together with everything needed to reach the entry.
 type profile struct {
 	Status        Status `cbor:"1,keyasint"`
 	PublicAddress string `cbor:"2,keyasint"`
@@ -93,15 +94,15 @@
 	}
 }
 
-// Peer is an entry as Live and Peers return it.
+// Peer is an entry as returned by Live and Peers.
 type Peer struct {
 	platform.Entry
 	State State
-	// Self marks the entry that answers.
+	// Self marks the local entry.
 	Self bool
-	// Unreachable says that this entry's own pings fail although others reach the peer: a one-way or
-	// partial cut.
+	// Unreachable is set when pings from this entry fail although other entries reach the peer: a
+	// one-way or partial cut.
 	Unreachable bool
-	// Overloaded says that the entry asks to be left out of what callers are told.
+	// Overloaded is set when the entry asks that callers not be sent to it.
 	Overloaded bool
 }
--- a/entry/member/sync.go
+++ b/entry/member/sync.go
@@ -8,17 +8,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Anti-entropy. Gossip is sent a limited number of times, and each copy may be lost; without this an
-// entry that missed one would hold a dead peer live, or run on old settings, for good. Two entries
-// compare one hash per bucket, list only the buckets that differ, and hand over what the other lacks.
+// Anti-entropy. Gossip is sent a limited number of times and each copy may be lost. Without repair, an
+// entry that missed an item would consider a dead peer live, or run on old settings, forever. Two
+// entries compare one hash per bucket, list only the buckets that differ, and send each other what is
+// missing.
 
 const (
 	bucketCount = 32
-	// maxExchangeBytes bounds the items of an Exchanged; one is always sent, however large.
+	// maxExchangeBytes bounds the items of an ExchangeReply. The first item is always sent, however
+	// large.
 	maxExchangeBytes = 64 << 10
 )
 
-// scheduleSync asks for a digest exchange with an entry at the next tick. Called with mu held.
+// scheduleSync schedules a digest exchange with an entry for the next tick. Called with mu held.
 func (m *Members) scheduleSync(with string) {
 	if with != "" {
 		m.syncTarget = with
@@ -43,7 +45,8 @@
 	return []call{{kind: callDigest, to: with, address: p.entry.PeerAddress, digest: digest}}
 }
 
-// syncPeriod is short while this entry is still learning who is there.
+// syncPeriod returns a shorter period while this entry is stale or has become fresh less than warmupTime
+// ago.
 func (m *Members) syncPeriod(now time.Time) time.Duration {
 	if m.stale || now.Sub(m.freshSince) < warmupTime {
 		return warmupSyncPeriod
@@ -59,8 +62,8 @@
 	return others[m.rand.IntN(len(others))]
 }
 
-// digest hashes all that should be equal everywhere: entries that are not dead, and rumours without an
-// end. Suspicions are left out; they come and go faster than digests.
+// digest hashes the state that should be equal on all entries: entries that are not dead, and rumours
+// without a TTL. Suspicions are left out, since they change faster than digests are exchanged.
 func (m *Members) digest() []uint64 {
 	sums := make([]uint64, bucketCount)
 	m.eachStatus(func(s Status) {
@@ -74,10 +77,10 @@
 
 func (v rumourVersion) key() rumourKey { return rumourKey{v.Topic, v.Name} }
 
-func memberBucket(name string) int   { return int(hash(statusKey(name)) % bucketCount) }
-func rumourBucket(v rumourVersion) int     { return int(hash(v.key().String()) % bucketCount) }
-func (m *Members) selfBucket() int   { return memberBucket(m.self.Name) }
-func contains(set []int, b int) bool { return slices.Contains(set, b) }
+func memberBucket(name string) int     { return int(hash(statusKey(name)) % bucketCount) }
+func rumourBucket(v rumourVersion) int { return int(hash(v.key().String()) % bucketCount) }
+func (m *Members) selfBucket() int     { return memberBucket(m.self.Name) }
+func contains(set []int, b int) bool   { return slices.Contains(set, b) }
 
 func hash(parts ...string) uint64 {
 	digest := xxhash.New()
@@ -105,7 +108,7 @@
 	}
 }
 
-// handleDigest answers with what is held in the buckets that differ.
+// handleDigest returns what this entry holds in the buckets that differ.
 func (m *Members) handleDigest(now time.Time, from string, d Digest) (DigestReply, error) {
 	m.mu.Lock()
 	defer m.unlock()
@@ -115,26 +118,26 @@
 	}
 	m.observeTime(d.Time)
 	m.recordContact(now, d.Self)
-	listing := DigestReply{Time: m.timestamp(), Self: m.self}
+	reply := DigestReply{Time: m.timestamp(), Self: m.self}
 	for b, sum := range m.digest() {
 		if b >= len(d.Buckets) || sum != d.Buckets[b] {
-			listing.Buckets = append(listing.Buckets, b)
+			reply.Buckets = append(reply.Buckets, b)
 		}
 	}
 	m.eachStatus(func(s Status) {
-		if contains(listing.Buckets, memberBucket(s.Name)) {
-			listing.Statuses = append(listing.Statuses, s)
+		if contains(reply.Buckets, memberBucket(s.Name)) {
+			reply.Statuses = append(reply.Statuses, s)
 		}
 	})
 	m.eachVersion(func(v rumourVersion) {
-		if contains(listing.Buckets, rumourBucket(v)) {
-			listing.Versions = append(listing.Versions, v)
+		if contains(reply.Buckets, rumourBucket(v)) {
+			reply.Versions = append(reply.Versions, v)
 		}
 	})
-	return listing, nil
+	return reply, nil
 }
 
-// finishDigest compares the listing with the own tables. Called with mu held.
+// finishDigest compares the reply with this entry's state. Called with mu held.
 func (m *Members) finishDigest(now time.Time, c call, r result) []call {
 	if r.err != nil {
 		return nil
@@ -142,43 +145,43 @@
 	m.observeTime(r.digestReply.Time)
 	m.recordContact(now, r.digestReply.Self)
 	m.confirmFresh(now, c.sentAt)
-	ask := Exchange{
+	request := Exchange{
 		WantProfiles: m.applyListedStatuses(now, c.to, r.digestReply),
 		WantRumours:  m.missingRumours(r.digestReply),
 	}
-	ask.Items = append(m.profilesToSend(r.digestReply), m.rumoursToSend(r.digestReply)...)
-	if len(ask.Items) == 0 && len(ask.WantProfiles) == 0 && len(ask.WantRumours) == 0 {
+	request.Items = append(m.profilesToSend(r.digestReply), m.rumoursToSend(r.digestReply)...)
+	if len(request.Items) == 0 && len(request.WantProfiles) == 0 && len(request.WantRumours) == 0 {
 		return nil
 	}
-	return []call{{kind: callExchange, to: c.to, address: c.address, exchange: ask}}
+	return []call{{kind: callExchange, to: c.to, address: c.address, exchange: request}}
 }
 
-// applyListedStatuses takes in the listed statuses and returns whose profile is missing.
+// applyListedStatuses applies the listed statuses and returns the names whose profile is missing.
 func (m *Members) applyListedStatuses(now time.Time, from string, l DigestReply) []string {
-	var lacking []string
+	var missing []string
 	for _, s := range l.Statuses {
 		p := m.peers[s.Name]
 		if s.Name != m.self.Name && (p == nil || p.status.Incarnation != s.Incarnation) {
-			lacking = append(lacking, s.Name)
+			missing = append(missing, s.Name)
 			continue
 		}
 		m.applyStatus(now, from, s, false)
 	}
-	return lacking
+	return missing
 }
 
-// profilesToSend returns what the other lacks, or holds in an older state, as profiles. What it lists
-// and this entry holds dead is among them.
+// profilesToSend returns the profiles of entries that the peer lacks or holds with an older status.
+// These include entries that the peer lists and this entry considers dead.
 func (m *Members) profilesToSend(l DigestReply) []item {
 	listed := make(map[string]Status, len(l.Statuses))
 	for _, s := range l.Statuses {
 		listed[s.Name] = s
 	}
-	var give []item
+	var items []item
 	offer := func(s Status, pr *profile) {
 		theirs, known := listed[s.Name]
 		if (known && supersedes(s, theirs)) || (!known && s.State != Dead) {
-			give = append(give, item{Profile: pr})
+			items = append(items, item{Profile: pr})
 		}
 	}
 	if contains(l.Buckets, m.selfBucket()) {
@@ -189,78 +192,79 @@
 			offer(p.status, profileOf(p.status, p.entry))
 		}
 	}
-	return give
+	return items
 }
 
 func (m *Members) missingRumours(l DigestReply) []rumourVersion {
-	var lacking []rumourVersion
+	var missing []rumourVersion
 	for _, v := range l.Versions {
 		if m.rumours[v.key()].rumour.Version < v.Version {
-			lacking = append(lacking, v)
+			missing = append(missing, v)
 		}
 	}
-	return lacking
+	return missing
 }
 
-// rumoursToSend announces what is too large to give unasked.
+// rumoursToSend returns the rumours that the peer lacks; those with large bodies are only announced.
 func (m *Members) rumoursToSend(l DigestReply) []item {
 	theirs := make(map[rumourKey]uint64, len(l.Versions))
 	for _, v := range l.Versions {
 		theirs[v.key()] = v.Version
 	}
-	var give []item
+	var items []item
 	m.eachVersion(func(v rumourVersion) {
 		if contains(l.Buckets, rumourBucket(v)) && theirs[v.key()] < v.Version {
-			give = append(give, item{Rumour: inlineOrAnnounced(m.rumours[v.key()].rumour)})
+			items = append(items, item{Rumour: inlineOrAnnounced(m.rumours[v.key()].rumour)})
 		}
 	})
-	return give
+	return items
 }
 
-// handleExchange takes what is given and answers what is wanted, and corrects what it knows better.
+// handleExchange applies the items received, returns those requested, and corrects received statuses
+// that are out of date.
 func (m *Members) handleExchange(now time.Time, from string, e Exchange) (ExchangeReply, error) {
 	m.mu.Lock()
 	defer m.unlock()
 	m.checkPause(now)
 	m.applyItems(now, from, e.Items, false)
-	var out itemBatch
+	var batch itemBatch
 	for _, it := range e.Items {
 		if it.Profile != nil {
-			m.addCorrection(&out, it.Profile.Status)
+			m.addCorrection(&batch, it.Profile.Status)
 		}
 	}
 	for _, name := range e.WantProfiles {
 		if name == m.self.Name {
-			out.add(item{Profile: profileOf(m.self, m.selfEntry)})
+			batch.add(item{Profile: profileOf(m.self, m.selfEntry)})
 		} else if p := m.peers[name]; p != nil {
-			out.add(item{Profile: profileOf(p.status, p.entry)})
+			batch.add(item{Profile: profileOf(p.status, p.entry)})
 		}
 	}
 	for _, v := range e.WantRumours {
 		if h, ok := m.rumours[v.key()]; ok && h.rumour.Version >= v.Version {
 			r := h.rumour
-			out.add(item{Rumour: &r})
+			batch.add(item{Rumour: &r})
 		}
 	}
-	return ExchangeReply{Items: out.items, More: out.full}, nil
+	return ExchangeReply{Items: batch.items, More: batch.full}, nil
 }
 
-// addCorrection adds this entry's status of a name if it replaces the one that was given.
-func (m *Members) addCorrection(out *itemBatch, given Status) {
+// addCorrection adds this entry's status of a peer if it supersedes the one received.
+func (m *Members) addCorrection(batch *itemBatch, given Status) {
 	if p := m.peers[given.Name]; p != nil && supersedes(p.status, given) {
 		s := p.status
-		out.add(item{Status: &s})
+		batch.add(item{Status: &s})
 	}
 }
 
-// itemBatch collects items up to exchangeBytes; a first one always fits.
+// itemBatch collects items up to maxExchangeBytes. The first item always fits.
 type itemBatch struct {
 	items []item
 	bytes int
 	full  bool
 }
 
-// profileSizeEstimate is about the size of a profile or status.
+// profileSizeEstimate is the approximate encoded size of a profile or status.
 const profileSizeEstimate = 250
 
 func (p *itemBatch) add(it item) {
@@ -276,7 +280,7 @@
 	p.items = append(p.items, it)
 }
 
-// finishExchange takes in what was wanted. Called with mu held.
+// finishExchange applies the items received. Called with mu held.
 func (m *Members) finishExchange(now time.Time, c call, r result) {
 	w := m.bodyFetches[c.fetch]
 	if w != nil {
@@ -285,8 +289,8 @@
 	if r.err != nil {
 		return
 	}
-	// What an announced rumour fetched is carried on as an announcement; what a digest found is old
-	// news to the others.
+	// A body fetched for an announcement is gossiped on, as an announcement. Items found by a digest are
+	// not, since most entries already have them.
 	m.applyItems(now, c.to, r.exchangeReply.Items, w != nil)
 	if r.exchangeReply.More {
 		m.scheduleSync(c.to)
--- a/entry/member/table.go
+++ b/entry/member/table.go
@@ -10,19 +10,19 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// table is the entries that are known, and what follows from their states: who is live, and the ring.
-// Those are computed anew only when they are asked for after a change, since news come in bursts.
+// table holds the known entries and the views derived from their states: the live entries and the ring.
+// The views are recomputed only when they are needed after a change, since changes come in bursts.
 type table struct {
 	peers   map[string]*peerState
 	order   []*peerState      // by name
 	trusted map[string]string // fingerprint to name
 
-	dirty bool     // live and ring are older than the states
-	live  []Peer   // what Live returns; replaced, never changed
-	ring  []string // self and all who are not dead, by the hash of their names
+	dirty bool     // live and ring are out of date
+	live  []Peer   // returned by Live; replaced, never modified
+	ring  []string // self and all peers that are not dead, by the hash of their names
 }
 
-// put adds p, in place of an earlier process of its name.
+// put adds p, replacing an earlier process of the same name.
 func (t *table) put(p *peerState) {
 	t.peers[p.status.Name] = p
 	at, found := slices.BinarySearchFunc(t.order, p.status.Name, compareName)
@@ -42,10 +42,10 @@
 
 func compareName(p *peerState, name string) int { return cmp.Compare(p.status.Name, name) }
 
-// markDirty notes that live or ring may have markDirty. Called with mu held.
+// markDirty records that live or ring may have changed. Called with mu held.
 func (m *Members) markDirty() { m.dirty = true }
 
-// refresh brings live and ring up to date and tells the watchers. Called with mu held.
+// refresh updates live and ring and signals the subscribers. Called with mu held.
 func (m *Members) refresh() {
 	if !m.dirty {
 		return
@@ -57,18 +57,18 @@
 		return
 	}
 	m.live = live
-	for _, watcher := range m.watchers {
-		signal(watcher)
+	for _, subscriber := range m.subscribers {
+		signal(subscriber)
 	}
 }
 
-// unlock ends a locked section that may have changed states.
+// unlock updates the views and releases mu. It ends every locked section that may have changed states.
 func (m *Members) unlock() {
 	m.refresh()
 	m.mu.Unlock()
 }
 
-// currentRing returns the ring up to date. Called with mu held.
+// currentRing returns the up-to-date ring. Called with mu held.
 func (m *Members) currentRing() []string {
 	m.refresh()
 	return m.ring
@@ -111,20 +111,20 @@
 	return ring
 }
 
-// peerState is what this entry holds of another.
+// peerState is this entry's state of one peer.
 type peerState struct {
 	status Status
 	entry  platform.Entry
 	hash   uint64 // of the name
-	// suspectUntil is when a suspicion becomes a death, diedAt when it did.
+	// suspectUntil is when a suspicion becomes a death; diedAt is when the peer was declared dead.
 	suspectUntil time.Time
 	diedAt       time.Time
 	// lastContact is the last time the peer itself answered or called.
 	lastContact time.Time
-	// unconfirmedFailures counts failed pings in a row for which no helper answered either.
-	unconfirmedFailures int
-	// failedPings counts failedPings pings in a row, whatever the helpers say.
-	failedPings      int
+	// failedProbes counts the pings in a row that failed both directly and through every helper.
+	failedProbes int
+	// failedPings counts the direct pings in a row that failed, whatever the helpers replied.
+	failedPings int
 	unreachable bool
 }
 
--- a/entry/member/wire_test.go
+++ b/entry/member/wire_test.go
@@ -11,10 +11,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// udpHeader is the size of the headers of IP and UDP.
+// udpHeader is the size of the IP and UDP headers.
 const udpHeader = 28
 
-// countingConn counts what passes a server's socket. Each packet between two entries passes exactly one.
+// countingConn counts the packets and bytes of a server's socket. Each packet between two entries passes
+// exactly one such socket.
 type countingConn struct {
 	net.PacketConn
 	packets, bytes *atomic.Int64
@@ -33,9 +34,9 @@
 	return c.PacketConn.WriteTo(p, to)
 }
 
-// BenchmarkWire measures what membership costs over the real link on loopback, per entry and second: bytes
-// and packets sent (as many are received), headers of IP and UDP included, and processor time. Nothing
-// happens meanwhile but one small rumour a second.
+// BenchmarkWire measures the cost of membership over the real transport on loopback, per entry and
+// second: bytes and packets sent (as many are received), IP and UDP headers included, and processor
+// time. The only load is one small rumour a second.
 func BenchmarkWire(b *testing.B) {
 	RegisterTestingT(b)
 	for _, n := range []int{4, 8, 16, 32} {
@@ -83,7 +84,7 @@
 	b.ReportMetric((cpuTime()-cpu).Seconds()*100/per, "%core")
 }
 
-// cpuTime is the processor time of the process so far.
+// cpuTime returns the processor time used by the process so far.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
