--- a/entry/entry.go
+++ b/entry/entry.go
@@ -165,7 +165,7 @@
 			e.members.Leave()
 			e.gate.Leave()
 		},
-		Publish:   func(ctx context.Context) error { return e.registration.publish(ctx, true) },
+		Publish:          func(ctx context.Context) error { return e.registration.publish(ctx, true) },
 		AddressHeldUntil: e.directory.LatestExpiry,
 		Close: func() {
 			go func() {
