--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -3,8 +3,8 @@
 // limit per group, and wakes the requests that are admitted.
 //
 // The life of a request: Enter offers it to the queue of its group -> it is admitted, refused immediately, or waits
-// until it is admitted, expires or times out -> its Turn reports the time to first token and the gaps between tokens to
-// the limit -> Done frees its slot and admits waiting requests.
+// until it is admitted, expires or times out -> its permit reports the time to first token and the gaps between tokens
+// to the limit -> Done frees its slot and admits waiting requests.
 package admission
 
 import (
@@ -88,53 +88,53 @@
 	return g.load()
 }
 
-func (a *Admission) group(item home.AdmissionRequest) *group {
+func (a *Admission) group(request home.AdmissionRequest) *group {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	g := a.groups[item.Group]
+	g := a.groups[request.Group]
 	if g == nil {
-		g = newGroup(item.Service)
-		a.groups[item.Group] = g
+		g = newGroup(request.Service)
+		a.groups[request.Group] = g
 	}
 	return g
 }
 
 // Enter implements home.Admission.
-func (a *Admission) Enter(ctx context.Context, item home.AdmissionRequest) (home.Permit, *contract.Problem) {
-	g := a.group(item)
-	t := &turn{
+func (a *Admission) Enter(ctx context.Context, request home.AdmissionRequest) (home.Permit, *contract.Problem) {
+	g := a.group(request)
+	p := &permit{
 		admission: a, group: g, id: strconv.FormatUint(a.ids.Add(1), 10),
-		plain: item.Service.Kind == settings.PlainService, promptTokens: item.PromptTokens,
+		plain: request.Service.Kind == settings.PlainService, promptTokens: request.PromptTokens,
 	}
-	verdict := g.offer(a.now(), item, t)
+	verdict := g.offer(a.now(), request, p)
 	switch verdict.Decision {
 	case fairqueue.Admitted:
-		return t, nil
+		return p, nil
 	case fairqueue.Refused:
 		return nil, problemFor(verdict)
 	}
-	return a.wait(ctx, item, t)
+	return a.wait(ctx, request, p)
 }
 
 // wait waits until the request is admitted or expires, its context ends, or the queue timeout passes. If the request is
-// admitted at the same moment as the wait ends, the turn is used: a check before the request is sent determines whether
-// it can still be answered in time.
-func (a *Admission) wait(ctx context.Context, item home.AdmissionRequest, t *turn) (home.Permit, *contract.Problem) {
-	timer := time.NewTimer(item.Service.QueueTimeout)
+// admitted at the same moment as the wait ends, the permit is used: a check before the request is sent determines
+// whether it can still be answered in time.
+func (a *Admission) wait(ctx context.Context, request home.AdmissionRequest, p *permit) (home.Permit, *contract.Problem) {
+	timer := time.NewTimer(request.Service.QueueTimeout)
 	defer timer.Stop()
 	select {
-	case <-t.decided:
-		if t.expired {
-			return nil, t.group.overloaded(a.now(), item, t.id)
+	case <-p.decided:
+		if p.expired {
+			return nil, p.group.overloaded(a.now(), request, p.id)
 		}
-		return t, nil
+		return p, nil
 	case <-ctx.Done():
 	case <-timer.C:
 	}
-	if !t.group.remove(a.now(), t) && !t.expired {
-		return t, nil
+	if !p.group.remove(a.now(), p) && !p.expired {
+		return p, nil
 	}
-	return nil, t.group.overloaded(a.now(), item, t.id)
+	return nil, p.group.overloaded(a.now(), request, p.id)
 }
 
 func problemFor(verdict fairqueue.Verdict) *contract.Problem {
@@ -154,14 +154,14 @@
 	queue      *fairqueue.Queue
 	limit      *limit.Limit
 	config     limit.Config
-	waiting    map[string]*turn
+	waiting    map[string]*permit
 	firstToken average
 	tokenGap   average
 	lastUsed   time.Duration
 }
 
 func newGroup(service settings.Service) *group {
-	g := &group{waiting: make(map[string]*turn)}
+	g := &group{waiting: make(map[string]*permit)}
 	config := fairqueue.Config{MaxWait: service.QueueTimeout}
 	if service.Kind == settings.PlainService {
 		config = config.ForPlain(service.FirstTokenObjective)
@@ -185,19 +185,19 @@
 	g.limit = limit.New(config)
 }
 
-func (g *group) offer(now time.Duration, item home.AdmissionRequest, t *turn) fairqueue.Verdict {
+func (g *group) offer(now time.Duration, request home.AdmissionRequest, p *permit) fairqueue.Verdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.lastUsed = now
-	g.setConfig(item.Service)
+	g.setConfig(request.Service)
 	g.applyLimit()
-	verdict := g.queue.Offer(now, queueItem(now, item, t.id))
+	verdict := g.queue.Offer(now, queueItem(now, request, p.id))
 	switch verdict.Decision {
 	case fairqueue.Admitted:
-		t.start(now, g.queue.Running())
+		p.start(now, g.queue.Running())
 	case fairqueue.Queued:
-		t.decided = make(chan struct{})
-		g.waiting[t.id] = t
+		p.decided = make(chan struct{})
+		g.waiting[p.id] = p
 	}
 	return verdict
 }
@@ -207,14 +207,14 @@
 // all state a high maximum refuse every request, and never learn how long requests take.
 const minAnswerTokens = 16
 
-func queueItem(now time.Duration, item home.AdmissionRequest, id string) fairqueue.Item {
+func queueItem(now time.Duration, request home.AdmissionRequest, id string) fairqueue.Item {
 	q := fairqueue.Item{
-		ID: id, Team: item.Team.Name, Share: item.Team.Share, Priority: item.Priority, Work: fairqueue.PlainWork,
-		Deadline: now + item.Timeout, Jitter: rand.Float64(),
+		ID: id, Team: request.Team.Name, Share: request.Team.Share, Priority: request.Priority, Work: fairqueue.PlainWork,
+		Deadline: now + request.Timeout, Jitter: rand.Float64(),
 	}
-	if item.Service.Kind == settings.LanguageService {
-		q.Work = item.EstimatedTokens
-		q.MinWork = item.PromptTokens + min(minAnswerTokens, item.EstimatedTokens-item.PromptTokens)
+	if request.Service.Kind == settings.LanguageService {
+		q.Work = request.EstimatedTokens
+		q.MinWork = request.PromptTokens + min(minAnswerTokens, request.EstimatedTokens-request.PromptTokens)
 	}
 	return q
 }
@@ -236,10 +236,10 @@
 		if !ok {
 			break
 		}
-		t := g.waiting[item.ID]
+		p := g.waiting[item.ID]
 		delete(g.waiting, item.ID)
-		t.start(now, g.queue.Running())
-		close(t.decided)
+		p.start(now, g.queue.Running())
+		close(p.decided)
 	}
 	g.refuseExpired(now)
 	return g.queue.Len() == 0 && g.queue.Running() == 0
@@ -250,13 +250,13 @@
 // called with g.mu held.
 func (g *group) refuseExpired(now time.Duration) {
 	for _, item := range g.queue.Expire(now) {
-		t := g.waiting[item.ID]
-		if t == nil {
+		p := g.waiting[item.ID]
+		if p == nil {
 			continue
 		}
 		delete(g.waiting, item.ID)
-		t.expired = true
-		close(t.decided)
+		p.expired = true
+		close(p.decided)
 	}
 }
 
@@ -268,21 +268,21 @@
 
 // remove removes a waiting request from the queue. It returns false if the request was admitted or refused as expired
 // in the meantime.
-func (g *group) remove(now time.Duration, t *turn) bool {
+func (g *group) remove(now time.Duration, p *permit) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.waiting[t.id] == nil {
+	if g.waiting[p.id] == nil {
 		return false
 	}
-	delete(g.waiting, t.id)
-	g.queue.Remove(now, t.id)
+	delete(g.waiting, p.id)
+	g.queue.Remove(now, p.id)
 	return true
 }
 
-func (g *group) overloaded(now time.Duration, item home.AdmissionRequest, id string) *contract.Problem {
+func (g *group) overloaded(now time.Duration, request home.AdmissionRequest, id string) *contract.Problem {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	retry := g.queue.RetryAfter(now, queueItem(now, item, id))
+	retry := g.queue.RetryAfter(now, queueItem(now, request, id))
 	return problemFor(fairqueue.Verdict{Code: fairqueue.CodeOverloaded, RetryAfter: retry})
 }
 
--- a/entry/admission/turn.go
+++ b/entry/admission/turn.go
@@ -7,8 +7,9 @@
 	"github.com/skylarkpond/skylarkpond/policy/limit"
 )
 
-// turn is the slot that a request holds at a group. Only the request's own goroutine uses it, except for start.
-type turn struct {
+// permit implements home.Permit: it is the slot that a request holds at a group, or waits for. Only the request's own
+// goroutine uses it, except for start.
+type permit struct {
 	admission *Admission
 	group     *group
 	id        string
@@ -30,55 +31,55 @@
 }
 
 // start must be called with the group's mutex held.
-func (t *turn) start(now time.Duration, running int) {
-	t.admittedAt = now
-	t.runningAtStart = running
+func (p *permit) start(now time.Duration, running int) {
+	p.admittedAt = now
+	p.runningAtStart = running
 }
 
 // FirstToken implements home.Permit. A request that has its first token no longer counts as starting, so that another one
 // may start.
-func (t *turn) FirstToken() {
-	now := t.admission.now()
-	t.lastToken = now
-	t.answered = true
-	if t.plain {
+func (p *permit) FirstToken() {
+	now := p.admission.now()
+	p.lastToken = now
+	p.answered = true
+	if p.plain {
 		return
 	}
-	t.group.observeFirstToken(now, now-t.admittedAt, t)
-	t.group.admit(now)
+	p.group.observeFirstToken(now, now-p.admittedAt, p)
+	p.group.admit(now)
 }
 
 // Token implements home.Permit.
-func (t *turn) Token(count int) {
-	now := t.admission.now()
-	first := t.tokens == 0
-	t.tokens += count
+func (p *permit) Token(count int) {
+	now := p.admission.now()
+	first := p.tokens == 0
+	p.tokens += count
 	if !first && count > 0 {
-		t.group.observeGap(now, (now-t.lastToken)/time.Duration(count), count)
+		p.group.observeGap(now, (now-p.lastToken)/time.Duration(count), count)
 	}
-	t.lastToken = now
+	p.lastToken = now
 }
 
 // Done implements home.Permit. Further calls have no effect.
-func (t *turn) Done() {
-	if t.done {
+func (p *permit) Done() {
+	if p.done {
 		return
 	}
-	t.done = true
-	now := t.admission.now()
-	if t.plain && t.answered {
-		t.group.observeFirstToken(now, now-t.admittedAt, t)
+	p.done = true
+	now := p.admission.now()
+	if p.plain && p.answered {
+		p.group.observeFirstToken(now, now-p.admittedAt, p)
 	}
-	t.group.end(now, t)
-	t.group.admit(now)
+	p.group.end(now, p)
+	p.group.admit(now)
 }
 
-func (g *group) observeFirstToken(now, took time.Duration, t *turn) {
+func (g *group) observeFirstToken(now, took time.Duration, p *permit) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.queue.Started(t.id)
+	g.queue.Started(p.id)
 	g.firstToken.add(took)
-	g.limit.Observe(now, limit.Sample{Running: t.runningAtStart, FirstToken: took, Starting: g.queue.Starting() + 1})
+	g.limit.Observe(now, limit.Sample{Running: p.runningAtStart, FirstToken: took, Starting: g.queue.Starting() + 1})
 }
 
 func (g *group) observeGap(now, gap time.Duration, count int) {
@@ -90,17 +91,17 @@
 
 // end frees the slot. The team is charged for the work done: nothing for a request without any answer, which was not
 // sent or was refused.
-func (g *group) end(now time.Duration, t *turn) {
+func (g *group) end(now time.Duration, p *permit) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	work := 0
 	switch {
-	case t.answered && t.plain:
+	case p.answered && p.plain:
 		work = fairqueue.PlainWork
-	case t.answered:
-		work = t.promptTokens + max(1, t.tokens)
+	case p.answered:
+		work = p.promptTokens + max(1, p.tokens)
 	}
-	g.queue.Done(now, t.id, work)
+	g.queue.Done(now, p.id, work)
 	g.lastUsed = now
 }
 
