--- a/entry/home/home.go
+++ b/entry/home/home.go
@@ -76,7 +76,7 @@
 type Guard interface {
 	// Admit returns a permit to send the request to the group, or the problem that prevents it. It is called right before
 	// the claim.
-	Admit(ctx context.Context, s guard.Request) (*guard.Permit, *contract.Problem)
+	Admit(ctx context.Context, request guard.Request) (*guard.Permit, *contract.Problem)
 }
 
 // Deps holds the dependencies of a Home.
--- a/entry/home/keep.go
+++ b/entry/home/keep.go
@@ -35,7 +35,7 @@
 		r.sendFrame(f)
 	}
 	r.permit.Done()
-	r.pass.Finished(ctx)
+	r.guardPermit.Finished(ctx)
 	if !stored && r.home.claims.reserveUnstored() {
 		defer r.home.claims.releaseUnstored()
 		r.retryStore(ctx)
--- a/entry/home/run.go
+++ b/entry/home/run.go
@@ -14,13 +14,13 @@
 
 // run is the state of one dispatch in progress. It is used only by the goroutine of its Dispatch call.
 type run struct {
-	home    *Home
-	d       contract.Dispatch
-	service settings.Service
-	group   vm.Group
-	permit  Permit
-	pass    *guard.Permit
-	claim   attempt.Result
+	home        *Home
+	d           contract.Dispatch
+	service     settings.Service
+	group       vm.Group
+	permit      Permit
+	guardPermit *guard.Permit
+	claim       attempt.Result
 	// claimAbandoned is set once nothing was or will be sent under claim. frontGone is set if the front was gone
 	// before it could be told about the refusal.
 	claimAbandoned, frontGone bool
@@ -47,7 +47,7 @@
 	if !r.recheck(ctx) {
 		return
 	}
-	defer r.pass.Done(ctx)
+	defer r.guardPermit.Done(ctx)
 	ctx, end, ok := r.acquireClaim(ctx)
 	defer end()
 	if !ok {
@@ -85,7 +85,7 @@
 		p = deadlineExceeded()
 	}
 	if p == nil {
-		r.pass, p = r.home.deps.Guard.Admit(ctx, r.subject(ctx))
+		r.guardPermit, p = r.home.deps.Guard.Admit(ctx, r.guardRequest(ctx))
 	}
 	if p != nil {
 		r.refuse(p)
@@ -127,7 +127,7 @@
 	r.streamCompletion(ctx)
 }
 
-func (r *run) subject(ctx context.Context) guard.Request {
+func (r *run) guardRequest(ctx context.Context) guard.Request {
 	return guard.Request{
 		RequestID: r.d.RequestID, Service: r.d.Service, Group: r.group, Fingerprint: r.d.Fingerprint,
 		Timeout: r.remaining(ctx), CrashID: r.d.CrashID,
@@ -269,7 +269,7 @@
 // reportBroken tells the front that the answer ended early. It first determines whether a backend server crashed,
 // so that a retry does not overtake the crash report.
 func (r *run) reportBroken(ctx context.Context, p *contract.Problem) {
-	crash := r.pass.ResponseBroke(ctx)
+	crash := r.guardPermit.ResponseBroke(ctx)
 	r.sendFrame(contract.Frame{Kind: contract.FrameBroken, Problem: p, CrashID: crash})
 }
 
