--- a/entry/catalog/catalog.go
+++ b/entry/catalog/catalog.go
@@ -24,8 +24,8 @@
 	FedByLeader func() bool
 	// IsLeader reports whether this entry forwards its changes to others.
 	IsLeader func() bool
-	// OnNews is called with the result of each call that this entry makes to the platform.
-	OnNews func(news News)
+	// OnChanges is called with the result of each call that this entry makes to the platform.
+	OnChanges func(changes ChangeSet)
 	// OnPlatformLost and OnPlatformRegained are called when calls for a kind begin to fail and when they succeed again.
 	OnPlatformLost     func(kind store.Kind, err error)
 	OnPlatformRegained func(kind store.Kind, duration time.Duration)
@@ -125,14 +125,14 @@
 	running.Wait()
 }
 
-// ApplyNews applies changes that the leader forwarded.
-func (c *Catalog) ApplyNews(news News) {
-	if follower := c.followers[news.Kind]; follower != nil {
-		follower.applyNews(news)
+// ApplyChanges applies changes that the leader forwarded.
+func (c *Catalog) ApplyChanges(changes ChangeSet) {
+	if follower := c.followers[changes.Kind]; follower != nil {
+		follower.applyChanges(changes)
 	}
 }
 
-// LeaderChanged records that subsequent news comes from another leader. It must be called before the first of that news.
+// LeaderChanged records that subsequent changes come from another leader. It must be called before the first of them.
 func (c *Catalog) LeaderChanged() {
 	for _, follower := range c.followers {
 		follower.leaderChanged()
@@ -176,13 +176,13 @@
 	return revisions
 }
 
-// NewsSince returns the changes of a kind since a revision. ok is false if they are no longer available.
-func (c *Catalog) NewsSince(kind store.Kind, revision store.Version) (news News, ok bool) {
+// ChangesSince returns the changes of a kind since a revision. ok is false if they are no longer available.
+func (c *Catalog) ChangesSince(kind store.Kind, revision store.Version) (changes ChangeSet, ok bool) {
 	follower := c.followers[kind]
 	if follower == nil {
-		return News{}, false
+		return ChangeSet{}, false
 	}
-	return follower.newsSince(revision)
+	return follower.changesSince(revision)
 }
 
 func (c *Catalog) applyConfig(update Update) {
--- a/entry/catalog/catalog_test.go
+++ b/entry/catalog/catalog_test.go
@@ -32,7 +32,7 @@
 	api            *objects.API
 	catalog        *catalog.Catalog
 	fedByLeader    atomic.Bool
-	news           chan catalog.News
+	changes        chan catalog.ChangeSet
 	configVersions chan uint64
 	leaving        chan leavingServer
 }
@@ -44,11 +44,11 @@
 }
 
 func newFixture() *fixture {
-	f := &fixture{api: objects.New(), news: make(chan catalog.News, 1000), configVersions: make(chan uint64, 1000), leaving: make(chan leavingServer, 1000)}
+	f := &fixture{api: objects.New(), changes: make(chan catalog.ChangeSet, 1000), configVersions: make(chan uint64, 1000), leaving: make(chan leavingServer, 1000)}
 	client := store.NewClient("http://"+f.api.Address(), store.WithCodec(platform.Objects{}), store.WithCallTimeout(300*time.Millisecond))
 	f.catalog = catalog.New(catalog.Deps{
 		Store: client, FedByLeader: f.fedByLeader.Load, IsLeader: func() bool { return false },
-		OnNews:         func(news catalog.News) { f.news <- news },
+		OnChanges:      func(changes catalog.ChangeSet) { f.changes <- changes },
 		OnPlatformLost: func(store.Kind, error) {}, OnPlatformRegained: func(store.Kind, time.Duration) {}, OnUnreadable: func(store.Object, error) {},
 		OnConfig:        func(table *route.Table) { f.configVersions <- table.Version },
 		OnServerLeaving: func(server *backend.Server, fromLeader bool) { f.leaving <- leavingServer{server.ID, fromLeader} },
@@ -83,7 +83,7 @@
 	f.fedByLeader.Store(true)
 	f.catalog.LeaderChanged()
 	known := f.catalog.Revisions()[platform.KindServers]
-	f.catalog.ApplyNews(catalog.News{Kind: platform.KindServers, From: known, To: known})
+	f.catalog.ApplyChanges(catalog.ChangeSet{Kind: platform.KindServers, From: known, To: known})
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
 	go func() {
@@ -98,8 +98,8 @@
 // serversSince returns the changes of the servers since a revision, as an entry that connects late receives them.
 func (f *fixture) serversSince(since store.Version) func() []catalog.Change {
 	return func() []catalog.Change {
-		news, _ := f.catalog.NewsSince(platform.KindServers, since)
-		return news.Changes
+		changes, _ := f.catalog.ChangesSince(platform.KindServers, since)
+		return changes.Changes
 	}
 }
 
@@ -269,13 +269,13 @@
 		Eventually(f.serversSince(since), waitFor).Should(ConsistOf(
 			HaveField("Server.Service", "t"), HaveField("Server.ID", BeEquivalentTo("i-4")), HaveField("Removal.Server", BeEquivalentTo("i-1"))))
 		reported := store.Version(0)
-		for len(f.news) > 0 {
-			news := <-f.news
-			if news.Kind == platform.KindServers && reported > 0 {
-				Expect(news.From).To(And(BeNumerically(">", 0), BeNumerically("<=", reported)), "no gap")
+		for len(f.changes) > 0 {
+			changes := <-f.changes
+			if changes.Kind == platform.KindServers && reported > 0 {
+				Expect(changes.From).To(And(BeNumerically(">", 0), BeNumerically("<=", reported)), "no gap")
 			}
-			if news.Kind == platform.KindServers {
-				reported = news.To
+			if changes.Kind == platform.KindServers {
+				reported = changes.To
 			}
 		}
 	})
@@ -290,7 +290,7 @@
 		f.api.Write("servers", "i-2", replica.Registered("s"))
 		Consistently(f.servers, "2s").Should(Equal(1))
 		Expect(f.api.Calls()["GET servers"]).To(Equal(before))
-		f.catalog.ApplyNews(catalog.News{Kind: platform.KindServers, From: from, To: from + 1, Changes: []catalog.Change{
+		f.catalog.ApplyChanges(catalog.ChangeSet{Kind: platform.KindServers, From: from, To: from + 1, Changes: []catalog.Change{
 			{Server: &backend.Server{ID: "i-2", Service: "s", Address: "10.0.0.2:1", Revision: uint64(from + 1)}},
 		}})
 		Eventually(f.servers, waitFor).Should(Equal(2))
@@ -316,7 +316,7 @@
 		f.followLeader()
 		from := f.catalog.Revisions()[platform.KindServers]
 		for revision := uint64(from + 1); revision <= uint64(from+2); revision++ {
-			f.catalog.ApplyNews(catalog.News{Kind: platform.KindServers, From: from, To: store.Version(revision), Changes: []catalog.Change{
+			f.catalog.ApplyChanges(catalog.ChangeSet{Kind: platform.KindServers, From: from, To: store.Version(revision), Changes: []catalog.Change{
 				{Server: &backend.Server{ID: "i-2", Service: "s", Address: "10.0.0.2:1", Leaving: true, Revision: revision}},
 			}})
 		}
@@ -325,16 +325,16 @@
 		Expect(f.catalog.ServersAge()).To(And(BeNumerically(">", 0), BeNumerically("<", time.Second)))
 	})
 
-	// News was lost, for example while a connection was down. If later news were applied to the old state, a server that is
-	// gone would remain listed.
-	It("reads from the platform if news was missed", func() {
+	// Changes were lost, for example while a connection was down. If later changes were applied to the old state, a server
+	// that is gone would remain listed.
+	It("reads from the platform if changes were missed", func() {
 		f := newFixture()
 		f.api.Write("servers", "i-1", replica.Registered("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		f.followLeader()
 		f.api.Write("servers", "i-2", replica.Registered("s"))
 		from := f.catalog.Revisions()[platform.KindServers]
-		f.catalog.ApplyNews(catalog.News{Kind: platform.KindServers, From: from + 5, To: from + 6})
+		f.catalog.ApplyChanges(catalog.ChangeSet{Kind: platform.KindServers, From: from + 5, To: from + 6})
 		Eventually(f.servers, waitFor).Should(Equal(2))
 	})
 
@@ -363,17 +363,17 @@
 		Eventually(f.servers, waitFor).Should(Equal(2))
 	})
 
-	It("keeps the latest news for entries that connect late", func() {
+	It("keeps the latest changes for entries that connect late", func() {
 		f := newFixture()
 		f.api.Write("servers", "i-1", replica.Registered("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		since := f.catalog.Revisions()[platform.KindServers]
 		f.api.Write("servers", "i-2", replica.Registered("s"))
 		Eventually(f.servers, waitFor).Should(Equal(2))
-		news, ok := f.catalog.NewsSince(platform.KindServers, since)
+		changes, ok := f.catalog.ChangesSince(platform.KindServers, since)
 		Expect(ok).To(BeTrue())
-		Expect(news.Changes).To(ConsistOf(HaveField("Server.ID", BeEquivalentTo("i-2"))))
-		_, ok = f.catalog.NewsSince(platform.KindServers, 0)
+		Expect(changes.Changes).To(ConsistOf(HaveField("Server.ID", BeEquivalentTo("i-2"))))
+		_, ok = f.catalog.ChangesSince(platform.KindServers, 0)
 		Expect(ok).To(BeFalse())
 	})
 })
--- a/entry/catalog/follow.go
+++ b/entry/catalog/follow.go
@@ -20,8 +20,8 @@
 	WatchFor(ctx context.Context, kind store.Kind, after store.Version, wait time.Duration) (store.Changes, error)
 }
 
-// News describes the changes of a kind between two revisions.
-type News = link.ChangeSet
+// ChangeSet describes the changes of a kind between two revisions.
+type ChangeSet = link.ChangeSet
 
 // Change is the change of one object.
 type Change = link.Change
@@ -82,7 +82,7 @@
 	maxHistory = 2048
 )
 
-// follower follows one kind, through the leader's news if available, otherwise by its own watch.
+// follower follows one kind, through the changes that the leader forwards if available, otherwise by its own watch.
 type follower struct {
 	catalog *Catalog
 	kind    store.Kind
@@ -95,7 +95,7 @@
 	mu sync.Mutex // guards the fields below and the order of apply; acquired before any lock that apply takes
 	// revision is the revision up to which the kind is known; 0 before the first list.
 	revision store.Version
-	// gap reports that news was missed, so that this entry must read from the platform itself.
+	// gap reports that changes were missed, so that this entry must read from the platform itself.
 	gap bool
 	// caughtUp reports that the current leader has forwarded everything that this entry had missed, so that this entry knows
 	// all that the leader does.
@@ -222,7 +222,8 @@
 	return max(f.policy.BatchDelay, minBatchDelay)
 }
 
-// followsLeader reports whether the leader's news is sufficient, so that this entry need not watch the platform.
+// followsLeader reports whether the changes that the leader forwards are sufficient, so that this entry need not watch the
+// platform.
 func (f *follower) followsLeader() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -260,44 +261,44 @@
 	update := Update{Changes: f.decodeChanges(fetched.Objects), Revision: fetched.Revision, Complete: fetched.Complete}
 	f.mu.Lock()
 	f.gap = false
-	news := News{Kind: f.kind, From: from, To: update.Revision, Changes: update.Changes}
+	changes := ChangeSet{Kind: f.kind, From: from, To: update.Revision, Changes: update.Changes}
 	if update.Complete {
-		news = f.newsFromList(update)
+		changes = f.changesFromList(update)
 	}
-	f.record(news)
+	f.record(changes)
 	if len(update.Changes) > 0 || update.Complete {
 		f.apply(update)
 	}
 	f.mu.Unlock()
-	if news.From == 0 {
-		news = link.Gap(f.kind, news.To)
+	if changes.From == 0 {
+		changes = link.Gap(f.kind, changes.To)
 	}
-	f.catalog.deps.OnNews(news)
+	f.catalog.deps.OnChanges(changes)
 	f.noteCurrent(sent) // only after forwarding, because the other entries trust this entry's statement about what it has forwarded
 }
 
-// newsFromList derives news from a list that was read because the platform dropped its history: the differences from the
-// previous objects. Without it, every entry would have to read the list itself, which would cause hundreds of calls within a
-// second. It must be called with f.mu held.
-func (f *follower) newsFromList(list Update) News {
+// changesFromList derives a change set from a list that was read because the platform dropped its history: the differences
+// from the previous objects. Without it, every entry would have to read the list itself, which would cause hundreds of calls
+// within a second. It must be called with f.mu held.
+func (f *follower) changesFromList(list Update) ChangeSet {
 	if f.revision == 0 {
 		f.oldest = list.Revision // no entry can be fed from a revision before the first list
-		return News{Kind: f.kind, To: list.Revision, Changes: list.Changes}
+		return ChangeSet{Kind: f.kind, To: list.Revision, Changes: list.Changes}
 	}
-	news := News{Kind: f.kind, From: f.revision, To: list.Revision}
+	changes := ChangeSet{Kind: f.kind, From: f.revision, To: list.Revision}
 	listedNames := make(map[string]bool, len(list.Changes))
 	for _, change := range list.Changes {
 		listedNames[change.Name()] = true
 		if f.versions[change.Name()] != change.Version() {
-			news.Changes = append(news.Changes, change)
+			changes.Changes = append(changes.Changes, change)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.versions)) {
 		if !listedNames[name] {
-			news.Changes = append(news.Changes, f.decodeChange(store.Object{Kind: f.kind, Name: name, Version: list.Revision, Deleted: true}))
+			changes.Changes = append(changes.Changes, f.decodeChange(store.Object{Kind: f.kind, Name: name, Version: list.Revision, Deleted: true}))
 		}
 	}
-	return news
+	return changes
 }
 
 // decodeChanges decodes objects. If an object changed several times, only its last change is returned.
@@ -322,20 +323,20 @@
 	return Change{Object: &object}
 }
 
-// applyNews applies changes that the leader forwarded. News that starts after the known revision leaves a gap.
-func (f *follower) applyNews(news News) {
+// applyChanges applies changes that the leader forwarded. A change set that starts after the known revision leaves a gap.
+func (f *follower) applyChanges(changes ChangeSet) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.caughtUp = true
 	switch {
-	case news.To <= f.revision:
+	case changes.To <= f.revision:
 		return // already known
-	case news.From == 0 || news.From > f.revision:
+	case changes.From == 0 || changes.From > f.revision:
 		f.gap = true
 	default:
-		f.record(news)
-		if len(news.Changes) > 0 {
-			f.apply(Update{Changes: news.Changes, Revision: news.To, FromLeader: true})
+		f.record(changes)
+		if len(changes.Changes) > 0 {
+			f.apply(Update{Changes: changes.Changes, Revision: changes.To, FromLeader: true})
 		}
 	}
 	select {
@@ -344,11 +345,11 @@
 	}
 }
 
-// record adds news to the history. It must be called with f.mu held.
-func (f *follower) record(news News) {
-	f.revision = max(f.revision, news.To)
-	f.recordVersions(news.Changes)
-	f.history = append(f.history, news.Changes...)
+// record adds a change set to the history. It must be called with f.mu held.
+func (f *follower) record(changes ChangeSet) {
+	f.revision = max(f.revision, changes.To)
+	f.recordVersions(changes.Changes)
+	f.history = append(f.history, changes.Changes...)
 	if excess := len(f.history) - maxHistory; excess > 0 {
 		f.oldest = f.history[excess-1].Version()
 		f.history = slices.Delete(f.history, 0, excess)
@@ -369,18 +370,18 @@
 	}
 }
 
-// newsSince returns the news after a revision if all of it is still available.
-func (f *follower) newsSince(revision store.Version) (News, bool) {
+// changesSince returns the changes after a revision if all of them are still available.
+func (f *follower) changesSince(revision store.Version) (ChangeSet, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if revision < f.oldest || f.revision == 0 {
-		return News{}, false
+		return ChangeSet{}, false
 	}
-	news := News{Kind: f.kind, From: revision, To: f.revision}
+	changes := ChangeSet{Kind: f.kind, From: revision, To: f.revision}
 	for _, change := range f.history {
 		if change.Version() > revision {
-			news.Changes = append(news.Changes, change)
+			changes.Changes = append(changes.Changes, change)
 		}
 	}
-	return news, true
+	return changes, true
 }
--- a/entry/gateway/assemble.go
+++ b/entry/gateway/assemble.go
@@ -66,7 +66,7 @@
 func provideCatalog(s *shared, client *store.Client) *catalog.Catalog {
 	return catalog.New(catalog.Deps{
 		Store: client, FedByLeader: s.leaderState.linked, IsLeader: func() bool { return s.components.lease.Held() },
-		OnNews:         func(news catalog.News) { s.components.leader.Broadcast(news) },
+		OnChanges:      func(changes catalog.ChangeSet) { s.components.leader.Broadcast(changes) },
 		OnPlatformLost: s.platformLost, OnPlatformRegained: s.platformRegained, OnUnreadable: s.objectUnreadable, OnConfig: s.configInForce,
 		OnServerLeaving: s.serverLeaving,
 	})
@@ -100,7 +100,7 @@
 
 func provideLeader(s *shared, cat *catalog.Catalog, entryLease *lease.Lease, controller *grouping.Controller) *leader.Leader {
 	return leader.New(leader.Deps{
-		IsLeader: entryLease.IsLeader, ChangesSince: cat.NewsSince, Listing: cat.Listing, ListAge: cat.ServersAge, Table: cat.Table, Dissolving: controller.Closed,
+		IsLeader: entryLease.IsLeader, ChangesSince: cat.ChangesSince, Listing: cat.Listing, ListAge: cat.ServersAge, Table: cat.Table, Dissolving: controller.Closed,
 		UnregisteredMembers: controller.ResponsiveUnregistered,
 		Suspect:             func(key backend.GroupKey) { controller.Suspect(context.Background(), key) },
 		ReportDemand:        s.logDemand, Config: cat.Config, OfferConfig: cat.UpdateConfig, LeaseVersion: entryLease.Version, Ages: cat.Ages, ReportQuarantine: s.requestsQuarantined,
--- a/entry/gateway/follow.go
+++ b/entry/gateway/follow.go
@@ -135,7 +135,7 @@
 	case message.Renewal != nil:
 		g.handleRenewal(send, *message.Renewal)
 	case message.ChangeSet != nil:
-		g.catalog.ApplyNews(*message.ChangeSet)
+		g.catalog.ApplyChanges(*message.ChangeSet)
 	case message.Quarantine != nil:
 		g.suspects.Take(*message.Quarantine)
 	case message.Probe != nil:
--- a/entry/grouping/cell_test.go
+++ b/entry/grouping/cell_test.go
@@ -69,7 +69,7 @@
 func (f *fixture) newCatalog() *catalog.Catalog {
 	client := store.NewClient("http://"+f.api.Address(), store.WithCodec(platform.Objects{}))
 	created := catalog.New(catalog.Deps{
-		Store: client, FedByLeader: func() bool { return false }, IsLeader: func() bool { return true }, OnNews: func(catalog.News) {},
+		Store: client, FedByLeader: func() bool { return false }, IsLeader: func() bool { return true }, OnChanges: func(catalog.ChangeSet) {},
 		OnPlatformLost: func(store.Kind, error) {}, OnPlatformRegained: func(store.Kind, time.Duration) {}, OnUnreadable: func(store.Object, error) {},
 		OnConfig: func(*route.Table) {},
 	})
--- a/entry/leader/leader.go
+++ b/entry/leader/leader.go
@@ -48,7 +48,7 @@
 	// ReportDemand is called for each model once in demandInterval while this entry is the leader.
 	ReportDemand func(demand policy.Demand)
 	// ChangesSince returns the changes of a kind of objects since a revision, or false if they are no longer known.
-	ChangesSince func(kind store.Kind, revision store.Version) (catalog.News, bool)
+	ChangesSince func(kind store.Kind, revision store.Version) (catalog.ChangeSet, bool)
 	// Ages returns, for each kind of objects, how long ago this entry's copy was known to be current.
 	Ages func() []link.Age
 	// LeaseVersion returns the version of the lease at its last renewal.
--- a/entry/leader/news.go
+++ b/entry/leader/news.go
@@ -20,7 +20,7 @@
 
 // Broadcast sends changes that this entry's watch returned to all followers. Followers may connect before this entry
 // knows that it holds the lease, so it also broadcasts before it is leading.
-func (l *Leader) Broadcast(changes catalog.News) {
+func (l *Leader) Broadcast(changes catalog.ChangeSet) {
 	if len(changes.Changes) == 0 && changes.From != 0 {
 		return
 	}
--- a/link/leader/leader_test.go
+++ b/link/leader/leader_test.go
@@ -113,15 +113,15 @@
 		Eventually(h.joined, waitFor).Should(Equal(2))
 		Eventually(h.messages, waitFor).Should(HaveLen(2))
 		Expect(*h.messages()[0].TurnRequest).To(Equal(leader.TurnRequest{Key: 7, Service: "s", Model: "m", MaxWaitMs: 200, Retry: true}))
-		news := leader.Down{ChangeSet: &leader.ChangeSet{Kind: "servers", From: 3, To: 5, Changes: []leader.Change{
+		down := leader.Down{ChangeSet: &leader.ChangeSet{Kind: "servers", From: 3, To: 5, Changes: []leader.Change{
 			{Removal: &leader.Removal{Server: "i-1", Version: 5}}, {Server: &backend.Server{ID: "i-2", Service: "s", Address: "10.0.0.1:1", Revision: 4}},
 		}}}
-		shared := &leader.Shared{Down: news}
+		shared := &leader.Shared{Down: down}
 		for _, follower := range h.followers {
 			follower.SendShared(shared)
 		}
 		for range 2 {
-			Eventually(received, waitFor).Should(Receive(Equal(news)))
+			Eventually(received, waitFor).Should(Receive(Equal(down)))
 		}
 		h.followers["a"].Send(leader.Down{Grant: &leader.Grant{Key: 7, Head: "i-1"}})
 		Eventually(received, waitFor).Should(Receive(HaveField("Grant.Head", BeEquivalentTo("i-1"))))
@@ -142,11 +142,11 @@
 				Group: backend.Membership{GroupKey: backend.GroupKey{Name: "the group", Epoch: 7}, Rank: i, State: backend.GroupReady}, Revision: 5,
 			}})
 		}
-		news := leader.Down{ChangeSet: &leader.ChangeSet{Kind: "servers", From: 3, To: 5, Changes: changes}}
-		shared := &leader.Shared{Down: news}
+		down := leader.Down{ChangeSet: &leader.ChangeSet{Kind: "servers", From: 3, To: 5, Changes: changes}}
+		shared := &leader.Shared{Down: down}
 		Expect(shared.Size()).To(BeNumerically("<", 200*30))
 		h.followers["a"].SendShared(shared)
-		Eventually(received, waitFor).Should(Receive(Equal(news)))
+		Eventually(received, waitFor).Should(Receive(Equal(down)))
 	})
 
 	// An unrelated process reaches the port. If it were accepted, it could take turns and distribute configurations.
