--- a/entry/front/fakes_test.go
+++ b/entry/front/fakes_test.go
@@ -218,7 +218,7 @@
 
 func (f *fleet) newGuard() *guard.Guard {
 	return guard.New(guard.Deps{
-		Store: platform.NewClient(f.server.URL), Publisher: discardTaker{}, Engines: f.backend, Metrics: metrics.NewRegistry(),
+		Store: platform.NewClient(f.server.URL), Publisher: discardPublisher{}, Engines: f.backend, Metrics: metrics.NewRegistry(),
 		Recorder: timeline.NewRecorder("guard", nil, time.Now), Clock: time.Now, NewNonce: rand.Text,
 	})
 }
@@ -228,9 +228,9 @@
 	return log
 }
 
-type discardTaker struct{}
+type discardPublisher struct{}
 
-func (discardTaker) Publish(platform.Object) {}
+func (discardPublisher) Publish(platform.Object) {}
 
 func (f *fleet) attempts() *attempt.Records {
 	return attempt.New(platform.NewClient(f.server.URL, platform.WithCallTimeout(200*time.Millisecond)), time.Now)
--- a/policy/internal/playback/fair.go
+++ b/policy/internal/playback/fair.go
@@ -20,7 +20,7 @@
 func toItem(r *Request) fairqueue.Item {
 	return fairqueue.Item{
 		ID: r.ID, Team: r.Team.Name, Share: r.Team.Share, Priority: r.Team.Priority,
-		Work: r.Estimate, Deadline: r.Deadline(), Jitter: r.Spread,
+		Work: r.Estimate, Deadline: r.Deadline(), Jitter: r.Jitter,
 	}
 }
 
--- a/policy/internal/playback/request.go
+++ b/policy/internal/playback/request.go
@@ -26,8 +26,8 @@
 	Estimate       int
 	// Patience is how long the caller waits for the complete answer.
 	Patience time.Duration
-	// Spread is the random number that adds jitter to Retry-After.
-	Spread float64
+	// Jitter is a random number in [0, 1). It spreads the Retry-After of refused requests.
+	Jitter float64
 	// Front is the index of the front, the entry that accepted the request from the client, if several are simulated.
 	Front int
 
--- a/policy/internal/playback/traffic.go
+++ b/policy/internal/playback/traffic.go
@@ -97,7 +97,7 @@
 		Team:   team,
 		Prompt: 1 + int(random.ExpFloat64()*t.Prompt),
 		Output: 1 + int(random.ExpFloat64()*output),
-		Spread: random.Float64(),
+		Jitter: random.Float64(),
 	}
 	r.Patience = t.Patience + time.Duration(r.Output)*t.PatiencePerToken
 	estimate := float64(r.Work()) * team.EstimateFactor * math.Exp(random.NormFloat64()*t.EstimateError)
