--- a/contract/outcome.go
+++ b/contract/outcome.go
@@ -1,9 +1,10 @@
 // Package contract holds the types shared by Skylarkpond's parts and by its callers: outcomes, problems, the messages
 // between front and home, and the record of a request that must run at most once.
 //
-// An entry is one instance of Skylarkpond's proxy. For a given request it can act as the front, which holds the
-// caller's connection and decides what the caller is told, or as the home of a group, which alone sends requests to the
-// backend servers of a group. A group is a set of VMs that together run one replica of a service.
+// An entry is one proxy process that callers connect to. The front of a request is the entry that its caller is
+// connected to; it decides what the caller is told. The home of a group is the entry that queues the group's requests
+// and sends them to its backend servers; no other entry sends requests to the group. For a given request an entry can
+// be both. A group is a set of VMs that together run one replica of a service.
 //
 // A completion is a request to a language model. A plain service answers ordinary HTTP requests instead. A caller that
 // repeats a request gives it an idempotency key, and an attempt number that it raises when it means to try again.
--- a/entry/admission/admission.go
+++ b/entry/admission/admission.go
@@ -1,6 +1,7 @@
-// Package admission applies the queueing of policy/fairqueue and the concurrency limit of policy/limit to the groups of
-// servers that an entry (gateway process) is home to. It supplies the clock to these policies, keeps one queue and one
-// limit per group, and wakes the requests that are admitted.
+// Package admission applies the queueing of policy/fairqueue and the concurrency limit of policy/limit to the groups
+// that an entry is home to. The home of a group is the entry that queues the group's requests and sends them to its
+// backend servers. This package supplies the clock to these policies, keeps one queue and one limit per group, and
+// wakes the requests that are admitted.
 //
 // The life of a request: Enter offers it to the queue of its group -> it is admitted, refused immediately, or waits
 // until it is admitted, expires or times out -> its permit reports the time to first token and the gaps between tokens
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,10 +1,11 @@
-// Package entry assembles the process that runs on an entry VM from its roles (front, home, controller, directory)
-// and the components they share.
+// Package entry assembles an entry from its roles (front, home, controller, directory) and the components they share.
+// An entry is one proxy process that callers connect to; it runs on an entry VM.
 //
-// A request passes from the front of the entry that the caller connected to, through the dispatcher, to the home
-// of the group (an entry chosen by rendezvous hashing) and on to the engine of the group's head. Placements,
-// settings and entries are received through the mirror; liveness and group states through gossip between the
-// entries.
+// A group is a set of VMs that together run one replica of a service. A request passes from its front, the entry that
+// the caller is connected to, through the dispatcher to the home of the group, the entry (chosen by rendezvous
+// hashing) that queues the group's requests and sends them to its backend servers, and on to the engine of the group's
+// head, the member that takes the requests. Placements, settings and entries are received through the mirror;
+// liveness and group states through gossip between the entries.
 package entry
 
 import (
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet maintains an entry's table of groups: the groups that exist (from the mirrored placements), the
-// entry that is home to each of them (computed from the live entries), and the status last reported by its home.
+// Package fleet maintains an entry's table of groups: the groups that exist (from the mirrored placements), the home
+// of each of them (computed from the live entries; it is the entry that queues the group's requests and sends them to
+// its backend servers), and the status last reported by that home.
 //
 // ApplyPlacement takes in changed placements. ApplyReport takes in statuses that homes broadcast, and ReportLoad
 // the loads carried by dispatch frames. Fronts read Candidate, All and HomeOf; this entry's home role reads
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -1,5 +1,6 @@
-// Package front implements the role of an entry that callers connect to. It authenticates a request, dispatches it
-// to the home of a group, forwards the answer, and reports the outcome to the caller.
+// Package front implements the role of the front. The front of a request is the entry that its caller is connected
+// to. It authenticates the request, dispatches it to the home of a group, forwards the answer, and reports the
+// outcome to the caller.
 //
 // The state machine of package outcome decides what a caller may be told. This package executes the actions that
 // the machine returns.
--- a/entry/home/home.go
+++ b/entry/home/home.go
@@ -1,6 +1,6 @@
-// Package home implements the role of an entry that owns groups, called the home of those groups. It receives
-// dispatches from fronts, queues them, claims those that may run at most once, and sends each of them once to the
-// head of its group.
+// Package home implements the role of the home. The home of a group is the entry that queues the group's requests and
+// sends them to its backend servers. It receives dispatches from fronts, queues them, claims those that may run at
+// most once, and sends each of them once to the head of its group, the member that takes the requests.
 //
 // Two entries may temporarily both believe that they are the home of the same group. Correctness does not depend
 // on there being only one: the platform decides which of them gets the claim, and the members of the group are
--- a/entry/leader/leader.go
+++ b/entry/leader/leader.go
@@ -1,8 +1,9 @@
-// Package leader implements the duties of the leader, the entry that coordinates all entries (gateway processes). The
-// other entries are its followers; the leader is also a follower of its own.
+// Package leader implements the duties of the leader, the entry that holds the lease and coordinates all entries. An
+// entry is one proxy process that callers connect to. The other entries are the leader's followers; the leader is also
+// a follower of its own.
 //
-// The leader grants turns, which are the rights to send a request to a group of servers; has groups checked that have
-// stopped answering; and broadcasts changes of the platform's objects, so that not every entry has to read them.
+// The leader grants turns, each of which is the permission to send one request to one group; has groups checked that
+// have stopped answering; and broadcasts changes of the platform's objects, so that not every entry has to read them.
 package leader
 
 import (
--- a/entry/lease/lease.go
+++ b/entry/lease/lease.go
@@ -1,5 +1,6 @@
-// Package lease elects the leader, the entry (gateway process) that manages the groups of servers, by conditional
-// writes of one object of the platform.
+// Package lease elects the leader, the entry that holds the lease and coordinates all entries, and that manages the
+// groups of VMs, by conditional writes of one object of the platform. An entry is one proxy process that callers
+// connect to.
 //
 // The holder rewrites the object every 600 ms. Another entry acquires the lease when it has seen the same version for
 // longer than the holder may act on it, by its own monotonic clock. No safety property depends on the lease alone: two
--- a/entry/prober/prober.go
+++ b/entry/prober/prober.go
@@ -1,8 +1,8 @@
 // Package prober implements the health probes that a home sends to the members of its groups.
 //
 // At each vm.ProbeInterval every member of every group homed at this entry is queued for a pool of workers. The
-// results go to the vm.Presence table, which the home consults at each dispatch. When a group becomes whole or
-// ceases to be whole, the change is broadcast to the other entries.
+// results go to the vm.Presence table, which the home consults at each dispatch. A group is whole while every member
+// is present. When a group becomes whole or ceases to be whole, the change is broadcast to the other entries.
 package prober
 
 import (
--- a/entry/turn/turn.go
+++ b/entry/turn/turn.go
@@ -1,10 +1,12 @@
 // Package turn decides which backend server a request may be sent to, and when.
 //
-// An entry is one gateway process. The leader is the entry that grants turns to all entries, so that their requests do
-// not overload a group together. Remote asks the leader for turns. Local grants them from what this entry knows, if the
-// leader can't be reached.
+// An entry is one proxy process that callers connect to. A turn is the permission to send one request to one group. The
+// leader, the entry that holds the lease, grants turns to all entries, so that their requests do not overload a group
+// together. Remote asks the leader for turns. Local grants them from what this entry knows, if the leader can't be
+// reached.
 //
-// A model is served by groups of servers, the members. Requests for a group are sent to one of its members, the head.
+// A group is a set of VMs that together run one replica of a model. Its requests are sent to its head, the member that
+// takes the requests.
 package turn
 
 import (
--- a/link/leader/leader.go
+++ b/link/leader/leader.go
@@ -1,7 +1,8 @@
-// Package leader implements the protocol between the leader and its followers. An entry is one gateway process; the
-// leader is the entry that holds the lease, and all other entries follow it. Each follower has one QUIC stream to the
-// leader, on which both sides send CBOR items. Requests for turns, the replies to them, and all broadcasts share the
-// stream, so that the cost grows with the number of requests and changes, and not with (entries x groups).
+// Package leader implements the protocol between the leader and its followers. An entry is one proxy process that
+// callers connect to; the leader is the entry that holds the lease and coordinates all entries, and the other entries
+// are its followers. Each follower has one QUIC stream to the leader, on which both sides send CBOR items. Requests
+// for turns (a turn is the permission to send one request to one group), the replies to them, and all broadcasts
+// share the stream, so that the cost grows with the number of requests and changes, and not with (entries x groups).
 //
 // The follower authenticates the leader by the certificate fingerprint in the lease; the leader authenticates a
 // follower by the token in the lease. Whoever can read the platform's objects is trusted, and nobody else.
--- a/policy/balance/table.go
+++ b/policy/balance/table.go
@@ -1,7 +1,8 @@
 // Package balance chooses the group of VMs that a request goes to.
 //
-// Clients send requests to any entry. The entry that receives a request is its front; each group has a home, the
-// entry that queues and dispatches the group's requests. A Table is one front's view of the groups of one service.
+// Callers send requests to any entry. The front of a request is the entry that its caller is connected to; the
+// home of a group is the entry that queues the group's requests and sends them to its backend servers. A Table is
+// one front's view of the groups of one service.
 //
 // Load is known late: each group's home reports it about once a second by gossip, and many fronts choose at the
 // same time. Without a correction, every front sends everything that arrives between two reports to the groups
--- a/policy/fairqueue/doc.go
+++ b/policy/fairqueue/doc.go
@@ -1,9 +1,9 @@
 // Package fairqueue is the admission queue of one group of backend servers. It decides which request is
-// sent now, which one waits and for how long, and which one is refused. The queue runs at the group's
-// home, the entry that dispatches all requests to the group.
+// sent now, which one waits and for how long, and which one is refused. The queue runs at the group's home,
+// the entry that queues the group's requests and sends them to its backend servers.
 //
-// The load it is made for: many teams share a group, a few of them send most of the work, and for seconds
-// or minutes requests arrive faster than the group can serve them.
+// The load it is made for: many teams of callers share a group, a few of the teams send most of the work,
+// and for seconds or minutes requests arrive faster than the group can serve them.
 //
 // Under that load a single first-in, first-out queue lets the team that sends most take over the group.
 // Every other team waits behind its backlog, and requests wait until their callers have gone, so that the
--- a/policy/forming/view.go
+++ b/policy/forming/view.go
@@ -2,9 +2,9 @@
 // dissolve.
 //
 // A group is a set of VMs of one fabric domain that together run one replica of a service. Its home is the
-// process that queues its requests and limits how many are in progress. A controller runs each fabric
-// domain of a place and publishes its groups in a placement, which the controllers of the other domains
-// read.
+// entry that queues the group's requests and sends them to its backend servers; it also limits how many are
+// in progress. A controller runs each fabric domain of a place and publishes its groups in a placement,
+// which the controllers of the other domains read.
 //
 // Single VMs die, pause for seconds, restart under the same address or are announced to leave, many times a
 // day over a fleet; a rack or a whole fabric domain goes dark a few times a year. A group needs all of its
--- a/policy/limit/doc.go
+++ b/policy/limit/doc.go
@@ -1,5 +1,5 @@
-// Package limit implements an adaptive concurrency limit: it decides, at the home of a group (the entry that owns the
-// group and queues its requests), how many requests may be in progress on the group.
+// Package limit implements an adaptive concurrency limit: it decides, at the home of a group (the entry that queues
+// the group's requests and sends them to its backend servers), how many requests may be in progress on the group.
 //
 // Load pattern: more requests than a batching engine can serve well, and an engine whose speed changes with the
 // lengths of prompts and answers, with its cache, and with the health of its VMs.
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -1,6 +1,6 @@
-// Package retry decides whether a front, the part of an entry that callers connect to, retries a request on another
-// group. Only fronts retry: homes, which queue the requests of groups, and engines do not, so that retries do not
-// multiply from layer to layer.
+// Package retry decides whether the front of a request, the entry that its caller is connected to, retries it on
+// another group. Only fronts retry: homes, the entries that queue the requests of groups and send them to backend
+// servers, and engines do not, so that retries do not multiply from layer to layer.
 //
 // Load pattern: a service that loses requests. If one group of many is broken, a retry serves the caller. If the
 // service is saturated, or tries time out, a retry adds load to engines that have no capacity for the requests they
--- a/policy/shift/homes.go
+++ b/policy/shift/homes.go
@@ -1,9 +1,9 @@
 // An entry may flap: its VM pauses, its link drops packets, or it restarts in a loop. The home of a group, the entry
-// that queues and dispatches its requests, is computed from the live entries, so each time the homes of some groups
-// move to the entry and away again. Each move drops a queue, doubles a concurrency limit for a moment, and leaves the
-// groups without dispatches until the new home has probed their members. Operators see groups, always those of one
-// entry, that are incomplete for a second again and again, and callers whose front sends to an entry that is no
-// longer the home are refused.
+// that queues the group's requests and sends them to its backend servers, is computed from the live entries, so each
+// time the homes of some groups move to the entry and away again. Each move drops a queue, doubles a concurrency limit
+// for a moment, and leaves the groups without dispatches until the new home has probed their members. Operators see
+// groups, always those of one entry, that are incomplete for a second again and again, and callers whose front sends
+// to an entry that is no longer the home are refused.
 //
 // An entry that leaves loses its groups at once. When it returns it may be a home again only after it was live for a
 // hold time, which grows with each absence. An entry that is seen for the first time waits as well: it does not know
--- a/policy/shift/ramp.go
+++ b/policy/shift/ramp.go
@@ -1,5 +1,6 @@
 // Package shift limits how fast load moves: to a new replica (Ramp), and between the entries that may be the home of
-// a group (FlapDamper).
+// a group (FlapDamper). The home of a group is the entry that queues the group's requests and sends them to its
+// backend servers.
 //
 // A replica that starts to serve while the others are busy has no load, so fronts prefer it. It has no cached prefixes,
 // so each request costs a full prefill, and its engine is often slow for the first batches. Without a ramp, the first
--- a/policy/takeover/takeover.go
+++ b/policy/takeover/takeover.go
@@ -1,5 +1,5 @@
-// Package takeover decides when an entry that no longer hears from the leader, the entry that grants turns to all
-// others, tries to acquire the leader's lease.
+// Package takeover decides when an entry that no longer hears from the leader, the entry that holds the lease and
+// grants turns to all entries, tries to acquire the lease.
 //
 // Load pattern: the leader dies, and hundreds of entries notice within the same tenth of a second.
 //
--- a/policy/turns/turns.go
+++ b/policy/turns/turns.go
@@ -1,5 +1,5 @@
 // Package turns schedules requests onto groups: it decides which group serves a request, which requests wait, and
-// which are rejected. Entries are the processes that accept callers' requests; a group is a set of VMs that serves
+// which are rejected. An entry is one proxy process that callers connect to; a group is a set of VMs that together run
 // one replica of a model.
 //
 // Load pattern: many entries send requests to few groups, and some groups are lost every few seconds. Each entry sees
