--- a/logline/find.go
+++ b/logline/find.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Line is one line of a process's output.
+// Line is one parsed log line of a process.
 type Line struct {
 	Time    time.Time
 	Entry   string
 	Message string
-	// Text is the line as it was written.
+	// Text is the JSON of the line as it was written.
 	Text string
 
 	fields fields
 }
 
-// fields are those that say what a line is about.
+// fields are the attributes of a line that Find matches on.
 type fields struct {
 	Time    time.Time `json:"time"`
 	Entry   string    `json:"entry"`
@@ -33,10 +33,10 @@
 	TookMs  int64     `json:"took_ms"`
 }
 
-// maxLine bounds a line. The longest name the VMs of some forty fabric domains.
+// maxLine is the longest line that Read accepts, in bytes. The longest lines list the VMs of about forty fabric domains.
 const maxLine = 1 << 20
 
-// Read takes in the lines of one process's output. What is no line of a gateway is left out.
+// Read parses the output of one process. Lines that a gateway did not write are skipped.
 func Read(from io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(from)
@@ -57,17 +57,19 @@
 }
 
 const (
-	// lookBack is how long before a request came a cause may lie: a lost member is noticed within 0.9 s, a lost head within 4.5 s.
+	// lookBack is how long before the arrival of a request its cause of failure may be logged. A lost group member is detected within
+	// 0.9 s, a lost head within 4.5 s.
 	lookBack = 5 * time.Second
-	// lookAhead is how long after its end the lines may follow that tell what was done about it.
+	// lookAhead is how long after the end of a request the lines about the recovery may be logged.
 	lookAhead = 5 * time.Second
-	// demandNear is how near in time the load of a model tells of a request; it is written once a second.
-	demandNear = time.Second
+	// demandWindow is the largest distance in time between the end of a request and a related demand line. Demand is logged once a
+	// second.
+	demandWindow = time.Second
 )
 
-// Find returns the lines that tell of one request, in the order of time: its own, what befell the servers that it was sent to and their
-// groups, the load of its model, who was in charge, and what its entry had lost. It returns nothing if no line tells of its end: then
-// it was served, or never came.
+// Find returns the lines that explain how one request ended, ordered by time: its own lines, events of the servers that it was sent to
+// and of their groups, the demand for its model, changes of the leader, and lost connections of its entry. It returns nothing if no line
+// records the end of the request: it was then served, or never arrived.
 func Find(lines []Line, request string) []Line {
 	i := slices.IndexFunc(lines, func(l Line) bool { return l.Message == RequestEnded && l.fields.Request == request })
 	if i < 0 {
@@ -88,7 +90,7 @@
 	return found
 }
 
-// explainedBy says whether a line of about the same time has to do with the end of a request.
+// explainedBy reports whether other, a line of about the same time, may explain the end of the request that l records.
 func (l Line) explainedBy(other Line) bool {
 	switch other.Message {
 	case RequestEnded:
@@ -97,20 +99,20 @@
 		return other.fields.Request == l.fields.Request
 	case Demand:
 		_, model, _ := strings.Cut(other.fields.Model, "/")
-		return l.fields.Model != "" && model == l.fields.Model && other.Time.Sub(l.Time).Abs() <= demandNear
+		return l.fields.Model != "" && model == l.fields.Model && other.Time.Sub(l.Time).Abs() <= demandWindow
 	case Lease, LeaseRefused, Linked, LinkEnded, PlatformLost, PlatformRegained, Started, Leaving, Stopped, ConfigInForce:
 		return other.Entry == l.Entry
 	case RequestsHeldBack:
 		return true
 	}
 	if len(l.fields.Servers) == 0 {
-		// It was sent to none, so whatever happened to a group of its model may be why.
+		// The request was sent to no server, so any event of a group that serves its model may be the cause.
 		return other.fields.Group != "" && (other.fields.Model == "" || other.fields.Model == l.fields.Model)
 	}
-	return slices.ContainsFunc(l.fields.Servers, other.concerns)
+	return slices.ContainsFunc(l.fields.Servers, other.isAbout)
 }
 
-// concerns says whether a line is about a server, or about a group that it heads.
-func (l Line) concerns(server string) bool {
+// isAbout reports whether the line concerns a server, or a group whose head is that server.
+func (l Line) isAbout(server string) bool {
 	return l.fields.VM == server || strings.HasPrefix(l.fields.Group, server+"~")
 }
--- a/logline/logline_test.go
+++ b/logline/logline_test.go
@@ -12,10 +12,10 @@
 
 func TestLogline(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "lines of gateways")
+	RunSpecs(t, "gateway log lines")
 }
 
-// output is what several processes wrote, one after the other, with a line that is none of theirs.
+// output is the concatenated output of several processes, with one line that is not a log line.
 const output = `{"entry":"e-1","msg":"started","time":"2026-01-01T00:00:00.000Z"}
 {"entry":"e-1","msg":"request ended","request":"other","outcome":"refused","servers":[],"model":"large","time":"2026-01-01T00:00:09.900Z"}
 {"entry":"e-1","msg":"request ended","request":"cut","outcome":"cut","servers":["vm-1"],"model":"large","took_ms":2000,"time":"2026-01-01T00:00:10.000Z"}
@@ -46,18 +46,18 @@
 }
 
 var _ = Describe("Find", func() {
-	It("finds what befell the servers of a request, in the order of time", func() {
+	It("finds the events of the servers of a request, ordered by time", func() {
 		Expect(find("cut")).To(Equal([]string{
 			"e-1 platform lost", "e-1 backend server rejected the request", "e-2 group-dissolved", "e-2 demand", "e-1 request ended",
 			"e-2 group-opened",
 		}))
 	})
 
-	It("finds what befell the groups of its model for a request that was sent to none", func() {
+	It("finds the events of the groups of the model for a request that was sent to no server", func() {
 		Expect(find("unsent")).To(Equal([]string{
 			"e-1 platform lost", "e-2 group-dissolved", "e-2 demand", "e-1 request ended", "e-2 group-opened",
 		}))
 	})
 
-	It("finds nothing of a request that no line tells of", func() { Expect(find("served")).To(BeEmpty()) })
+	It("finds nothing for a request that no line mentions", func() { Expect(find("served")).To(BeEmpty()) })
 })
--- a/logline/names.go
+++ b/logline/names.go
@@ -1,11 +1,11 @@
-// Package logline names the lines that a gateway writes, and finds among the lines of several processes those that tell why one request
-// ended as it did.
+// Package logline defines the messages of the log lines that a gateway writes, and searches the logs of several processes for the lines
+// that explain how a request ended.
 package logline
 
-// TimeFormat is that of a line's time: milliseconds, since much happens within one second of a failure.
+// TimeFormat is the format of a line's time. It has milliseconds because a failure causes many lines within one second.
 const TimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// Messages of lines. Those about groups are named by entry/grouping.
+// The messages of log lines. Package entry/grouping defines those about groups.
 const (
 	Started          = "started"
 	Leaving          = "leaving"
