--- a/timeline/merge.go
+++ b/timeline/merge.go
@@ -10,19 +10,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// Filter narrows a time line; zero fields don't.
+// Filter selects events of a timeline. A zero field matches every event.
 type Filter struct {
-	// Since and Until bound the time, Until excluded, in Unix nanoseconds.
+	// Since (inclusive) and Until (exclusive) bound the time, in Unix nanoseconds.
 	Since, Until int64
 	Kind         Kind
 	Request      string
 	VM           string
 	Group        string
-	// Entry is the process that wrote the event, or one that the event is about.
+	// Entry is the process that recorded the event, or an entry that the event is about.
 	Entry string
 }
 
-// Matches reports whether the filter lets the event through.
+// Matches reports whether the event passes the filter.
 func (f Filter) Matches(e Event) bool {
 	return e.Time >= f.Since && (f.Until == 0 || e.Time < f.Until) &&
 		(f.Kind == "" || f.Kind == e.Kind) &&
@@ -32,7 +32,7 @@
 		(f.Entry == "" || f.Entry == e.Process || f.Entry == e.Entry || f.Entry == e.Peer)
 }
 
-// Select returns the events that match, in their order.
+// Select returns the events that match the filter, in their original order.
 func Select(events []Event, f Filter) []Event {
 	var selected []Event
 	for _, e := range events {
@@ -43,9 +43,9 @@
 	return selected
 }
 
-// Merge puts the events of several processes into one order: an event comes after all that its process
-// had recorded, and all that others had recorded before they sent it a message. An event that comes in
-// more than once, from a process and from its file, is given once.
+// Merge orders the events of several processes by causality: an event sorts after all earlier events of its
+// process, and after all events that another process recorded before it sent this process a message. An event
+// that occurs more than once, for example from a process and from its file, is returned once.
 func Merge(streams ...[]Event) []Event {
 	merged := slices.Concat(streams...)
 	slices.SortFunc(merged, func(a, b Event) int {
@@ -56,11 +56,11 @@
 	})
 }
 
-// maxLine is the longest line that Read takes.
+// maxLine is the longest line that Read accepts, in bytes.
 const maxLine = 1 << 20
 
-// Read reads the events that a process wrote as JSON lines. Lines that are no event are left out and
-// counted: a process that was killed leaves its last one torn.
+// Read parses the events that a process wrote as JSON lines. Lines that are not events are skipped and
+// counted in torn: a process that is killed may leave its last line incomplete.
 func Read(in io.Reader) (events []Event, torn int, err error) {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxLine)
--- a/timeline/recorder.go
+++ b/timeline/recorder.go
@@ -7,33 +7,34 @@
 	"time"
 )
 
-// RecentEvents is how many events a Recorder keeps for an operator's request. At some 300 bytes an
-// event this bounds its memory to about 3 MB.
+// RecentEvents is the number of events that a Recorder keeps in memory for operators to query. At about
+// 300 bytes an event, this bounds the memory to about 3 MB.
 const RecentEvents = 10_000
 
-// Recorder writes the events of one process. It is safe for concurrent use.
+// Recorder timestamps and writes the events of one process. It is safe for concurrent use.
 type Recorder struct {
 	process string
 	clock   func() time.Time
 
-	mu   sync.Mutex // guards what follows; a leaf lock: nothing is locked while it is held
+	mu   sync.Mutex // guards the fields below; a leaf lock: no other lock is acquired while it is held
 	out  io.Writer
 	last int64
-	// lead is how far the fastest clock heard of is ahead of the own one, and leadAt when it was heard.
-	lead   time.Duration
-	leadAt time.Time
-	seq    uint64
-	recent []Event
-	next   int
+	// clockOffset is how far the fastest known clock of another process is ahead of the local clock, and
+	// clockOffsetAt is when it was last observed.
+	clockOffset   time.Duration
+	clockOffsetAt time.Time
+	seq           uint64
+	recent        []Event
+	next          int
 }
 
-// NewRecorder returns a recorder that names its events after process and writes them to out, which may
-// be nil to only keep the recent ones.
+// NewRecorder returns a recorder for the events of the named process. It writes them to out; if out is
+// nil, it only keeps the recent ones in memory.
 func NewRecorder(process string, out io.Writer, clock func() time.Time) *Recorder {
 	return &Recorder{process: process, clock: clock, out: out}
 }
 
-// Record stamps and writes one event. A failed write is dropped: the time line must never hold up the
+// Record timestamps and writes one event. A write error is ignored: the timeline must never delay the
 // work that it describes.
 func (r *Recorder) Record(e Event) {
 	r.mu.Lock()
@@ -53,19 +54,19 @@
 	_, _ = r.out.Write(append(line, '\n'))
 }
 
-// Now returns a time to stamp on an outgoing message.
+// Now returns the timestamp for an outgoing message.
 func (r *Recorder) Now() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.advance()
 }
 
-// Observe takes in the time of a received message, so that later events sort after it. A time more
-// than maxSkew ahead of the own clock is ignored: one wrong clock must not drag all others along.
+// Observe processes the timestamp of a received message, so that later events sort after it. A timestamp
+// more than maxSkew ahead of the local clock is ignored: one wrong clock must not advance all others.
 //
-// It also sets the own clock on by what the sender's is ahead. Causes travel on ways that carry no time
-// too, as by an object in the platform; without this a process with a slow clock would stamp their effects
-// seconds too early, until the next message.
+// It also advances the local time by the amount that the sender's clock is ahead. Some causes arrive
+// without a timestamp, for example through an object in the platform. Without the adjustment, a process
+// with a slow clock would timestamp their effects seconds too early until it received the next message.
 func (r *Recorder) Observe(at int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,20 +76,20 @@
 		return
 	}
 	r.last = max(r.last, at)
-	if ahead >= r.lead || now.Sub(r.leadAt) > leadLifetime {
-		r.lead = max(ahead, 0)
-		r.leadAt = now
+	if ahead >= r.clockOffset || now.Sub(r.clockOffsetAt) > clockOffsetLifetime {
+		r.clockOffset = max(ahead, 0)
+		r.clockOffsetAt = now
 	}
 }
 
 const (
 	maxSkew = time.Minute
-	// leadLifetime is how long a clock that is ahead is followed after it was last heard: it may have
-	// been set right, or its process have gone.
-	leadLifetime = time.Minute
+	// clockOffsetLifetime is how long the offset of a faster clock is applied after it was last observed:
+	// that clock may have been corrected since, or its process may have ended.
+	clockOffsetLifetime = time.Minute
 )
 
-// Recent returns the kept events, oldest first.
+// Recent returns the events kept in memory, oldest first.
 func (r *Recorder) Recent() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,13 +98,13 @@
 	return append(events, r.recent[:r.next]...)
 }
 
-// advance must be called with mu held.
+// advance returns the next hybrid logical timestamp. It must be called with mu held.
 func (r *Recorder) advance() int64 {
-	r.last = max(r.last+1, r.clock().Add(r.lead).UnixNano())
+	r.last = max(r.last+1, r.clock().Add(r.clockOffset).UnixNano())
 	return r.last
 }
 
-// keep must be called with mu held.
+// keep stores an event in the ring buffer of recent events. It must be called with mu held.
 func (r *Recorder) keep(e Event) {
 	if len(r.recent) < RecentEvents {
 		r.recent = append(r.recent, e)
--- a/timeline/seed_test.go
+++ b/timeline/seed_test.go
@@ -2,7 +2,7 @@
 
 import "flag"
 
-// CI plays the same inputs on each run; -rapid.seed plays others.
+// The fixed seed gives CI the same inputs on each run. The flag -rapid.seed selects others.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -18,7 +18,7 @@
 	RunSpecs(t, "timeline")
 }
 
-// world is some processes whose clocks differ from the true time by skew.
+// world simulates processes whose clocks differ from the true time.
 type world struct {
 	now       time.Time
 	recorders []*Recorder
@@ -37,7 +37,7 @@
 	w.recorders[i].Record(Event{Kind: RequestSent, Detail: detail})
 }
 
-// message carries the time from one process to another.
+// message simulates a message between two processes, which carries the sender's timestamp.
 func (w *world) message(from, to int, latency time.Duration) {
 	at := w.recorders[from].Now()
 	w.now = w.now.Add(latency)
@@ -56,9 +56,9 @@
 	return details
 }
 
-var _ = Describe("the time line", func() {
-	// The clocks of two entries differ by seconds. Sorted by clock alone, an operator reads that the home
-	// answered before the front asked.
+var _ = Describe("the timeline", func() {
+	// The clocks of two entries differ by seconds. Sorted by these clocks alone, the home would seem to
+	// answer before the front dispatched.
 	It("sorts an effect after its cause although clocks differ by seconds", func() {
 		w := newWorld(5*time.Second, -5*time.Second, 0)
 		w.record(0, "front dispatches")
@@ -70,8 +70,8 @@
 		Expect(w.merged()).To(Equal([]string{"front dispatches", "home queues", "home sends", "front answers"}))
 	})
 
-	// A controller writes a placement, and the home learns of it from the platform, which carries no time.
-	It("sorts an effect after a cause that came through the platform, once the clocks have met", func() {
+	// A controller writes a placement, and the home learns of it from the platform, which passes on no timestamp.
+	It("sorts an effect after a cause that came through the platform, once the processes have exchanged a message", func() {
 		w := newWorld(5*time.Second, -5*time.Second)
 		w.message(0, 1, time.Millisecond)
 		w.now = w.now.Add(3 * time.Second)
@@ -81,7 +81,7 @@
 		Expect(w.merged()).To(Equal([]string{"placement written", "group whole"}))
 	})
 
-	It("sorts an effect after its cause although the own clock was set back in between", func() {
+	It("sorts an effect after its cause although the local clock was set back in between", func() {
 		w := newWorld(0, 0)
 		w.record(0, "asks")
 		w.message(0, 1, time.Millisecond)
@@ -90,25 +90,25 @@
 		Expect(w.merged()).To(Equal([]string{"asks", "answers"}))
 	})
 
-	It("does not follow a clock that is wrong by more than a minute, nor one that was set right", func() {
+	It("does not follow a clock that is wrong by more than a minute, nor one that was corrected", func() {
 		w := newWorld(time.Hour, 0, 10*time.Second, 0)
 		w.message(0, 1, 0)
 		Expect(w.recorders[1].Now()).To(BeNumerically("<", w.now.Add(time.Second).UnixNano()))
 		w.message(2, 1, 0)
 		Expect(w.recorders[1].Now()).To(BeNumerically(">=", w.now.Add(10*time.Second).UnixNano()))
-		w.now = w.now.Add(2 * leadLifetime)
+		w.now = w.now.Add(2 * clockOffsetLifetime)
 		w.message(3, 1, 0)
 		Expect(w.recorders[1].Now()).To(BeNumerically("<", w.now.Add(time.Second).UnixNano()))
 	})
 
-	It("keeps every cause before its effect in any course of messages", func() {
+	It("keeps every cause before its effect in any sequence of messages", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			skews := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) time.Duration {
 				return time.Duration(rapid.IntRange(-10_000, 10_000).Draw(t, "ms")) * time.Millisecond
 			}), 2, 5).Draw(t, "skews")
 			w := newWorld(skews...)
 			process := rapid.IntRange(0, len(skews)-1)
-			seen := make([]map[string]bool, len(skews)) // what each process could know
+			seen := make([]map[string]bool, len(skews)) // the events that each process may have learned of
 			causes := map[string][]string{}
 			for i := range seen {
 				seen[i] = map[string]bool{}
@@ -175,7 +175,7 @@
 		}
 	})
 
-	// A killed process leaves its last line half written; its file is merged with what others still hold.
+	// A killed process may leave its last line incomplete; its file is merged with the events that other processes returned.
 	It("reads files with torn lines and gives each event once", func() {
 		var file bytes.Buffer
 		recorder := NewRecorder("e1", &file, time.Now)
