--- a/entry/member/freshness.go
+++ b/entry/member/freshness.go
@@ -43,7 +43,7 @@
 		return
 	}
 	m.lastTick = now
-	m.record(timeline.Event{Kind: timeline.ClockPaused, Millis: gap.Milliseconds()})
+	m.record(timeline.Event{Kind: timeline.ProcessPaused, Millis: gap.Milliseconds()})
 	m.goStale(now)
 }
 
--- a/test/report_test.go
+++ b/test/report_test.go
@@ -22,7 +22,7 @@
 		AddReportEntry(fmt.Sprintf("booking at %q", b.step), t.describe(b))
 	}
 	AddReportEntry("states of the entries", describeEvents(t.events[""], timeline.PeerSuspected, timeline.PeerDead,
-		timeline.PeerAlive, timeline.ClockPaused, timeline.GroupNotWhole, timeline.GroupWhole))
+		timeline.PeerAlive, timeline.ProcessPaused, timeline.GroupNotWhole, timeline.GroupWhole))
 }
 
 // describe lists the events, the attempt records and the runs of a booking, and the calls that are held.
--- a/timeline/event.go
+++ b/timeline/event.go
@@ -1,14 +1,15 @@
 // Package timeline records typed events as JSON lines, one file or stream per process, and merges them
-// into one time line over all processes.
+// into one timeline of all processes.
 //
-// Clocks of VMs differ. Each event carries a hybrid logical time: the larger of the process's clock
-// and the highest time it has seen in messages, so that an effect never sorts before its cause.
+// The clocks of VMs differ. Each event therefore carries a hybrid logical timestamp: the larger of the
+// process's clock and the highest timestamp received in messages, so that an effect never sorts before
+// its cause.
 package timeline
 
 // Kind is the type of an event.
 type Kind string
 
-// The kinds of events. Fields that are set beside Kind are named in brackets.
+// The kinds of events. The comments list the fields that are set besides Kind.
 const (
 	EntryStarted       Kind = "entry-started"       // Entry, Detail: incarnation
 	EntryLeaving       Kind = "entry-leaving"       // Entry
@@ -16,7 +17,7 @@
 	PeerSuspected      Kind = "peer-suspected"      // Peer
 	PeerDead           Kind = "peer-dead"           // Peer
 	PeerAlive          Kind = "peer-alive"          // Peer
-	ClockPaused        Kind = "process-paused"      // Millis
+	ProcessPaused      Kind = "process-paused"      // Millis
 	SettingsInForce    Kind = "settings-in-force"   // Version
 	SettingsAccepted   Kind = "settings-accepted"   // Version, Detail: change id
 	DomainTaken        Kind = "domain-taken"        // Domain, Version
@@ -33,7 +34,7 @@
 	RequestRefused     Kind = "request-refused"     // Request, Group, Detail: code, and whether a claim is given up
 	RequestClaimed     Kind = "request-claimed"     // Request
 	ClaimUnconfirmed   Kind = "claim-unconfirmed"   // Request, Group, Detail: verdict
-	HomeLost           Kind = "home-lost"           // Request, Group, Detail: how the front lost the home of its dispatch
+	HomeLost           Kind = "home-lost"           // Request, Group, Detail: how the front lost its connection to the home
 	ClaimReleased      Kind = "claim-released"      // Request, Group
 	ReleaseUnconfirmed Kind = "release-unconfirmed" // Request, Group, Detail: verdict
 	RequestSealed      Kind = "request-sealed"      // Request
@@ -47,12 +48,12 @@
 	RequestQuarantine  Kind = "request-quarantine"  // Request, Service, Detail: fingerprint
 )
 
-// Event is one line of the time line.
+// Event is one entry of the timeline.
 type Event struct {
-	// Time is the hybrid logical time: Unix nanoseconds, never below an earlier event of the process or a
-	// message it has received.
+	// Time is the hybrid logical timestamp in Unix nanoseconds. It is above that of every earlier event of
+	// the process and of every message that the process has received.
 	Time int64 `json:"time"`
-	// Process names the writer, and Seq counts its events from 1.
+	// Process names the process that recorded the event, and Seq numbers its events from 1.
 	Process string `json:"process"`
 	Seq     uint64 `json:"seq"`
 	Kind    Kind   `json:"kind"`
