--- a/entry/controller/apply.go
+++ b/entry/controller/apply.go
@@ -147,7 +147,7 @@
 	if step.VM == "" {
 		return
 	}
-	next.Aside = append(next.Aside, vm.Aside{
+	next.Aside = append(next.Aside, vm.SetAsideVM{
 		VM: vm.Name(step.VM), BootID: r.probeResults[vm.Name(step.VM)].state.BootID,
 		Reason: step.Reason, Until: r.c.Now().Add(AsideDuration).UnixMilli(),
 	})
@@ -157,7 +157,7 @@
 // listed. It returns whether it removed any.
 func (r *reconciler) pruneAside(next *vm.Placement) bool {
 	before := len(next.Aside)
-	next.Aside = slices.DeleteFunc(next.Aside, func(a vm.Aside) bool {
+	next.Aside = slices.DeleteFunc(next.Aside, func(a vm.SetAsideVM) bool {
 		_, listed := r.listedVM(a.VM)
 		result := r.probeResults[a.VM]
 		return !listed || r.asideExpired(a) || (result.responded && result.state.BootID != a.BootID)
--- a/entry/controller/view.go
+++ b/entry/controller/view.go
@@ -117,7 +117,7 @@
 func versionOf(model, version string) string { return model + versionSeparator + version }
 
 func (r *reconciler) viewVMs() []forming.VM {
-	aside := make(map[vm.Name]vm.Aside, len(r.placement.Aside))
+	aside := make(map[vm.Name]vm.SetAsideVM, len(r.placement.Aside))
 	for _, a := range r.placement.Aside {
 		aside[a.VM] = a
 	}
@@ -130,7 +130,7 @@
 	for _, group := range r.placement.Groups {
 		for _, member := range group.Members {
 			if !seen[member.VM] {
-				v := r.viewVM(vm.VM{Name: member.VM, Accelerators: member.Accelerators}, vm.Aside{})
+				v := r.viewVM(vm.VM{Name: member.VM, Accelerators: member.Accelerators}, vm.SetAsideVM{})
 				v.Listed = false
 				found = append(found, v)
 			}
@@ -139,7 +139,7 @@
 	return found
 }
 
-func (r *reconciler) viewVM(listed vm.VM, aside vm.Aside) forming.VM {
+func (r *reconciler) viewVM(listed vm.VM, aside vm.SetAsideVM) forming.VM {
 	result := r.probeResults[listed.Name]
 	state := result.state
 	v := forming.VM{
@@ -161,7 +161,7 @@
 	return v
 }
 
-func (r *reconciler) asideExpired(a vm.Aside) bool { return r.c.Now().UnixMilli() >= a.Until }
+func (r *reconciler) asideExpired(a vm.SetAsideVM) bool { return r.c.Now().UnixMilli() >= a.Until }
 
 func (r *reconciler) viewGroups(placement *vm.Placement) []forming.Group {
 	found := make([]forming.Group, 0, len(placement.Groups))
--- a/entry/prober/prober.go
+++ b/entry/prober/prober.go
@@ -183,7 +183,7 @@
 	if err != nil || state.VM != j.member.VM {
 		return
 	}
-	p.presence.Record(j.group.ID, j.member.VM, vm.Answer{
+	p.presence.Record(j.group.ID, j.member.VM, vm.ProbeAnswer{
 		Sent: sent, BootID: state.BootID, Group: state.Group, Epoch: state.Epoch,
 		Ready: state.Ready, Leaving: state.Leaving,
 	})
@@ -233,7 +233,7 @@
 	}
 	now := time.Now()
 	whole, gap := p.presence.Whole(&group, now)
-	if gap.Why == vm.WhySilent && p.newlyHomed(group.ID, now) {
+	if gap.Why == vm.ReasonNoAnswer && p.newlyHomed(group.ID, now) {
 		return
 	}
 	next := announcedState{whole: whole, epoch: group.Epoch, gap: gap, drain: p.drainProgress(group, now)}
--- a/vm/presence.go
+++ b/vm/presence.go
@@ -15,8 +15,8 @@
 // group; longer, and callers wait for a group that is gone.
 const FreshnessBound = 1500 * time.Millisecond
 
-// Answer is what a member said of itself in one probe.
-type Answer struct {
+// ProbeAnswer is what a member said of itself in one probe.
+type ProbeAnswer struct {
 	// Sent is when the probe was sent, by the monotonic clock. What the member said was true at some time
 	// after it, so an age counted from Sent is never too low.
 	Sent    time.Time
@@ -27,26 +27,26 @@
 	Leaving bool
 }
 
-// Why says why a member does not count as present.
-type Why string
+// Reason says why a member does not count as present.
+type Reason string
 
 // The reasons, in the order in which they are checked.
 const (
-	WhyPresent    Why = ""
-	WhyNoMembers  Why = "group has no members"
-	WhySilent     Why = "no probe answer"
-	WhyStale      Why = "probe answer too old"
-	WhyOtherBoot  Why = "another boot id"
-	WhyOtherGroup Why = "in another group"
-	WhyOtherEpoch Why = "at another epoch"
-	WhyNotReady   Why = "not ready"
-	WhyLeaving    Why = "leaving"
+	ReasonNone        Reason = ""
+	ReasonNoMembers   Reason = "group has no members"
+	ReasonNoAnswer    Reason = "no probe answer"
+	ReasonStaleAnswer Reason = "probe answer too old"
+	ReasonOtherBoot   Reason = "another boot id"
+	ReasonOtherGroup  Reason = "in another group"
+	ReasonOtherEpoch  Reason = "at another epoch"
+	ReasonNotReady    Reason = "not ready"
+	ReasonLeaving     Reason = "leaving"
 )
 
 // Gap names the first member that keeps a group from being whole, and why.
 type Gap struct {
 	VM  Name
-	Why Why
+	Why Reason
 }
 
 // String is for operators.
@@ -65,22 +65,22 @@
 // was paused it fires late, after requests were let through on knowledge from before the pause.
 type Presence struct {
 	mu      sync.RWMutex // a leaf lock: nothing is locked while it is held
-	answers map[GroupID]map[Name]Answer
+	answers map[GroupID]map[Name]ProbeAnswer
 }
 
 // NewPresence returns an empty table: no group is whole.
 func NewPresence() *Presence {
-	return &Presence{answers: make(map[GroupID]map[Name]Answer)}
+	return &Presence{answers: make(map[GroupID]map[Name]ProbeAnswer)}
 }
 
 // Record keeps the answer of a member. An answer to an earlier probe than the one kept is dropped, since
 // answers may cross.
-func (p *Presence) Record(group GroupID, member Name, answer Answer) {
+func (p *Presence) Record(group GroupID, member Name, answer ProbeAnswer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	members := p.answers[group]
 	if members == nil {
-		members = make(map[Name]Answer)
+		members = make(map[Name]ProbeAnswer)
 		p.answers[group] = members
 	}
 	if kept, ok := members[member]; ok && kept.Sent.After(answer.Sent) {
@@ -97,7 +97,7 @@
 }
 
 // Last returns the kept answer of a member, however old.
-func (p *Presence) Last(group GroupID, member Name) (Answer, bool) {
+func (p *Presence) Last(group GroupID, member Name) (ProbeAnswer, bool) {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	answer, ok := p.answers[group][member]
@@ -108,7 +108,7 @@
 // It does not look at the group's state: only a Serving group may be given work.
 func (p *Presence) Whole(group *Group, now time.Time) (bool, Gap) {
 	if len(group.Members) == 0 {
-		return false, Gap{Why: WhyNoMembers}
+		return false, Gap{Why: ReasonNoMembers}
 	}
 	p.mu.RLock()
 	defer p.mu.RUnlock()
@@ -116,31 +116,31 @@
 	for _, member := range group.Members {
 		answer, ok := answers[member.VM]
 		if !ok {
-			return false, Gap{VM: member.VM, Why: WhySilent}
+			return false, Gap{VM: member.VM, Why: ReasonNoAnswer}
 		}
-		if why := answer.absence(group, member, now); why != WhyPresent {
+		if why := answer.absenceReason(group, member, now); why != ReasonNone {
 			return false, Gap{VM: member.VM, Why: why}
 		}
 	}
 	return true, Gap{}
 }
 
-// absence says why the answer does not show the member present. A boot id that is not known yet matches
+// absenceReason says why the answer does not show the member present. A boot id that is not known yet matches
 // no answer: a group is whole only once each boot was ordered into it.
-func (a Answer) absence(group *Group, member Member, now time.Time) Why {
+func (a ProbeAnswer) absenceReason(group *Group, member Member, now time.Time) Reason {
 	switch {
 	case now.Sub(a.Sent) >= FreshnessBound:
-		return WhyStale
+		return ReasonStaleAnswer
 	case member.BootID == "" || a.BootID != member.BootID:
-		return WhyOtherBoot
+		return ReasonOtherBoot
 	case a.Group != group.ID:
-		return WhyOtherGroup
+		return ReasonOtherGroup
 	case a.Epoch != group.Epoch:
-		return WhyOtherEpoch
+		return ReasonOtherEpoch
 	case !a.Ready:
-		return WhyNotReady
+		return ReasonNotReady
 	case a.Leaving:
-		return WhyLeaving
+		return ReasonLeaving
 	}
-	return WhyPresent
+	return ReasonNone
 }
--- a/vm/presence_test.go
+++ b/vm/presence_test.go
@@ -18,50 +18,50 @@
 		ID: "g1", Epoch: 7, State: vm.Serving,
 		Members: []vm.Member{{VM: "a", BootID: "boot-a"}, {VM: "b", BootID: "boot-b"}},
 	}
-	good := func(name vm.Name) vm.Answer {
-		return vm.Answer{Sent: start, BootID: vm.BootID("boot-" + name), Group: "g1", Epoch: 7, Ready: true}
+	good := func(name vm.Name) vm.ProbeAnswer {
+		return vm.ProbeAnswer{Sent: start, BootID: vm.BootID("boot-" + name), Group: "g1", Epoch: 7, Ready: true}
 	}
 	fresh := start.Add(vm.FreshnessBound - time.Nanosecond)
 
 	DescribeTable("one member's answer decides for the whole group",
-		func(change func(a *vm.Answer), now time.Time, why vm.Why) {
+		func(change func(a *vm.ProbeAnswer), now time.Time, why vm.Reason) {
 			p := vm.NewPresence()
 			p.Record("g1", "a", good("a"))
 			answer := good("b")
 			change(&answer)
 			p.Record("g1", "b", answer)
 			whole, gap := p.Whole(group, now)
-			Expect(whole).To(Equal(why == vm.WhyPresent))
+			Expect(whole).To(Equal(why == vm.ReasonNone))
 			Expect(gap.Why).To(Equal(why))
 			if !whole {
 				Expect(gap.VM).To(Equal(vm.Name("b")))
 			}
 		},
-		Entry("all present", func(*vm.Answer) {}, fresh, vm.WhyPresent),
-		Entry("restarted under the same address", func(a *vm.Answer) { a.BootID = "boot-b2" }, start, vm.WhyOtherBoot),
-		Entry("back as if nothing happened, without orders", func(a *vm.Answer) { a.Group, a.Epoch = "", 0 }, start, vm.WhyOtherGroup),
-		Entry("ordered by an older controller", func(a *vm.Answer) { a.Epoch = 6 }, start, vm.WhyOtherEpoch),
-		Entry("ordered by a newer controller", func(a *vm.Answer) { a.Epoch = 8 }, start, vm.WhyOtherEpoch),
-		Entry("still loading", func(a *vm.Answer) { a.Ready = false }, start, vm.WhyNotReady),
-		Entry("told to leave", func(a *vm.Answer) { a.Leaving = true }, start, vm.WhyLeaving),
-		Entry("silent for too long", func(a *vm.Answer) { a.Sent = start.Add(-time.Nanosecond) }, fresh, vm.WhyStale),
+		Entry("all present", func(*vm.ProbeAnswer) {}, fresh, vm.ReasonNone),
+		Entry("restarted under the same address", func(a *vm.ProbeAnswer) { a.BootID = "boot-b2" }, start, vm.ReasonOtherBoot),
+		Entry("back as if nothing happened, without orders", func(a *vm.ProbeAnswer) { a.Group, a.Epoch = "", 0 }, start, vm.ReasonOtherGroup),
+		Entry("ordered by an older controller", func(a *vm.ProbeAnswer) { a.Epoch = 6 }, start, vm.ReasonOtherEpoch),
+		Entry("ordered by a newer controller", func(a *vm.ProbeAnswer) { a.Epoch = 8 }, start, vm.ReasonOtherEpoch),
+		Entry("still loading", func(a *vm.ProbeAnswer) { a.Ready = false }, start, vm.ReasonNotReady),
+		Entry("told to leave", func(a *vm.ProbeAnswer) { a.Leaving = true }, start, vm.ReasonLeaving),
+		Entry("silent for too long", func(a *vm.ProbeAnswer) { a.Sent = start.Add(-time.Nanosecond) }, fresh, vm.ReasonStaleAnswer),
 	)
 
 	It("is not whole while a member never answered, was forgotten, or has no boot id yet", func() {
 		p := vm.NewPresence()
 		p.Record("g1", "a", good("a"))
 		_, gap := p.Whole(group, start)
-		Expect(gap).To(Equal(vm.Gap{VM: "b", Why: vm.WhySilent}))
+		Expect(gap).To(Equal(vm.Gap{VM: "b", Why: vm.ReasonNoAnswer}))
 
 		p.Record("g1", "b", good("b"))
 		p.Forget("g1")
 		_, gap = p.Whole(group, start)
-		Expect(gap).To(Equal(vm.Gap{VM: "a", Why: vm.WhySilent}))
+		Expect(gap).To(Equal(vm.Gap{VM: "a", Why: vm.ReasonNoAnswer}))
 
 		forming := &vm.Group{ID: "g1", Epoch: 7, Members: []vm.Member{{VM: "a"}}}
-		p.Record("g1", "a", vm.Answer{Sent: start, Group: "g1", Epoch: 7, Ready: true})
+		p.Record("g1", "a", vm.ProbeAnswer{Sent: start, Group: "g1", Epoch: 7, Ready: true})
 		_, gap = p.Whole(forming, start)
-		Expect(gap.Why).To(Equal(vm.WhyOtherBoot))
+		Expect(gap.Why).To(Equal(vm.ReasonOtherBoot))
 
 		whole, gap := p.Whole(&vm.Group{ID: "g2"}, start)
 		Expect(whole).To(BeFalse())
@@ -78,7 +78,7 @@
 		Expect(whole).To(BeTrue())
 		whole, gap := p.Whole(group, start.Add(time.Minute))
 		Expect(whole).To(BeFalse())
-		Expect(gap.Why).To(Equal(vm.WhyStale))
+		Expect(gap.Why).To(Equal(vm.ReasonStaleAnswer))
 	})
 
 	// The home sleeps between sending a probe and reading its answer. The answer is from before the pause,
@@ -90,7 +90,7 @@
 		late.Sent = start.Add(-vm.FreshnessBound)
 		p.Record("g1", "b", late)
 		_, gap := p.Whole(group, start)
-		Expect(gap.Why).To(Equal(vm.WhyStale))
+		Expect(gap.Why).To(Equal(vm.ReasonStaleAnswer))
 
 		p.Record("g1", "b", good("b"))
 		p.Record("g1", "b", late)
--- a/vm/vm.go
+++ b/vm/vm.go
@@ -125,11 +125,11 @@
 	LiveByService map[string]int `json:"live_by_service,omitempty"`
 	Groups        []Group        `json:"groups"`
 	// Aside lists VMs that were set aside as stragglers. No group is formed with them.
-	Aside []Aside `json:"aside,omitempty"`
+	Aside []SetAsideVM `json:"aside,omitempty"`
 }
 
-// Aside is a VM that is set aside until it has another boot id, or until the time is over.
-type Aside struct {
+// SetAsideVM is a VM that is set aside until it has another boot id, or until the time is over.
+type SetAsideVM struct {
 	VM     Name   `json:"vm"`
 	BootID BootID `json:"boot_id"`
 	Reason string `json:"reason,omitempty"`
@@ -137,11 +137,11 @@
 	Until int64 `json:"until_ms"`
 }
 
-// ErrVMInTwoGroups and its kin name broken invariants of a placement.
+// ErrVMInTwoGroups and the errors below name broken invariants of a placement.
 var (
 	ErrVMInTwoGroups    = eris.New("placement lists a VM in two groups")
-	ErrGroupTwice       = eris.New("placement lists a group id twice")
-	ErrGroupEmpty       = eris.New("placement lists a group without members")
+	ErrDuplicateGroupID = eris.New("placement lists a group id twice")
+	ErrEmptyGroup       = eris.New("placement lists a group without members")
 	ErrFenceAboveDomain = eris.New("a group's fencing number is above the domain's")
 )
 
@@ -151,11 +151,11 @@
 	taken := make(map[Name]GroupID)
 	for _, g := range p.Groups {
 		if groups[g.ID] {
-			return eris.Wrapf(ErrGroupTwice, "group %s", g.ID)
+			return eris.Wrapf(ErrDuplicateGroupID, "group %s", g.ID)
 		}
 		groups[g.ID] = true
 		if len(g.Members) == 0 {
-			return eris.Wrapf(ErrGroupEmpty, "group %s", g.ID)
+			return eris.Wrapf(ErrEmptyGroup, "group %s", g.ID)
 		}
 		if g.Fence > p.Fence {
 			return eris.Wrapf(ErrFenceAboveDomain, "group %s", g.ID)
