--- a/vm/presence.go
+++ b/vm/presence.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// ProbeInterval is how often a home probes each member. Two probes may be lost before an answer grows
-// too old.
+// ProbeInterval is how often a home probes each member. Two successive probes may be lost before the last
+// answer exceeds FreshnessBound.
 const ProbeInterval = 500 * time.Millisecond
 
-// FreshnessBound is the age from which a probe answer counts no more. With ProbeInterval it bounds how
-// long a group keeps getting work after a member went: shorter, and one slow answer stops a healthy
-// group; longer, and callers wait for a group that is gone.
+// FreshnessBound is the age from which a probe answer is ignored. Together with ProbeInterval it bounds how
+// long a group keeps receiving work after a member has failed. With a shorter bound, one slow answer would
+// stop a healthy group; with a longer one, callers would wait for a group that has failed.
 const FreshnessBound = 1500 * time.Millisecond
 
-// ProbeAnswer is what a member said of itself in one probe.
+// ProbeAnswer is the state that a member reported in answer to one probe.
 type ProbeAnswer struct {
-	// Sent is when the probe was sent, by the monotonic clock. What the member said was true at some time
-	// after it, so an age counted from Sent is never too low.
+	// Sent is when the probe was sent, by the monotonic clock. The member observed its state after that time,
+	// so an age computed from Sent is never too low.
 	Sent    time.Time
 	BootID  BootID
 	Group   GroupID
@@ -30,7 +30,7 @@
 // Reason says why a member does not count as present.
 type Reason string
 
-// The reasons, in the order in which they are checked.
+// The reasons for absence, in the order in which they are checked.
 const (
 	ReasonNone        Reason = ""
 	ReasonNoMembers   Reason = "group has no members"
@@ -43,13 +43,13 @@
 	ReasonLeaving     Reason = "leaving"
 )
 
-// Gap names the first member that keeps a group from being whole, and why.
+// Gap identifies the first absent member of a group that is not whole, and the reason for its absence.
 type Gap struct {
 	VM  Name
 	Why Reason
 }
 
-// String is for operators.
+// String returns a description for operators.
 func (g Gap) String() string {
 	if g.VM == "" {
 		return string(g.Why)
@@ -57,24 +57,25 @@
 	return fmt.Sprintf("%s: %s", g.VM, g.Why)
 }
 
-// Presence holds the last probe answer of each member of the groups that one home owns. It is safe for
+// Presence holds the latest probe answer of each member of the groups that one home owns. It is safe for
 // concurrent use.
 //
-// Without it, a replica that lost a member would still be sent work, all of which fails or hangs. Age is
-// checked in Whole, at each dispatch. A timer that marks members as gone would not do: in a process that
-// was paused it fires late, after requests were let through on knowledge from before the pause.
+// Without it, a replica that has lost a member would still be sent requests, all of which would fail or
+// hang. Whole checks the age of the answers at each dispatch. A timer that marks members as absent would
+// not suffice: in a process that was paused it fires late, after requests have been dispatched on the basis
+// of answers from before the pause.
 type Presence struct {
-	mu      sync.RWMutex // a leaf lock: nothing is locked while it is held
+	mu      sync.RWMutex // a leaf lock: no other lock is acquired while it is held
 	answers map[GroupID]map[Name]ProbeAnswer
 }
 
-// NewPresence returns an empty table: no group is whole.
+// NewPresence returns a Presence without answers, for which no group is whole.
 func NewPresence() *Presence {
 	return &Presence{answers: make(map[GroupID]map[Name]ProbeAnswer)}
 }
 
-// Record keeps the answer of a member. An answer to an earlier probe than the one kept is dropped, since
-// answers may cross.
+// Record stores the answer of a member. Answers may arrive out of order: an answer to an earlier probe than
+// that of the stored answer is dropped.
 func (p *Presence) Record(group GroupID, member Name, answer ProbeAnswer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,14 +90,14 @@
 	members[member] = answer
 }
 
-// Forget drops all answers of a group that this home no longer owns.
+// Forget deletes all answers of a group that this home no longer owns.
 func (p *Presence) Forget(group GroupID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.answers, group)
 }
 
-// Last returns the kept answer of a member, however old.
+// Last returns the latest answer of a member, regardless of its age.
 func (p *Presence) Last(group GroupID, member Name) (ProbeAnswer, bool) {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
@@ -104,8 +105,8 @@
 	return answer, ok
 }
 
-// Whole says whether every member of the group is present at now, and if not, which one is not and why.
-// It does not look at the group's state: only a Serving group may be given work.
+// Whole reports whether every member of the group is present at now. If not, the Gap names the first absent
+// member and the reason. Whole ignores the state of the group; the caller must dispatch to Serving groups only.
 func (p *Presence) Whole(group *Group, now time.Time) (bool, Gap) {
 	if len(group.Members) == 0 {
 		return false, Gap{Why: ReasonNoMembers}
@@ -125,8 +126,8 @@
 	return true, Gap{}
 }
 
-// absenceReason says why the answer does not show the member present. A boot id that is not known yet matches
-// no answer: a group is whole only once each boot was ordered into it.
+// absenceReason returns why the answer does not prove that the member is present, or ReasonNone. An empty boot
+// id in member matches no answer: a group is whole only once the current boot of each member was ordered into it.
 func (a ProbeAnswer) absenceReason(group *Group, member Member, now time.Time) Reason {
 	switch {
 	case now.Sub(a.Sent) >= FreshnessBound:
--- a/vm/presence_test.go
+++ b/vm/presence_test.go
@@ -9,9 +9,9 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// A replica runs on several VMs and is dead as soon as one of them is. A caller whose request goes to it
-// then waits for an answer that never comes. So a group counts as whole only on recent answers of every
-// member, each of the boot and the epoch that was ordered.
+// A replica runs on several VMs and fails as soon as one of them does. A request that is sent to it then
+// never completes. A group therefore counts as whole only while every member has answered recently, with
+// the boot id and the epoch that were ordered.
 var _ = Describe("Presence", func() {
 	start := time.Now()
 	group := &vm.Group{
@@ -39,7 +39,7 @@
 		},
 		Entry("all present", func(*vm.ProbeAnswer) {}, fresh, vm.ReasonNone),
 		Entry("restarted under the same address", func(a *vm.ProbeAnswer) { a.BootID = "boot-b2" }, start, vm.ReasonOtherBoot),
-		Entry("back as if nothing happened, without orders", func(a *vm.ProbeAnswer) { a.Group, a.Epoch = "", 0 }, start, vm.ReasonOtherGroup),
+		Entry("back with the same boot id, without orders", func(a *vm.ProbeAnswer) { a.Group, a.Epoch = "", 0 }, start, vm.ReasonOtherGroup),
 		Entry("ordered by an older controller", func(a *vm.ProbeAnswer) { a.Epoch = 6 }, start, vm.ReasonOtherEpoch),
 		Entry("ordered by a newer controller", func(a *vm.ProbeAnswer) { a.Epoch = 8 }, start, vm.ReasonOtherEpoch),
 		Entry("still loading", func(a *vm.ProbeAnswer) { a.Ready = false }, start, vm.ReasonNotReady),
@@ -68,9 +68,10 @@
 		Expect(gap.String()).To(Equal("group has no members"))
 	})
 
-	// The VM of a home is paused for a minute, in which a member dies. When the home wakes, none of its
-	// timers has fired yet, and a request waits in its queue. Sent now, it would hang on a dead replica.
-	It("finds its knowledge stale after the home slept", func() {
+	// The VM of a home is paused for a minute, during which a member fails. When the home resumes, none of
+	// its timers has fired yet and a request is queued. If dispatched now, the request would hang on a failed
+	// replica.
+	It("treats all answers as stale after the home was paused", func() {
 		p := vm.NewPresence()
 		p.Record("g1", "a", good("a"))
 		p.Record("g1", "b", good("b"))
@@ -81,9 +82,9 @@
 		Expect(gap.Why).To(Equal(vm.ReasonStaleAnswer))
 	})
 
-	// The home sleeps between sending a probe and reading its answer. The answer is from before the pause,
-	// so it must not count as news of now.
-	It("counts age from the sending of a probe, and drops answers that cross", func() {
+	// The home is paused between sending a probe and reading its answer. The answer is from before the
+	// pause, so it must not count as fresh.
+	It("computes the age from the sending of the probe, and drops answers that arrive out of order", func() {
 		p := vm.NewPresence()
 		p.Record("g1", "a", good("a"))
 		late := good("b")
--- a/vm/vm.go
+++ b/vm/vm.go
@@ -2,8 +2,8 @@
 // fabric domain.
 //
 // A VM is in one fabric domain, and a fabric domain has one Placement object. The object lists each VM
-// in at most one group (Placement.Check), and it changes only by conditional writes. That makes "no VM
-// in two groups" true by construction, whoever writes.
+// in at most one group (Placement.Check), and it changes only by conditional writes. Together these
+// guarantee that no VM is in two groups, even with concurrent writers.
 package vm
 
 import (
@@ -22,10 +22,10 @@
 // with another boot id holds none of the state it was ordered to have.
 type BootID string
 
-// GroupID names a group. It is never reused: a new group gets a new id.
+// GroupID identifies a group. It is never reused: a new group gets a new id.
 type GroupID string
 
-// VM is one backend VM, as the platform lists it. The list lags.
+// VM is one backend VM, as the platform lists it. The list may be out of date.
 type VM struct {
 	Name Name `json:"name"`
 	// Address is the engine's HTTP address, IP:port.
@@ -35,7 +35,7 @@
 	Accelerators int `json:"accelerators"`
 	// Service, if set, dedicates the VM to that service (plain services run on such VMs).
 	Service string `json:"service,omitempty"`
-	// Leaving says that the platform will take the VM away soon.
+	// Leaving says that the platform will soon remove the VM.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
@@ -44,18 +44,18 @@
 	VMs []VM `json:"vms"`
 }
 
-// GroupState is a state in the life of a group.
+// GroupState is a state in the life cycle of a group.
 type GroupState string
 
-// The life of a group: forming, loading, serving, draining; a dissolved group is no longer listed.
+// The states of a group, in the order in which it passes through them. A dissolved group is no longer listed.
 const (
 	// Forming: the members are chosen and reserved; no order has been sent.
 	Forming GroupState = "forming"
 	// Loading: orders to load may have been sent.
 	Loading GroupState = "loading"
-	// Serving: the home may dispatch, as long as every member is present.
+	// Serving: the home may dispatch requests, as long as every member is present.
 	Serving GroupState = "serving"
-	// Draining: no new work; requests in progress finish; then the VMs are freed.
+	// Draining: the group takes no new requests; once those in progress have finished, its VMs are freed.
 	Draining GroupState = "draining"
 )
 
@@ -74,12 +74,12 @@
 	ID      GroupID `json:"id"`
 	Service string  `json:"service"`
 	Model   string  `json:"model"`
-	// ModelVersion is the version the group was formed to load.
+	// ModelVersion is the version of the model that the group was formed to load.
 	ModelVersion string     `json:"model_version"`
 	State        GroupState `json:"state"`
 	Members      []Member   `json:"members"`
-	// Epoch is the placement epoch at which this group was last ordered. Engines report it back, and
-	// dispatches carry it.
+	// Epoch is the placement epoch of the last orders to this group. Engines report it back, and dispatched
+	// requests carry it.
 	Epoch uint64 `json:"epoch"`
 	// Fence is the fencing number of the group's current orders. It grows with every write of the
 	// placement that causes an order.
@@ -88,8 +88,8 @@
 	Reason string `json:"reason,omitempty"`
 	// Since is the wall clock time of entering the state, in Unix milliseconds; for display only.
 	Since int64 `json:"since_ms,omitempty"`
-	// NotWhole says that the controller found a member missing for long, so that the controllers of other
-	// fabric domains may fill in. Homes don't read it: they look for themselves.
+	// NotWhole says that the controller has found a member absent for a long time, so that the controllers of
+	// other fabric domains may form a replacement. Homes ignore it: they use their own probes.
 	NotWhole bool `json:"not_whole,omitempty"`
 }
 
@@ -107,37 +107,38 @@
 
 // Placement is the value of a platform object of kind "placement": all groups of a fabric domain.
 type Placement struct {
-	// Epoch grows by one each time another controller takes over.
+	// Epoch is incremented each time another controller takes over.
 	Epoch uint64 `json:"epoch"`
-	// Controller is the entry that wrote last, and Incarnation the life of it that did.
+	// Controller is the entry that wrote last, and Incarnation identifies the run of that entry's process.
 	Controller  string `json:"controller"`
 	Incarnation string `json:"incarnation"`
-	// Nonce is the writer's own mark for this write: it tells a lost answer from a lost race.
+	// Nonce is unique to this write. With it a writer that received no answer, or a conflict, can tell whether
+	// its own write took effect or another writer's.
 	Nonce string `json:"nonce"`
-	// Fence is the highest fencing number given out in the domain.
+	// Fence is the highest fencing number issued in the fabric domain.
 	Fence    uint64          `json:"fence"`
 	Position domain.Position `json:"position"`
-	// LiveVMs and LiveAccelerators count what the controller could use, so that the controllers of other
-	// fabric domains can tell how much each can take.
+	// LiveVMs and LiveAccelerators count the resources that the controller could use, so that the controllers
+	// of other fabric domains know the capacity of this one.
 	LiveVMs          int `json:"live_vms"`
 	LiveAccelerators int `json:"live_accelerators"`
-	// LiveByService splits LiveVMs by the service that a VM is dedicated to ("": none).
+	// LiveByService is LiveVMs by the service that the VMs are dedicated to ("": none).
 	LiveByService map[string]int `json:"live_by_service,omitempty"`
 	Groups        []Group        `json:"groups"`
-	// Aside lists VMs that were set aside as stragglers. No group is formed with them.
+	// Aside lists VMs that were set aside because they are slow. No group is formed with them.
 	Aside []SetAsideVM `json:"aside,omitempty"`
 }
 
-// SetAsideVM is a VM that is set aside until it has another boot id, or until the time is over.
+// SetAsideVM is a VM that is set aside until its boot id changes or Until has passed.
 type SetAsideVM struct {
 	VM     Name   `json:"vm"`
 	BootID BootID `json:"boot_id"`
 	Reason string `json:"reason,omitempty"`
-	// Until is a wall clock time in Unix milliseconds. A wrong clock costs a slow replica, no more.
+	// Until is a wall clock time in Unix milliseconds. A wrong clock has no worse effect than a slow replica.
 	Until int64 `json:"until_ms"`
 }
 
-// ErrVMInTwoGroups and the errors below name broken invariants of a placement.
+// The violated invariants that Placement.Check reports.
 var (
 	ErrVMInTwoGroups    = eris.New("placement lists a VM in two groups")
 	ErrDuplicateGroupID = eris.New("placement lists a group id twice")
@@ -145,7 +146,7 @@
 	ErrFenceAboveDomain = eris.New("a group's fencing number is above the domain's")
 )
 
-// Check returns the first broken invariant, or nil. A placement that fails it is never written.
+// Check returns the first violated invariant, or nil. A placement that fails the check is never written.
 func (p *Placement) Check() error {
 	groups := make(map[GroupID]bool, len(p.Groups))
 	taken := make(map[Name]GroupID)
@@ -179,7 +180,7 @@
 	return &p.Groups[i]
 }
 
-// Clone returns a deep copy, so that a change which is not confirmed leaves the original as it was.
+// Clone returns a deep copy, so that a change whose write is not confirmed leaves the original unmodified.
 func (p *Placement) Clone() *Placement {
 	copied := *p
 	copied.Groups = slices.Clone(p.Groups)
