--- a/domain/domain.go
+++ b/domain/domain.go
@@ -1,23 +1,23 @@
-// Package domain holds the places where VMs and entries stand, and decides which live entry owns
-// what. Ownership is computed, never stored: every entry that sees the same live set names the same
-// owner. Two entries with different live sets may both believe they own a key; every rule that must
-// hold in spite of that is kept by a conditional write or by the backend server (see docs/DESIGN.md).
+// Package domain describes the location of VMs and entries, and determines which live entry owns a key.
+// Ownership is computed, never stored: all entries with the same set of live entries compute the same
+// owner. Two entries with different sets may both believe that they own a key. Every invariant that must
+// hold nevertheless is enforced by a conditional write or by the backend server (see docs/DESIGN.md).
 package domain
 
 import (
 	"github.com/cespare/xxhash/v2"
 )
 
-// FailureDomain names a set of VMs that may fail together, within a place.
+// FailureDomain names a set of VMs of one place that may fail together.
 type FailureDomain string
 
-// FabricDomain names a set of VMs that share a fast fabric. A group never crosses it.
+// FabricDomain names a set of VMs that share a fast interconnect. A group never spans two fabric domains.
 type FabricDomain string
 
-// Place names a region: entries and backend servers of one place are milliseconds apart.
+// Place names a region. The latency between entries and backend servers of one place is milliseconds.
 type Place string
 
-// Position says where a VM stands. It is comparable.
+// Position is the location of a VM. It is comparable.
 type Position struct {
 	Place         Place         `json:"place" cbor:"1,keyasint"`
 	FailureDomain FailureDomain `json:"failure_domain" cbor:"2,keyasint"`
@@ -25,7 +25,7 @@
 }
 
 // Owner returns the owner of key among names by rendezvous hashing, or "" if names is empty. Removing
-// one name moves only the keys that it owned.
+// a name changes the owner only of the keys that it owned.
 func Owner(key string, names []string) string {
 	owner := ""
 	best := uint64(0)
@@ -39,7 +39,7 @@
 	return owner
 }
 
-// Owners returns up to count owners of key, best first.
+// Owners returns up to count owners of key in order of preference.
 func Owners(key string, names []string, count int) []string {
 	rest := append([]string(nil), names...)
 	owners := make([]string, 0, count)
@@ -69,8 +69,8 @@
 	return mix(digest.Sum64())
 }
 
-// mix spreads the hash once more, because short inputs that differ in a few bits only must not favour
-// one name.
+// mix applies another round of mixing to the hash, because short inputs that differ in a few bits only must
+// not favour one name.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
