--- a/backend/backend.go
+++ b/backend/backend.go
@@ -10,7 +10,7 @@
 	"github.com/skylarkpond/skylarkpond/domain"
 )
 
-// ID names one backend server. A server that starts again may keep its id; Born then differs.
+// ID names one backend server. A server that starts again may keep its id; StartedAtMillis then differs.
 type ID string
 
 // GroupState is the state of a group, as one member reports it.
@@ -63,8 +63,8 @@
 	Slots  int                 `cbor:"6,keyasint"`
 	// Leaving servers take no new work.
 	Leaving bool `cbor:"7,keyasint,omitempty"`
-	// Born is the start of this life, in Unix milliseconds; 0 where the platform does not tell.
-	Born int64 `cbor:"8,keyasint,omitempty"`
+	// StartedAtMillis is the start of this life, in Unix milliseconds; 0 where the platform does not tell.
+	StartedAtMillis int64 `cbor:"8,keyasint,omitempty"`
 	// Staged are the models whose weights lie on the host.
 	Staged []string `cbor:"9,keyasint,omitempty"`
 	// Model is the one that the VM has loaded.
--- a/backend/order.go
+++ b/backend/order.go
@@ -28,11 +28,11 @@
 	Members []ID
 	// Cancel makes a close cut off the requests in progress.
 	Cancel bool
-	// Expect is the server's count of orders for which this one was meant. An order that is carried out late, after
+	// ExpectedOrders is the server's count of orders for which this one was meant. An order that is carried out late, after
 	// another one, does not find it and is refused: the only fence where servers check no fencing number.
-	Expect uint64
-	// Takes is how long it takes until the effect shows.
-	Takes time.Duration
+	ExpectedOrders uint64
+	// EffectDelay is how long it takes until the effect shows.
+	EffectDelay time.Duration
 }
 
 // Report is what a model server says of itself when asked.
@@ -41,10 +41,10 @@
 	Orders           uint64
 	Busy             bool
 	Running, Waiting int
-	Born             int64
-	// Pace above 1 means that the VM is slow.
-	Pace   float64
-	Staged []string
-	Model  string
-	Group  Membership
+	StartedAtMillis  int64
+	// Slowdown above 1 means that the VM is slow.
+	Slowdown float64
+	Staged   []string
+	Model    string
+	Group    Membership
 }
--- a/entry/grouping/dissolve.go
+++ b/entry/grouping/dissolve.go
@@ -144,13 +144,13 @@
 	case backend.GroupClosing:
 		return false, nil
 	case backend.GroupOpen:
-		order := backend.Order{Kind: backend.OrderClose, Group: key, Cancel: cancel, Expect: report.Orders}
+		order := backend.Order{Kind: backend.OrderClose, Group: key, Cancel: cancel, ExpectedOrders: report.Orders}
 		err := c.client.sendUntilEffective(ctx, head, order, func(r backend.Report) bool {
 			return r.Group.GroupKey != key || r.Group.State != backend.GroupOpen
 		})
 		return false, ignoreRefused(err)
 	}
-	order := backend.Order{Kind: backend.OrderLeave, Group: key, Expect: report.Orders}
+	order := backend.Order{Kind: backend.OrderLeave, Group: key, ExpectedOrders: report.Orders}
 	err := c.client.sendUntilEffective(ctx, head, order, func(r backend.Report) bool { return r.Group.GroupKey != key })
 	return err == nil, ignoreRefused(err)
 }
@@ -177,7 +177,7 @@
 	}
 	end := time.Now().Add(duration)
 	c.mu.Lock()
-	c.staging[server.ID] = pendingLoad{model: modelName, until: time.Now().Add(model.LoadTime + stagingMargin), born: server.Born}
+	c.staging[server.ID] = pendingLoad{model: modelName, until: time.Now().Add(model.LoadTime + stagingMargin), born: server.StartedAtMillis}
 	c.loads.reserve(1, end, beforeTraffic)
 	c.mu.Unlock()
 	c.running.Go(func() {
@@ -199,7 +199,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if eris.Is(err, errRefused) {
-		c.staging[server.ID] = pendingLoad{model: unknownModel, until: time.Now().Add(model.LoadTime), born: server.Born}
+		c.staging[server.ID] = pendingLoad{model: unknownModel, until: time.Now().Add(model.LoadTime), born: server.StartedAtMillis}
 		return
 	}
 	delete(c.staging, server.ID)
@@ -214,6 +214,6 @@
 	if err != nil {
 		return err
 	}
-	order := backend.Order{Kind: backend.OrderStage, Model: model, Expect: report.Orders}
+	order := backend.Order{Kind: backend.OrderStage, Model: model, ExpectedOrders: report.Orders}
 	return c.client.sendUntilEffective(ctx, server, order, func(r backend.Report) bool { return r.Orders > report.Orders })
 }
--- a/entry/grouping/form.go
+++ b/entry/grouping/form.go
@@ -149,7 +149,7 @@
 // handleNoAnswer.
 func (c *Controller) checkedReport(ctx context.Context, server *backend.Server) (backend.Report, error) {
 	report, err := c.client.report(ctx, server)
-	if err == nil && report.Born != 0 && server.Born != 0 && report.Born != server.Born {
+	if err == nil && report.StartedAtMillis != 0 && server.StartedAtMillis != 0 && report.StartedAtMillis != server.StartedAtMillis {
 		err = eris.Wrap(errOtherServer, "the VM has started again")
 	}
 	if err != nil && ctx.Err() == nil {
@@ -206,7 +206,7 @@
 		return errNotLeader
 	}
 	key := reports[i].Group.GroupKey
-	order := backend.Order{Kind: backend.OrderLeave, Group: key, Expect: reports[i].Orders}
+	order := backend.Order{Kind: backend.OrderLeave, Group: key, ExpectedOrders: reports[i].Orders}
 	err := f.controller.client.sendUntilEffective(ctx, f.members[i], order, func(r backend.Report) bool { return r.Group.GroupKey != key })
 	reports[i].Orders++
 	return eris.Wrapf(err, "%s leaving %s", f.members[i].ID, key)
@@ -232,7 +232,7 @@
 	if !f.controller.deps.IsLeader() {
 		return errNotLeader
 	}
-	order := backend.Order{Kind: backend.OrderJoin, Group: f.key, Model: f.model.Name, Members: f.memberIDs(), Expect: expect}
+	order := backend.Order{Kind: backend.OrderJoin, Group: f.key, Model: f.model.Name, Members: f.memberIDs(), ExpectedOrders: expect}
 	err := f.controller.client.sendUntilEffective(ctx, member, order, func(r backend.Report) bool { return r.Group.GroupKey == f.key })
 	return eris.Wrapf(err, "join of %s", member.ID)
 }
@@ -311,7 +311,7 @@
 	if !f.controller.deps.IsLeader() {
 		return errNotLeader
 	}
-	order := backend.Order{Kind: backend.OrderOpen, Group: f.key, Expect: head.Orders, Takes: f.engine.GroupOpenTime}
+	order := backend.Order{Kind: backend.OrderOpen, Group: f.key, ExpectedOrders: head.Orders, EffectDelay: f.engine.GroupOpenTime}
 	err := f.controller.client.sendUntilEffective(ctx, f.members[0], order, func(r backend.Report) bool {
 		return r.Group.GroupKey == f.key && r.Group.State == backend.GroupOpen
 	})
--- a/entry/grouping/orders.go
+++ b/entry/grouping/orders.go
@@ -92,13 +92,13 @@
 
 // noteOrder records that an order was accepted. counted reports whether it has incremented the order count.
 func (c *serverClient) noteOrder(server *backend.Server, order backend.Order, counted bool) {
-	count := order.Expect
+	count := order.ExpectedOrders
 	if counted {
 		count++
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.latestOrders[upstream.EndpointOf(server)] = latestOrder{at: time.Now(), visibleAfter: reportLag + order.Takes, minCount: count}
+	c.latestOrders[upstream.EndpointOf(server)] = latestOrder{at: time.Now(), visibleAfter: reportLag + order.EffectDelay, minCount: count}
 }
 
 // pruneOrders removes the VMs that accepted no order within maxReportWait.
@@ -215,8 +215,8 @@
 			return reportErr
 		case effective(report):
 			return nil
-		case report.Orders != order.Expect:
-			return eris.Wrapf(errRefused, "the VM has had %d orders, not %d", report.Orders, order.Expect)
+		case report.Orders != order.ExpectedOrders:
+			return eris.Wrapf(errRefused, "the VM has had %d orders, not %d", report.Orders, order.ExpectedOrders)
 		case eris.Is(err, errRefused):
 			return err
 		}
--- a/entry/grouping/view.go
+++ b/entry/grouping/view.go
@@ -189,7 +189,7 @@
 
 // loadedModel returns the model of a VM's last group. The registration contains it only while the VM is in a group.
 func (c *Controller) loadedModel(server *backend.Server) string {
-	if last, ok := c.lastModels[server.ID]; ok && server.Model == "" && last.born == server.Born {
+	if last, ok := c.lastModels[server.ID]; ok && server.Model == "" && last.born == server.StartedAtMillis {
 		return last.model
 	}
 	return server.Model
@@ -198,7 +198,7 @@
 // noteModel must be called with c.mu held.
 func (c *Controller) noteModel(server *backend.Server) {
 	if server.Model != "" {
-		c.lastModels[server.ID] = groupModel{model: server.Model, born: server.Born}
+		c.lastModels[server.ID] = groupModel{model: server.Model, born: server.StartedAtMillis}
 	}
 }
 
@@ -248,7 +248,7 @@
 		return false
 	}
 	staged := server.HasStaged(l.model) || (l.model == unknownModel && len(server.Staged) > 0)
-	return staged || server.Born != l.born
+	return staged || server.StartedAtMillis != l.born
 }
 
 // dissolvedTTL is how long a dissolved group may still be listed as open. If the group was not dissolved after all, it is
@@ -260,7 +260,7 @@
 func openingListed(servers map[backend.ID]*backend.Server, members []*backend.Server, key backend.GroupKey) bool {
 	for _, member := range members {
 		server := servers[member.ID]
-		if server == nil || server.Born != member.Born {
+		if server == nil || server.StartedAtMillis != member.StartedAtMillis {
 			return true
 		}
 	}
--- a/entry/suspects/suspects.go
+++ b/entry/suspects/suspects.go
@@ -120,7 +120,7 @@
 	if innocent || !wait.Pause(ctx, settleTime) || !w.deps.Refuses(ctx, server.Address) {
 		return
 	}
-	crash := link.Crash{Service: server.Service, Fingerprint: fingerprint, Server: server.ID, Born: server.Born}
+	crash := link.Crash{Service: server.Service, Fingerprint: fingerprint, Server: server.ID, Born: server.StartedAtMillis}
 	w.keep(crash)
 	w.deps.Tell(link.Up{Crash: &crash})
 }
--- a/entry/suspects/suspects_test.go
+++ b/entry/suspects/suspects_test.go
@@ -24,7 +24,7 @@
 		watch   *suspects.Watch
 	)
 	ctx := context.Background()
-	server := &backend.Server{ID: "i-1", Service: "desk", Address: "10.0.0.1:1", Born: 7}
+	server := &backend.Server{ID: "i-1", Service: "desk", Address: "10.0.0.1:1", StartedAtMillis: 7}
 	BeforeEach(func() {
 		told, refuses = nil, true
 		watch = suspects.New(suspects.Deps{
--- a/link/upstream/upstream.go
+++ b/link/upstream/upstream.go
@@ -33,7 +33,7 @@
 
 // EndpointOf returns the endpoint of a server.
 func EndpointOf(server *backend.Server) Endpoint {
-	return Endpoint{ID: server.ID, Address: server.Address, Born: server.Born}
+	return Endpoint{ID: server.ID, Address: server.Address, Born: server.StartedAtMillis}
 }
 
 // Request is a request to a backend server. Only framing headers are added to Header.
