--- a/backend/backend.go
+++ b/backend/backend.go
@@ -1,4 +1,4 @@
-// Package backend describes backend servers as they register themselves: where they listen, whether they are leaving,
+// Package backend describes backend servers as they register themselves: their addresses, whether they are leaving,
 // and the group of VMs that each belongs to.
 package backend
 
@@ -10,7 +10,7 @@
 	"github.com/skylarkpond/skylarkpond/domain"
 )
 
-// ID names one backend server. A server that starts again may keep its id; StartedAtMillis then differs.
+// ID identifies a backend server. A server that restarts may keep its id; its StartedAtMillis then differs.
 type ID string
 
 // GroupState is the state of a group, as one member reports it.
@@ -22,29 +22,29 @@
 	GroupNone GroupState = ""
 	// GroupJoining: the member is loading its part of the model.
 	GroupJoining GroupState = "joining"
-	// GroupReady: the member has its part.
+	// GroupReady: the member has loaded its part.
 	GroupReady GroupState = "ready"
-	// GroupOpen: the head takes requests. Only heads report it.
+	// GroupOpen: the head accepts requests. Only heads report it.
 	GroupOpen GroupState = "open"
-	// GroupClosing: the head finishes what it has and takes nothing new.
+	// GroupClosing: the head finishes its requests and accepts no new ones.
 	GroupClosing GroupState = "closing"
-	// GroupBroken: the head has found a member missing.
+	// GroupBroken: the head has detected that a member is missing.
 	GroupBroken GroupState = "broken"
 )
 
-// Serving says whether a head in this state may still be running requests.
+// Serving reports whether a head in this state may be running requests.
 func (s GroupState) Serving() bool { return s == GroupOpen || s == GroupClosing }
 
-// GroupKey tells one formation of a group from every other. Neither part is ever used again with other members.
+// GroupKey identifies one formation of a group. Neither part is ever reused with other members.
 type GroupKey struct {
 	Name  string `cbor:"1,keyasint"`
 	Epoch uint64 `cbor:"2,keyasint"`
 }
 
-// String is for logs.
+// String returns the key as it is written in logs.
 func (k GroupKey) String() string { return k.Name + "@" + strconv.FormatUint(k.Epoch, 10) }
 
-// Membership is what a VM says of its group.
+// Membership is the membership of a VM in a group, as the VM reports it.
 type Membership struct {
 	GroupKey
 	// Rank is 0 for the head.
@@ -52,39 +52,39 @@
 	State GroupState `cbor:"4,keyasint"`
 }
 
-// Server is one backend server as registered. Its encoding is what entries tell each other.
+// Server is one registered backend server. Entries exchange it in this encoding.
 type Server struct {
 	ID            ID                   `cbor:"1,keyasint"`
 	Service       string               `cbor:"2,keyasint"`
 	Address       string               `cbor:"3,keyasint"`
 	FailureDomain domain.FailureDomain `cbor:"4,keyasint"`
-	// Fabric is the fabric domain; groups of VMs in different ones are slow.
+	// Fabric is the fabric domain. A group whose VMs are in different fabric domains is slow.
 	Fabric domain.FabricDomain `cbor:"5,keyasint,omitempty"`
 	Slots  int                 `cbor:"6,keyasint"`
-	// Leaving servers take no new work.
+	// Leaving says that the server accepts no new work.
 	Leaving bool `cbor:"7,keyasint,omitempty"`
-	// StartedAtMillis is the start of this life, in Unix milliseconds; 0 where the platform does not tell.
+	// StartedAtMillis is when the server last started, in Unix milliseconds; 0 if the platform does not report it.
 	StartedAtMillis int64 `cbor:"8,keyasint,omitempty"`
-	// Staged are the models whose weights lie on the host.
+	// Staged lists the models whose weights are stored on the host.
 	Staged []string `cbor:"9,keyasint,omitempty"`
-	// Model is the one that the VM has loaded.
+	// Model is the model that the VM has loaded.
 	Model string     `cbor:"10,keyasint,omitempty"`
 	Group Membership `cbor:"11,keyasint,omitzero"`
 	// Revision is the platform's revision of this registration.
 	Revision uint64 `cbor:"12,keyasint"`
 }
 
-// HasStaged says whether the weights of a model lie on the VM's host.
+// HasStaged reports whether the weights of a model are stored on the VM's host.
 func (s *Server) HasStaged(model string) bool { return slices.Contains(s.Staged, model) }
 
-// Listing is a consistent view of all registered servers. It is never changed once made.
+// Listing is a consistent snapshot of all registered servers. It is immutable.
 type Listing struct {
 	Revision  uint64
 	Servers   map[ID]*Server
 	ByService map[string][]*Server
 }
 
-// NewListing indexes servers. Each service's servers are in the order of their ids.
+// NewListing indexes servers by service. The servers of each service are sorted by id.
 func NewListing(revision uint64, servers map[ID]*Server) *Listing {
 	l := &Listing{Revision: revision, Servers: servers, ByService: make(map[string][]*Server)}
 	for _, server := range servers {
--- a/backend/order.go
+++ b/backend/order.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// OrderKind says what a model server is to do.
+// OrderKind is the operation that an order requests of a model server.
 type OrderKind string
 
-// The orders.
+// The kinds of orders.
 const (
-	// OrderJoin makes the VM a member of a group. It replaces any earlier membership.
+	// OrderJoin makes the VM a member of a group and replaces any earlier membership.
 	OrderJoin OrderKind = "join"
-	// OrderOpen makes a head that is ready take requests. The server does not look at the other members.
+	// OrderOpen makes a head that is ready accept requests. The server does not check the other members.
 	OrderOpen OrderKind = "open"
-	// OrderClose makes a head that is open take nothing new, and ready again once it has nothing left.
+	// OrderClose makes an open head accept no new requests. It is ready again once its requests have finished.
 	OrderClose OrderKind = "close"
-	// OrderLeave ends a membership at once.
+	// OrderLeave ends a membership immediately.
 	OrderLeave OrderKind = "leave"
-	// OrderStage puts a model's weights on the VM's host, beside all other work.
+	// OrderStage copies a model's weights to the VM's host while other work continues.
 	OrderStage OrderKind = "stage"
 )
 
@@ -24,25 +24,26 @@
 	Kind  OrderKind
 	Group GroupKey
 	Model string
-	// Members are those of a join; the first is the head.
+	// Members are the members of the group to join; the first is the head.
 	Members []ID
-	// Cancel makes a close cut off the requests in progress.
+	// Cancel makes OrderClose abort the requests in progress.
 	Cancel bool
-	// ExpectedOrders is the server's count of orders for which this one was meant. An order that is carried out late, after
-	// another one, does not find it and is refused: the only fence where servers check no fencing number.
+	// ExpectedOrders is the value of Report.Orders on which this order is based. A server whose count differs refuses the
+	// order, so an order that arrives late, after another one, has no effect. It is the only fencing with servers that
+	// check no fencing number.
 	ExpectedOrders uint64
-	// EffectDelay is how long it takes until the effect shows.
+	// EffectDelay is the time until the effect of the order is visible.
 	EffectDelay time.Duration
 }
 
-// Report is what a model server says of itself when asked.
+// Report is the state that a model server returns when queried.
 type Report struct {
-	// Orders counts the orders that began something in this life.
+	// Orders counts the orders that took effect since the server started.
 	Orders           uint64
 	Busy             bool
 	Running, Waiting int
 	StartedAtMillis  int64
-	// Slowdown above 1 means that the VM is slow.
+	// Slowdown above 1 means that the VM is slower than normal.
 	Slowdown float64
 	Staged   []string
 	Model    string
