--- a/entry/adapters.go
+++ b/entry/adapters.go
@@ -62,7 +62,7 @@
 		return false, "not placed"
 	}
 	whole, gap := p.presence.Whole(&group, time.Now())
-	if gap.Why == vm.ReasonNoAnswer {
+	if gap.Reason == vm.ReasonNoAnswer {
 		p.prober.ProbeIfNew(group)
 		whole, gap = p.presence.Whole(&group, time.Now())
 	}
--- a/entry/prober/prober.go
+++ b/entry/prober/prober.go
@@ -233,7 +233,7 @@
 	}
 	now := time.Now()
 	whole, gap := p.presence.Whole(&group, now)
-	if gap.Why == vm.ReasonNoAnswer && p.newlyHomed(group.ID, now) {
+	if gap.Reason == vm.ReasonNoAnswer && p.newlyHomed(group.ID, now) {
 		return
 	}
 	next := announcedState{whole: whole, epoch: group.Epoch, gap: gap, drain: p.drainProgress(group, now)}
@@ -299,7 +299,7 @@
 	if !whole {
 		event.Kind = timeline.GroupNotWhole
 		event.VM = string(gap.VM)
-		event.Detail = string(gap.Why)
+		event.Detail = string(gap.Reason)
 	}
 	p.recorder.Record(event)
 }
--- a/vm/presence.go
+++ b/vm/presence.go
@@ -27,7 +27,7 @@
 	Leaving bool
 }
 
-// Reason says why a member does not count as present.
+// Reason is the reason why a member does not count as present.
 type Reason string
 
 // The reasons for absence, in the order in which they are checked.
@@ -45,16 +45,16 @@
 
 // Gap identifies the first absent member of a group that is not whole, and the reason for its absence.
 type Gap struct {
-	VM  Name
-	Why Reason
+	VM     Name
+	Reason Reason
 }
 
 // String returns a description for operators.
 func (g Gap) String() string {
 	if g.VM == "" {
-		return string(g.Why)
+		return string(g.Reason)
 	}
-	return fmt.Sprintf("%s: %s", g.VM, g.Why)
+	return fmt.Sprintf("%s: %s", g.VM, g.Reason)
 }
 
 // Presence holds the latest probe answer of each member of the groups that one home owns. It is safe for
@@ -109,7 +109,7 @@
 // member and the reason. Whole ignores the state of the group; the caller must dispatch to Serving groups only.
 func (p *Presence) Whole(group *Group, now time.Time) (bool, Gap) {
 	if len(group.Members) == 0 {
-		return false, Gap{Why: ReasonNoMembers}
+		return false, Gap{Reason: ReasonNoMembers}
 	}
 	p.mu.RLock()
 	defer p.mu.RUnlock()
@@ -117,10 +117,10 @@
 	for _, member := range group.Members {
 		answer, ok := answers[member.VM]
 		if !ok {
-			return false, Gap{VM: member.VM, Why: ReasonNoAnswer}
+			return false, Gap{VM: member.VM, Reason: ReasonNoAnswer}
 		}
 		if why := answer.absenceReason(group, member, now); why != ReasonNone {
-			return false, Gap{VM: member.VM, Why: why}
+			return false, Gap{VM: member.VM, Reason: why}
 		}
 	}
 	return true, Gap{}
--- a/vm/presence_test.go
+++ b/vm/presence_test.go
@@ -32,7 +32,7 @@
 			p.Record("g1", "b", answer)
 			whole, gap := p.Whole(group, now)
 			Expect(whole).To(Equal(why == vm.ReasonNone))
-			Expect(gap.Why).To(Equal(why))
+			Expect(gap.Reason).To(Equal(why))
 			if !whole {
 				Expect(gap.VM).To(Equal(vm.Name("b")))
 			}
@@ -51,17 +51,17 @@
 		p := vm.NewPresence()
 		p.Record("g1", "a", good("a"))
 		_, gap := p.Whole(group, start)
-		Expect(gap).To(Equal(vm.Gap{VM: "b", Why: vm.ReasonNoAnswer}))
+		Expect(gap).To(Equal(vm.Gap{VM: "b", Reason: vm.ReasonNoAnswer}))
 
 		p.Record("g1", "b", good("b"))
 		p.Forget("g1")
 		_, gap = p.Whole(group, start)
-		Expect(gap).To(Equal(vm.Gap{VM: "a", Why: vm.ReasonNoAnswer}))
+		Expect(gap).To(Equal(vm.Gap{VM: "a", Reason: vm.ReasonNoAnswer}))
 
 		forming := &vm.Group{ID: "g1", Epoch: 7, Members: []vm.Member{{VM: "a"}}}
 		p.Record("g1", "a", vm.ProbeAnswer{Sent: start, Group: "g1", Epoch: 7, Ready: true})
 		_, gap = p.Whole(forming, start)
-		Expect(gap.Why).To(Equal(vm.ReasonOtherBoot))
+		Expect(gap.Reason).To(Equal(vm.ReasonOtherBoot))
 
 		whole, gap := p.Whole(&vm.Group{ID: "g2"}, start)
 		Expect(whole).To(BeFalse())
@@ -79,7 +79,7 @@
 		Expect(whole).To(BeTrue())
 		whole, gap := p.Whole(group, start.Add(time.Minute))
 		Expect(whole).To(BeFalse())
-		Expect(gap.Why).To(Equal(vm.ReasonStaleAnswer))
+		Expect(gap.Reason).To(Equal(vm.ReasonStaleAnswer))
 	})
 
 	// The home is paused between sending a probe and reading its answer. The answer is from before the
@@ -91,7 +91,7 @@
 		late.Sent = start.Add(-vm.FreshnessBound)
 		p.Record("g1", "b", late)
 		_, gap := p.Whole(group, start)
-		Expect(gap.Why).To(Equal(vm.ReasonStaleAnswer))
+		Expect(gap.Reason).To(Equal(vm.ReasonStaleAnswer))
 
 		p.Record("g1", "b", good("b"))
 		p.Record("g1", "b", late)
