--- a/entry/suspects/suspects.go
+++ b/entry/suspects/suspects.go
@@ -123,7 +123,7 @@
 	if cleared || !wait.Pause(ctx, exitDelay) || !w.deps.ConnectionRefused(ctx, server.Address) {
 		return
 	}
-	crash := link.Crash{Service: server.Service, Fingerprint: fingerprint, Server: server.ID, Born: server.Born}
+	crash := link.Crash{Service: server.Service, Fingerprint: fingerprint, Server: server.ID, Born: server.StartedAtMillis}
 	w.recordCrash(crash)
 	w.deps.SendToLeader(link.Up{Crash: &crash})
 }
