--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -25,7 +25,7 @@
 	writer  http.ResponseWriter
 	request *http.Request
 	ctx     context.Context
-	call    platform.Call
+	call    platform.RequestInfo
 	arrived time.Time
 	// deadline is the caller's or the route's, whichever is first.
 	deadline time.Time
