--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -99,8 +99,8 @@
 		return e.refuse(NoKey, http.StatusUnauthorized, 0, "no team holds this key")
 	}
 	e.deadline = e.arrived.Add(found.Timeout)
-	if e.call.Left > 0 && e.call.Left < found.Timeout {
-		e.deadline = e.arrived.Add(e.call.Left)
+	if e.call.Remaining > 0 && e.call.Remaining < found.Timeout {
+		e.deadline = e.arrived.Add(e.call.Remaining)
 	}
 	e.service = e.target()
 	return true
