--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -199,7 +199,7 @@
 	due, patience := turns.WaitBounds(e.route.LatencyTarget, time.Since(e.arrived), returning)
 	ask := turn.Request{
 		Service: e.service, Model: e.call.Model, Priority: e.priority, Retry: returning, Tried: e.tried,
-		PromptTokens: e.call.PromptTokens, OutputTokens: e.call.ExpectedAnswer(),
+		PromptTokens: e.call.PromptTokens, OutputTokens: e.call.ExpectedAnswerTokens(),
 		FirstTokenBudget: due, MaxWait: patience, Fingerprint: contract.ShortFingerprint(e.fingerprint),
 	}
 	if e.attempts > 0 {
