--- a/entry/grouping/orders.go
+++ b/entry/grouping/orders.go
@@ -186,7 +186,7 @@
 func (c *serverClient) call(ctx context.Context, server *backend.Server, method, path string, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	header := platform.ForwardHeader(http.Header{}, platform.Forward{Server: server.ID, Left: callTimeout})
+	header := platform.ForwardHeader(http.Header{}, platform.Forward{Server: server.ID, Remaining: callTimeout})
 	if body != nil {
 		header.Set("Content-Type", "application/json")
 	}
--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -268,7 +268,7 @@
 	answer, err := e.relay.deps.Pool.Send(ctx, upstream.EndpointOf(t.Server), &upstream.Request{
 		Method: e.request.Method, Target: e.request.RequestURI, Host: e.request.Host,
 		Header: platform.ForwardHeader(e.request.Header, platform.Forward{
-			Server: t.Server.ID, Team: e.team, Left: time.Until(e.deadline), LastEvent: lastEvent,
+			Server: t.Server.ID, Team: e.team, Remaining: time.Until(e.deadline), LastEvent: lastEvent,
 		}),
 		Body:    e.body,
 		Matches: func(header http.Header) bool { return platform.Belongs(e.call.ID, header) },
