--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -347,7 +347,7 @@
 		return false
 	}
 	e.ended.First = time.Since(e.arrived)
-	e.answer(answer.Status, platform.AnswerHeader(answer.Header), body)
+	e.answer(answer.Status, platform.ResponseHeader(answer.Header), body)
 	e.ended.Outcome = Served
 	return true
 }
--- a/entry/relay/stream.go
+++ b/entry/relay/stream.go
@@ -32,7 +32,7 @@
 		t.Done(turn.Result{Failed: true})
 		return e.overBroken("success without a signature")
 	}
-	head := platform.AnswerHeader(answer.Header)
+	head := platform.ResponseHeader(answer.Header)
 	last := e.call.LastEvent
 	for {
 		var err error
