--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -226,7 +226,7 @@
 		e.lost(t, err)
 		return e.overBroken("no answer: " + err.Error())
 	}
-	said := platform.DecodeAnswer(answer.Status, answer.Header)
+	said := platform.DecodeResponse(answer.Status, answer.Header)
 	if said.Load != nil {
 		t.ReportLoad(said.Load.Running, said.Load.Waiting, said.Load.Slots)
 	}
--- a/entry/relay/stream.go
+++ b/entry/relay/stream.go
@@ -126,7 +126,7 @@
 			e.lost(t, err)
 			continue
 		}
-		if platform.DecodeAnswer(answer.Status, answer.Header).NotRun || answer.Status != http.StatusOK || !platform.Signed(answer.Header) {
+		if platform.DecodeResponse(answer.Status, answer.Header).NotRun || answer.Status != http.StatusOK || !platform.Signed(answer.Header) {
 			e.rejected(t, answer)
 			continue
 		}
