--- a/entry/relay/stream.go
+++ b/entry/relay/stream.go
@@ -26,7 +26,7 @@
 
 // stream hands on the events of a stream as they come. It returns whether the request is over.
 func (e *exchange) stream(t *turn.Turn, answer *upstream.Response) bool {
-	if !platform.Signed(answer.Header) {
+	if !platform.HasSignature(answer.Header) {
 		_ = answer.Body.Close()
 		e.endAttempt()
 		t.Done(turn.Result{Failed: true})
@@ -126,7 +126,7 @@
 			e.lost(t, err)
 			continue
 		}
-		if platform.DecodeResponse(answer.Status, answer.Header).NotRun || answer.Status != http.StatusOK || !platform.Signed(answer.Header) {
+		if platform.DecodeResponse(answer.Status, answer.Header).NotRun || answer.Status != http.StatusOK || !platform.HasSignature(answer.Header) {
 			e.rejected(t, answer)
 			continue
 		}
