--- a/entry/relay/answer.go
+++ b/entry/relay/answer.go
@@ -37,7 +37,7 @@
 	if after > 0 {
 		header.Set(platform.HeaderRetryAfter, strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	}
-	platform.Echo(header, e.call.ID)
+	platform.SetRequestID(header, e.call.ID)
 	body, err := json.Marshal(failure{Error: detail})
 	if err != nil {
 		body = nil // text always encodes
