--- a/entry/catalog/catalog_test.go
+++ b/entry/catalog/catalog_test.go
@@ -45,7 +45,7 @@
 
 func newFixture() *fixture {
 	f := &fixture{api: objects.New(), news: make(chan catalog.News, 1000), configVersions: make(chan uint64, 1000), leaving: make(chan leavingServer, 1000)}
-	client := store.NewClient("http://"+f.api.Address(), store.WithCodec(platform.Objects{}), store.WithCallTimeout(300*time.Millisecond))
+	client := store.NewClient("http://"+f.api.Address(), store.WithCodec(platform.ObjectCodec{}), store.WithCallTimeout(300*time.Millisecond))
 	f.catalog = catalog.New(catalog.Deps{
 		Store: client, FedByLeader: f.fedByLeader.Load, IsLeader: func() bool { return false },
 		OnNews:         func(news catalog.News) { f.news <- news },
--- a/entry/gateway/assemble.go
+++ b/entry/gateway/assemble.go
@@ -147,7 +147,7 @@
 
 // newClient returns the client of the platform.
 func newClient(config Config, options ...store.Option) *store.Client {
-	options = append(options, store.WithCodec(platform.Objects{}), store.WithCallTimeout(platformTimeout), store.WithSource(sourceOf(config.Callers)),
+	options = append(options, store.WithCodec(platform.ObjectCodec{}), store.WithCallTimeout(platformTimeout), store.WithSource(sourceOf(config.Callers)),
 		store.WithRates(store.Rates{Shared: config.PlatformRate * (1 - reservedShare), Reserved: config.PlatformRate * reservedShare}))
 	return store.NewClient("http://"+config.Platform, options...)
 }
--- a/entry/grouping/cell_test.go
+++ b/entry/grouping/cell_test.go
@@ -67,7 +67,7 @@
 
 // newCatalog starts an empty catalog, as a newly started process has it.
 func (f *fixture) newCatalog() *catalog.Catalog {
-	client := store.NewClient("http://"+f.api.Address(), store.WithCodec(platform.Objects{}))
+	client := store.NewClient("http://"+f.api.Address(), store.WithCodec(platform.ObjectCodec{}))
 	created := catalog.New(catalog.Deps{
 		Store: client, FedByLeader: func() bool { return false }, IsLeader: func() bool { return true }, OnNews: func(catalog.News) {},
 		OnPlatformLost: func(store.Kind, error) {}, OnPlatformRegained: func(store.Kind, time.Duration) {}, OnUnreadable: func(store.Object, error) {},
--- a/entry/lease/lease_test.go
+++ b/entry/lease/lease_test.go
@@ -50,7 +50,7 @@
 func startAs(api *objects.API, self lease.Holder) *candidate { return startOn(newClient(api), self) }
 
 func newClient(api *objects.API) store.Store {
-	return store.NewClient("http://"+api.Address(), store.WithCodec(platform.Objects{}), store.WithCallTimeout(300*time.Millisecond))
+	return store.NewClient("http://"+api.Address(), store.WithCodec(platform.ObjectCodec{}), store.WithCallTimeout(300*time.Millisecond))
 }
 
 func startOn(platform store.Store, self lease.Holder) *candidate {
