--- a/entry/catalog/catalog_test.go
+++ b/entry/catalog/catalog_test.go
@@ -159,7 +159,7 @@
 		operator.Write(f.api, operator.Config{Version: 2})
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(2)))
 		Eventually(f.api.Calls, waitFor).Should(HaveKeyWithValue("GET config", BeNumerically(">=", 2)))
-		f.api.Set(objects.Faults{Deaf: true})
+		f.api.SetFaults(objects.Faults{Deaf: true})
 		operator.Write(f.api, operator.Config{Version: 3})
 		f.api.Compact()
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(3)))
@@ -171,9 +171,9 @@
 		f := newFixture()
 		operator.Write(f.api, operator.Config{Version: 2})
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(2)))
-		f.api.Set(objects.Faults{Silent: true})
+		f.api.SetFaults(objects.Faults{Silent: true})
 		Consistently(f.configVersion, "1s").Should(Equal(uint64(2)))
-		f.api.Set(objects.Faults{})
+		f.api.SetFaults(objects.Faults{})
 		operator.Write(f.api, operator.Config{Version: 4})
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(4)))
 	})
@@ -184,14 +184,14 @@
 		f := newFixture()
 		operator.Write(f.api, operator.Config{Version: 2})
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(2)))
-		f.api.Set(objects.Faults{Refuse: 503})
+		f.api.SetFaults(objects.Faults{Refuse: 503})
 		time.Sleep(time.Second) // pending watches have ended
 		before := f.api.Calls()
 		time.Sleep(3 * time.Second)
 		after := f.api.Calls()
 		calls := after["GET config"] + after["GET servers"] - before["GET config"] - before["GET servers"]
 		Expect(calls).To(BeNumerically("<=", 7), "%v", after)
-		f.api.Set(objects.Faults{})
+		f.api.SetFaults(objects.Faults{})
 		operator.Write(f.api, operator.Config{Version: 3})
 		f.api.Write("servers", "i-1", replica.Registered("s"))
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(3)))
@@ -214,7 +214,7 @@
 	// This entry can't reach the platform, but another one can.
 	It("accepts the configuration from another entry", func() {
 		f := newFixture()
-		f.api.Set(objects.Faults{Refuse: 503})
+		f.api.SetFaults(objects.Faults{Refuse: 503})
 		f.catalog.UpdateConfig([]byte(`{"version":9}`))
 		Expect(f.configVersion()).To(Equal(uint64(9)))
 	})
@@ -243,11 +243,11 @@
 		f.api.Write("servers", "i-1", replica.Registered("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		since := f.catalog.Revisions()[platform.KindServers]
-		f.api.Set(objects.Faults{Silent: true})
+		f.api.SetFaults(objects.Faults{Silent: true})
 		f.api.Write("servers", "i-2", replica.Registered("s"))
 		f.api.Write("servers", "i-2", replica.Registered("t"))
 		f.api.Delete("servers", "i-1")
-		f.api.Set(objects.Faults{})
+		f.api.SetFaults(objects.Faults{})
 		Eventually(f.serversSince(since), waitFor).Should(ConsistOf(HaveField("Server.Service", "t"), HaveField("Removal.Server", BeEquivalentTo("i-1"))))
 	})
 
@@ -260,12 +260,12 @@
 		}
 		Eventually(f.servers, waitFor).Should(Equal(3))
 		since := f.catalog.Revisions()[platform.KindServers]
-		f.api.Set(objects.Faults{Silent: true})
+		f.api.SetFaults(objects.Faults{Silent: true})
 		f.api.Write("servers", "i-2", replica.Registered("t"))
 		f.api.Write("servers", "i-4", replica.Registered("s"))
 		f.api.Delete("servers", "i-1")
 		f.api.Compact()
-		f.api.Set(objects.Faults{})
+		f.api.SetFaults(objects.Faults{})
 		Eventually(f.serversSince(since), waitFor).Should(ConsistOf(
 			HaveField("Server.Service", "t"), HaveField("Server.ID", BeEquivalentTo("i-4")), HaveField("Removal.Server", BeEquivalentTo("i-1"))))
 		reported := store.Version(0)
--- a/entry/lease/lease_test.go
+++ b/entry/lease/lease_test.go
@@ -124,20 +124,20 @@
 	It("is not held for longer than its validity after the last confirmed write", func() {
 		a := start(api, "a")
 		Eventually(a.Held, waitFor).Should(BeTrue())
-		api.Set(objects.Faults{Silent: true})
+		api.SetFaults(objects.Faults{Silent: true})
 		Eventually(a.Held, waitFor).Should(BeFalse())
 		Expect(a.IsLeader()).To(BeTrue())
-		api.Set(objects.Faults{})
+		api.SetFaults(objects.Faults{})
 		Eventually(a.Held, waitFor).Should(BeTrue())
 	})
 
 	// The answer to the write that acquired the lease is lost. If the entry took this for a conflict, all others would
 	// wait for a leader that does not know its role.
 	It("is held after the answer to a write was lost", func() {
-		api.Set(objects.Faults{LoseAnswers: true})
+		api.SetFaults(objects.Faults{LoseAnswers: true})
 		a := start(api, "a")
 		Consistently(a.Held, "500ms").Should(BeFalse())
-		api.Set(objects.Faults{})
+		api.SetFaults(objects.Faults{})
 		Eventually(a.Held, waitFor).Should(BeTrue())
 	})
 
--- a/test/cooperative/troubles_test.go
+++ b/test/cooperative/troubles_test.go
@@ -121,9 +121,9 @@
 	defer s.faulty(s.api)()
 	faults := []objects.Faults{{Silent: true}, {Refuse: 503}, {Refuse: 429}, {LoseAnswers: true}, {Deaf: true}}[s.draw(5)]
 	s.note("platform: %+v", faults)
-	s.api.Set(faults)
+	s.api.SetFaults(faults)
 	time.Sleep(s.some())
-	s.api.Set(objects.Faults{})
+	s.api.SetFaults(objects.Faults{})
 	if faults.Deaf || s.draw(3) == 0 {
 		s.api.Compact()
 	}
