--- a/entry/catalog/catalog_test.go
+++ b/entry/catalog/catalog_test.go
@@ -171,7 +171,7 @@
 		f := newFixture()
 		operator.Write(f.api, operator.Config{Version: 2})
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(2)))
-		f.api.SetFaults(objects.Faults{Silent: true})
+		f.api.SetFaults(objects.Faults{Unresponsive: true})
 		Consistently(f.configVersion, "1s").Should(Equal(uint64(2)))
 		f.api.SetFaults(objects.Faults{})
 		operator.Write(f.api, operator.Config{Version: 4})
@@ -243,7 +243,7 @@
 		f.api.Write("servers", "i-1", replica.Registered("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		since := f.catalog.Revisions()[platform.KindServers]
-		f.api.SetFaults(objects.Faults{Silent: true})
+		f.api.SetFaults(objects.Faults{Unresponsive: true})
 		f.api.Write("servers", "i-2", replica.Registered("s"))
 		f.api.Write("servers", "i-2", replica.Registered("t"))
 		f.api.Delete("servers", "i-1")
@@ -260,7 +260,7 @@
 		}
 		Eventually(f.servers, waitFor).Should(Equal(3))
 		since := f.catalog.Revisions()[platform.KindServers]
-		f.api.SetFaults(objects.Faults{Silent: true})
+		f.api.SetFaults(objects.Faults{Unresponsive: true})
 		f.api.Write("servers", "i-2", replica.Registered("t"))
 		f.api.Write("servers", "i-4", replica.Registered("s"))
 		f.api.Delete("servers", "i-1")
--- a/entry/grouping/cell_test.go
+++ b/entry/grouping/cell_test.go
@@ -164,7 +164,7 @@
 // outage makes the platform unresponsive for a while. Some registrations lapse during that time and return within 1.5 s after
 // the platform does.
 func (f *fixture) outage(r *rand.Rand) {
-	f.api.SetFaults(objects.Faults{Silent: true})
+	f.api.SetFaults(objects.Faults{Unresponsive: true})
 	duration := time.Duration(300+r.IntN(600)) * time.Millisecond
 	time.AfterFunc(duration, func() { f.api.SetFaults(objects.Faults{}) })
 	for _, vm := range f.vms {
--- a/entry/lease/lease_test.go
+++ b/entry/lease/lease_test.go
@@ -124,7 +124,7 @@
 	It("is not held for longer than its validity after the last confirmed write", func() {
 		a := start(api, "a")
 		Eventually(a.Held, waitFor).Should(BeTrue())
-		api.SetFaults(objects.Faults{Silent: true})
+		api.SetFaults(objects.Faults{Unresponsive: true})
 		Eventually(a.Held, waitFor).Should(BeFalse())
 		Expect(a.IsLeader()).To(BeTrue())
 		api.SetFaults(objects.Faults{})
--- a/test/cooperative/cooperative_test.go
+++ b/test/cooperative/cooperative_test.go
@@ -181,7 +181,7 @@
 	It("serve on while the platform is away, and take the next configuration when it is back", func() {
 		p := newPond(3, 7)
 		p.awaitServing(2)
-		p.api.SetFaults(objects.Faults{Silent: true})
+		p.api.SetFaults(objects.Faults{Unresponsive: true})
 		for round := range 3 {
 			for _, got := range streams(p.entries, 6, fmt.Sprint("away", round)) {
 				Expect(got.whole()).To(BeTrue(), "%+v", got)
