--- a/entry/catalog/catalog_test.go
+++ b/entry/catalog/catalog_test.go
@@ -184,7 +184,7 @@
 		f := newFixture()
 		operator.Write(f.api, operator.Config{Version: 2})
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(2)))
-		f.api.SetFaults(objects.Faults{Refuse: 503})
+		f.api.SetFaults(objects.Faults{FailAll: 503})
 		time.Sleep(time.Second) // pending watches have ended
 		before := f.api.Calls()
 		time.Sleep(3 * time.Second)
@@ -214,7 +214,7 @@
 	// This entry can't reach the platform, but another one can.
 	It("accepts the configuration from another entry", func() {
 		f := newFixture()
-		f.api.SetFaults(objects.Faults{Refuse: 503})
+		f.api.SetFaults(objects.Faults{FailAll: 503})
 		f.catalog.UpdateConfig([]byte(`{"version":9}`))
 		Expect(f.configVersion()).To(Equal(uint64(9)))
 	})
--- a/test/cooperative/troubles_test.go
+++ b/test/cooperative/troubles_test.go
@@ -119,7 +119,7 @@
 	}
 	defer s.release(s.api)
 	defer s.faulty(s.api)()
-	faults := []objects.Faults{{Unresponsive: true}, {Refuse: 503}, {Refuse: 429}, {LoseAnswers: true}, {Deaf: true}}[s.draw(5)]
+	faults := []objects.Faults{{Unresponsive: true}, {FailAll: 503}, {FailAll: 429}, {LoseAnswers: true}, {Deaf: true}}[s.draw(5)]
 	s.note("platform: %+v", faults)
 	s.api.SetFaults(faults)
 	time.Sleep(s.some())
