--- a/test/cooperative/leaving_test.go
+++ b/test/cooperative/leaving_test.go
@@ -86,7 +86,7 @@
 		p := newPond(3, 7)
 		p.awaitServing(2)
 		leader, rest := p.leaderAndRest()
-		p.api.SetFaults(objects.Faults{RefuseWrites: 503})
+		p.api.SetFaults(objects.Faults{FailWrites: 503})
 		leader.toPlatform.Set(loopback.Weather{Silent: true})
 		p.openHeads()[0].Leave()
 		sendFor(rest, 5*time.Second)
