--- a/entry/catalog/catalog_test.go
+++ b/entry/catalog/catalog_test.go
@@ -159,7 +159,7 @@
 		operator.Write(f.api, operator.Config{Version: 2})
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(2)))
 		Eventually(f.api.Calls, waitFor).Should(HaveKeyWithValue("GET config", BeNumerically(">=", 2)))
-		f.api.SetFaults(objects.Faults{Deaf: true})
+		f.api.SetFaults(objects.Faults{SkipWatchEvents: true})
 		operator.Write(f.api, operator.Config{Version: 3})
 		f.api.Compact()
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(3)))
--- a/test/cooperative/troubles_test.go
+++ b/test/cooperative/troubles_test.go
@@ -119,12 +119,12 @@
 	}
 	defer s.release(s.api)
 	defer s.faulty(s.api)()
-	faults := []objects.Faults{{Unresponsive: true}, {FailAll: 503}, {FailAll: 429}, {LoseAnswers: true}, {Deaf: true}}[s.draw(5)]
+	faults := []objects.Faults{{Unresponsive: true}, {FailAll: 503}, {FailAll: 429}, {LoseAnswers: true}, {SkipWatchEvents: true}}[s.draw(5)]
 	s.note("platform: %+v", faults)
 	s.api.SetFaults(faults)
 	time.Sleep(s.some())
 	s.api.SetFaults(objects.Faults{})
-	if faults.Deaf || s.draw(3) == 0 {
+	if faults.SkipWatchEvents || s.draw(3) == 0 {
 		s.api.Compact()
 	}
 	s.note("platform is well")
