--- a/test/cooperative/pond_test.go
+++ b/test/cooperative/pond_test.go
@@ -252,15 +252,15 @@
 	p.version++
 	routes := []operator.Route{
 		{
-			Name: "chat", Host: "h.example", Prefix: "/chat/", Kind: operator.Streaming, Service: "chat", Timeout: 25000, FirstAnswer: 300,
+			Name: "chat", Host: "h.example", Prefix: "/chat/", Kind: operator.Streaming, Service: "chat", Timeout: 25000, LatencyTarget: 300,
 			MaxPause: 300, MaxAttempts: 2, Resumable: true,
 		},
 		{
-			Name: "book", Host: "h.example", Prefix: "/book/", Kind: operator.NonIdempotent, Service: "desk", Timeout: 2000, FirstAnswer: 150,
+			Name: "book", Host: "h.example", Prefix: "/book/", Kind: operator.NonIdempotent, Service: "desk", Timeout: 2000, LatencyTarget: 150,
 			MaxAttempts: 1,
 		},
 		{
-			Name: "look", Host: "h.example", Prefix: "/look/", Kind: operator.Idempotent, Service: "desk", Timeout: 2000, FirstAnswer: 150,
+			Name: "look", Host: "h.example", Prefix: "/look/", Kind: operator.Idempotent, Service: "desk", Timeout: 2000, LatencyTarget: 150,
 			MaxAttempts: 2,
 		},
 	}
