--- a/test/cooperative/pond_test.go
+++ b/test/cooperative/pond_test.go
@@ -253,7 +253,7 @@
 	routes := []operator.Route{
 		{
 			Name: "chat", Host: "h.example", Prefix: "/chat/", Kind: operator.Streaming, Service: "chat", Timeout: 25000, LatencyTarget: 300,
-			MaxPause: 300, MaxAttempts: 2, Resumable: true,
+			EventGapTarget: 300, MaxAttempts: 2, Resumable: true,
 		},
 		{
 			Name: "book", Host: "h.example", Prefix: "/book/", Kind: operator.NonIdempotent, Service: "desk", Timeout: 2000, LatencyTarget: 150,
