--- a/test/cooperative/pond_test.go
+++ b/test/cooperative/pond_test.go
@@ -252,21 +252,21 @@
 	p.version++
 	routes := []operator.Route{
 		{
-			Name: "chat", Host: "h.example", Prefix: "/chat/", Kind: operator.Streaming, Service: "chat", Timeout: 25000, LatencyTarget: 300,
+			Name: "chat", Host: "h.example", PathPrefix: "/chat/", Kind: operator.Streaming, Service: "chat", Timeout: 25000, LatencyTarget: 300,
 			EventGapTarget: 300, MaxAttempts: 2, Resumable: true,
 		},
 		{
-			Name: "book", Host: "h.example", Prefix: "/book/", Kind: operator.NonIdempotent, Service: "desk", Timeout: 2000, LatencyTarget: 150,
+			Name: "book", Host: "h.example", PathPrefix: "/book/", Kind: operator.NonIdempotent, Service: "desk", Timeout: 2000, LatencyTarget: 150,
 			MaxAttempts: 1,
 		},
 		{
-			Name: "look", Host: "h.example", Prefix: "/look/", Kind: operator.Idempotent, Service: "desk", Timeout: 2000, LatencyTarget: 150,
+			Name: "look", Host: "h.example", PathPrefix: "/look/", Kind: operator.Idempotent, Service: "desk", Timeout: 2000, LatencyTarget: 150,
 			MaxAttempts: 2,
 		},
 	}
 	for _, prefix := range extra {
 		routes = append(routes, operator.Route{
-			Name: prefix, Host: "h.example", Prefix: prefix, Kind: operator.Idempotent, Service: "desk", Timeout: 2000, MaxAttempts: 2,
+			Name: prefix, Host: "h.example", PathPrefix: prefix, Kind: operator.Idempotent, Service: "desk", Timeout: 2000, MaxAttempts: 2,
 		})
 	}
 	operator.Write(p.api, operator.Config{
