--- a/test/cooperative/pond_test.go
+++ b/test/cooperative/pond_test.go
@@ -278,7 +278,7 @@
 				Models: []operator.Model{{Name: "large", Size: groupSize, Share: 1, TimeFactor: 1, LoadTime: 1, WarmLoadTime: 0.2}},
 			}},
 		},
-		Limits: operator.Limits{Body: 1 << 20},
+		Limits: operator.Limits{BodyBytes: 1 << 20},
 		Teams:  []operator.Team{{Name: "one", Keys: []string{"key"}}},
 	})
 }
