--- a/entry/grouping/cell_test.go
+++ b/entry/grouping/cell_test.go
@@ -37,7 +37,7 @@
 // fixture runs the VMs of one or more fabric domains, a stand-in platform and a catalog that the controllers under test share.
 type fixture struct {
 	api     *objects.API
-	world   *replica.World
+	world   *replica.Cluster
 	catalog *catalog.Catalog
 	vms     []*replica.Server
 	// ctx is cancelled when the spec ends.
--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -70,7 +70,7 @@
 }
 
 type rig struct {
-	world   *replica.World
+	world   *replica.Cluster
 	api     *objects.API
 	servers []*replica.Server
 	turns   *inOrder
--- a/test/cooperative/pond_test.go
+++ b/test/cooperative/pond_test.go
@@ -157,7 +157,7 @@
 	// proxies are the ways to the model servers, by id.
 	proxies map[string]*loopback.Proxy
 	api     *objects.API
-	world   *replica.World
+	world   *replica.Cluster
 	engines []*replica.Server
 	desks   []*replica.Server
 	entries []*gatewayProcess
