--- a/entry/grouping/cell_test.go
+++ b/entry/grouping/cell_test.go
@@ -47,7 +47,7 @@
 }
 
 func newFixture(vms int) *fixture {
-	f := &fixture{api: objects.New(), world: replica.NewWorld()}
+	f := &fixture{api: objects.New(), world: replica.NewCluster()}
 	ctx, cancel := context.WithCancel(context.Background())
 	f.ctx = ctx
 	f.catalog = f.newCatalog()
--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -111,7 +111,7 @@
 }
 
 func newRig(config replica.Config, count int) *rig {
-	r := &rig{world: replica.NewWorld(), api: objects.New(), turns: &inOrder{}, watched: &suspects{}}
+	r := &rig{world: replica.NewCluster(), api: objects.New(), turns: &inOrder{}, watched: &suspects{}}
 	DeferCleanup(r.api.Close)
 	for i := range count {
 		config.ID = fmt.Sprintf("i-%d", i)
--- a/test/cooperative/pond_test.go
+++ b/test/cooperative/pond_test.go
@@ -175,7 +175,7 @@
 	subnet, err := loopback.Take(pondNetwork)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(subnet.Close)
-	p := &pond{subnet: subnet, api: objects.New(), world: replica.NewWorld(), proxies: make(map[string]*loopback.Proxy)}
+	p := &pond{subnet: subnet, api: objects.New(), world: replica.NewCluster(), proxies: make(map[string]*loopback.Proxy)}
 	DeferCleanup(p.api.Close)
 	for range engines {
 		p.addEngine("large")
