--- a/entry/grouping/grouping_test.go
+++ b/entry/grouping/grouping_test.go
@@ -24,7 +24,7 @@
 		f := newFixture(7)
 		f.startController(1)
 		Eventually(f.groupCount, waitFor).Should(Equal(2))
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 
 	// Guards against a group that lost a member and continues to accept requests without making progress.
@@ -44,7 +44,7 @@
 			heads := f.heads()
 			return len(heads) == 1 && heads[0].Group.GroupKey != head.Group.GroupKey
 		}, waitFor).Should(BeTrue())
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 
 	// A VM's process restarts under the same id before its registration lapses. It knows of no group, while the other members
@@ -65,7 +65,7 @@
 			heads := f.heads()
 			return len(heads) == 1 && heads[0].Group.GroupKey != before
 		}, waitFor).Should(BeTrue())
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	}, Entry("a member", 1), Entry("the head", 0))
 
 	// The leader is overloaded and reaches no VM of any fabric domain in time, while requests are only paused for a moment. If
@@ -121,7 +121,7 @@
 		Eventually(open, waitFor).Should(Equal(1))
 		Consistently(open, "2s").Should(Equal(1))
 		Expect(controller.formations.Load()).To(Equal(int32(1)))
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 
 	// Orders get no response and are executed later, after newer orders have arrived.
@@ -137,7 +137,7 @@
 			}
 		})
 		Eventually(f.groupCount, waitFor).Should(Equal(2))
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 
 	// The leader is gone, and its successor knows only what the VMs report.
@@ -166,7 +166,7 @@
 			heads := f.heads()
 			return len(heads) == 1 && heads[0].ID != head.ID
 		}, waitFor).Should(BeTrue())
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 
 	// A head is disconnected from the platform and from the leader, and still serves requests from other entries. If its
@@ -185,7 +185,7 @@
 		f.api.Delete("servers", string(head.ID))
 		Eventually(f.groupCount, waitFor).Should(BeZero())
 		Consistently(f.groupCount, "2s").Should(BeZero())
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 
 	// The platform was unavailable, and registrations of running servers lapsed. A process that starts on its return becomes
@@ -201,11 +201,11 @@
 		head.Set(replica.Faults{Mute: true, Unregistered: true})
 		f.api.Delete("servers", head.ID())
 		f.startWith(f.newCatalog(), 2)
-		Consistently(f.world.Broken, "1500ms").Should(BeEmpty())
+		Consistently(f.world.Violations, "1500ms").Should(BeEmpty())
 		head.Set(replica.Faults{})
 		Eventually(f.groupCount, waitFor).Should(Equal(1))
 		Expect(f.heads()[0].ID).To(Equal(backend.ID(head.ID())))
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 
 	// As above, but a member's registration is missing. Its group is serving; if it were dissolved, all its requests would be
@@ -270,7 +270,7 @@
 			}
 			return states
 		}, waitFor).Should(ConsistOf("open", "ready", "ready", "ready"))
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 
 	// A member is disconnected only from the platform: its registration lapses while it continues to work for its group. If
@@ -323,6 +323,6 @@
 			heads := f.heads()
 			return len(heads) == 1
 		}, waitFor).Should(BeTrue())
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 })
--- a/entry/grouping/schedules_test.go
+++ b/entry/grouping/schedules_test.go
@@ -71,7 +71,7 @@
 			for _, controller := range controllers {
 				controller.stop()
 			}
-			Expect(strings.Join(f.world.Broken(), "\n")).To(BeEmpty(), fmt.Sprint("seed ", seed+uint64(i)))
+			Expect(strings.Join(f.world.Violations(), "\n")).To(BeEmpty(), fmt.Sprint("seed ", seed+uint64(i)))
 		}
 	})
 })
--- a/test/cooperative/cooperative_test.go
+++ b/test/cooperative/cooperative_test.go
@@ -31,7 +31,7 @@
 			Expect(p.world.Runs(id)).To(Equal(1))
 		}
 		Eventually(p.entries[0].named, generous).Should(HaveLen(3))
-		Expect(p.world.Broken()).To(BeEmpty())
+		Expect(p.world.Violations()).To(BeEmpty())
 	})
 
 	// The entry in charge is killed while streams run, and a member of a group dies before another entry has taken over. Callers of the
@@ -56,7 +56,7 @@
 		p.entries = rest
 		Eventually(p.leader, generous).ShouldNot(BeNil())
 		p.awaitServing(2)
-		Expect(p.world.Broken()).To(BeEmpty())
+		Expect(p.world.Violations()).To(BeEmpty())
 	})
 
 	// An entry is stopped for an upgrade while callers read their answers from it.
@@ -192,6 +192,6 @@
 		for _, e := range p.entries {
 			Eventually(func() int { return e.send("/added/x", "added-"+e.name).status }, generous).Should(Equal(http.StatusOK))
 		}
-		Expect(p.world.Broken()).To(BeEmpty())
+		Expect(p.world.Violations()).To(BeEmpty())
 	})
 })
--- a/test/cooperative/soak_test.go
+++ b/test/cooperative/soak_test.go
@@ -202,7 +202,7 @@
 	GinkgoWriter.Printf("told: %v\n", s.told)
 	s.judgeLeaving()
 	Expect(s.problems).To(BeEmpty())
-	Expect(s.world.Broken()).To(BeEmpty())
+	Expect(s.world.Violations()).To(BeEmpty())
 	for _, id := range s.refused {
 		Expect(s.world.Runs(id)).To(BeZero(), "%s was told not to have run", id)
 	}
@@ -216,7 +216,7 @@
 		Eventually(func() int { return entry.send("/last/x", "last-"+entry.name).status }, generous).Should(Equal(http.StatusOK), entry.name)
 		Eventually(entry.named, generous).Should(HaveLen(len(s.entries)), entry.name)
 	}
-	Expect(s.world.Broken()).To(BeEmpty())
+	Expect(s.world.Violations()).To(BeEmpty())
 }
 
 var _ = Describe("Soak", func() {
