--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -266,7 +266,7 @@
 		r.set(0, replica.Faults{LoseAnswer: true})
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusBadGateway))
-		Expect(r.world.Runs("a1")).To(Equal(1))
+		Expect(r.world.RunCount("a1")).To(Equal(1))
 		Expect(r.last().Outcome).To(Equal(relay.Unknown))
 	})
 
@@ -276,7 +276,7 @@
 		r.set(0, replica.Faults{Shed: true})
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusOK))
-		Expect(r.world.Runs("a1")).To(Equal(1))
+		Expect(r.world.RunCount("a1")).To(Equal(1))
 		Expect(r.turns.ended()[0].Rejected).To(BeTrue())
 	})
 
@@ -287,7 +287,7 @@
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header.Get("Retry-After")).To(Equal("60.000"))
-		Expect(r.world.Runs("a1")).To(BeZero())
+		Expect(r.world.RunCount("a1")).To(BeZero())
 		Expect(r.last().Outcome).To(Equal(relay.HeldBack))
 	})
 
@@ -310,7 +310,7 @@
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
-		Expect(r.world.Runs("a1")).To(BeZero())
+		Expect(r.world.RunCount("a1")).To(BeZero())
 	})
 
 	It("repeats what may be repeated after a lost answer and after a server's failure", func() {
@@ -348,7 +348,7 @@
 		r.turns.servers[0].ID = "i-gone"
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusOK))
-		Expect(r.world.Runs("a1")).To(Equal(1))
+		Expect(r.world.RunCount("a1")).To(Equal(1))
 		Expect(r.servers[0].Runs()).To(BeEmpty())
 	})
 
@@ -452,7 +452,7 @@
 		got := r.send(r.request(http.MethodPost, "/once/x", "a1"))
 		Expect(got.err).To(HaveOccurred())
 		Expect(got.body).To(Equal(whole(1, 3)))
-		Expect(r.world.Runs("a1")).To(Equal(1))
+		Expect(r.world.RunCount("a1")).To(Equal(1))
 		Eventually(func() relay.Outcome { return r.last().Outcome }).Should(Equal(relay.Cut))
 	})
 
--- a/test/cooperative/cooperative_test.go
+++ b/test/cooperative/cooperative_test.go
@@ -28,7 +28,7 @@
 		for i := range 9 {
 			id := fmt.Sprint("booking-", i)
 			Expect(p.entries[i%3].send("/book/x", id).status).To(Equal(http.StatusOK))
-			Expect(p.world.Runs(id)).To(Equal(1))
+			Expect(p.world.RunCount(id)).To(Equal(1))
 		}
 		Eventually(p.entries[0].named, generous).Should(HaveLen(3))
 		Expect(p.world.Violations()).To(BeEmpty())
@@ -156,7 +156,7 @@
 			}
 			return refused
 		}, generous, "300ms").Should(Equal(6))
-		Expect(p.world.Runs("poison")).To(BeNumerically("<=", 5))
+		Expect(p.world.RunCount("poison")).To(BeNumerically("<=", 5))
 		for i := range 6 {
 			Expect(p.entries[i%3].send("/book/x", fmt.Sprint("after-", i)).status).To(Equal(http.StatusOK))
 		}
--- a/test/cooperative/soak_test.go
+++ b/test/cooperative/soak_test.go
@@ -204,10 +204,10 @@
 	Expect(s.problems).To(BeEmpty())
 	Expect(s.world.Violations()).To(BeEmpty())
 	for _, id := range s.refused {
-		Expect(s.world.Runs(id)).To(BeZero(), "%s was told not to have run", id)
+		Expect(s.world.RunCount(id)).To(BeZero(), "%s was told not to have run", id)
 	}
 	for _, id := range s.bookings {
-		Expect(s.world.Runs(id)).To(BeNumerically("<=", 1), id)
+		Expect(s.world.RunCount(id)).To(BeNumerically("<=", 1), id)
 	}
 	s.configure("/last/")
 	for _, entry := range s.entries {
