--- a/test/cooperative/leaving_test.go
+++ b/test/cooperative/leaving_test.go
@@ -47,7 +47,7 @@
 func (s *soak) judgeLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, late := range s.world.ToLeaving(leavingKnown) {
+	for _, late := range s.world.LateArrivals(leavingKnown) {
 		entry := s.senderOf(late.Request)
 		excused := entry == nil || !s.calmFrom(s.api, late.At.Add(-late.After), late.At) || !s.calmFrom(entry, late.At, late.At) ||
 			!s.calmFrom(entry.toPlatform, late.At, late.At) || !s.calmFrom(s.proxies[late.Server], late.At, late.At)
@@ -90,7 +90,7 @@
 		leader.toPlatform.Set(loopback.Weather{Silent: true})
 		p.openHeads()[0].Leave()
 		sendFor(rest, 5*time.Second)
-		Expect(p.world.ToLeaving(0)).NotTo(BeEmpty(), "requests reach it before its leaving is known")
-		Expect(p.world.ToLeaving(leavingKnown)).To(BeEmpty())
+		Expect(p.world.LateArrivals(0)).NotTo(BeEmpty(), "requests reach it before its leaving is known")
+		Expect(p.world.LateArrivals(leavingKnown)).To(BeEmpty())
 	})
 })
