--- a/entry/grouping/grouping_test.go
+++ b/entry/grouping/grouping_test.go
@@ -296,7 +296,7 @@
 	It("orders weights only once for a host that is busy loading, and continues with other hosts", func() {
 		f := newFixture(2)
 		slow := f.world.Start(f.api, replica.Config{
-			ID: "vm-slow", Service: "s", Zone: "z", Domain: "d", Slots: 4, Engine: true, JoinTakes: 2 * time.Second, ReportLag: 40 * time.Millisecond,
+			ID: "vm-slow", Service: "s", Zone: "z", Domain: "d", Slots: 4, Engine: true, JoinTime: 2 * time.Second, ReportLag: 40 * time.Millisecond,
 		})
 		f.vms = append(f.vms, slow)
 		first := f.startController(1)
