--- a/entry/grouping/cell_test.go
+++ b/entry/grouping/cell_test.go
@@ -83,7 +83,7 @@
 	f.next++
 	vm := f.world.Start(f.api, replica.Config{
 		ID: fmt.Sprintf("vm-%02d", f.next), Service: "s", Zone: "z", Domain: fabric, Slots: 4, Engine: true, Staged: staged,
-		JoinTime: 80 * time.Millisecond, OpenTakes: 60 * time.Millisecond, ReportLag: 40 * time.Millisecond,
+		JoinTime: 80 * time.Millisecond, OpenTime: 60 * time.Millisecond, ReportLag: 40 * time.Millisecond,
 	})
 	f.vms = append(f.vms, vm)
 	return vm
