--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -373,7 +373,7 @@
 		Expect(r.last().Outcome).To(Equal(relay.TimedOut))
 	})
 
-	stream := replica.Config{Events: 6, EventTakes: 10 * time.Millisecond}
+	stream := replica.Config{Events: 6, EventInterval: 10 * time.Millisecond}
 	// whole is what the requests of these specs, which are named a1, are answered.
 	whole := func(from, to int) string {
 		text := ""
@@ -465,7 +465,7 @@
 
 	// The caller closes its connection in the middle of a stream. A server that is not told works on for nobody.
 	It("leaves the server as soon as the caller has gone", func() {
-		r := newRig(replica.Config{Events: 1000, EventTakes: 20 * time.Millisecond}, 1)
+		r := newRig(replica.Config{Events: 1000, EventInterval: 20 * time.Millisecond}, 1)
 		ctx, cancel := context.WithCancel(context.Background())
 		request := r.request(http.MethodPost, "/chat/x", "a1").WithContext(ctx)
 		response, err := http.DefaultTransport.RoundTrip(request)
--- a/test/cooperative/pond_test.go
+++ b/test/cooperative/pond_test.go
@@ -205,7 +205,7 @@
 	return p.world.Start(p.api, replica.Config{
 		ID: id, Service: "chat", Zone: "z", Domain: "d", Slots: 8, Engine: true, Staged: staged,
 		JoinTime: 150 * time.Millisecond, OpenTime: 100 * time.Millisecond, ReportLag: 100 * time.Millisecond,
-		Events: streamEvents, EventTakes: 25 * time.Millisecond,
+		Events: streamEvents, EventInterval: 25 * time.Millisecond,
 		Via: func(address string) string { return p.proxyTo(id, address) },
 	})
 }
