--- a/test/cooperative/pond_test.go
+++ b/test/cooperative/pond_test.go
@@ -206,7 +206,7 @@
 		ID: id, Service: "chat", Zone: "z", Domain: "d", Slots: 8, Engine: true, Staged: staged,
 		JoinTime: 150 * time.Millisecond, OpenTime: 100 * time.Millisecond, ReportLag: 100 * time.Millisecond,
 		Events: streamEvents, EventInterval: 25 * time.Millisecond,
-		Via: func(address string) string { return p.proxyTo(id, address) },
+		ProxyAddress: func(address string) string { return p.proxyTo(id, address) },
 	})
 }
 
