--- a/entry/grouping/cell_test.go
+++ b/entry/grouping/cell_test.go
@@ -171,7 +171,7 @@
 		if r.IntN(2) == 0 {
 			continue
 		}
-		vm.Set(replica.Faults{Unregistered: true, Mute: r.IntN(3) == 0})
+		vm.Set(replica.Faults{Unregistered: true, Unresponsive: r.IntN(3) == 0})
 		f.api.Delete("servers", vm.ID())
 		time.AfterFunc(duration+time.Duration(r.IntN(1500))*time.Millisecond, func() { vm.Set(replica.Faults{}) })
 	}
--- a/entry/grouping/grouping_test.go
+++ b/entry/grouping/grouping_test.go
@@ -82,7 +82,7 @@
 		before := f.heads()
 		controller.peersReach.Store(true)
 		for _, vm := range f.vms {
-			vm.Set(replica.Faults{Mute: true})
+			vm.Set(replica.Faults{Unresponsive: true})
 		}
 		for _, head := range before {
 			controller.Suspect(context.Background(), head.Group.GroupKey)
@@ -179,7 +179,7 @@
 		controller.peersReach.Store(true)
 		for _, vm := range f.vms {
 			if vm.ID() == string(head.ID) {
-				vm.Set(replica.Faults{Mute: true, Unregistered: true})
+				vm.Set(replica.Faults{Unresponsive: true, Unregistered: true})
 			}
 		}
 		f.api.Delete("servers", string(head.ID))
@@ -198,7 +198,7 @@
 		Eventually(f.groupCount, waitFor).Should(Equal(1))
 		first.stop()
 		head := f.vm(f.heads()[0].ID)
-		head.Set(replica.Faults{Mute: true, Unregistered: true})
+		head.Set(replica.Faults{Unresponsive: true, Unregistered: true})
 		f.api.Delete("servers", head.ID())
 		f.startWith(f.newCatalog(), 2)
 		Consistently(f.world.Violations, "1500ms").Should(BeEmpty())
--- a/entry/grouping/schedules_test.go
+++ b/entry/grouping/schedules_test.go
@@ -49,7 +49,7 @@
 				case 1:
 					vm.Set(replica.Faults{LateOrders: time.Duration(200+r.IntN(900)) * time.Millisecond})
 				case 2:
-					vm.Set(replica.Faults{Mute: true})
+					vm.Set(replica.Faults{Unresponsive: true})
 				case 3:
 					vm.Set(replica.Faults{Unregistered: true})
 				case 4:
--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -365,7 +365,7 @@
 	// The server works for longer than the route allows. The caller gets its last word when the time is over, and no promise.
 	It("ends a request at the route's timeout", func() {
 		r := newRig(replica.Config{}, 1)
-		r.set(0, replica.Faults{Mute: true})
+		r.set(0, replica.Faults{Unresponsive: true})
 		began := time.Now()
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusGatewayTimeout))
@@ -411,7 +411,7 @@
 	// leaves after two seconds.
 	DescribeTable("sends what may be repeated elsewhere when its server does not begin to answer", func(path string) {
 		r := newRig(stream, 2)
-		r.set(0, replica.Faults{Mute: true})
+		r.set(0, replica.Faults{Unresponsive: true})
 		began := time.Now()
 		got := r.send(r.request(http.MethodPost, path, "a1"))
 		Expect(got.status).To(Equal(http.StatusOK))
@@ -430,7 +430,7 @@
 
 	It("waits for the server of what may not be repeated", func() {
 		r := newRig(stream, 2)
-		r.set(0, replica.Faults{Mute: true})
+		r.set(0, replica.Faults{Unresponsive: true})
 		Expect(r.send(r.request(http.MethodPost, "/book/x", "a1")).status).To(Equal(http.StatusGatewayTimeout))
 		Expect(r.servers[1].Runs()).To(BeEmpty())
 	})
