--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -404,7 +404,7 @@
 			Expect(r.last().Resumed).To(BeTrue())
 		},
 		Entry("cut in the middle of an event", replica.Faults{Cut: 3}),
-		Entry("silent", replica.Faults{Stall: 3}),
+		Entry("silent", replica.Faults{StallAfter: 3}),
 	)
 
 	// A group has lost a member, and a request is sent to its head before anybody has noticed. The head takes it and says nothing. Its caller
@@ -437,7 +437,7 @@
 
 	It("tells of a silent server before it gives the stream up", func() {
 		r := newRig(stream, 2)
-		r.set(0, replica.Faults{Stall: 3})
+		r.set(0, replica.Faults{StallAfter: 3})
 		r.send(r.request(http.MethodPost, "/chat/x", "a1"))
 		r.turns.mu.Lock()
 		defer r.turns.mu.Unlock()
