--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -294,7 +294,7 @@
 	It("has a server looked into that ended its connection in the middle of a request", func() {
 		r := newRig(replica.Config{Events: 4}, 3)
 		r.set(0, replica.Faults{LoseAnswer: true})
-		r.set(1, replica.Faults{Cut: 1})
+		r.set(1, replica.Faults{ResetAfter: 1})
 		Expect(r.send(r.request(http.MethodPost, "/look/x", "a1")).status).To(Equal(http.StatusBadGateway))
 		Eventually(func() []backend.ID { _, lost := r.watched.told(); return lost }).Should(ConsistOf(BeEquivalentTo("i-0"), BeEquivalentTo("i-1")))
 		r.set(0, replica.Faults{})
@@ -403,7 +403,7 @@
 			Expect(r.servers[1].Runs()).To(ConsistOf(HaveField("From", "3")))
 			Expect(r.last().Resumed).To(BeTrue())
 		},
-		Entry("cut in the middle of an event", replica.Faults{Cut: 3}),
+		Entry("cut in the middle of an event", replica.Faults{ResetAfter: 3}),
 		Entry("silent", replica.Faults{StallAfter: 3}),
 	)
 
@@ -448,7 +448,7 @@
 	// A stream that may not be repeated breaks off. Ended as if it were whole, the caller would act on a part.
 	It("breaks the connection off where a stream can't go on", func() {
 		r := newRig(stream, 2)
-		r.set(0, replica.Faults{Cut: 3})
+		r.set(0, replica.Faults{ResetAfter: 3})
 		got := r.send(r.request(http.MethodPost, "/once/x", "a1"))
 		Expect(got.err).To(HaveOccurred())
 		Expect(got.body).To(Equal(whole(1, 3)))
