--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -314,7 +314,7 @@
 	})
 
 	It("repeats what may be repeated after a lost answer and after a server's failure", func() {
-		for _, faults := range []replica.Faults{{LoseAnswer: true}, {Fail: 500}} {
+		for _, faults := range []replica.Faults{{LoseAnswer: true}, {FailStatus: 500}} {
 			r := newRig(replica.Config{}, 2)
 			r.set(0, faults)
 			got := r.send(r.request(http.MethodGet, "/look/x", "a1"))
@@ -325,7 +325,7 @@
 
 	It("hands a server's failure back where no further attempt is allowed", func() {
 		r := newRig(replica.Config{}, 1)
-		r.set(0, replica.Faults{Fail: 500})
+		r.set(0, replica.Faults{FailStatus: 500})
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusInternalServerError))
 		Expect(got.header.Get(platform.HeaderSignature)).To(Equal("signed.i-0"))
