--- a/entry/grouping/grouping_test.go
+++ b/entry/grouping/grouping_test.go
@@ -128,7 +128,7 @@
 	It("tolerates orders that are executed late", func() {
 		f := newFixture(7)
 		for _, vm := range f.vms[:3] {
-			vm.Set(replica.Faults{LateOrders: 700 * time.Millisecond})
+			vm.Set(replica.Faults{OrderDelay: 700 * time.Millisecond})
 		}
 		f.startController(1)
 		time.AfterFunc(1500*time.Millisecond, func() {
--- a/entry/grouping/schedules_test.go
+++ b/entry/grouping/schedules_test.go
@@ -47,7 +47,7 @@
 					vm.Die()
 					f.addVM("large")
 				case 1:
-					vm.Set(replica.Faults{LateOrders: time.Duration(200+r.IntN(900)) * time.Millisecond})
+					vm.Set(replica.Faults{OrderDelay: time.Duration(200+r.IntN(900)) * time.Millisecond})
 				case 2:
 					vm.Set(replica.Faults{Unresponsive: true})
 				case 3:
--- a/test/cooperative/troubles_test.go
+++ b/test/cooperative/troubles_test.go
@@ -184,7 +184,7 @@
 	}
 	defer s.release(server)
 	faults := []replica.Faults{
-		{Unresponsive: true}, {StallAfter: 5}, {ResetAfter: 3}, {LoseAnswer: true}, {Shed: true}, {FailStatus: 500}, {LateOrders: 1500 * time.Millisecond}, {Unregistered: true},
+		{Unresponsive: true}, {StallAfter: 5}, {ResetAfter: 3}, {LoseAnswer: true}, {Shed: true}, {FailStatus: 500}, {OrderDelay: 1500 * time.Millisecond}, {Unregistered: true},
 	}[s.draw(8)]
 	s.note("%s: %+v", server.ID(), faults)
 	server.Set(faults)
