--- a/entry/grouping/cell_test.go
+++ b/entry/grouping/cell_test.go
@@ -171,9 +171,9 @@
 		if r.IntN(2) == 0 {
 			continue
 		}
-		vm.Set(replica.Faults{Unregistered: true, Unresponsive: r.IntN(3) == 0})
+		vm.SetFaults(replica.Faults{Unregistered: true, Unresponsive: r.IntN(3) == 0})
 		f.api.Delete("servers", vm.ID())
-		time.AfterFunc(duration+time.Duration(r.IntN(1500))*time.Millisecond, func() { vm.Set(replica.Faults{}) })
+		time.AfterFunc(duration+time.Duration(r.IntN(1500))*time.Millisecond, func() { vm.SetFaults(replica.Faults{}) })
 	}
 }
 
--- a/entry/grouping/grouping_test.go
+++ b/entry/grouping/grouping_test.go
@@ -82,7 +82,7 @@
 		before := f.heads()
 		controller.peersReach.Store(true)
 		for _, vm := range f.vms {
-			vm.Set(replica.Faults{Unresponsive: true})
+			vm.SetFaults(replica.Faults{Unresponsive: true})
 		}
 		for _, head := range before {
 			controller.Suspect(context.Background(), head.Group.GroupKey)
@@ -106,7 +106,7 @@
 		f := newFixture(3)
 		Eventually(func() int { return len(f.catalog.Listing().Servers) }, waitFor).Should(Equal(3))
 		for _, vm := range f.vms {
-			vm.Set(replica.Faults{Unregistered: true})
+			vm.SetFaults(replica.Faults{Unregistered: true})
 		}
 		controller := f.startController(1)
 		open := func() int {
@@ -128,12 +128,12 @@
 	It("tolerates orders that are executed late", func() {
 		f := newFixture(7)
 		for _, vm := range f.vms[:3] {
-			vm.Set(replica.Faults{OrderDelay: 700 * time.Millisecond})
+			vm.SetFaults(replica.Faults{OrderDelay: 700 * time.Millisecond})
 		}
 		f.startController(1)
 		time.AfterFunc(1500*time.Millisecond, func() {
 			for _, vm := range f.vms[:3] {
-				vm.Set(replica.Faults{})
+				vm.SetFaults(replica.Faults{})
 			}
 		})
 		Eventually(f.groupCount, waitFor).Should(Equal(2))
@@ -179,7 +179,7 @@
 		controller.peersReach.Store(true)
 		for _, vm := range f.vms {
 			if vm.ID() == string(head.ID) {
-				vm.Set(replica.Faults{Unresponsive: true, Unregistered: true})
+				vm.SetFaults(replica.Faults{Unresponsive: true, Unregistered: true})
 			}
 		}
 		f.api.Delete("servers", string(head.ID))
@@ -198,11 +198,11 @@
 		Eventually(f.groupCount, waitFor).Should(Equal(1))
 		first.stop()
 		head := f.vm(f.heads()[0].ID)
-		head.Set(replica.Faults{Unresponsive: true, Unregistered: true})
+		head.SetFaults(replica.Faults{Unresponsive: true, Unregistered: true})
 		f.api.Delete("servers", head.ID())
 		f.startWith(f.newCatalog(), 2)
 		Consistently(f.world.Violations, "1500ms").Should(BeEmpty())
-		head.Set(replica.Faults{})
+		head.SetFaults(replica.Faults{})
 		Eventually(f.groupCount, waitFor).Should(Equal(1))
 		Expect(f.heads()[0].ID).To(Equal(backend.ID(head.ID())))
 		Expect(f.world.Violations()).To(BeEmpty())
@@ -217,11 +217,11 @@
 		first.stop()
 		before := f.heads()[0].Group.GroupKey
 		member := f.member(1)
-		member.Set(replica.Faults{Unregistered: true})
+		member.SetFaults(replica.Faults{Unregistered: true})
 		f.api.Delete("servers", member.ID())
 		controller := f.startWith(f.newCatalog(), 2)
 		Consistently(func() bool { return controller.Closed(before) }, "1500ms").Should(BeFalse())
-		member.Set(replica.Faults{})
+		member.SetFaults(replica.Faults{})
 		Eventually(f.groupCount, waitFor).Should(Equal(1))
 		Expect(f.heads()[0].Group.GroupKey).To(Equal(before))
 	})
@@ -282,7 +282,7 @@
 		Eventually(f.groupCount, waitFor).Should(Equal(1))
 		key := f.heads()[0].Group.GroupKey
 		member := f.member(1)
-		member.Set(replica.Faults{Unregistered: true})
+		member.SetFaults(replica.Faults{Unregistered: true})
 		f.api.Delete("servers", member.ID())
 		Eventually(func() int { return controller.ResponsiveUnregistered(key) }, waitFor).Should(Equal(1))
 		Consistently(func() bool { return controller.Closed(key) }, "3s").Should(BeFalse())
--- a/entry/grouping/schedules_test.go
+++ b/entry/grouping/schedules_test.go
@@ -47,14 +47,14 @@
 					vm.Die()
 					f.addVM("large")
 				case 1:
-					vm.Set(replica.Faults{OrderDelay: time.Duration(200+r.IntN(900)) * time.Millisecond})
+					vm.SetFaults(replica.Faults{OrderDelay: time.Duration(200+r.IntN(900)) * time.Millisecond})
 				case 2:
-					vm.Set(replica.Faults{Unresponsive: true})
+					vm.SetFaults(replica.Faults{Unresponsive: true})
 				case 3:
-					vm.Set(replica.Faults{Unregistered: true})
+					vm.SetFaults(replica.Faults{Unregistered: true})
 				case 4:
 					for _, other := range f.vms {
-						other.Set(replica.Faults{})
+						other.SetFaults(replica.Faults{})
 					}
 				case 5:
 					controllers[r.IntN(2)].leader.Store(r.IntN(2) == 0)
--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -183,7 +183,7 @@
 	return r.reports[len(r.reports)-1]
 }
 
-func (r *rig) set(i int, faults replica.Faults) { r.servers[i].Set(faults) }
+func (r *rig) set(i int, faults replica.Faults) { r.servers[i].SetFaults(faults) }
 
 var _ = Describe("Retries", func() {
 	take := func(r *relay.Retries, most int) int {
--- a/test/cooperative/cooperative_test.go
+++ b/test/cooperative/cooperative_test.go
@@ -146,7 +146,7 @@
 			p.desks = append(p.desks, desk)
 		}
 		for _, desk := range p.desks {
-			desk.Set(replica.Faults{CrashOn: poison})
+			desk.SetFaults(replica.Faults{CrashOn: poison})
 		}
 		refused := 0
 		Eventually(func() int {
--- a/test/cooperative/trace_test.go
+++ b/test/cooperative/trace_test.go
@@ -54,7 +54,7 @@
 		p := newPond(2, 3)
 		p.awaitServing(1)
 		for _, desk := range p.desks {
-			desk.Set(replica.Faults{LoseAnswer: true})
+			desk.SetFaults(replica.Faults{LoseAnswer: true})
 		}
 		Expect(p.entries[0].send("/book/x", "lost-booking").status).To(Equal(http.StatusBadGateway))
 		Eventually(func() string { return p.trace("lost-booking") }, generous).Should(SatisfyAll(
@@ -65,7 +65,7 @@
 		p := newPond(2, 3)
 		p.awaitServing(1)
 		head, _ := p.headAndMember()
-		head.Set(replica.Faults{ResetAfter: 3})
+		head.SetFaults(replica.Faults{ResetAfter: 3})
 		Expect(p.entries[1].send("/chat/x", "cut-stream").err).To(HaveOccurred())
 		Eventually(func() string { return p.trace("cut-stream") }, generous).Should(SatisfyAll(
 			ContainSubstring(`"outcome":"cut"`), ContainSubstring(fmt.Sprintf(`"servers":[%q`, head.ID())), ContainSubstring("stream broke off")))
--- a/test/cooperative/troubles_test.go
+++ b/test/cooperative/troubles_test.go
@@ -187,9 +187,9 @@
 		{Unresponsive: true}, {StallAfter: 5}, {ResetAfter: 3}, {LoseAnswer: true}, {Shed: true}, {FailStatus: 500}, {OrderDelay: 1500 * time.Millisecond}, {Unregistered: true},
 	}[s.draw(8)]
 	s.note("%s: %+v", server.ID(), faults)
-	server.Set(faults)
+	server.SetFaults(faults)
 	time.Sleep(s.some())
-	server.Set(replica.Faults{})
+	server.SetFaults(replica.Faults{})
 	s.note("%s is well", server.ID())
 }
 
