--- a/entry/grouping/grouping_test.go
+++ b/entry/grouping/grouping_test.go
@@ -35,7 +35,7 @@
 		head := f.heads()[0]
 		for _, vm := range f.vms {
 			if group := vm.Group(); group != nil && group.Rank == 1 {
-				vm.Die()
+				vm.Crash()
 				break
 			}
 		}
@@ -159,7 +159,7 @@
 		head := f.heads()[0]
 		for _, vm := range f.vms {
 			if vm.ID() == string(head.ID) {
-				vm.Die()
+				vm.Crash()
 			}
 		}
 		Eventually(func() bool {
@@ -286,7 +286,7 @@
 		f.api.Delete("servers", member.ID())
 		Eventually(func() int { return controller.ResponsiveUnregistered(key) }, waitFor).Should(Equal(1))
 		Consistently(func() bool { return controller.Closed(key) }, "3s").Should(BeFalse())
-		member.Die()
+		member.Crash()
 		Eventually(func() bool { return controller.Closed(key) }, waitFor).Should(BeTrue())
 	})
 
--- a/entry/grouping/schedules_test.go
+++ b/entry/grouping/schedules_test.go
@@ -44,7 +44,7 @@
 				vm := f.vms[r.IntN(len(f.vms))]
 				switch r.IntN(9) {
 				case 0:
-					vm.Die()
+					vm.Crash()
 					f.addVM("large")
 				case 1:
 					vm.SetFaults(replica.Faults{OrderDelay: time.Duration(200+r.IntN(900)) * time.Millisecond})
--- a/test/cooperative/cooperative_test.go
+++ b/test/cooperative/cooperative_test.go
@@ -46,7 +46,7 @@
 		leader.signal(syscall.SIGKILL)
 		for _, engine := range p.engines {
 			if group := engine.Group(); group != nil && group.State == "ready" && group.Rank == 1 {
-				engine.Die()
+				engine.Crash()
 				break
 			}
 		}
--- a/test/cooperative/trace_test.go
+++ b/test/cooperative/trace_test.go
@@ -75,7 +75,7 @@
 		p := newPond(2, 3)
 		p.awaitServing(1)
 		_, member := p.headAndMember()
-		member.Die()
+		member.Crash()
 		refused := ""
 		Eventually(func() int {
 			refused += "x"
--- a/test/cooperative/troubles_test.go
+++ b/test/cooperative/troubles_test.go
@@ -137,7 +137,7 @@
 		return
 	}
 	s.note("lose %s", engine.ID())
-	engine.Die()
+	engine.Crash()
 	time.Sleep(s.some() / 2)
 	s.replaceEngine(engine, "large")
 }
@@ -167,7 +167,7 @@
 	s.note("drain %s", engine.ID())
 	engine.Leave()
 	time.Sleep(leavingKnown + s.some()) // it serves on until its leaving must be known, and a little longer
-	engine.Die()
+	engine.Crash()
 	s.replaceEngine(engine, "large")
 }
 
