--- a/entry/grouping/grouping_test.go
+++ b/entry/grouping/grouping_test.go
@@ -316,7 +316,7 @@
 		Eventually(f.groupCount, waitFor).Should(Equal(1))
 		for _, vm := range f.vms {
 			if group := vm.Group(); group != nil && group.Rank == 2 {
-				vm.Leave()
+				vm.StartLeaving()
 			}
 		}
 		Eventually(func() bool {
--- a/test/cooperative/leaving_test.go
+++ b/test/cooperative/leaving_test.go
@@ -88,7 +88,7 @@
 		leader, rest := p.leaderAndRest()
 		p.api.SetFaults(objects.Faults{FailWrites: 503})
 		leader.toPlatform.Set(loopback.Weather{Silent: true})
-		p.openHeads()[0].Leave()
+		p.openHeads()[0].StartLeaving()
 		sendFor(rest, 5*time.Second)
 		Expect(p.world.LateArrivals(0)).NotTo(BeEmpty(), "requests reach it before its leaving is known")
 		Expect(p.world.LateArrivals(leavingKnown)).To(BeEmpty())
--- a/test/cooperative/troubles_test.go
+++ b/test/cooperative/troubles_test.go
@@ -165,7 +165,7 @@
 		return
 	}
 	s.note("drain %s", engine.ID())
-	engine.Leave()
+	engine.StartLeaving()
 	time.Sleep(leavingKnown + s.some()) // it serves on until its leaving must be known, and a little longer
 	engine.Crash()
 	s.replaceEngine(engine, "large")
