--- a/entry/grouping/grouping_test.go
+++ b/entry/grouping/grouping_test.go
@@ -300,14 +300,14 @@
 		})
 		f.vms = append(f.vms, slow)
 		first := f.startController(1)
-		Eventually(func() int { return slow.Asked("phase") }, waitFor).Should(Equal(1))
+		Eventually(func() int { return slow.OrderCount("phase") }, waitFor).Should(Equal(1))
 		first.stop()
 		f.startController(2)
 		others := []*replica.Server{f.addVM(), f.addVM(), f.addVM()}
 		for _, vm := range others {
-			Eventually(func() int { return vm.Asked("phase") }, waitFor).Should(BeNumerically(">=", 1))
+			Eventually(func() int { return vm.OrderCount("phase") }, waitFor).Should(BeNumerically(">=", 1))
 		}
-		Consistently(func() int { return slow.Asked("phase") }, "1s").Should(BeNumerically("<=", 2))
+		Consistently(func() int { return slow.OrderCount("phase") }, "1s").Should(BeNumerically("<=", 2))
 	})
 
 	It("drains the group of a member that leaves", func() {
