--- a/entry/catalog/catalog_test.go
+++ b/entry/catalog/catalog_test.go
@@ -111,7 +111,7 @@
 		f := newFixture()
 		Expect(f.catalog.Table()).To(BeNil())
 		operator.Write(f.api, operator.Config{Version: 2})
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(2)))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		operator.Write(f.api, operator.Config{Version: 5})
@@ -140,15 +140,15 @@
 				reported <- false
 			}
 		})
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(reported, waitFor).Should(Receive(BeTrue()))
 	})
 
 	It("leaves out objects that can't be decoded, and keeps the others", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		f.api.Write("servers", "i-2", "nonsense")
-		f.api.Write("servers", "i-3", replica.Registered("s"))
+		f.api.Write("servers", "i-3", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(2))
 	})
 
@@ -193,7 +193,7 @@
 		Expect(calls).To(BeNumerically("<=", 7), "%v", after)
 		f.api.SetFaults(objects.Faults{})
 		operator.Write(f.api, operator.Config{Version: 3})
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(3)))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 	})
@@ -224,14 +224,14 @@
 	It("keeps servers whose registrations lapse all at once for as long as re-registration may take", func() {
 		f := newFixture()
 		for i := range 6 {
-			f.api.Write("servers", fmt.Sprint("i-", i), replica.Registered("s"))
+			f.api.Write("servers", fmt.Sprint("i-", i), replica.ReadyRegistration("s"))
 		}
 		Eventually(f.servers, waitFor).Should(Equal(6))
 		for i := range 6 {
 			f.api.Delete("servers", fmt.Sprint("i-", i))
 		}
 		Consistently(f.servers, "1s").Should(Equal(6))
-		f.api.Write("servers", "i-0", replica.Registered("s"))
+		f.api.Write("servers", "i-0", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		Consistently(f.servers, "500ms").Should(Equal(1))
 	})
@@ -240,12 +240,12 @@
 	// the traffic.
 	It("forwards only the last of several changes of a server, and the end of a registration", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		since := f.catalog.Revisions()[platform.KindServers]
 		f.api.SetFaults(objects.Faults{Unresponsive: true})
-		f.api.Write("servers", "i-2", replica.Registered("s"))
-		f.api.Write("servers", "i-2", replica.Registered("t"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("t"))
 		f.api.Delete("servers", "i-1")
 		f.api.SetFaults(objects.Faults{})
 		Eventually(f.serversSince(since), waitFor).Should(ConsistOf(HaveField("Server.Service", "t"), HaveField("Removal.Server", BeEquivalentTo("i-1"))))
@@ -256,13 +256,13 @@
 	It("forwards what changed although the platform has dropped its history", func() {
 		f := newFixture()
 		for _, name := range []string{"i-1", "i-2", "i-3"} {
-			f.api.Write("servers", name, replica.Registered("s"))
+			f.api.Write("servers", name, replica.ReadyRegistration("s"))
 		}
 		Eventually(f.servers, waitFor).Should(Equal(3))
 		since := f.catalog.Revisions()[platform.KindServers]
 		f.api.SetFaults(objects.Faults{Unresponsive: true})
-		f.api.Write("servers", "i-2", replica.Registered("t"))
-		f.api.Write("servers", "i-4", replica.Registered("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("t"))
+		f.api.Write("servers", "i-4", replica.ReadyRegistration("s"))
 		f.api.Delete("servers", "i-1")
 		f.api.Compact()
 		f.api.SetFaults(objects.Faults{})
@@ -282,12 +282,12 @@
 
 	It("does not watch while the leader feeds it, and resumes its own watch when that ends", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		f.followLeader()
 		before := f.api.Calls()["GET servers"]
 		from := f.catalog.Revisions()[platform.KindServers]
-		f.api.Write("servers", "i-2", replica.Registered("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
 		Consistently(f.servers, "2s").Should(Equal(1))
 		Expect(f.api.Calls()["GET servers"]).To(Equal(before))
 		f.catalog.ApplyNews(catalog.News{Kind: platform.KindServers, From: from, To: from + 1, Changes: []catalog.Change{
@@ -295,7 +295,7 @@
 		}})
 		Eventually(f.servers, waitFor).Should(Equal(2))
 		f.fedByLeader.Store(false)
-		f.api.Write("servers", "i-3", replica.Registered("s"))
+		f.api.Write("servers", "i-3", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(3))
 	})
 
@@ -305,7 +305,7 @@
 		f := newFixture()
 		ages := make(chan time.Duration, 100)
 		f.catalog.OnServersChange(func() { ages <- f.catalog.ServersAge() })
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(ages, waitFor).Should(Receive())
 	})
 
@@ -329,10 +329,10 @@
 	// gone would remain listed.
 	It("reads from the platform if news was missed", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		f.followLeader()
-		f.api.Write("servers", "i-2", replica.Registered("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
 		from := f.catalog.Revisions()[platform.KindServers]
 		f.catalog.ApplyNews(catalog.News{Kind: platform.KindServers, From: from + 5, To: from + 6})
 		Eventually(f.servers, waitFor).Should(Equal(2))
@@ -342,10 +342,10 @@
 	// changes.
 	It("reads from the platform when the leader no longer confirms that its list is current", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		stop := f.followLeader()
-		f.api.Write("servers", "i-2", replica.Registered("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
 		Consistently(f.servers, "2s").Should(Equal(1))
 		stop()
 		Eventually(f.servers, waitFor).Should(Equal(2))
@@ -355,20 +355,20 @@
 	// it missed.
 	It("does not accept a new leader's confirmation before it has received what it missed", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		f.followLeader()
 		f.catalog.LeaderChanged()
-		f.api.Write("servers", "i-2", replica.Registered("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(2))
 	})
 
 	It("keeps the latest news for entries that connect late", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		since := f.catalog.Revisions()[platform.KindServers]
-		f.api.Write("servers", "i-2", replica.Registered("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(2))
 		news, ok := f.catalog.NewsSince(platform.KindServers, since)
 		Expect(ok).To(BeTrue())
--- a/entry/gateway/gateway_test.go
+++ b/entry/gateway/gateway_test.go
@@ -110,7 +110,7 @@
 		var out bytes.Buffer
 		Expect(CheckPlatform(context.Background(), config, &out)).To(Succeed())
 		Expect(out.String()).To(ContainSubstring("configuration: none yet"))
-		api.Write("servers", "i-1", replica.Registered("desk"))
+		api.Write("servers", "i-1", replica.ReadyRegistration("desk"))
 		api.Write("servers", "i-2", "nonsense")
 		operator.Write(api, operator.Config{Version: 4, Services: []operator.Service{{Name: "desk"}}})
 		out.Reset()
