--- a/entry/catalog/catalog_test.go
+++ b/entry/catalog/catalog_test.go
@@ -311,7 +311,7 @@
 
 	It("reports once that a server is leaving, and whether the leader reported it", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Leaving("s"))
+		f.api.Write("servers", "i-1", replica.LeavingRegistration("s"))
 		Eventually(f.leaving, waitFor).Should(Receive(Equal(leavingServer{"i-1", false})))
 		f.followLeader()
 		from := f.catalog.Revisions()[platform.KindServers]
