--- a/test/cooperative/pond_test.go
+++ b/test/cooperative/pond_test.go
@@ -275,7 +275,7 @@
 			{Name: "desk"},
 			{Name: "chat", Engine: &operator.Engine{
 				Slots: 8, LoadsPerSecond: 20, LoadsAtOnce: 6, OpenTime: 100, ReportLag: 100,
-				Models: []operator.Model{{Name: "large", Size: groupSize, Share: 1, TimeFactor: 1, LoadTime: 1, WarmLoadTime: 0.2}},
+				Models: []operator.Model{{Name: "large", Size: groupSize, DemandShare: 1, TimeFactor: 1, LoadTime: 1, WarmLoadTime: 0.2}},
 			}},
 		},
 		Limits: operator.Limits{BodyBytes: 1 << 20},
