--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -271,7 +271,7 @@
 			Server: t.Server.ID, Team: e.team, Remaining: time.Until(e.deadline), LastEvent: lastEvent,
 		}),
 		Body:    e.body,
-		Matches: func(header http.Header) bool { return platform.AnswersRequest(e.call.ID, header) },
+		Matches: func(header http.Header) bool { return platform.MatchesID(e.call.ID, header) },
 	})
 	if err != nil {
 		e.endAttempt()
