--- a/pondctl/apply.go
+++ b/pondctl/apply.go
@@ -20,8 +20,8 @@
 	return slices.Sorted(maps.Keys(nodes))
 }
 
-// checked is the answer of validate.
-type checked struct {
+// validation is the answer of validate.
+type validation struct {
 	Nodes  int             `json:"nodes"`
 	Faults settings.Faults `json:"faults,omitempty"`
 }
@@ -32,11 +32,11 @@
 	if err != nil && faults == nil {
 		return eris.Wrap(err, "read the declarations")
 	}
-	result := checked{Faults: faults}
+	result := validation{Faults: faults}
 	if declared != nil {
 		result.Nodes = len(declared.Nodes)
 	}
-	printErr := c.print(result, func(w io.Writer) {
+	printErr := c.printResult(result, func(w io.Writer) {
 		for _, fault := range faults {
 			fmt.Fprintln(w, fault)
 		}
@@ -50,8 +50,8 @@
 	return printErr
 }
 
-// load reads the declarations and their lock.
-func load(dir string) (*settings.Declarations, *lock, error) {
+// loadDeclarations reads the declarations and their lock.
+func loadDeclarations(dir string) (*settings.Declarations, *lockFile, error) {
 	declared, err := settings.LoadDir(dir)
 	if err != nil {
 		return nil, nil, err
@@ -61,7 +61,7 @@
 }
 
 func (c *command) apply(ctx context.Context, args *ApplyArgs) error {
-	declared, locked, err := load(args.Dir)
+	declared, locked, err := loadDeclarations(args.Dir)
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 	for i, fault := range answer.Faults {
 		answer.Faults[i] = declared.Locate(fault)
 	}
-	if err := c.print(answer, func(w io.Writer) { writeApplied(w, answer) }); err != nil {
+	if err := c.printResult(answer, func(w io.Writer) { writeApplied(w, answer) }); err != nil {
 		return err
 	}
 	if err := outcome(answer); err != nil {
@@ -91,7 +91,7 @@
 }
 
 // plan is the change from the lock's state to the declarations, or, if exact, from the settings as they are.
-func (c *command) plan(ctx context.Context, declared *settings.Declarations, locked *lock, exact bool) (*settings.Change, error) {
+func (c *command) plan(ctx context.Context, declared *settings.Declarations, locked *lockFile, exact bool) (*settings.Change, error) {
 	if !exact {
 		return locked.change(declared), nil
 	}
@@ -99,15 +99,15 @@
 	if err != nil {
 		return nil, err
 	}
-	now := &lock{Nodes: make(map[settings.Path]lockedNode)}
+	now := &lockFile{Nodes: make(map[settings.Path]lockedNode)}
 	for path, node := range current.Tree.Nodes {
-		now.take(path, node)
+		now.record(path, node)
 	}
 	return now.change(declared), nil
 }
 
 func (c *command) send(ctx context.Context, change *settings.Change) (admin.Applied, error) {
-	c.progress("applying %d nodes as change %s", len(change.Nodes), short(change.ID))
+	c.logf("applying %d nodes as change %s", len(change.Nodes), shortenID(change.ID))
 	var answer admin.Applied
 	err := c.client.call(ctx, http.MethodPost, admin.ApplyPath, change, &answer)
 	return answer, eris.Wrap(err, "apply; running it again is safe, a change is taken once")
@@ -123,21 +123,21 @@
 // nothingToApply: no file was edited since the lock. That is not yet to say that the settings are as
 // declared: in an old checkout, or after a revert that took the lock file back too, they are not, and
 // "unchanged" would let an operator believe that the undo is in force.
-func (c *command) nothingToApply(ctx context.Context, args *ApplyArgs, declared *settings.Declarations, locked *lock) error {
+func (c *command) nothingToApply(ctx context.Context, args *ApplyArgs, declared *settings.Declarations, locked *lockFile) error {
 	current, err := get[admin.Settings](ctx, c.client, admin.SettingsPath, nil)
 	if err != nil {
 		return err
 	}
-	difference := compare(locked, &settings.Change{}, current)
+	difference := diffSettings(locked, &settings.Change{}, current)
 	if len(difference.Behind) > 0 && !args.Exact {
-		if err := c.print(difference, func(w io.Writer) { writeDifference(w, difference) }); err != nil {
+		if err := c.printResult(difference, func(w io.Writer) { writeDifference(w, difference) }); err != nil {
 			return err
 		}
 		return eris.Wrapf(ErrConflict, "no file was edited since the last pull, and %d nodes were changed by others since; nothing was changed. "+
 			"pondctl pull brings their side, pondctl apply --exact puts this directory's state in force", len(difference.Behind))
 	}
 	answer := admin.Applied{Result: settings.Result{Status: settings.Unchanged, Revision: current.Tree.Revision}, Version: current.Version}
-	if err := c.print(answer, func(w io.Writer) { writeApplied(w, answer) }); err != nil {
+	if err := c.printResult(answer, func(w io.Writer) { writeApplied(w, answer) }); err != nil {
 		return err
 	}
 	c.relock(ctx, args.Dir, locked, declared)
@@ -181,7 +181,7 @@
 
 // relock notes the revisions that the declared nodes have now. If that fails, the next apply finds the same
 // change id and mends it.
-func (c *command) relock(ctx context.Context, dir string, locked *lock, declared *settings.Declarations) {
+func (c *command) relock(ctx context.Context, dir string, locked *lockFile, declared *settings.Declarations) {
 	current, err := get[admin.Settings](ctx, c.client, admin.SettingsPath, nil)
 	if err == nil {
 		locked.Version = current.Version
@@ -189,16 +189,16 @@
 		err = locked.write(dir)
 	}
 	if err != nil {
-		c.progress("warning: accepted, but %s was not brought up to date (%v); run the same command again", LockFile, err)
+		c.logf("warning: accepted, but %s was not brought up to date (%v); run the same command again", LockFile, err)
 	}
 }
 
 // takeEqual takes the revisions of the nodes that are as declared. Others are left alone: somebody has
 // changed them, and to take their revision for a base would undo that unseen.
-func (l *lock) takeEqual(declared *settings.Declarations, tree *settings.Tree) {
+func (l *lockFile) takeEqual(declared *settings.Declarations, tree *settings.Tree) {
 	for path, values := range declared.Nodes {
 		if current, exists := tree.Nodes[path]; exists && current.Values.Equal(values) {
-			l.take(path, current)
+			l.record(path, current)
 		}
 	}
 	for path := range l.Nodes {
--- a/pondctl/compare.go
+++ b/pondctl/compare.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	return c.print(compared, func(w io.Writer) {
+	return c.printResult(compared, func(w io.Writer) {
 		verdict := "not told from chance"
 		if compared.Told() {
 			verdict = "more than chance"
--- a/pondctl/diff.go
+++ b/pondctl/diff.go
@@ -35,7 +35,7 @@
 }
 
 func (c *command) diff(ctx context.Context, args *DiffArgs) error {
-	declared, locked, err := load(args.Dir)
+	declared, locked, err := loadDeclarations(args.Dir)
 	if err != nil {
 		return err
 	}
@@ -48,18 +48,18 @@
 		return err
 	}
 	if current.FromLocalCopy {
-		c.progress("warning: the platform can't be asked; this is compared with the entry's own copy, which may be old")
+		c.logf("warning: the platform can't be asked; this is compared with the entry's own copy, which may be old")
 	}
-	difference := compare(locked, change, current)
-	return c.print(difference, func(w io.Writer) { writeDifference(w, difference) })
+	difference := diffSettings(locked, change, current)
+	return c.printResult(difference, func(w io.Writer) { writeDifference(w, difference) })
 }
 
-func compare(locked *lock, change *settings.Change, current admin.Settings) Difference {
+func diffSettings(locked *lockFile, change *settings.Change, current admin.Settings) Difference {
 	difference := Difference{Version: current.Version}
 	touched := make(map[settings.Path]bool)
 	for _, node := range change.Nodes {
 		touched[node.Node] = true
-		difference.Nodes = append(difference.Nodes, compareNode(node, current.Tree))
+		difference.Nodes = append(difference.Nodes, diffNode(node, current.Tree))
 	}
 	for _, path := range current.Tree.Paths() {
 		if !touched[path] && locked.edited(path, current.Tree.Nodes[path].Values) {
@@ -74,9 +74,9 @@
 	return difference
 }
 
-func compareNode(node settings.NodeChange, tree *settings.Tree) NodeDifference {
+func diffNode(node settings.NodeChange, tree *settings.Tree) NodeDifference {
 	theirs, exists := tree.Nodes[node.Node]
-	result := NodeDifference{Node: node.Node, Keys: compareValues(theirs.Values, node.Values)}
+	result := NodeDifference{Node: node.Node, Keys: diffValues(theirs.Values, node.Values)}
 	switch {
 	case node.Remove && exists:
 		result.Action = "remove"
@@ -91,7 +91,7 @@
 	return result
 }
 
-func compareValues(theirs, ours settings.Values) []KeyDifference {
+func diffValues(theirs, ours settings.Values) []KeyDifference {
 	var keys []KeyDifference
 	for _, key := range settings.Keys() {
 		their, inTheirs := theirs[key.Name]
@@ -132,11 +132,11 @@
 
 func writeKeys(w io.Writer, keys []KeyDifference) {
 	for _, key := range keys {
-		fmt.Fprintf(w, "    %s: %s -> %s\n", key.Key, side(key.Theirs), side(key.Ours))
+		fmt.Fprintf(w, "    %s: %s -> %s\n", key.Key, formatSide(key.Theirs), formatSide(key.Ours))
 	}
 }
 
-func side(value *settings.Value) string {
+func formatSide(value *settings.Value) string {
 	if value == nil {
 		return "(inherited)"
 	}
@@ -151,26 +151,26 @@
 		fmt.Fprintln(w, ", and removed meanwhile")
 	} else {
 		theirs = conflict.Theirs.Values
-		fmt.Fprintf(w, ", now at revision %d%s\n", conflict.Theirs.Revision, by(conflict.By))
+		fmt.Fprintf(w, ", now at revision %d%s\n", conflict.Theirs.Revision, formatOrigin(conflict.By))
 	}
 	if conflict.Ours == nil {
 		fmt.Fprintln(w, "    this change removes it")
 	} else {
 		ours = *conflict.Ours
 	}
-	keys := compareValues(theirs, ours)
+	keys := diffValues(theirs, ours)
 	for _, key := range keys {
-		fmt.Fprintf(w, "    %s: theirs %s, ours %s\n", key.Key, side(key.Theirs), side(key.Ours))
+		fmt.Fprintf(w, "    %s: theirs %s, ours %s\n", key.Key, formatSide(key.Theirs), formatSide(key.Ours))
 	}
 }
 
-func by(applied *settings.AppliedChange) string {
+func formatOrigin(applied *settings.AppliedChange) string {
 	if applied == nil {
 		return ""
 	}
-	text := " by change " + short(applied.ID)
+	text := " by change " + shortenID(applied.ID)
 	if applied.Author != "" {
 		text += " of " + applied.Author
 	}
-	return text + " at " + clock(applied.At)
+	return text + " at " + formatTime(applied.At)
 }
--- a/pondctl/keys.go
+++ b/pondctl/keys.go
@@ -17,8 +17,8 @@
 	"github.com/skylarkpond/skylarkpond/contract/admin"
 )
 
-// hashed is the answer of hash-key.
-type hashed struct {
+// keyHash is the answer of hash-key.
+type keyHash struct {
 	Key  string `json:"key,omitempty"`
 	Hash string `json:"hash"`
 }
@@ -26,7 +26,7 @@
 // hashKey reads the key from standard input, since command lines can be seen by other users. A new key is
 // random: the hash of a guessable one in version control would give it away.
 func (c *command) hashKey(fresh bool) error {
-	result := hashed{Key: rand.Text()}
+	result := keyHash{Key: rand.Text()}
 	if !fresh {
 		line, err := bufio.NewReader(c.In).ReadString('\n')
 		if err != nil && err != io.EOF {
@@ -42,7 +42,7 @@
 	if !fresh {
 		result.Key = ""
 	}
-	return c.print(result, func(w io.Writer) {
+	return c.printResult(result, func(w io.Writer) {
 		if fresh {
 			fmt.Fprintln(w, result.Key)
 		}
@@ -55,12 +55,12 @@
 	if err != nil {
 		return err
 	}
-	return c.print(answer, func(w io.Writer) {
+	return c.printResult(answer, func(w io.Writer) {
 		rows := [][]string{{"SERVICE", "FINGERPRINT", "SINCE", "CRASHES", "REASON"}}
 		for _, q := range answer.Requests {
-			rows = append(rows, []string{q.Service, q.Fingerprint, clock(q.Since), fmt.Sprint(q.Crashes), q.Reason})
+			rows = append(rows, []string{q.Service, q.Fingerprint, formatTime(q.Since), fmt.Sprint(q.Crashes), q.Reason})
 		}
-		table(w, rows)
+		writeTable(w, rows)
 	})
 }
 
@@ -69,6 +69,6 @@
 	if err := c.client.call(ctx, http.MethodDelete, path, nil, nil); err != nil {
 		return err
 	}
-	c.progress("%s of %s may run again", args.Fingerprint, args.Service)
+	c.logf("%s of %s may run again", args.Fingerprint, args.Service)
 	return nil
 }
--- a/pondctl/lock.go
+++ b/pondctl/lock.go
@@ -19,8 +19,8 @@
 // back over newer ones that somebody else had accepted.
 const LockFile = "pond.lock.json"
 
-// lock is the content of LockFile.
-type lock struct {
+// lockFile is the content of LockFile.
+type lockFile struct {
 	// Version is the platform version last pulled or applied; for reading only.
 	Version uint64                       `json:"version"`
 	Nodes   map[settings.Path]lockedNode `json:"nodes"`
@@ -33,8 +33,8 @@
 	Digest string `json:"digest"`
 }
 
-func readLock(dir string) (*lock, error) {
-	l := &lock{Nodes: make(map[settings.Path]lockedNode)}
+func readLock(dir string) (*lockFile, error) {
+	l := &lockFile{Nodes: make(map[settings.Path]lockedNode)}
 	data, err := os.ReadFile(filepath.Join(dir, LockFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return l, nil
@@ -52,7 +52,7 @@
 }
 
 // write replaces the file in one step, so that a run which is cut off leaves the old one whole.
-func (l *lock) write(dir string) error {
+func (l *lockFile) write(dir string) error {
 	data, err := json.MarshalIndent(l, "", "  ")
 	if err != nil {
 		return eris.Wrap(err, "encode the lock file")
@@ -77,7 +77,7 @@
 	return eris.Wrap(os.Rename(temporary.Name(), name), "replace a file")
 }
 
-func digest(values settings.Values) string {
+func digestValues(values settings.Values) string {
 	data, err := json.Marshal(values)
 	if err != nil {
 		panic("pondctl: checked values can't be encoded: " + err.Error())
@@ -87,18 +87,18 @@
 }
 
 // edited says whether the declared values differ from those last pulled or applied.
-func (l *lock) edited(path settings.Path, values settings.Values) bool {
+func (l *lockFile) edited(path settings.Path, values settings.Values) bool {
 	locked, ok := l.Nodes[path]
-	return !ok || locked.Digest != digest(values)
+	return !ok || locked.Digest != digestValues(values)
 }
 
-func (l *lock) take(path settings.Path, node settings.Node) {
-	l.Nodes[path] = lockedNode{Revision: node.Revision, Digest: digest(node.Values)}
+func (l *lockFile) record(path settings.Path, node settings.Node) {
+	l.Nodes[path] = lockedNode{Revision: node.Revision, Digest: digestValues(node.Values)}
 }
 
 // change is what apply sends: the nodes that were edited, added or deleted since the lock. Nodes that were
 // not touched are left out, so that an old checkout does not touch what others changed meanwhile.
-func (l *lock) change(declared *settings.Declarations) *settings.Change {
+func (l *lockFile) change(declared *settings.Declarations) *settings.Change {
 	change := &settings.Change{}
 	for _, path := range declared.Tree("").Paths() {
 		values := declared.Nodes[path]
--- a/pondctl/pondctl_test.go
+++ b/pondctl/pondctl_test.go
@@ -25,7 +25,7 @@
 
 var _ = Describe("pondctl", func() {
 	It("applies a checkout, sends nothing twice, and undoes by applying the old state", func() {
-		newRig()
+		newTestEntry()
 		dir := checkout()
 		Expect(expectOK("apply", dir)).To(Equal("accepted at revision 1, version 10\n"))
 		Expect(expectOK("apply", dir)).To(HavePrefix("unchanged"))
@@ -40,7 +40,7 @@
 	// Two operators start from the same checkout. The late one has to see the other's side and must not
 	// undo it, neither by applying nor by pulling.
 	It("shows a conflict, changes nothing, and settles it as told", func() {
-		newRig()
+		newTestEntry()
 		mine := checkout()
 		expectOK("apply", mine)
 		theirs := copyOf(mine)
@@ -67,7 +67,7 @@
 	})
 
 	It("merges changes to different nodes, and pulls what others changed without losing own edits", func() {
-		newRig()
+		newTestEntry()
 		mine := checkout()
 		expectOK("apply", mine)
 		theirs := copyOf(mine)
@@ -90,15 +90,15 @@
 	// The entry takes the change and its answer is lost on the way. The operator runs the same command
 	// again, from the same checkout, and must be told that it is accepted, once.
 	It("takes an apply that is run again after a lost answer for the same apply", func() {
-		r := newRig()
+		r := newTestEntry()
 		dir := checkout()
 		expectOK("apply", dir)
 		edit(dir, chat, "replicas: 2", "replicas: 3")
-		r.onAnswer(func(req *http.Request) bool { return req.URL.Path != admin.ApplyPath })
+		r.onResponse(func(req *http.Request) bool { return req.URL.Path != admin.ApplyPath })
 		code, _, progress := run("apply", dir)
 		Expect(code).To(Equal(pondctl.ExitFailure))
 		Expect(progress).To(ContainSubstring("running it again is safe"))
-		r.onAnswer(nil)
+		r.onResponse(nil)
 		late := copyOf(dir)
 		Expect(expectOK("apply", dir)).To(Equal("already applied at revision 2\n"))
 		Expect(expectOK("apply", dir)).To(HavePrefix("unchanged"))
@@ -115,7 +115,7 @@
 	// directory then looks like an old checkout without edits: an apply that said "unchanged" would let the
 	// operator believe that the undo is in force.
 	It("does not call a reverted checkout unchanged, and goes back to its state if told so", func() {
-		newRig()
+		newTestEntry()
 		dir := checkout()
 		expectOK("apply", dir)
 		before := copyOf(dir)
@@ -141,18 +141,18 @@
 	// Between the answer of the apply and the reading of the new revisions somebody else changes the same
 	// node. Were that revision taken for the base, the next apply would undo a change nobody here has seen.
 	It("does not take a revision for its base that it has not seen", func() {
-		r := newRig()
+		r := newTestEntry()
 		dir := checkout()
 		expectOK("apply", dir)
 		edit(dir, chat, "replicas: 2", "replicas: 3")
-		r.onAnswer(func(req *http.Request) bool {
+		r.onResponse(func(req *http.Request) bool {
 			if req.URL.Path == admin.ApplyPath {
-				r.side.changeReplicas(chat, 9)
+				r.backend.changeReplicas(chat, 9)
 			}
 			return true
 		})
 		Expect(expectOK("apply", dir)).To(HavePrefix("accepted"))
-		r.onAnswer(nil)
+		r.onResponse(nil)
 		edit(dir, chat, "replicas: 3", "replicas: 4")
 		code, out, _ := run("apply", dir)
 		Expect(code).To(Equal(pondctl.ExitConflict))
@@ -160,13 +160,13 @@
 	})
 
 	It("waits until every live entry has the version, and names those that lag", func() {
-		r := newRig()
+		r := newTestEntry()
 		dir := checkout()
 		_, _, progress := run("apply", "--wait", dir)
 		Expect(progress).To(SatisfyAll(
 			ContainSubstring("in force on 1 of 2 live entries; waiting for e2 (version 0"),
 			ContainSubstring("in force on 2 of 2 live entries")))
-		r.side.set(func() { r.side.lagging = true })
+		r.backend.set(func() { r.backend.lagging = true })
 		edit(dir, chat, "replicas: 2", "replicas: 3")
 		code, out, progress := run("apply", "--wait", "--wait-for", "100ms", dir)
 		Expect(code).To(Equal(pondctl.ExitNotInForce))
@@ -176,8 +176,8 @@
 	})
 
 	DescribeTable("tells by its exit code what became of a command",
-		func(want int, prepare func(r *rig, dir string), args ...string) {
-			r := newRig()
+		func(want int, prepare func(r *testEntry, dir string), args ...string) {
+			r := newTestEntry()
 			dir := checkout()
 			expectOK("apply", dir)
 			prepare(r, dir)
@@ -190,25 +190,25 @@
 			Expect(code).To(Equal(want), progress)
 			Expect(progress).NotTo(BeEmpty())
 		},
-		Entry("faults", pondctl.ExitRefused, func(_ *rig, dir string) { edit(dir, chat, "replicas: 2", "replicas: x") }, "validate", "DIR"),
-		Entry("faults, before anything is sent", pondctl.ExitRefused, func(_ *rig, dir string) { edit(dir, chat, "replicas: 2", "replicas: x") }, "apply", "DIR"),
-		Entry("faults that only the entry checks", pondctl.ExitRefused, func(_ *rig, dir string) { edit(dir, settings.Root, "operator_key_hashes", "#") }, "apply", "DIR"),
-		Entry("platform out", pondctl.ExitFailure, func(r *rig, dir string) {
-			r.side.set(func() { r.side.down = true })
+		Entry("faults", pondctl.ExitRefused, func(_ *testEntry, dir string) { edit(dir, chat, "replicas: 2", "replicas: x") }, "validate", "DIR"),
+		Entry("faults, before anything is sent", pondctl.ExitRefused, func(_ *testEntry, dir string) { edit(dir, chat, "replicas: 2", "replicas: x") }, "apply", "DIR"),
+		Entry("faults that only the entry checks", pondctl.ExitRefused, func(_ *testEntry, dir string) { edit(dir, settings.Root, "operator_key_hashes", "#") }, "apply", "DIR"),
+		Entry("platform out", pondctl.ExitFailure, func(r *testEntry, dir string) {
+			r.backend.set(func() { r.backend.down = true })
 			edit(dir, chat, "replicas: 2", "replicas: 3")
 		}, "apply", "DIR"),
-		Entry("wrong token", pondctl.ExitFailure, func(*rig, string) {}, "--token", "x", "status"),
-		Entry("no entry answers", pondctl.ExitFailure, func(r *rig, _ string) { r.onAnswer(func(*http.Request) bool { return false }) }, "status"),
-		Entry("no address", pondctl.ExitUsage, func(*rig, string) {}, "--entries", "", "status"),
-		Entry("no command", pondctl.ExitUsage, func(*rig, string) {}),
-		Entry("unknown flag", pondctl.ExitUsage, func(*rig, string) {}, "status", "--colour"),
-		Entry("unknown side", pondctl.ExitUsage, func(*rig, string) {}, "pull", "--take", "mine", "DIR"),
-		Entry("unknown node", pondctl.ExitFailure, func(*rig, string) {}, "explain", "/places/x"),
-		Entry("not in quarantine", pondctl.ExitFailure, func(*rig, string) {}, "quarantine", "lift", "desk", "f2"),
+		Entry("wrong token", pondctl.ExitFailure, func(*testEntry, string) {}, "--token", "x", "status"),
+		Entry("no entry answers", pondctl.ExitFailure, func(r *testEntry, _ string) { r.onResponse(func(*http.Request) bool { return false }) }, "status"),
+		Entry("no address", pondctl.ExitUsage, func(*testEntry, string) {}, "--entries", "", "status"),
+		Entry("no command", pondctl.ExitUsage, func(*testEntry, string) {}),
+		Entry("unknown flag", pondctl.ExitUsage, func(*testEntry, string) {}, "status", "--colour"),
+		Entry("unknown side", pondctl.ExitUsage, func(*testEntry, string) {}, "pull", "--take", "mine", "DIR"),
+		Entry("unknown node", pondctl.ExitFailure, func(*testEntry, string) {}, "explain", "/places/x"),
+		Entry("not in quarantine", pondctl.ExitFailure, func(*testEntry, string) {}, "quarantine", "lift", "desk", "f2"),
 	)
 
 	It("asks the next entry if the first does not answer", func() {
-		r := newRig()
+		r := newTestEntry()
 		Expect(expectOK("--entries", "127.0.0.1:1,"+r.address, "quarantine", "list")).To(ContainSubstring("f1"))
 		code, _, progress := run("quarantine", "lift", "desk", "f1")
 		Expect(code).To(Equal(pondctl.ExitOK))
@@ -216,7 +216,7 @@
 	})
 
 	It("prints JSON that scripts and the contract's types can read", func() {
-		newRig()
+		newTestEntry()
 		dir := checkout()
 		into := func(v any, args ...string) {
 			GinkgoHelper()
@@ -270,7 +270,7 @@
 	})
 
 	It("fills an empty directory by pull, as declarations that pass their checks and change nothing", func() {
-		newRig()
+		newTestEntry()
 		expectOK("apply", checkout())
 		fresh := GinkgoT().TempDir()
 		expectOK("pull", fresh)
--- a/pondctl/pull.go
+++ b/pondctl/pull.go
@@ -37,7 +37,7 @@
 	if args.Take != "" && args.Take != takeTheirs && args.Take != takeOurs {
 		return eris.Wrap(ErrUsage, "--take is theirs or ours")
 	}
-	declared, err := declaredOrNone(args.Dir)
+	declared, err := loadIfPresent(args.Dir)
 	if err != nil {
 		return err
 	}
@@ -54,11 +54,11 @@
 	}
 	plan := planPull(declared, locked, current, args.Take)
 	if len(plan.Conflicts) == 0 {
-		if err := plan.carryOut(args.Dir, locked, current); err != nil {
+		if err := plan.execute(args.Dir, locked, current); err != nil {
 			return err
 		}
 	}
-	if err := c.print(plan, func(w io.Writer) { writePulled(w, plan) }); err != nil {
+	if err := c.printResult(plan, func(w io.Writer) { writePulled(w, plan) }); err != nil {
 		return err
 	}
 	if len(plan.Conflicts) > 0 {
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// declaredOrNone takes an empty or missing directory for one that is to be filled.
-func declaredOrNone(dir string) (map[settings.Path]settings.Values, error) {
+// loadIfPresent takes an empty or missing directory for one that is to be filled.
+func loadIfPresent(dir string) (map[settings.Path]settings.Values, error) {
 	if _, err := os.Stat(filepath.Join(dir, settings.RootFile)); errors.Is(err, fs.ErrNotExist) {
 		if _, err := os.Stat(filepath.Join(dir, "places")); errors.Is(err, fs.ErrNotExist) {
 			return nil, nil
@@ -81,7 +81,7 @@
 	return declared.Nodes, nil
 }
 
-func planPull(declared map[settings.Path]settings.Values, locked *lock, current admin.Settings, take string) *Pulled {
+func planPull(declared map[settings.Path]settings.Values, locked *lockFile, current admin.Settings, take string) *Pulled {
 	plan := &Pulled{Version: current.Version}
 	all := make(map[settings.Path]bool)
 	for path := range declared {
@@ -94,13 +94,13 @@
 		all[path] = true
 	}
 	for _, path := range sortedPaths(all) {
-		plan.node(path, declared, locked, current.Tree, take)
+		plan.planNode(path, declared, locked, current.Tree, take)
 	}
 	return plan
 }
 
-// node decides what to do with one node.
-func (p *Pulled) node(path settings.Path, declared map[settings.Path]settings.Values, locked *lock, tree *settings.Tree, take string) {
+// planNode decides what to do with one planNode.
+func (p *Pulled) planNode(path settings.Path, declared map[settings.Path]settings.Values, locked *lockFile, tree *settings.Tree, take string) {
 	ours, here := declared[path]
 	theirs, there := tree.Nodes[path]
 	base, based := locked.Nodes[path]
@@ -114,7 +114,7 @@
 		p.Edited = append(p.Edited, path)
 	case edited && take == "":
 		p.Conflicts = append(p.Conflicts, NodeDifference{
-			Node: path, Action: "change", Conflict: true, Keys: compareValues(theirs.Values, ours),
+			Node: path, Action: "change", Conflict: true, Keys: diffValues(theirs.Values, ours),
 		})
 	case there:
 		p.Written = append(p.Written, path)
@@ -123,16 +123,16 @@
 	}
 }
 
-// carryOut writes files first and the lock last: a run that is cut off leaves nodes that look edited and
+// execute writes files first and the lock last: a run that is cut off leaves nodes that look edited and
 // equal to the settings, which the next pull settles.
-func (p *Pulled) carryOut(dir string, locked *lock, current admin.Settings) error {
+func (p *Pulled) execute(dir string, locked *lockFile, current admin.Settings) error {
 	for _, path := range p.Written {
 		name := filepath.Join(dir, path.File())
 		old, err := os.ReadFile(name)
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return eris.Wrap(err, "read a declaration")
 		}
-		data, err := declaration(old, current.Tree.Nodes[path].Values)
+		data, err := encodeDeclaration(old, current.Tree.Nodes[path].Values)
 		if err != nil {
 			return err
 		}
@@ -149,7 +149,7 @@
 	locked.Version = current.Version
 	locked.Nodes = make(map[settings.Path]lockedNode, len(current.Tree.Nodes))
 	for path, node := range current.Tree.Nodes {
-		locked.take(path, node)
+		locked.record(path, node)
 	}
 	return locked.write(dir)
 }
--- a/pondctl/rig_test.go
+++ b/pondctl/rig_test.go
@@ -35,8 +35,8 @@
 	RunSpecs(t, "pondctl")
 }
 
-// fakeSide is a platform with one object and the rest of one entry.
-type fakeSide struct {
+// fakeBackend is a platform with one object and the rest of one entry.
+type fakeBackend struct {
 	platform.Store
 
 	mu       sync.Mutex
@@ -47,7 +47,7 @@
 	snapshot *settings.Snapshot
 }
 
-func (f *fakeSide) Get(context.Context, platform.Kind, string) (platform.Object, error) {
+func (f *fakeBackend) Get(context.Context, platform.Kind, string) (platform.Object, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
@@ -59,7 +59,7 @@
 	return f.object, nil
 }
 
-func (f *fakeSide) Put(_ context.Context, _ platform.Kind, _ string, version platform.Version, value json.RawMessage) (platform.Version, error) {
+func (f *fakeBackend) Put(_ context.Context, _ platform.Kind, _ string, version platform.Version, value json.RawMessage) (platform.Version, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if version != f.object.Version {
@@ -70,14 +70,14 @@
 }
 
 // set changes the fake under its lock.
-func (f *fakeSide) set(change func()) {
+func (f *fakeBackend) set(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
 // changeReplicas is another operator's change, made on what the platform holds.
-func (f *fakeSide) changeReplicas(path settings.Path, count int64) {
+func (f *fakeBackend) changeReplicas(path settings.Path, count int64) {
 	tree, err := settings.ParseTree(f.object.Value)
 	if err != nil {
 		panic(err)
@@ -94,13 +94,13 @@
 	_, _ = f.Put(context.Background(), platform.KindSettings, platform.SettingsName, f.object.Version, value)
 }
 
-func (f *fakeSide) Snapshot() *settings.Snapshot {
+func (f *fakeBackend) Snapshot() *settings.Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.snapshot
 }
 
-func (f *fakeSide) Publish(object platform.Object) {
+func (f *fakeBackend) Publish(object platform.Object) {
 	tree, err := settings.ParseTree(object.Value)
 	if err != nil {
 		panic(err)
@@ -111,7 +111,7 @@
 }
 
 // Status has a second entry that lags for the first two looks, or for ever if lagging is set.
-func (f *fakeSide) Status(context.Context) (admin.Status, error) {
+func (f *fakeBackend) Status(context.Context) (admin.Status, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.asked++
@@ -130,64 +130,64 @@
 	}, nil
 }
 
-func (f *fakeSide) Timeline(_ context.Context, query admin.TimelineQuery) (admin.Timeline, error) {
+func (f *fakeBackend) Timeline(_ context.Context, query admin.TimelineQuery) (admin.Timeline, error) {
 	return admin.Timeline{
 		Events:  []timeline.Event{{Time: 1e18, Process: "e1", Kind: query.Kind, Version: 7, Detail: "why"}},
 		Missing: []string{"e9"},
 	}, nil
 }
 
-func (f *fakeSide) Quarantined(context.Context) ([]admin.QuarantinedRequest, error) {
+func (f *fakeBackend) Quarantined(context.Context) ([]admin.QuarantinedRequest, error) {
 	return []admin.QuarantinedRequest{{Service: "desk", Fingerprint: "f1", Crashes: 2}}, nil
 }
 
-func (f *fakeSide) Lift(_ context.Context, _, fingerprint string) error {
+func (f *fakeBackend) Lift(_ context.Context, _, fingerprint string) error {
 	if fingerprint != "f1" {
 		return operator.ErrNotQuarantined
 	}
 	return nil
 }
 
-func (f *fakeSide) VMLists(context.Context) ([]vm.List, error) { return nil, platform.ErrUnavailable }
-func (f *fakeSide) Record(timeline.Event)                      {}
+func (f *fakeBackend) VMLists(context.Context) ([]vm.List, error) { return nil, platform.ErrUnavailable }
+func (f *fakeBackend) Record(timeline.Event)                      {}
 
-// noCopies is an entry that has mirrored nothing.
-type noCopies struct{}
+// emptyMirror is an entry that has mirrored nothing.
+type emptyMirror struct{}
 
-func (noCopies) Get(platform.Kind, string) (platform.Object, bool) { return platform.Object{}, false }
-func (noCopies) Version(platform.Kind, string) platform.Version    { return 0 }
+func (emptyMirror) Get(platform.Kind, string) (platform.Object, bool) { return platform.Object{}, false }
+func (emptyMirror) Version(platform.Kind, string) platform.Version    { return 0 }
 
-// rig is a checkout of the dev declarations and an entry to apply them to.
-type rig struct {
-	side    *fakeSide
+// testEntry is a checkout of the dev declarations and an entry to apply them to.
+type testEntry struct {
+	backend    *fakeBackend
 	address string
 
 	mu       sync.Mutex // guards answered
 	answered func(r *http.Request) bool
 }
 
-// onAnswer has f called before each answer is sent; if it returns false the connection is dropped instead.
-func (r *rig) onAnswer(f func(r *http.Request) bool) {
+// onResponse has f called before each answer is sent; if it returns false the connection is dropped instead.
+func (r *testEntry) onResponse(f func(r *http.Request) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answered = f
 }
 
-func (r *rig) answers(req *http.Request) bool {
+func (r *testEntry) answers(req *http.Request) bool {
 	r.mu.Lock()
 	f := r.answered
 	r.mu.Unlock()
 	return f == nil || f(req)
 }
 
-func newRig() *rig {
-	r := &rig{side: &fakeSide{}}
+func newTestEntry() *testEntry {
+	r := &testEntry{backend: &fakeBackend{}}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	var nonce int
 	api := operator.New(operator.Deps{
-		Entry: "e1", Store: r.side, Snapshots: r.side, Mirror: noCopies{}, Publisher: r.side, Status: r.side, Timeline: r.side,
-		Quarantine: r.side, VMs: r.side, Recorder: r.side, Log: log, Clock: time.Now,
+		Entry: "e1", Store: r.backend, Snapshots: r.backend, Mirror: emptyMirror{}, Publisher: r.backend, Status: r.backend, Timeline: r.backend,
+		Quarantine: r.backend, VMs: r.backend, Recorder: r.backend, Log: log, Clock: time.Now,
 		NewNonce:         func() string { nonce++; return fmt.Sprint(nonce) },
 		BootstrapKeyHash: operator.HashKey(examples.DevOperatorKey),
 	}).Handler()
--- a/pondctl/run.go
+++ b/pondctl/run.go
@@ -57,7 +57,7 @@
 	if errors.Is(err, ErrUsage) {
 		_ = parser.WriteUsageForSubcommand(streams.Err, parser.SubcommandNames()...)
 	}
-	return c.report(err)
+	return c.reportError(err)
 }
 
 func (c *command) run(ctx context.Context) error {
@@ -93,12 +93,12 @@
 	return eris.Wrap(ErrUsage, "no command given; see pondctl --help")
 }
 
-// report prints an error and returns its exit code.
-func (c *command) report(err error) int {
+// reportError prints an error and returns its exit code.
+func (c *command) reportError(err error) int {
 	if err == nil {
 		return ExitOK
 	}
-	c.progress("error: %s", err)
+	c.logf("error: %s", err)
 	var faults settings.Faults
 	switch {
 	case errors.Is(err, ErrUsage):
@@ -113,13 +113,13 @@
 	return ExitFailure
 }
 
-// progress tells on standard error what goes on.
-func (c *command) progress(format string, args ...any) {
+// logf tells on standard error what goes on.
+func (c *command) logf(format string, args ...any) {
 	fmt.Fprintf(c.Err, format+"\n", args...)
 }
 
-// print writes a result: as JSON if asked for, else by text.
-func (c *command) print(result any, text func(w io.Writer)) error {
+// printResult writes a result: as JSON if asked for, else by text.
+func (c *command) printResult(result any, text func(w io.Writer)) error {
 	if !c.args.JSON {
 		text(c.Out)
 		return nil
--- a/pondctl/show.go
+++ b/pondctl/show.go
@@ -19,8 +19,8 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// table writes rows of columns, the first row being the heads.
-func table(w io.Writer, rows [][]string) {
+// writeTable writes rows of columns, the first row being the heads.
+func writeTable(w io.Writer, rows [][]string) {
 	writer := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range rows {
 		fmt.Fprintln(writer, strings.Join(row, "\t"))
@@ -28,31 +28,31 @@
 	_ = writer.Flush()
 }
 
-// clock shows a time in Unix milliseconds.
-func clock(ms int64) string {
+// formatTime shows a time in Unix milliseconds.
+func formatTime(ms int64) string {
 	if ms <= 0 {
 		return "-"
 	}
 	return time.UnixMilli(ms).UTC().Format("2006-01-02 15:04:05Z")
 }
 
-const shortID = 12
+const shortIDLength = 12
 
-func short(id string) string { return id[:min(len(id), shortID)] }
+func shortenID(id string) string { return id[:min(len(id), shortIDLength)] }
 
-func number(n uint64) string { return strconv.FormatUint(n, 10) }
+func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
 
 func (c *command) explain(ctx context.Context, path settings.Path) error {
 	answer, err := get[admin.Explanation](ctx, c.client, admin.ExplainPath, url.Values{"path": {string(path)}})
 	if err != nil {
 		return err
 	}
-	return c.print(answer, func(w io.Writer) {
+	return c.printResult(answer, func(w io.Writer) {
 		rows := [][]string{{"KEY", "VALUE", "FROM", "MEANING"}}
 		for _, e := range answer.Values {
 			rows = append(rows, []string{e.Key, e.Value.String(), cmp.Or(string(e.From), "(default)"), e.Doc})
 		}
-		table(w, rows)
+		writeTable(w, rows)
 	})
 }
 
@@ -62,18 +62,18 @@
 		return err
 	}
 	answer.Changes = answer.Changes[:min(len(answer.Changes), max(limit, 0))]
-	return c.print(answer, func(w io.Writer) {
+	return c.printResult(answer, func(w io.Writer) {
 		rows := [][]string{{"REVISION", "WHEN", "AUTHOR", "CHANGE", "NODES"}}
 		for _, applied := range answer.Changes {
 			rows = append(rows, []string{
-				number(applied.Revision), clock(applied.At), cmp.Or(applied.Author, "-"), short(applied.ID), nodesOf(applied),
+				formatUint(applied.Revision), formatTime(applied.At), cmp.Or(applied.Author, "-"), shortenID(applied.ID), formatNodes(applied),
 			})
 		}
-		table(w, rows)
+		writeTable(w, rows)
 	})
 }
 
-func nodesOf(applied settings.AppliedChange) string {
+func formatNodes(applied settings.AppliedChange) string {
 	var names []string
 	for _, path := range applied.Nodes {
 		names = append(names, string(path))
@@ -89,11 +89,11 @@
 	if err != nil {
 		return err
 	}
-	return c.print(answer, func(w io.Writer) {
+	return c.printResult(answer, func(w io.Writer) {
 		writeEntries(w, answer.Entries)
 		fmt.Fprintln(w)
 		writeServices(w, answer.Services)
-		writeHeldDomains(w, answer.BlockedActions)
+		writeBlockedDomains(w, answer.BlockedActions)
 		if groups {
 			fmt.Fprintln(w)
 			writeGroups(w, answer.Groups)
@@ -114,11 +114,11 @@
 			note = strings.TrimSpace("lags " + note)
 		}
 		rows = append(rows, []string{
-			entry.Name, entry.Place, entry.FailureDomain, entryState(entry), number(entry.SettingsVersion),
-			clock(entry.SettingsSince), note,
+			entry.Name, entry.Place, entry.FailureDomain, entryState(entry), formatUint(entry.SettingsVersion),
+			formatTime(entry.SettingsSince), note,
 		})
 	}
-	table(w, rows)
+	writeTable(w, rows)
 }
 
 func entryState(entry admin.EntryStatus) string {
@@ -138,11 +138,11 @@
 			s.Name, strconv.Itoa(s.Wanted), strconv.Itoa(s.Serving), strconv.Itoa(s.UpToDate), strconv.Itoa(s.Changing), s.Note,
 		})
 	}
-	table(w, rows)
+	writeTable(w, rows)
 }
 
-// writeHeldDomains names the fabric domains whose controller can't work; what holds up a service is noted there.
-func writeHeldDomains(w io.Writer, held []admin.BlockedAction) {
+// writeBlockedDomains names the fabric domains whose controller can't work; what holds up a service is noted there.
+func writeBlockedDomains(w io.Writer, held []admin.BlockedAction) {
 	for _, h := range held {
 		if h.Service == "" {
 			fmt.Fprintf(w, "fabric domain %s is held up: %s\n", h.FabricDomain, h.Reason)
@@ -162,13 +162,13 @@
 			cmp.Or(g.ModelVersion, "-"), strings.Join(members, ","), strings.TrimSpace(g.Reason + " " + g.Problem),
 		})
 	}
-	table(w, rows)
+	writeTable(w, rows)
 }
 
 func (c *command) timeline(ctx context.Context, args *TimelineArgs) error {
 	filter := args.filter(time.Now())
 	read := func() (admin.Timeline, error) {
-		return get[admin.Timeline](ctx, c.client, admin.TimelinePath, timelineValues(filter, args.Limit))
+		return get[admin.Timeline](ctx, c.client, admin.TimelinePath, timelineQuery(filter, args.Limit))
 	}
 	if len(args.Files) > 0 {
 		read = func() (admin.Timeline, error) { return c.readFiles(args.Files, filter, args.Limit) }
@@ -178,11 +178,11 @@
 		return err
 	}
 	if len(answer.Missing) > 0 {
-		c.progress("warning: no answer from %s; their events are missing", strings.Join(answer.Missing, ", "))
+		c.logf("warning: no answer from %s; their events are missing", strings.Join(answer.Missing, ", "))
 	}
-	return c.print(answer, func(w io.Writer) {
+	return c.printResult(answer, func(w io.Writer) {
 		for _, event := range answer.Events {
-			fmt.Fprintln(w, eventLine(event))
+			fmt.Fprintln(w, formatEvent(event))
 		}
 	})
 }
@@ -198,7 +198,7 @@
 	return f
 }
 
-func timelineValues(f timeline.Filter, limit int) url.Values {
+func timelineQuery(f timeline.Filter, limit int) url.Values {
 	values := url.Values{"limit": {strconv.Itoa(limit)}, "since": {strconv.FormatInt(f.Since, 10)}}
 	if f.Until > 0 {
 		values.Set("until", strconv.FormatInt(f.Until, 10))
@@ -222,7 +222,7 @@
 			return admin.Timeline{}, err
 		}
 		if torn > 0 {
-			c.progress("warning: %d lines of %s are no events and are left out", torn, path)
+			c.logf("warning: %d lines of %s are no events and are left out", torn, path)
 		}
 		streams = append(streams, events)
 	}
@@ -239,8 +239,8 @@
 	return timeline.Read(file)
 }
 
-// eventLine is one event in words: time, process, kind, and the fields that are set.
-func eventLine(e timeline.Event) string {
+// formatEvent is one event in words: time, process, kind, and the fields that are set.
+func formatEvent(e timeline.Event) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %s", time.Unix(0, e.Time).UTC().Format("15:04:05.000"), e.Process, e.Kind)
 	for _, field := range []struct{ name, value string }{
--- a/pondctl/trace.go
+++ b/pondctl/trace.go
@@ -10,37 +10,37 @@
 	"github.com/skylarkpond/skylarkpond/logline"
 )
 
-// errNotTraced says that no line tells of the end of a request.
-var errNotTraced = eris.New("no line tells of its end: it was served, or did not come to these processes, or the line was dropped (msg \"log lines dropped\")")
+// errNoLogLine says that no line tells of the end of a request.
+var errNoLogLine = eris.New("no line tells of its end: it was served, or did not come to these processes, or the line was dropped (msg \"log lines dropped\")")
 
 // trace shows the lines that tell of one request.
 func (c *command) trace(args *TraceArgs) error {
-	lines, err := c.readLines(args.Files)
+	lines, err := c.readLogs(args.Files)
 	if err != nil {
 		return err
 	}
 	found := logline.Find(lines, args.Request)
 	if len(found) == 0 {
-		return eris.Wrap(errNotTraced, args.Request)
+		return eris.Wrap(errNoLogLine, args.Request)
 	}
 	texts := make([]string, 0, len(found))
 	for _, line := range found {
 		texts = append(texts, line.Text)
 	}
-	return c.print(texts, func(w io.Writer) {
+	return c.printResult(texts, func(w io.Writer) {
 		for _, text := range texts {
 			fmt.Fprintln(w, text)
 		}
 	})
 }
 
-func (c *command) readLines(files []string) ([]logline.Line, error) {
+func (c *command) readLogs(files []string) ([]logline.Line, error) {
 	if len(files) == 0 {
 		return logline.Read(c.In)
 	}
 	var all []logline.Line
 	for _, name := range files {
-		lines, err := readLinesOf(name)
+		lines, err := readLogFile(name)
 		if err != nil {
 			return nil, err
 		}
@@ -49,7 +49,7 @@
 	return all, nil
 }
 
-func readLinesOf(name string) ([]logline.Line, error) {
+func readLogFile(name string) ([]logline.Line, error) {
 	file, err := os.Open(name)
 	if err != nil {
 		return nil, err
--- a/pondctl/wait.go
+++ b/pondctl/wait.go
@@ -18,9 +18,9 @@
 	defer cancel()
 	told := ""
 	for {
-		text, done := c.inForce(ctx, version)
+		text, done := c.checkInForce(ctx, version)
 		if text != told && ctx.Err() == nil {
-			c.progress("%s", text)
+			c.logf("%s", text)
 			told = text
 		}
 		if done {
@@ -32,8 +32,8 @@
 	}
 }
 
-// inForce says in words how far the version has come.
-func (c *command) inForce(ctx context.Context, version uint64) (text string, done bool) {
+// checkInForce says in words how far the version has come.
+func (c *command) checkInForce(ctx context.Context, version uint64) (text string, done bool) {
 	status, err := get[admin.Status](ctx, c.client, admin.StatusPath, nil)
 	if err != nil {
 		return "no status: " + err.Error(), false
@@ -46,7 +46,7 @@
 		}
 		live++
 		if entry.SettingsVersion < version {
-			lagging = append(lagging, lag(entry))
+			lagging = append(lagging, formatLag(entry))
 		}
 	}
 	text = fmt.Sprintf("version %d is in force on %d of %d live entries", version, live-len(lagging), live)
@@ -56,11 +56,11 @@
 	return text, live > 0 && len(lagging) == 0
 }
 
-// lag names an entry that works by an older version.
-func lag(entry admin.EntryStatus) string {
+// formatLag names an entry that works by an older version.
+func formatLag(entry admin.EntryStatus) string {
 	text := fmt.Sprintf("%s (version %d", entry.Name, entry.SettingsVersion)
 	if entry.SettingsSince > 0 {
-		text += " since " + clock(entry.SettingsSince)
+		text += " since " + formatTime(entry.SettingsSince)
 	}
 	if entry.Problem != "" {
 		text += ": " + entry.Problem
--- a/pondctl/yaml.go
+++ b/pondctl/yaml.go
@@ -9,9 +9,9 @@
 	"github.com/skylarkpond/skylarkpond/contract/settings"
 )
 
-// declaration writes values as a file of declarations. Comments and the order of the old file are kept;
+// encodeDeclaration writes values as a file of declarations. Comments and the order of the old file are kept;
 // keys that are new come behind, in the order of the table.
-func declaration(old []byte, values settings.Values) ([]byte, error) {
+func encodeDeclaration(old []byte, values settings.Values) ([]byte, error) {
 	var document yaml.Node
 	if err := yaml.Unmarshal(old, &document); err != nil || len(document.Content) != 1 || document.Content[0].Kind != yaml.MappingNode {
 		// Nothing in it, or nothing that could be kept.
@@ -27,16 +27,16 @@
 		if !ok || set[key.Name] {
 			continue
 		}
-		node, err := valueNode(value)
+		node, err := encodeValue(value)
 		if err != nil {
 			return nil, err
 		}
 		mapping.Content = append(mapping.Content, &yaml.Node{Kind: yaml.ScalarNode, Value: key.Name}, node)
 	}
-	return encode(&document, mapping)
+	return encodeDocument(&document, mapping)
 }
 
-func encode(document, mapping *yaml.Node) ([]byte, error) {
+func encodeDocument(document, mapping *yaml.Node) ([]byte, error) {
 	if len(mapping.Content) == 0 {
 		return []byte("# Sets nothing of its own.\n"), nil
 	}
@@ -61,7 +61,7 @@
 			continue
 		}
 		set[key.Value] = true
-		node, err := valueNode(value)
+		node, err := encodeValue(value)
 		if err != nil {
 			return nil, err
 		}
@@ -75,7 +75,7 @@
 	return set, nil
 }
 
-func valueNode(value settings.Value) (*yaml.Node, error) {
+func encodeValue(value settings.Value) (*yaml.Node, error) {
 	node := new(yaml.Node)
 	if err := node.Encode(value.Native()); err != nil {
 		return nil, eris.Wrap(err, "encode a value")
