--- a/pondctl/apply.go
+++ b/pondctl/apply.go
@@ -20,7 +20,7 @@
 	return slices.Sorted(maps.Keys(nodes))
 }
 
-// validation is the answer of validate.
+// validation is the result of validate.
 type validation struct {
 	Nodes  int             `json:"nodes"`
 	Faults settings.Faults `json:"faults,omitempty"`
@@ -50,7 +50,7 @@
 	return printErr
 }
 
-// loadDeclarations reads the declarations and their lock.
+// loadDeclarations reads the declarations in a directory and their lock file.
 func loadDeclarations(dir string) (*settings.Declarations, *lockFile, error) {
 	declared, err := settings.LoadDir(dir)
 	if err != nil {
@@ -83,14 +83,14 @@
 	if err := c.printResult(answer, func(w io.Writer) { writeApplied(w, answer) }); err != nil {
 		return err
 	}
-	if err := outcome(answer); err != nil {
+	if err := applyError(answer); err != nil {
 		return err
 	}
-	c.relock(ctx, args.Dir, locked, declared)
+	c.updateLock(ctx, args.Dir, locked, declared)
 	return c.waitIfAsked(ctx, args, answer.Version)
 }
 
-// plan is the change from the lock's state to the declarations, or, if exact, from the settings as they are.
+// plan returns the change from the state in the lock file to the declarations or, if exact, from the current settings.
 func (c *command) plan(ctx context.Context, declared *settings.Declarations, locked *lockFile, exact bool) (*settings.Change, error) {
 	if !exact {
 		return locked.change(declared), nil
@@ -120,9 +120,9 @@
 	return c.wait(ctx, version, args.WaitFor)
 }
 
-// nothingToApply: no file was edited since the lock. That is not yet to say that the settings are as
-// declared: in an old checkout, or after a revert that took the lock file back too, they are not, and
-// "unchanged" would let an operator believe that the undo is in force.
+// nothingToApply handles an apply without edited files. The settings may still differ from the declarations: in an
+// old checkout, or after a revert that also reverted the lock file. Reporting "unchanged" would then let an operator
+// believe that the revert is in force, so this is a conflict unless --exact is given.
 func (c *command) nothingToApply(ctx context.Context, args *ApplyArgs, declared *settings.Declarations, locked *lockFile) error {
 	current, err := get[admin.Settings](ctx, c.client, admin.SettingsPath, nil)
 	if err != nil {
@@ -140,7 +140,7 @@
 	if err := c.printResult(answer, func(w io.Writer) { writeApplied(w, answer) }); err != nil {
 		return err
 	}
-	c.relock(ctx, args.Dir, locked, declared)
+	c.updateLock(ctx, args.Dir, locked, declared)
 	return c.waitIfAsked(ctx, args, answer.Version)
 }
 
@@ -166,8 +166,8 @@
 	}
 }
 
-// outcome turns an answer into the error that gives the exit code.
-func outcome(answer admin.Applied) error {
+// applyError returns the error for the result of an apply, which determines the exit code; nil if it succeeded.
+func applyError(answer admin.Applied) error {
 	switch {
 	case answer.Status == settings.Conflicted:
 		return eris.Wrapf(ErrConflict, "%d nodes were changed by somebody else; nothing was changed. pondctl pull brings their side", len(answer.Conflicts))
@@ -179,13 +179,13 @@
 	return nil
 }
 
-// relock notes the revisions that the declared nodes have now. If that fails, the next apply finds the same
-// change id and mends it.
-func (c *command) relock(ctx context.Context, dir string, locked *lockFile, declared *settings.Declarations) {
+// updateLock writes the current revisions of the declared nodes to the lock file. If that fails, the next apply
+// sends the same change ID, is told that the change is already applied, and updates the lock file.
+func (c *command) updateLock(ctx context.Context, dir string, locked *lockFile, declared *settings.Declarations) {
 	current, err := get[admin.Settings](ctx, c.client, admin.SettingsPath, nil)
 	if err == nil {
 		locked.Version = current.Version
-		locked.takeEqual(declared, current.Tree)
+		locked.recordEqual(declared, current.Tree)
 		err = locked.write(dir)
 	}
 	if err != nil {
@@ -193,17 +193,18 @@
 	}
 }
 
-// takeEqual takes the revisions of the nodes that are as declared. Others are left alone: somebody has
-// changed them, and to take their revision for a base would undo that unseen.
-func (l *lockFile) takeEqual(declared *settings.Declarations, tree *settings.Tree) {
+// recordEqual records the revisions of the nodes whose values are as declared, and drops nodes that neither side has.
+// Other nodes are left alone: somebody else has changed them, and with their revision as the base the next apply would
+// overwrite that change without reporting a conflict.
+func (l *lockFile) recordEqual(declared *settings.Declarations, tree *settings.Tree) {
 	for path, values := range declared.Nodes {
 		if current, exists := tree.Nodes[path]; exists && current.Values.Equal(values) {
 			l.record(path, current)
 		}
 	}
 	for path := range l.Nodes {
-		_, here := declared.Nodes[path]
-		if _, there := tree.Nodes[path]; !here && !there {
+		_, inFiles := declared.Nodes[path]
+		if _, inSettings := tree.Nodes[path]; !inFiles && !inSettings {
 			delete(l.Nodes, path)
 		}
 	}
--- a/pondctl/args.go
+++ b/pondctl/args.go
@@ -1,8 +1,8 @@
-// Package pondctl is the operators' command line: declarations in a directory under version control on one
-// side, the admin address of any entry on the other.
+// Package pondctl implements the operators' command line. It compares declarations in a directory under version control with
+// the settings in force, and changes the settings through the admin address of any entry.
 //
-// Results go to standard output, progress and faults to standard error; with --json results are
-// one JSON value. The exit code tells what became of a command.
+// Results are written to standard output, progress and errors to standard error. With --json a result is a single JSON value.
+// The exit code reports the outcome of a command.
 package pondctl
 
 import "time"
@@ -17,7 +17,7 @@
 	ExitNotInForce = 5
 )
 
-// Args are the command line. Each flag is also an environment variable.
+// Args defines the command line. Each flag can also be set by an environment variable.
 type Args struct {
 	Validate   *DirArgs        `arg:"subcommand:validate" help:"check declarations without asking any entry"`
 	Diff       *DiffArgs       `arg:"subcommand:diff" help:"show what apply would change"`
@@ -38,18 +38,18 @@
 	Timeout time.Duration `arg:"--timeout,env:POND_TIMEOUT" default:"20s" help:"longest wait for the answer of one entry"`
 }
 
-// DirArgs name a directory of declarations.
+// DirArgs holds the directory of declarations.
 type DirArgs struct {
 	Dir string `arg:"positional,env:POND_DIR" default:"." help:"directory of declarations"`
 }
 
-// DiffArgs are those of diff.
+// DiffArgs holds the arguments of diff.
 type DiffArgs struct {
 	DirArgs
 	Exact bool `arg:"--exact,env:POND_EXACT" help:"show what apply --exact would change"`
 }
 
-// ApplyArgs are those of apply.
+// ApplyArgs holds the arguments of apply.
 type ApplyArgs struct {
 	DirArgs
 	Exact   bool          `arg:"--exact,env:POND_EXACT" help:"make the settings just what the directory says, also where others changed them since the last pull: for going back to an older state"`
@@ -58,28 +58,28 @@
 	Author  string        `arg:"--author,env:POND_AUTHOR" help:"who applies, for the history [default: $USER]"`
 }
 
-// PullArgs are those of pull.
+// PullArgs holds the arguments of pull.
 type PullArgs struct {
 	DirArgs
 	Take string `arg:"--take,env:POND_TAKE" placeholder:"SIDE" help:"for nodes changed on both sides: theirs replaces the file, ours keeps it and lets the next apply win"`
 }
 
-// ExplainArgs are those of explain.
+// ExplainArgs holds the arguments of explain.
 type ExplainArgs struct {
 	Path string `arg:"positional,required,env:POND_PATH" help:"path of a node, such as /places/pampa/services/asistente"`
 }
 
-// HistoryArgs are those of history.
+// HistoryArgs holds the arguments of history.
 type HistoryArgs struct {
 	Limit int `arg:"--limit,env:POND_LIMIT" default:"20" help:"how many changes"`
 }
 
-// StatusArgs are those of status.
+// StatusArgs holds the arguments of status.
 type StatusArgs struct {
 	Groups bool `arg:"--groups,env:POND_GROUPS" help:"list each group too"`
 }
 
-// TimelineArgs are those of timeline.
+// TimelineArgs holds the arguments of timeline.
 type TimelineArgs struct {
 	Since   time.Duration `arg:"--since,env:POND_SINCE" default:"10m" help:"how far back"`
 	Kind    string        `arg:"--kind,env:POND_KIND" help:"only events of this kind, such as settings-in-force"`
@@ -92,43 +92,43 @@
 	Limit   int           `arg:"--limit,env:POND_LIMIT" default:"200" help:"at most so many events, the latest"`
 }
 
-// TraceArgs are those of trace.
+// TraceArgs holds the arguments of trace.
 type TraceArgs struct {
 	Request string   `arg:"positional,required" help:"id of the request, as its caller sent it"`
 	Files   []string `arg:"positional" placeholder:"FILE" help:"output of gateways, one or more processes in each; standard input without any"`
 }
 
-// CompareArgs are those of compare.
+// CompareArgs holds the arguments of compare.
 type CompareArgs struct {
 	File   string `arg:"positional,required" help:"plays, one a line: version,case,seed,figure"`
 	Before string `arg:"positional,required" help:"version to compare with"`
 	After  string `arg:"positional,required" help:"version that is compared"`
 }
 
-// QuarantineArgs are those of quarantine.
+// QuarantineArgs holds the subcommands of quarantine; without one, requests are listed.
 type QuarantineArgs struct {
 	List *struct{} `arg:"subcommand:list" help:"list quarantined requests"`
 	Lift *LiftArgs `arg:"subcommand:lift" help:"let a request run again"`
 }
 
-// LiftArgs name a quarantined request.
+// LiftArgs identifies a quarantined request.
 type LiftArgs struct {
 	Service     string `arg:"positional,required" help:"service, as quarantine list shows it"`
 	Fingerprint string `arg:"positional,required" help:"fingerprint, as quarantine list shows it"`
 }
 
-// HashKeyArgs are those of hash-key.
+// HashKeyArgs holds the arguments of hash-key.
 type HashKeyArgs struct {
 	New bool `arg:"--new,env:POND_NEW" help:"make a new random key, and print it before its hash"`
 }
 
-// Description is shown by --help.
+// Description returns the text at the head of --help.
 func (Args) Description() string {
 	return "pondctl changes the settings of skylarkpond and shows what it does.\n" +
 		"Every flag is also an environment variable; a flag on the command line wins.\n"
 }
 
-// Epilogue is shown by --help.
+// Epilogue returns the text at the end of --help.
 func (Args) Epilogue() string {
 	return `Examples:
   pondctl validate settings/              check before a commit
--- a/pondctl/client.go
+++ b/pondctl/client.go
@@ -17,11 +17,11 @@
 	"github.com/skylarkpond/skylarkpond/contract/admin"
 )
 
-// maxAnswerBytes bounds an answer: a time line of 10,000 events is some 3 MB.
+// maxAnswerBytes limits the size of a response. For scale, a timeline of 10,000 events is about 3 MB.
 const maxAnswerBytes = 64 << 20
 
-// client calls the admin address of an entry. Every call may be sent again, to another entry too: reads
-// change nothing, and an apply is taken once by its change id.
+// client calls the admin API of an entry. Every call may be repeated, also at another entry: reads change nothing,
+// and an apply takes effect only once because its change ID identifies it.
 type client struct {
 	addresses []string
 	token     string
@@ -42,16 +42,16 @@
 	return c
 }
 
-// call asks one entry after the other until one answers. An answer of 409 or 422 to an apply is no error:
-// into then says what it is.
+// call tries the entries in order until one responds without a server error. Status 409 or 422 in response to an apply is
+// not an error: the response decoded into into then describes the conflict or the faults.
 func (c *client) call(ctx context.Context, method, path string, body, into any) error {
 	if len(c.addresses) == 0 {
 		return eris.Wrap(ErrUsage, "no entry to ask: give --entries or POND_ENTRIES")
 	}
 	var last error
 	for _, address := range c.addresses {
-		again, err := c.ask(ctx, address, method, path, body, into)
-		if err == nil || !again || ctx.Err() != nil {
+		retry, err := c.ask(ctx, address, method, path, body, into)
+		if err == nil || !retry || ctx.Err() != nil {
 			return err
 		}
 		last = err
@@ -59,8 +59,8 @@
 	return last
 }
 
-// ask asks one entry; again says that another one may do better.
-func (c *client) ask(ctx context.Context, address, method, path string, body, into any) (again bool, err error) {
+// ask calls a single entry. retry reports that the call failed and another entry may succeed.
+func (c *client) ask(ctx context.Context, address, method, path string, body, into any) (retry bool, err error) {
 	request, err := c.request(ctx, address+path, method, body)
 	if err != nil {
 		return false, err
@@ -76,7 +76,7 @@
 	}
 	result := response.StatusCode == http.StatusConflict || response.StatusCode == http.StatusUnprocessableEntity
 	if response.StatusCode >= http.StatusBadRequest && !(result && path == admin.ApplyPath) {
-		return response.StatusCode >= http.StatusInternalServerError, refusal(address, response.StatusCode, data)
+		return response.StatusCode >= http.StatusInternalServerError, problemError(address, response.StatusCode, data)
 	}
 	if into == nil {
 		return false, nil
@@ -102,8 +102,8 @@
 	return request, nil
 }
 
-// refusal words an entry's problem for an operator.
-func refusal(address string, status int, data []byte) error {
+// problemError formats an error response of an entry for an operator.
+func problemError(address string, status int, data []byte) error {
 	var problem contract.Problem
 	if json.Unmarshal(data, &problem) != nil || problem.Message == "" {
 		return eris.Errorf("%s answered %d", address, status)
@@ -121,6 +121,7 @@
 	return eris.New(text)
 }
 
+// get requests a path with a query and decodes the response.
 func get[T any](ctx context.Context, c *client, path string, query url.Values) (T, error) {
 	var answer T
 	if len(query) > 0 {
@@ -130,5 +131,5 @@
 	return answer, err
 }
 
-// pollPause is the pause between two looks at the status.
-const pollPause = 500 * time.Millisecond
+// statusPollInterval is the interval at which apply --wait polls the status.
+const statusPollInterval = 500 * time.Millisecond
--- a/pondctl/compare.go
+++ b/pondctl/compare.go
@@ -10,7 +10,7 @@
 	"github.com/skylarkpond/skylarkpond/internal/experiment"
 )
 
-// compare says whether one version plays better than another.
+// compare reports whether the difference between the results of two versions is more than chance.
 func (c *command) compare(args *CompareArgs) error {
 	file, err := os.Open(args.File)
 	if err != nil {
--- a/pondctl/diff.go
+++ b/pondctl/diff.go
@@ -9,25 +9,25 @@
 	"github.com/skylarkpond/skylarkpond/contract/settings"
 )
 
-// Difference is the answer of diff.
+// Difference is the result of diff.
 type Difference struct {
 	Version uint64           `json:"version"`
 	Nodes   []NodeDifference `json:"nodes"`
-	// Behind lists nodes whose values others changed and that were not edited here: pull brings them.
+	// Behind lists nodes that others changed and that were not edited locally. pull updates their files.
 	Behind []settings.Path `json:"behind,omitempty"`
 }
 
-// NodeDifference is what apply would do to a node.
+// NodeDifference describes what apply would do to a node.
 type NodeDifference struct {
 	Node settings.Path `json:"node"`
-	// Action is "add", "change", "remove" or "none" (the settings say it already).
+	// Action is "add", "change", "remove" or "none" (the settings already are as declared).
 	Action string `json:"action"`
-	// Conflict says that somebody else changed the node since it was pulled: apply would refuse.
+	// Conflict reports that somebody else changed the node since it was last pulled or applied. apply would be refused.
 	Conflict bool            `json:"conflict,omitempty"`
 	Keys     []KeyDifference `json:"keys,omitempty"`
 }
 
-// KeyDifference is one key; a side that does not set it is nil, and then the node inherits.
+// KeyDifference holds both values of a key. A side that does not set the key, so that the node inherits it, is nil.
 type KeyDifference struct {
 	Key    string          `json:"key"`
 	Theirs *settings.Value `json:"theirs"`
@@ -143,7 +143,7 @@
 	return value.String()
 }
 
-// writeConflict shows both sides of a node that somebody else changed.
+// writeConflict prints both sides of a node that somebody else changed.
 func writeConflict(w io.Writer, conflict settings.Conflict) {
 	fmt.Fprintf(w, "conflict on %s: based on revision %d", conflict.Node, conflict.Base)
 	var theirs, ours settings.Values
--- a/pondctl/keys.go
+++ b/pondctl/keys.go
@@ -17,14 +17,14 @@
 	"github.com/skylarkpond/skylarkpond/contract/admin"
 )
 
-// keyHash is the answer of hash-key.
+// keyHash is the result of hash-key.
 type keyHash struct {
 	Key  string `json:"key,omitempty"`
 	Hash string `json:"hash"`
 }
 
-// hashKey reads the key from standard input, since command lines can be seen by other users. A new key is
-// random: the hash of a guessable one in version control would give it away.
+// hashKey reads the key from standard input, because other users of the machine can see command lines. A new key is
+// random, because the hash is kept in version control, where a guessable key could be recovered from it.
 func (c *command) hashKey(fresh bool) error {
 	result := keyHash{Key: rand.Text()}
 	if !fresh {
--- a/pondctl/lock.go
+++ b/pondctl/lock.go
@@ -14,22 +14,22 @@
 	"github.com/skylarkpond/skylarkpond/contract/settings"
 )
 
-// LockFile stands beside the declarations and in version control with them. It says which revision of each
-// node the declarations were made from: without it, an apply from an old checkout would put old values
-// back over newer ones that somebody else had accepted.
+// LockFile is the name of the lock file, which is kept next to the declarations and under version control with them. It
+// records the revision of each node on which the declarations are based. Without it, an apply from an old checkout would
+// overwrite newer values that somebody else had applied.
 const LockFile = "pond.lock.json"
 
 // lockFile is the content of LockFile.
 type lockFile struct {
-	// Version is the platform version last pulled or applied; for reading only.
+	// Version is the platform version last pulled or applied. It is informational.
 	Version uint64                       `json:"version"`
 	Nodes   map[settings.Path]lockedNode `json:"nodes"`
 }
 
-// lockedNode is a node as it was pulled or applied last.
+// lockedNode is the state of a node when it was last pulled or applied.
 type lockedNode struct {
 	Revision uint64 `json:"revision"`
-	// Digest is a hash of the values, to tell which files were edited since.
+	// Digest is a hash of the values, by which files edited since then are detected.
 	Digest string `json:"digest"`
 }
 
@@ -51,7 +51,7 @@
 	return l, nil
 }
 
-// write replaces the file in one step, so that a run which is cut off leaves the old one whole.
+// write replaces the file atomically, so that an interrupted run leaves the old file intact.
 func (l *lockFile) write(dir string) error {
 	data, err := json.MarshalIndent(l, "", "  ")
 	if err != nil {
@@ -60,6 +60,7 @@
 	return replaceFile(filepath.Join(dir, LockFile), append(data, '\n'))
 }
 
+// replaceFile writes a temporary file, syncs it and renames it to name.
 func replaceFile(name string, data []byte) error {
 	if err := os.MkdirAll(filepath.Dir(name), 0o755); err != nil {
 		return eris.Wrap(err, "make the directory")
@@ -86,7 +87,7 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// edited says whether the declared values differ from those last pulled or applied.
+// edited reports whether values differ from those last pulled or applied.
 func (l *lockFile) edited(path settings.Path, values settings.Values) bool {
 	locked, ok := l.Nodes[path]
 	return !ok || locked.Digest != digestValues(values)
@@ -96,8 +97,9 @@
 	l.Nodes[path] = lockedNode{Revision: node.Revision, Digest: digestValues(node.Values)}
 }
 
-// change is what apply sends: the nodes that were edited, added or deleted since the lock. Nodes that were
-// not touched are left out, so that an old checkout does not touch what others changed meanwhile.
+// change returns the change that apply sends: the nodes that were edited, added or deleted since the lock file was
+// written. Untouched nodes are left out, so that an apply from an old checkout does not overwrite what others changed
+// meanwhile.
 func (l *lockFile) change(declared *settings.Declarations) *settings.Change {
 	change := &settings.Change{}
 	for _, path := range declared.Tree("").Paths() {
--- a/pondctl/pondctl_test.go
+++ b/pondctl/pondctl_test.go
@@ -24,7 +24,7 @@
 )
 
 var _ = Describe("pondctl", func() {
-	It("applies a checkout, sends nothing twice, and undoes by applying the old state", func() {
+	It("applies a checkout, sends each change once, and undoes a change by applying the old state", func() {
 		newTestEntry()
 		dir := checkout()
 		Expect(expectOK("apply", dir)).To(Equal("accepted at revision 1, version 10\n"))
@@ -37,9 +37,9 @@
 		Expect(expectOK("history")).To(MatchRegexp(`(?s)REVISION.*\n3 .*chat\n2 .*chat\n1 .*and \d+ more|1 .*dev`))
 	})
 
-	// Two operators start from the same checkout. The late one has to see the other's side and must not
-	// undo it, neither by applying nor by pulling.
-	It("shows a conflict, changes nothing, and settles it as told", func() {
+	// Two operators edit the same node, starting from the same checkout. The second one must be shown the first one's change
+	// and must not undo it, neither by apply nor by a failed pull.
+	It("reports a conflict without changing anything, and resolves it with --take", func() {
 		newTestEntry()
 		mine := checkout()
 		expectOK("apply", mine)
@@ -66,7 +66,7 @@
 		Expect(expectOK("explain", string(chat))).To(MatchRegexp(`replicas +5 +` + string(chat)))
 	})
 
-	It("merges changes to different nodes, and pulls what others changed without losing own edits", func() {
+	It("merges changes to different nodes, and pulls others' changes without losing local edits", func() {
 		newTestEntry()
 		mine := checkout()
 		expectOK("apply", mine)
@@ -87,9 +87,9 @@
 		Expect(expectOK("apply", mine)).To(HavePrefix("accepted"))
 	})
 
-	// The entry takes the change and its answer is lost on the way. The operator runs the same command
-	// again, from the same checkout, and must be told that it is accepted, once.
-	It("takes an apply that is run again after a lost answer for the same apply", func() {
+	// The entry accepts the change but its response is lost. The operator repeats the command from the same checkout and
+	// must be told that the change is accepted; it must not be applied twice.
+	It("recognizes an apply that is repeated after its response was lost", func() {
 		r := newTestEntry()
 		dir := checkout()
 		expectOK("apply", dir)
@@ -111,10 +111,10 @@
 		Expect(expectOK("explain", string(chat))).To(MatchRegexp(`replicas +9 `))
 	})
 
-	// The commit that made a change holds the files and the lock file, and reverting it takes both back. The
-	// directory then looks like an old checkout without edits: an apply that said "unchanged" would let the
-	// operator believe that the undo is in force.
-	It("does not call a reverted checkout unchanged, and goes back to its state if told so", func() {
+	// The commit of a change holds the files and the lock file, so a revert restores both. The directory then looks like an
+	// old checkout without edits. An apply that printed "unchanged" would let the operator believe that the revert is in
+	// force.
+	It("does not report a reverted checkout as unchanged, and restores its state with --exact", func() {
 		newTestEntry()
 		dir := checkout()
 		expectOK("apply", dir)
@@ -138,9 +138,9 @@
 		Expect(expectOK("apply", before)).To(HavePrefix("accepted"), "the lock file is up to date again")
 	})
 
-	// Between the answer of the apply and the reading of the new revisions somebody else changes the same
-	// node. Were that revision taken for the base, the next apply would undo a change nobody here has seen.
-	It("does not take a revision for its base that it has not seen", func() {
+	// Somebody else changes the same node between the response to the apply and the reading of the new revisions. If that
+	// revision were recorded as the base, the next apply would undo a change that this operator has not seen.
+	It("does not record the revision of a change that it has not seen", func() {
 		r := newTestEntry()
 		dir := checkout()
 		expectOK("apply", dir)
@@ -175,7 +175,7 @@
 		Expect(expectOK("status")).To(MatchRegexp(`e2 .*live +10 .*lags\n(.*\n)*e3 .*dead(.*\n)*desk .*loads are paced \(f1\)\n(.*\n)*fabric domain f2 is held up: the platform is out`))
 	})
 
-	DescribeTable("tells by its exit code what became of a command",
+	DescribeTable("reports the outcome of a command by its exit code",
 		func(want int, prepare func(r *testEntry, dir string), args ...string) {
 			r := newTestEntry()
 			dir := checkout()
@@ -207,7 +207,7 @@
 		Entry("not in quarantine", pondctl.ExitFailure, func(*testEntry, string) {}, "quarantine", "lift", "desk", "f2"),
 	)
 
-	It("asks the next entry if the first does not answer", func() {
+	It("tries the next entry if the first does not respond", func() {
 		r := newTestEntry()
 		Expect(expectOK("--entries", "127.0.0.1:1,"+r.address, "quarantine", "list")).To(ContainSubstring("f1"))
 		code, _, progress := run("quarantine", "lift", "desk", "f1")
@@ -215,7 +215,7 @@
 		Expect(progress).To(ContainSubstring("may run again"))
 	})
 
-	It("prints JSON that scripts and the contract's types can read", func() {
+	It("prints JSON that decodes into the contract's types", func() {
 		newTestEntry()
 		dir := checkout()
 		into := func(v any, args ...string) {
@@ -242,9 +242,8 @@
 		Expect(len(fresh.Key)).To(BeNumerically(">=", 26))
 	})
 
-	// The entries that wrote the events are gone, one of them in the middle of a line; their clocks were
-	// seconds apart.
-	It("merges the files of entries that are gone, in order, by VM and time", func() {
+	// The entries that wrote the files no longer run. One stopped in the middle of a line, and their clocks were 6 s apart.
+	It("merges the files of stopped entries in causal order, and filters them by VM and time", func() {
 		dir := GinkgoT().TempDir()
 		write := func(name string, skew time.Duration) (*timeline.Recorder, string) {
 			path := filepath.Join(dir, name)
@@ -269,7 +268,7 @@
 		Expect(expectOK("timeline", "--file", fastFile, "--limit", "1")).To(ContainSubstring("vm2"))
 	})
 
-	It("fills an empty directory by pull, as declarations that pass their checks and change nothing", func() {
+	It("fills an empty directory by pull with valid declarations that equal the settings", func() {
 		newTestEntry()
 		expectOK("apply", checkout())
 		fresh := GinkgoT().TempDir()
--- a/pondctl/pull.go
+++ b/pondctl/pull.go
@@ -15,24 +15,24 @@
 	"github.com/skylarkpond/skylarkpond/contract/settings"
 )
 
-// The sides that pull --take names.
+// Values of pull --take.
 const (
 	takeTheirs = "theirs"
 	takeOurs   = "ours"
 )
 
-// Pulled is the answer of pull.
+// Pulled is the result of pull.
 type Pulled struct {
 	Version uint64          `json:"version"`
 	Written []settings.Path `json:"written,omitempty"`
 	Removed []settings.Path `json:"removed,omitempty"`
-	// Edited lists nodes whose files differ from the settings and were kept: apply sends them.
+	// Edited lists nodes whose files differ from the settings and were kept. The next apply sends them.
 	Edited    []settings.Path  `json:"edited,omitempty"`
 	Conflicts []NodeDifference `json:"conflicts,omitempty"`
 }
 
-// pull brings the files up to the settings. A node that was edited here and changed by somebody else is
-// a conflict: nothing is written then, unless --take says which side stays.
+// pull updates the files to the current settings. A node that was edited locally and changed by somebody else is a
+// conflict: then nothing is written, unless --take selects a side.
 func (c *command) pull(ctx context.Context, args *PullArgs) error {
 	if args.Take != "" && args.Take != takeTheirs && args.Take != takeOurs {
 		return eris.Wrap(ErrUsage, "--take is theirs or ours")
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// loadIfPresent takes an empty or missing directory for one that is to be filled.
+// loadIfPresent reads the declarations in a directory. A directory that is missing or has none yields no nodes, so that pull can
+// fill it.
 func loadIfPresent(dir string) (map[settings.Path]settings.Values, error) {
 	if _, err := os.Stat(filepath.Join(dir, settings.RootFile)); errors.Is(err, fs.ErrNotExist) {
 		if _, err := os.Stat(filepath.Join(dir, "places")); errors.Is(err, fs.ErrNotExist) {
@@ -99,32 +100,32 @@
 	return plan
 }
 
-// planNode decides what to do with one planNode.
+// planNode decides what pull does with a node. A node that is the same in the files and in the settings needs nothing.
 func (p *Pulled) planNode(path settings.Path, declared map[settings.Path]settings.Values, locked *lockFile, tree *settings.Tree, take string) {
-	ours, here := declared[path]
-	theirs, there := tree.Nodes[path]
-	base, based := locked.Nodes[path]
-	if here == there && (!here || ours.Equal(theirs.Values)) {
+	ours, inFiles := declared[path]
+	theirs, inSettings := tree.Nodes[path]
+	base, inLock := locked.Nodes[path]
+	if inFiles == inSettings && (!inFiles || ours.Equal(theirs.Values)) {
 		return
 	}
-	edited := here != based || (here && locked.edited(path, ours))
-	moved := theirs.Revision != base.Revision
+	edited := inFiles != inLock || (inFiles && locked.edited(path, ours))
+	changedByOthers := theirs.Revision != base.Revision
 	switch {
-	case edited && (!moved || take == takeOurs):
+	case edited && (!changedByOthers || take == takeOurs):
 		p.Edited = append(p.Edited, path)
 	case edited && take == "":
 		p.Conflicts = append(p.Conflicts, NodeDifference{
 			Node: path, Action: "change", Conflict: true, Keys: diffValues(theirs.Values, ours),
 		})
-	case there:
+	case inSettings:
 		p.Written = append(p.Written, path)
 	default:
 		p.Removed = append(p.Removed, path)
 	}
 }
 
-// execute writes files first and the lock last: a run that is cut off leaves nodes that look edited and
-// equal to the settings, which the next pull settles.
+// execute writes the files first and the lock file last. An interrupted run leaves nodes that look edited but equal the
+// settings; the next pull resolves them.
 func (p *Pulled) execute(dir string, locked *lockFile, current admin.Settings) error {
 	for _, path := range p.Written {
 		name := filepath.Join(dir, path.File())
--- a/pondctl/rig_test.go
+++ b/pondctl/rig_test.go
@@ -35,7 +35,7 @@
 	RunSpecs(t, "pondctl")
 }
 
-// fakeBackend is a platform with one object and the rest of one entry.
+// fakeBackend fakes the platform, which stores a single object, and the parts of an entry that the admin API uses.
 type fakeBackend struct {
 	platform.Store
 
@@ -69,14 +69,14 @@
 	return f.object.Version, nil
 }
 
-// set changes the fake under its lock.
+// set calls change with mu held.
 func (f *fakeBackend) set(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-// changeReplicas is another operator's change, made on what the platform holds.
+// changeReplicas applies another operator's change to the settings that the platform holds.
 func (f *fakeBackend) changeReplicas(path settings.Path, count int64) {
 	tree, err := settings.ParseTree(f.object.Value)
 	if err != nil {
@@ -110,7 +110,7 @@
 	f.snapshot, _ = tree.Resolve(uint64(object.Version))
 }
 
-// Status has a second entry that lags for the first two looks, or for ever if lagging is set.
+// Status reports a second entry that lags for the first two calls, or always if lagging is set.
 func (f *fakeBackend) Status(context.Context) (admin.Status, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -148,34 +148,38 @@
 	return nil
 }
 
-func (f *fakeBackend) VMLists(context.Context) ([]vm.List, error) { return nil, platform.ErrUnavailable }
-func (f *fakeBackend) Record(timeline.Event)                      {}
+func (f *fakeBackend) VMLists(context.Context) ([]vm.List, error) {
+	return nil, platform.ErrUnavailable
+}
+func (f *fakeBackend) Record(timeline.Event) {}
 
-// emptyMirror is an entry that has mirrored nothing.
+// emptyMirror is the mirror of an entry that has not mirrored any object.
 type emptyMirror struct{}
 
-func (emptyMirror) Get(platform.Kind, string) (platform.Object, bool) { return platform.Object{}, false }
-func (emptyMirror) Version(platform.Kind, string) platform.Version    { return 0 }
+func (emptyMirror) Get(platform.Kind, string) (platform.Object, bool) {
+	return platform.Object{}, false
+}
+func (emptyMirror) Version(platform.Kind, string) platform.Version { return 0 }
 
-// testEntry is a checkout of the dev declarations and an entry to apply them to.
+// testEntry is the admin API of an entry with a fake platform, served over HTTP.
 type testEntry struct {
-	backend    *fakeBackend
+	backend *fakeBackend
 	address string
 
-	mu       sync.Mutex // guards answered
-	answered func(r *http.Request) bool
+	mu             sync.Mutex // guards answered
+	beforeResponse func(r *http.Request) bool
 }
 
-// onResponse has f called before each answer is sent; if it returns false the connection is dropped instead.
+// onResponse sets a function to call before each response is sent. If it returns false, the connection is dropped instead.
 func (r *testEntry) onResponse(f func(r *http.Request) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.answered = f
+	r.beforeResponse = f
 }
 
-func (r *testEntry) answers(req *http.Request) bool {
+func (r *testEntry) allowsResponse(req *http.Request) bool {
 	r.mu.Lock()
-	f := r.answered
+	f := r.beforeResponse
 	r.mu.Unlock()
 	return f == nil || f(req)
 }
@@ -194,7 +198,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		recorder := httptest.NewRecorder()
 		api.ServeHTTP(recorder, req)
-		if !r.answers(req) {
+		if !r.allowsResponse(req) {
 			panic(http.ErrAbortHandler)
 		}
 		w.WriteHeader(recorder.Code)
@@ -207,7 +211,7 @@
 	return r
 }
 
-// checkout is a fresh copy of the dev declarations, without a lock file.
+// checkout returns a directory with a new copy of the dev declarations, without a lock file.
 func checkout() string {
 	GinkgoHelper()
 	dir := GinkgoT().TempDir()
@@ -215,7 +219,7 @@
 	return dir
 }
 
-// copyOf is another operator's checkout of what one has.
+// copyOf returns a copy of a checkout, which stands for another operator's or an older one.
 func copyOf(dir string) string {
 	GinkgoHelper()
 	other := GinkgoT().TempDir()
--- a/pondctl/run.go
+++ b/pondctl/run.go
@@ -13,14 +13,14 @@
 	"github.com/skylarkpond/skylarkpond/contract/settings"
 )
 
-// Streams are where a command reads and writes.
+// Streams are the standard streams of a command.
 type Streams struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
 }
 
-// Errors that have an exit code of their own.
+// Errors that determine the exit code of a command.
 var (
 	ErrConflict   = eris.New("conflict")
 	ErrRefused    = eris.New("refused by the checks")
@@ -28,14 +28,14 @@
 	ErrUsage      = eris.New("usage")
 )
 
-// command is one run of pondctl.
+// command is one invocation of pondctl.
 type command struct {
 	Streams
 	args   Args
 	client *client
 }
 
-// Run runs one command and returns its exit code.
+// Run runs the command given by args and returns its exit code.
 func Run(ctx context.Context, args []string, streams Streams) int {
 	c := &command{Streams: streams}
 	parser, err := arg.NewParser(arg.Config{Program: "pondctl", Out: streams.Err}, &c.args)
@@ -93,7 +93,7 @@
 	return eris.Wrap(ErrUsage, "no command given; see pondctl --help")
 }
 
-// reportError prints an error and returns its exit code.
+// reportError prints an error to standard error and returns the matching exit code.
 func (c *command) reportError(err error) int {
 	if err == nil {
 		return ExitOK
--- a/pondctl/show.go
+++ b/pondctl/show.go
@@ -19,7 +19,7 @@
 	"github.com/skylarkpond/skylarkpond/timeline"
 )
 
-// writeTable writes rows of columns, the first row being the heads.
+// writeTable writes rows as aligned columns. The first row holds the column headings.
 func writeTable(w io.Writer, rows [][]string) {
 	writer := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range rows {
@@ -28,7 +28,7 @@
 	_ = writer.Flush()
 }
 
-// formatTime shows a time in Unix milliseconds.
+// formatTime formats a time in Unix milliseconds as UTC; "-" if it is not set.
 func formatTime(ms int64) string {
 	if ms <= 0 {
 		return "-"
@@ -101,7 +101,7 @@
 	})
 }
 
-// writeEntries marks the entries that lag behind the highest version in force.
+// writeEntries lists the entries and marks those that lag behind the highest settings version in force.
 func writeEntries(w io.Writer, entries []admin.EntryStatus) {
 	newest := uint64(0)
 	for _, entry := range entries {
@@ -141,7 +141,8 @@
 	writeTable(w, rows)
 }
 
-// writeBlockedDomains names the fabric domains whose controller can't work; what holds up a service is noted there.
+// writeBlockedDomains lists the fabric domains whose controller is blocked. What blocks a single service is in that
+// service's note.
 func writeBlockedDomains(w io.Writer, held []admin.BlockedAction) {
 	for _, h := range held {
 		if h.Service == "" {
@@ -213,16 +214,16 @@
 	return values
 }
 
-// readFiles merges the files that entries wrote. It needs no entry: the files outlive those that died.
+// readFiles merges timeline files that entries wrote. It calls no entry, so it also works for entries that no longer run.
 func (c *command) readFiles(paths []string, f timeline.Filter, limit int) (admin.Timeline, error) {
 	var streams [][]timeline.Event
 	for _, path := range paths {
-		events, torn, err := readEvents(path)
+		events, skipped, err := readEvents(path)
 		if err != nil {
 			return admin.Timeline{}, err
 		}
-		if torn > 0 {
-			c.logf("warning: %d lines of %s are no events and are left out", torn, path)
+		if skipped > 0 {
+			c.logf("warning: %d lines of %s are no events and are left out", skipped, path)
 		}
 		streams = append(streams, events)
 	}
@@ -239,7 +240,7 @@
 	return timeline.Read(file)
 }
 
-// formatEvent is one event in words: time, process, kind, and the fields that are set.
+// formatEvent formats an event as a line: time, process, kind, and the fields that are set.
 func formatEvent(e timeline.Event) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %s", time.Unix(0, e.Time).UTC().Format("15:04:05.000"), e.Process, e.Kind)
--- a/pondctl/trace.go
+++ b/pondctl/trace.go
@@ -10,10 +10,10 @@
 	"github.com/skylarkpond/skylarkpond/logline"
 )
 
-// errNoLogLine says that no line tells of the end of a request.
+// errNoLogLine is returned if no log line reports the end of a request.
 var errNoLogLine = eris.New("no line tells of its end: it was served, or did not come to these processes, or the line was dropped (msg \"log lines dropped\")")
 
-// trace shows the lines that tell of one request.
+// trace prints the log lines about a request.
 func (c *command) trace(args *TraceArgs) error {
 	lines, err := c.readLogs(args.Files)
 	if err != nil {
--- a/pondctl/wait.go
+++ b/pondctl/wait.go
@@ -12,27 +12,28 @@
 	"github.com/skylarkpond/skylarkpond/internal/wait"
 )
 
-// wait looks at the status until every live entry works by the version or a later one.
+// wait polls the status until the version, or a later one, is in force on every live entry. It prints each change of the
+// progress.
 func (c *command) wait(ctx context.Context, version uint64, longest time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, longest)
 	defer cancel()
-	told := ""
+	printed := ""
 	for {
 		text, done := c.checkInForce(ctx, version)
-		if text != told && ctx.Err() == nil {
+		if text != printed && ctx.Err() == nil {
 			c.logf("%s", text)
-			told = text
+			printed = text
 		}
 		if done {
 			return nil
 		}
-		if !wait.Pause(ctx, pollPause) {
-			return eris.Wrapf(ErrNotInForce, "after %s: %s", longest, told)
+		if !wait.Pause(ctx, statusPollInterval) {
+			return eris.Wrapf(ErrNotInForce, "after %s: %s", longest, printed)
 		}
 	}
 }
 
-// checkInForce says in words how far the version has come.
+// checkInForce reports whether the version is in force on every live entry, and describes the progress.
 func (c *command) checkInForce(ctx context.Context, version uint64) (text string, done bool) {
 	status, err := get[admin.Status](ctx, c.client, admin.StatusPath, nil)
 	if err != nil {
@@ -56,7 +57,7 @@
 	return text, live > 0 && len(lagging) == 0
 }
 
-// formatLag names an entry that works by an older version.
+// formatLag describes an entry on which an older version is in force.
 func formatLag(entry admin.EntryStatus) string {
 	text := fmt.Sprintf("%s (version %d", entry.Name, entry.SettingsVersion)
 	if entry.SettingsSince > 0 {
--- a/pondctl/yaml.go
+++ b/pondctl/yaml.go
@@ -9,12 +9,12 @@
 	"github.com/skylarkpond/skylarkpond/contract/settings"
 )
 
-// encodeDeclaration writes values as a file of declarations. Comments and the order of the old file are kept;
-// keys that are new come behind, in the order of the table.
+// encodeDeclaration encodes values as a declaration file. Comments and the order of keys in the old file are kept; new
+// keys are appended in the order of settings.Keys.
 func encodeDeclaration(old []byte, values settings.Values) ([]byte, error) {
 	var document yaml.Node
 	if err := yaml.Unmarshal(old, &document); err != nil || len(document.Content) != 1 || document.Content[0].Kind != yaml.MappingNode {
-		// Nothing in it, or nothing that could be kept.
+		// The old file is empty, or is not a YAML mapping whose keys could be kept.
 		document = yaml.Node{Kind: yaml.DocumentNode, HeadComment: document.HeadComment, Content: []*yaml.Node{{Kind: yaml.MappingNode}}}
 	}
 	mapping := document.Content[0]
@@ -49,8 +49,8 @@
 	return out.Bytes(), nil
 }
 
-// keepKeys drops the keys that values don't set, replaces the values that differ, and returns the keys
-// that are there.
+// keepKeys removes the keys that are not in values, replaces the values that differ, and returns the keys that the
+// mapping then has.
 func keepKeys(mapping *yaml.Node, values settings.Values) (map[string]bool, error) {
 	set := make(map[string]bool)
 	kept := make([]*yaml.Node, 0, len(mapping.Content))
