--- a/pondctl/pondctl_test.go
+++ b/pondctl/pondctl_test.go
@@ -147,7 +147,7 @@
 		edit(dir, chat, "replicas: 2", "replicas: 3")
 		r.onResponse(func(req *http.Request) bool {
 			if req.URL.Path == admin.ApplyPath {
-				r.backend.changeReplicas(chat, 9)
+				r.fake.changeReplicas(chat, 9)
 			}
 			return true
 		})
@@ -166,7 +166,7 @@
 		Expect(progress).To(SatisfyAll(
 			ContainSubstring("in force on 1 of 2 live entries; waiting for e2 (version 0"),
 			ContainSubstring("in force on 2 of 2 live entries")))
-		r.backend.set(func() { r.backend.lagging = true })
+		r.fake.set(func() { r.fake.lagging = true })
 		edit(dir, chat, "replicas: 2", "replicas: 3")
 		code, out, progress := run("apply", "--wait", "--wait-for", "100ms", dir)
 		Expect(code).To(Equal(pondctl.ExitNotInForce))
@@ -194,7 +194,7 @@
 		Entry("faults, before anything is sent", pondctl.ExitRefused, func(_ *testEntry, dir string) { edit(dir, chat, "replicas: 2", "replicas: x") }, "apply", "DIR"),
 		Entry("faults that only the entry checks", pondctl.ExitRefused, func(_ *testEntry, dir string) { edit(dir, settings.Root, "operator_key_hashes", "#") }, "apply", "DIR"),
 		Entry("platform out", pondctl.ExitFailure, func(r *testEntry, dir string) {
-			r.backend.set(func() { r.backend.down = true })
+			r.fake.set(func() { r.fake.down = true })
 			edit(dir, chat, "replicas: 2", "replicas: 3")
 		}, "apply", "DIR"),
 		Entry("wrong token", pondctl.ExitFailure, func(*testEntry, string) {}, "--token", "x", "status"),
--- a/pondctl/rig_test.go
+++ b/pondctl/rig_test.go
@@ -35,8 +35,8 @@
 	RunSpecs(t, "pondctl")
 }
 
-// fakeBackend fakes the platform, which stores a single object, and the parts of an entry that the admin API uses.
-type fakeBackend struct {
+// fakeEntry fakes the platform, which stores a single object, and the parts of an entry that the admin API uses.
+type fakeEntry struct {
 	platform.Store
 
 	mu       sync.Mutex
@@ -47,7 +47,7 @@
 	snapshot *settings.Snapshot
 }
 
-func (f *fakeBackend) Get(context.Context, platform.Kind, string) (platform.Object, error) {
+func (f *fakeEntry) Get(context.Context, platform.Kind, string) (platform.Object, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
@@ -59,7 +59,7 @@
 	return f.object, nil
 }
 
-func (f *fakeBackend) Put(_ context.Context, _ platform.Kind, _ string, version platform.Version, value json.RawMessage) (platform.Version, error) {
+func (f *fakeEntry) Put(_ context.Context, _ platform.Kind, _ string, version platform.Version, value json.RawMessage) (platform.Version, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if version != f.object.Version {
@@ -70,14 +70,14 @@
 }
 
 // set calls change with mu held.
-func (f *fakeBackend) set(change func()) {
+func (f *fakeEntry) set(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
 // changeReplicas applies another operator's change to the settings that the platform holds.
-func (f *fakeBackend) changeReplicas(path settings.Path, count int64) {
+func (f *fakeEntry) changeReplicas(path settings.Path, count int64) {
 	tree, err := settings.ParseTree(f.object.Value)
 	if err != nil {
 		panic(err)
@@ -94,13 +94,13 @@
 	_, _ = f.Put(context.Background(), platform.KindSettings, platform.SettingsName, f.object.Version, value)
 }
 
-func (f *fakeBackend) Snapshot() *settings.Snapshot {
+func (f *fakeEntry) Snapshot() *settings.Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.snapshot
 }
 
-func (f *fakeBackend) Publish(object platform.Object) {
+func (f *fakeEntry) Publish(object platform.Object) {
 	tree, err := settings.ParseTree(object.Value)
 	if err != nil {
 		panic(err)
@@ -111,7 +111,7 @@
 }
 
 // Status reports a second entry that lags for the first two calls, or always if lagging is set.
-func (f *fakeBackend) Status(context.Context) (admin.Status, error) {
+func (f *fakeEntry) Status(context.Context) (admin.Status, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.asked++
@@ -130,40 +130,36 @@
 	}, nil
 }
 
-func (f *fakeBackend) Timeline(_ context.Context, query admin.TimelineQuery) (admin.Timeline, error) {
+func (f *fakeEntry) Timeline(_ context.Context, query admin.TimelineQuery) (admin.Timeline, error) {
 	return admin.Timeline{
 		Events:  []timeline.Event{{Time: 1e18, Process: "e1", Kind: query.Kind, Version: 7, Detail: "why"}},
 		Missing: []string{"e9"},
 	}, nil
 }
 
-func (f *fakeBackend) Quarantined(context.Context) ([]admin.QuarantinedRequest, error) {
+func (f *fakeEntry) Quarantined(context.Context) ([]admin.QuarantinedRequest, error) {
 	return []admin.QuarantinedRequest{{Service: "desk", Fingerprint: "f1", Crashes: 2}}, nil
 }
 
-func (f *fakeBackend) Lift(_ context.Context, _, fingerprint string) error {
+func (f *fakeEntry) Lift(_ context.Context, _, fingerprint string) error {
 	if fingerprint != "f1" {
 		return operator.ErrNotQuarantined
 	}
 	return nil
 }
 
-func (f *fakeBackend) VMLists(context.Context) ([]vm.List, error) {
-	return nil, platform.ErrUnavailable
-}
-func (f *fakeBackend) Record(timeline.Event) {}
+func (f *fakeEntry) VMLists(context.Context) ([]vm.List, error) { return nil, platform.ErrUnavailable }
+func (f *fakeEntry) Record(timeline.Event)                      {}
 
-// emptyMirror is the mirror of an entry that has not mirrored any object.
-type emptyMirror struct{}
+// noMirror is the mirror of an entry that has not mirrored any object.
+type noMirror struct{}
 
-func (emptyMirror) Get(platform.Kind, string) (platform.Object, bool) {
-	return platform.Object{}, false
-}
-func (emptyMirror) Version(platform.Kind, string) platform.Version { return 0 }
+func (noMirror) Get(platform.Kind, string) (platform.Object, bool) { return platform.Object{}, false }
+func (noMirror) Version(platform.Kind, string) platform.Version    { return 0 }
 
 // testEntry is the admin API of an entry with a fake platform, served over HTTP.
 type testEntry struct {
-	backend *fakeBackend
+	fake    *fakeEntry
 	address string
 
 	mu             sync.Mutex // guards answered
@@ -185,13 +181,13 @@
 }
 
 func newTestEntry() *testEntry {
-	r := &testEntry{backend: &fakeBackend{}}
+	r := &testEntry{fake: &fakeEntry{}}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	var nonce int
 	api := operator.New(operator.Deps{
-		Entry: "e1", Store: r.backend, Snapshots: r.backend, Mirror: emptyMirror{}, Publisher: r.backend, Status: r.backend, Timeline: r.backend,
-		Quarantine: r.backend, VMs: r.backend, Recorder: r.backend, Log: log, Clock: time.Now,
+		Entry: "e1", Store: r.fake, Snapshots: r.fake, Mirror: noMirror{}, Publisher: r.fake, Status: r.fake, Timeline: r.fake,
+		Quarantine: r.fake, VMs: r.fake, Recorder: r.fake, Log: log, Clock: time.Now,
 		NewNonce:         func() string { nonce++; return fmt.Sprint(nonce) },
 		BootstrapKeyHash: operator.HashKey(examples.DevOperatorKey),
 	}).Handler()
