--- a/pondctl/rig_test.go
+++ b/pondctl/rig_test.go
@@ -162,7 +162,7 @@
 	fake    *fakeEntry
 	address string
 
-	mu             sync.Mutex // guards answered
+	mu             sync.Mutex // guards beforeResponse
 	beforeResponse func(r *http.Request) bool
 }
 
--- a/pondctl/run.go
+++ b/pondctl/run.go
@@ -113,12 +113,12 @@
 	return ExitFailure
 }
 
-// logf tells on standard error what goes on.
+// logf prints a line of progress to standard error.
 func (c *command) logf(format string, args ...any) {
 	fmt.Fprintf(c.Err, format+"\n", args...)
 }
 
-// printResult writes a result: as JSON if asked for, else by text.
+// printResult writes a result to standard output: as JSON with --json, otherwise by calling text.
 func (c *command) printResult(result any, text func(w io.Writer)) error {
 	if !c.args.JSON {
 		text(c.Out)
--- a/pondctl/show.go
+++ b/pondctl/show.go
@@ -143,10 +143,10 @@
 
 // writeBlockedDomains lists the fabric domains whose controller is blocked. What blocks a single service is in that
 // service's note.
-func writeBlockedDomains(w io.Writer, held []admin.BlockedAction) {
-	for _, h := range held {
-		if h.Service == "" {
-			fmt.Fprintf(w, "fabric domain %s is held up: %s\n", h.FabricDomain, h.Reason)
+func writeBlockedDomains(w io.Writer, blocked []admin.BlockedAction) {
+	for _, action := range blocked {
+		if action.Service == "" {
+			fmt.Fprintf(w, "fabric domain %s is blocked up: %s\n", action.FabricDomain, action.Reason)
 		}
 	}
 }
