--- a/entry/catalog/catalog_test.go
+++ b/entry/catalog/catalog_test.go
@@ -45,7 +45,7 @@
 
 func newFixture() *fixture {
 	f := &fixture{api: objects.New(), changes: make(chan catalog.ChangeSet, 1000), configVersions: make(chan uint64, 1000), leaving: make(chan leavingServer, 1000)}
-	client := store.NewClient("http://"+f.api.Address(), store.WithCodec(platform.Objects{}), store.WithCallTimeout(300*time.Millisecond))
+	client := store.NewClient("http://"+f.api.Address(), store.WithCodec(platform.ObjectCodec{}), store.WithCallTimeout(300*time.Millisecond))
 	f.catalog = catalog.New(catalog.Deps{
 		Store: client, FedByLeader: f.fedByLeader.Load, IsLeader: func() bool { return false },
 		OnChanges:      func(changes catalog.ChangeSet) { f.changes <- changes },
@@ -111,7 +111,7 @@
 		f := newFixture()
 		Expect(f.catalog.Table()).To(BeNil())
 		operator.Write(f.api, operator.Config{Version: 2})
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(2)))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		operator.Write(f.api, operator.Config{Version: 5})
@@ -140,15 +140,15 @@
 				reported <- false
 			}
 		})
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(reported, waitFor).Should(Receive(BeTrue()))
 	})
 
 	It("leaves out objects that can't be decoded, and keeps the others", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		f.api.Write("servers", "i-2", "nonsense")
-		f.api.Write("servers", "i-3", replica.Registered("s"))
+		f.api.Write("servers", "i-3", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(2))
 	})
 
@@ -159,7 +159,7 @@
 		operator.Write(f.api, operator.Config{Version: 2})
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(2)))
 		Eventually(f.api.Calls, waitFor).Should(HaveKeyWithValue("GET config", BeNumerically(">=", 2)))
-		f.api.Set(objects.Faults{Deaf: true})
+		f.api.SetFaults(objects.Faults{SkipWatchEvents: true})
 		operator.Write(f.api, operator.Config{Version: 3})
 		f.api.Compact()
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(3)))
@@ -171,9 +171,9 @@
 		f := newFixture()
 		operator.Write(f.api, operator.Config{Version: 2})
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(2)))
-		f.api.Set(objects.Faults{Silent: true})
+		f.api.SetFaults(objects.Faults{Unresponsive: true})
 		Consistently(f.configVersion, "1s").Should(Equal(uint64(2)))
-		f.api.Set(objects.Faults{})
+		f.api.SetFaults(objects.Faults{})
 		operator.Write(f.api, operator.Config{Version: 4})
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(4)))
 	})
@@ -184,16 +184,16 @@
 		f := newFixture()
 		operator.Write(f.api, operator.Config{Version: 2})
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(2)))
-		f.api.Set(objects.Faults{Refuse: 503})
+		f.api.SetFaults(objects.Faults{FailAll: 503})
 		time.Sleep(time.Second) // pending watches have ended
 		before := f.api.Calls()
 		time.Sleep(3 * time.Second)
 		after := f.api.Calls()
 		calls := after["GET config"] + after["GET servers"] - before["GET config"] - before["GET servers"]
 		Expect(calls).To(BeNumerically("<=", 7), "%v", after)
-		f.api.Set(objects.Faults{})
+		f.api.SetFaults(objects.Faults{})
 		operator.Write(f.api, operator.Config{Version: 3})
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(3)))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 	})
@@ -214,7 +214,7 @@
 	// This entry can't reach the platform, but another one can.
 	It("accepts the configuration from another entry", func() {
 		f := newFixture()
-		f.api.Set(objects.Faults{Refuse: 503})
+		f.api.SetFaults(objects.Faults{FailAll: 503})
 		f.catalog.UpdateConfig([]byte(`{"version":9}`))
 		Expect(f.configVersion()).To(Equal(uint64(9)))
 	})
@@ -224,14 +224,14 @@
 	It("keeps servers whose registrations lapse all at once for as long as re-registration may take", func() {
 		f := newFixture()
 		for i := range 6 {
-			f.api.Write("servers", fmt.Sprint("i-", i), replica.Registered("s"))
+			f.api.Write("servers", fmt.Sprint("i-", i), replica.ReadyRegistration("s"))
 		}
 		Eventually(f.servers, waitFor).Should(Equal(6))
 		for i := range 6 {
 			f.api.Delete("servers", fmt.Sprint("i-", i))
 		}
 		Consistently(f.servers, "1s").Should(Equal(6))
-		f.api.Write("servers", "i-0", replica.Registered("s"))
+		f.api.Write("servers", "i-0", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		Consistently(f.servers, "500ms").Should(Equal(1))
 	})
@@ -240,14 +240,14 @@
 	// the traffic.
 	It("forwards only the last of several changes of a server, and the end of a registration", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		since := f.catalog.Revisions()[platform.KindServers]
-		f.api.Set(objects.Faults{Silent: true})
-		f.api.Write("servers", "i-2", replica.Registered("s"))
-		f.api.Write("servers", "i-2", replica.Registered("t"))
+		f.api.SetFaults(objects.Faults{Unresponsive: true})
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("t"))
 		f.api.Delete("servers", "i-1")
-		f.api.Set(objects.Faults{})
+		f.api.SetFaults(objects.Faults{})
 		Eventually(f.serversSince(since), waitFor).Should(ConsistOf(HaveField("Server.Service", "t"), HaveField("Removal.Server", BeEquivalentTo("i-1"))))
 	})
 
@@ -256,16 +256,16 @@
 	It("forwards what changed although the platform has dropped its history", func() {
 		f := newFixture()
 		for _, name := range []string{"i-1", "i-2", "i-3"} {
-			f.api.Write("servers", name, replica.Registered("s"))
+			f.api.Write("servers", name, replica.ReadyRegistration("s"))
 		}
 		Eventually(f.servers, waitFor).Should(Equal(3))
 		since := f.catalog.Revisions()[platform.KindServers]
-		f.api.Set(objects.Faults{Silent: true})
-		f.api.Write("servers", "i-2", replica.Registered("t"))
-		f.api.Write("servers", "i-4", replica.Registered("s"))
+		f.api.SetFaults(objects.Faults{Unresponsive: true})
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("t"))
+		f.api.Write("servers", "i-4", replica.ReadyRegistration("s"))
 		f.api.Delete("servers", "i-1")
 		f.api.Compact()
-		f.api.Set(objects.Faults{})
+		f.api.SetFaults(objects.Faults{})
 		Eventually(f.serversSince(since), waitFor).Should(ConsistOf(
 			HaveField("Server.Service", "t"), HaveField("Server.ID", BeEquivalentTo("i-4")), HaveField("Removal.Server", BeEquivalentTo("i-1"))))
 		reported := store.Version(0)
@@ -282,12 +282,12 @@
 
 	It("does not watch while the leader feeds it, and resumes its own watch when that ends", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		f.followLeader()
 		before := f.api.Calls()["GET servers"]
 		from := f.catalog.Revisions()[platform.KindServers]
-		f.api.Write("servers", "i-2", replica.Registered("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
 		Consistently(f.servers, "2s").Should(Equal(1))
 		Expect(f.api.Calls()["GET servers"]).To(Equal(before))
 		f.catalog.ApplyChanges(catalog.ChangeSet{Kind: platform.KindServers, From: from, To: from + 1, Changes: []catalog.Change{
@@ -295,7 +295,7 @@
 		}})
 		Eventually(f.servers, waitFor).Should(Equal(2))
 		f.fedByLeader.Store(false)
-		f.api.Write("servers", "i-3", replica.Registered("s"))
+		f.api.Write("servers", "i-3", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(3))
 	})
 
@@ -305,13 +305,13 @@
 		f := newFixture()
 		ages := make(chan time.Duration, 100)
 		f.catalog.OnServersChange(func() { ages <- f.catalog.ServersAge() })
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(ages, waitFor).Should(Receive())
 	})
 
 	It("reports once that a server is leaving, and whether the leader reported it", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Leaving("s"))
+		f.api.Write("servers", "i-1", replica.LeavingRegistration("s"))
 		Eventually(f.leaving, waitFor).Should(Receive(Equal(leavingServer{"i-1", false})))
 		f.followLeader()
 		from := f.catalog.Revisions()[platform.KindServers]
@@ -329,10 +329,10 @@
 	// that is gone would remain listed.
 	It("reads from the platform if changes were missed", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		f.followLeader()
-		f.api.Write("servers", "i-2", replica.Registered("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
 		from := f.catalog.Revisions()[platform.KindServers]
 		f.catalog.ApplyChanges(catalog.ChangeSet{Kind: platform.KindServers, From: from + 5, To: from + 6})
 		Eventually(f.servers, waitFor).Should(Equal(2))
@@ -342,10 +342,10 @@
 	// changes.
 	It("reads from the platform when the leader no longer confirms that its list is current", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		stop := f.followLeader()
-		f.api.Write("servers", "i-2", replica.Registered("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
 		Consistently(f.servers, "2s").Should(Equal(1))
 		stop()
 		Eventually(f.servers, waitFor).Should(Equal(2))
@@ -355,20 +355,20 @@
 	// it missed.
 	It("does not accept a new leader's confirmation before it has received what it missed", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		f.followLeader()
 		f.catalog.LeaderChanged()
-		f.api.Write("servers", "i-2", replica.Registered("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(2))
 	})
 
 	It("keeps the latest changes for entries that connect late", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		since := f.catalog.Revisions()[platform.KindServers]
-		f.api.Write("servers", "i-2", replica.Registered("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(2))
 		changes, ok := f.catalog.ChangesSince(platform.KindServers, since)
 		Expect(ok).To(BeTrue())
--- a/entry/gateway/assemble.go
+++ b/entry/gateway/assemble.go
@@ -149,7 +149,7 @@
 
 // newClient returns a client for the platform's object API.
 func newClient(config Config, options ...store.Option) *store.Client {
-	options = append(options, store.WithCodec(platform.Objects{}), store.WithCallTimeout(platformTimeout),
+	options = append(options, store.WithCodec(platform.ObjectCodec{}), store.WithCallTimeout(platformTimeout),
 		store.WithSource(sourceIP(config.CallerAddress)),
 		store.WithRates(store.Rates{Shared: config.PlatformRate * (1 - reservedShare), Reserved: config.PlatformRate * reservedShare}))
 	return store.NewClient("http://"+config.PlatformAddress, options...)
--- a/entry/grouping/cell_test.go
+++ b/entry/grouping/cell_test.go
@@ -37,7 +37,7 @@
 // fixture runs the VMs of one or more fabric domains, a stand-in platform and a catalog that the controllers under test share.
 type fixture struct {
 	api     *objects.API
-	world   *replica.World
+	world   *replica.Cluster
 	catalog *catalog.Catalog
 	vms     []*replica.Server
 	// ctx is cancelled when the spec ends.
@@ -47,7 +47,7 @@
 }
 
 func newFixture(vms int) *fixture {
-	f := &fixture{api: objects.New(), world: replica.NewWorld()}
+	f := &fixture{api: objects.New(), world: replica.NewCluster()}
 	ctx, cancel := context.WithCancel(context.Background())
 	f.ctx = ctx
 	f.catalog = f.newCatalog()
@@ -67,7 +67,7 @@
 
 // newCatalog starts an empty catalog, as a newly started process has it.
 func (f *fixture) newCatalog() *catalog.Catalog {
-	client := store.NewClient("http://"+f.api.Address(), store.WithCodec(platform.Objects{}))
+	client := store.NewClient("http://"+f.api.Address(), store.WithCodec(platform.ObjectCodec{}))
 	created := catalog.New(catalog.Deps{
 		Store: client, FedByLeader: func() bool { return false }, IsLeader: func() bool { return true }, OnChanges: func(catalog.ChangeSet) {},
 		OnPlatformLost: func(store.Kind, error) {}, OnPlatformRegained: func(store.Kind, time.Duration) {}, OnUnreadable: func(store.Object, error) {},
@@ -83,7 +83,7 @@
 	f.next++
 	vm := f.world.Start(f.api, replica.Config{
 		ID: fmt.Sprintf("vm-%02d", f.next), Service: "s", Zone: "z", Domain: fabric, Slots: 4, Engine: true, Staged: staged,
-		JoinTakes: 80 * time.Millisecond, OpenTakes: 60 * time.Millisecond, ReportLag: 40 * time.Millisecond,
+		JoinTime: 80 * time.Millisecond, OpenTime: 60 * time.Millisecond, ReportLag: 40 * time.Millisecond,
 	})
 	f.vms = append(f.vms, vm)
 	return vm
@@ -164,16 +164,16 @@
 // outage makes the platform unresponsive for a while. Some registrations lapse during that time and return within 1.5 s after
 // the platform does.
 func (f *fixture) outage(r *rand.Rand) {
-	f.api.Set(objects.Faults{Silent: true})
+	f.api.SetFaults(objects.Faults{Unresponsive: true})
 	duration := time.Duration(300+r.IntN(600)) * time.Millisecond
-	time.AfterFunc(duration, func() { f.api.Set(objects.Faults{}) })
+	time.AfterFunc(duration, func() { f.api.SetFaults(objects.Faults{}) })
 	for _, vm := range f.vms {
 		if r.IntN(2) == 0 {
 			continue
 		}
-		vm.Set(replica.Faults{Unregistered: true, Mute: r.IntN(3) == 0})
+		vm.SetFaults(replica.Faults{Unregistered: true, Unresponsive: r.IntN(3) == 0})
 		f.api.Delete("servers", vm.ID())
-		time.AfterFunc(duration+time.Duration(r.IntN(1500))*time.Millisecond, func() { vm.Set(replica.Faults{}) })
+		time.AfterFunc(duration+time.Duration(r.IntN(1500))*time.Millisecond, func() { vm.SetFaults(replica.Faults{}) })
 	}
 }
 
--- a/entry/grouping/grouping_test.go
+++ b/entry/grouping/grouping_test.go
@@ -24,7 +24,7 @@
 		f := newFixture(7)
 		f.startController(1)
 		Eventually(f.groupCount, waitFor).Should(Equal(2))
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 
 	// Guards against a group that lost a member and continues to accept requests without making progress.
@@ -35,7 +35,7 @@
 		head := f.heads()[0]
 		for _, vm := range f.vms {
 			if group := vm.Group(); group != nil && group.Rank == 1 {
-				vm.Die()
+				vm.Crash()
 				break
 			}
 		}
@@ -44,7 +44,7 @@
 			heads := f.heads()
 			return len(heads) == 1 && heads[0].Group.GroupKey != head.Group.GroupKey
 		}, waitFor).Should(BeTrue())
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 
 	// A VM's process restarts under the same id before its registration lapses. It knows of no group, while the other members
@@ -65,7 +65,7 @@
 			heads := f.heads()
 			return len(heads) == 1 && heads[0].Group.GroupKey != before
 		}, waitFor).Should(BeTrue())
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	}, Entry("a member", 1), Entry("the head", 0))
 
 	// The leader is overloaded and reaches no VM of any fabric domain in time, while requests are only paused for a moment. If
@@ -82,7 +82,7 @@
 		before := f.heads()
 		controller.peersReach.Store(true)
 		for _, vm := range f.vms {
-			vm.Set(replica.Faults{Mute: true})
+			vm.SetFaults(replica.Faults{Unresponsive: true})
 		}
 		for _, head := range before {
 			controller.Suspect(context.Background(), head.Group.GroupKey)
@@ -106,7 +106,7 @@
 		f := newFixture(3)
 		Eventually(func() int { return len(f.catalog.Listing().Servers) }, waitFor).Should(Equal(3))
 		for _, vm := range f.vms {
-			vm.Set(replica.Faults{Unregistered: true})
+			vm.SetFaults(replica.Faults{Unregistered: true})
 		}
 		controller := f.startController(1)
 		open := func() int {
@@ -121,23 +121,23 @@
 		Eventually(open, waitFor).Should(Equal(1))
 		Consistently(open, "2s").Should(Equal(1))
 		Expect(controller.formations.Load()).To(Equal(int32(1)))
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 
 	// Orders get no response and are executed later, after newer orders have arrived.
 	It("tolerates orders that are executed late", func() {
 		f := newFixture(7)
 		for _, vm := range f.vms[:3] {
-			vm.Set(replica.Faults{LateOrders: 700 * time.Millisecond})
+			vm.SetFaults(replica.Faults{OrderDelay: 700 * time.Millisecond})
 		}
 		f.startController(1)
 		time.AfterFunc(1500*time.Millisecond, func() {
 			for _, vm := range f.vms[:3] {
-				vm.Set(replica.Faults{})
+				vm.SetFaults(replica.Faults{})
 			}
 		})
 		Eventually(f.groupCount, waitFor).Should(Equal(2))
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 
 	// The leader is gone, and its successor knows only what the VMs report.
@@ -159,14 +159,14 @@
 		head := f.heads()[0]
 		for _, vm := range f.vms {
 			if vm.ID() == string(head.ID) {
-				vm.Die()
+				vm.Crash()
 			}
 		}
 		Eventually(func() bool {
 			heads := f.heads()
 			return len(heads) == 1 && heads[0].ID != head.ID
 		}, waitFor).Should(BeTrue())
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 
 	// A head is disconnected from the platform and from the leader, and still serves requests from other entries. If its
@@ -179,13 +179,13 @@
 		controller.peersReach.Store(true)
 		for _, vm := range f.vms {
 			if vm.ID() == string(head.ID) {
-				vm.Set(replica.Faults{Mute: true, Unregistered: true})
+				vm.SetFaults(replica.Faults{Unresponsive: true, Unregistered: true})
 			}
 		}
 		f.api.Delete("servers", string(head.ID))
 		Eventually(f.groupCount, waitFor).Should(BeZero())
 		Consistently(f.groupCount, "2s").Should(BeZero())
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 
 	// The platform was unavailable, and registrations of running servers lapsed. A process that starts on its return becomes
@@ -198,14 +198,14 @@
 		Eventually(f.groupCount, waitFor).Should(Equal(1))
 		first.stop()
 		head := f.vm(f.heads()[0].ID)
-		head.Set(replica.Faults{Mute: true, Unregistered: true})
+		head.SetFaults(replica.Faults{Unresponsive: true, Unregistered: true})
 		f.api.Delete("servers", head.ID())
 		f.startWith(f.newCatalog(), 2)
-		Consistently(f.world.Broken, "1500ms").Should(BeEmpty())
-		head.Set(replica.Faults{})
+		Consistently(f.world.Violations, "1500ms").Should(BeEmpty())
+		head.SetFaults(replica.Faults{})
 		Eventually(f.groupCount, waitFor).Should(Equal(1))
 		Expect(f.heads()[0].ID).To(Equal(backend.ID(head.ID())))
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 
 	// As above, but a member's registration is missing. Its group is serving; if it were dissolved, all its requests would be
@@ -217,11 +217,11 @@
 		first.stop()
 		before := f.heads()[0].Group.GroupKey
 		member := f.member(1)
-		member.Set(replica.Faults{Unregistered: true})
+		member.SetFaults(replica.Faults{Unregistered: true})
 		f.api.Delete("servers", member.ID())
 		controller := f.startWith(f.newCatalog(), 2)
 		Consistently(func() bool { return controller.Closed(before) }, "1500ms").Should(BeFalse())
-		member.Set(replica.Faults{})
+		member.SetFaults(replica.Faults{})
 		Eventually(f.groupCount, waitFor).Should(Equal(1))
 		Expect(f.heads()[0].Group.GroupKey).To(Equal(before))
 	})
@@ -270,7 +270,7 @@
 			}
 			return states
 		}, waitFor).Should(ConsistOf("open", "ready", "ready", "ready"))
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 
 	// A member is disconnected only from the platform: its registration lapses while it continues to work for its group. If
@@ -282,11 +282,11 @@
 		Eventually(f.groupCount, waitFor).Should(Equal(1))
 		key := f.heads()[0].Group.GroupKey
 		member := f.member(1)
-		member.Set(replica.Faults{Unregistered: true})
+		member.SetFaults(replica.Faults{Unregistered: true})
 		f.api.Delete("servers", member.ID())
 		Eventually(func() int { return controller.ResponsiveUnregistered(key) }, waitFor).Should(Equal(1))
 		Consistently(func() bool { return controller.Closed(key) }, "3s").Should(BeFalse())
-		member.Die()
+		member.Crash()
 		Eventually(func() bool { return controller.Closed(key) }, waitFor).Should(BeTrue())
 	})
 
@@ -296,18 +296,18 @@
 	It("orders weights only once for a host that is busy loading, and continues with other hosts", func() {
 		f := newFixture(2)
 		slow := f.world.Start(f.api, replica.Config{
-			ID: "vm-slow", Service: "s", Zone: "z", Domain: "d", Slots: 4, Engine: true, JoinTakes: 2 * time.Second, ReportLag: 40 * time.Millisecond,
+			ID: "vm-slow", Service: "s", Zone: "z", Domain: "d", Slots: 4, Engine: true, JoinTime: 2 * time.Second, ReportLag: 40 * time.Millisecond,
 		})
 		f.vms = append(f.vms, slow)
 		first := f.startController(1)
-		Eventually(func() int { return slow.Asked("phase") }, waitFor).Should(Equal(1))
+		Eventually(func() int { return slow.OrderCount("phase") }, waitFor).Should(Equal(1))
 		first.stop()
 		f.startController(2)
 		others := []*replica.Server{f.addVM(), f.addVM(), f.addVM()}
 		for _, vm := range others {
-			Eventually(func() int { return vm.Asked("phase") }, waitFor).Should(BeNumerically(">=", 1))
+			Eventually(func() int { return vm.OrderCount("phase") }, waitFor).Should(BeNumerically(">=", 1))
 		}
-		Consistently(func() int { return slow.Asked("phase") }, "1s").Should(BeNumerically("<=", 2))
+		Consistently(func() int { return slow.OrderCount("phase") }, "1s").Should(BeNumerically("<=", 2))
 	})
 
 	It("drains the group of a member that leaves", func() {
@@ -316,13 +316,13 @@
 		Eventually(f.groupCount, waitFor).Should(Equal(1))
 		for _, vm := range f.vms {
 			if group := vm.Group(); group != nil && group.Rank == 2 {
-				vm.Leave()
+				vm.StartLeaving()
 			}
 		}
 		Eventually(func() bool {
 			heads := f.heads()
 			return len(heads) == 1
 		}, waitFor).Should(BeTrue())
-		Expect(f.world.Broken()).To(BeEmpty())
+		Expect(f.world.Violations()).To(BeEmpty())
 	})
 })
--- a/entry/relay/answer.go
+++ b/entry/relay/answer.go
@@ -37,7 +37,7 @@
 	if retryAfter > 0 {
 		header.Set(platform.HeaderRetryAfter, strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
-	platform.Echo(header, e.call.ID)
+	platform.SetRequestID(header, e.call.ID)
 	body, err := json.Marshal(errorBody{Error: detail})
 	if err != nil {
 		body = nil // a string always encodes
--- a/entry/relay/exchange.go
+++ b/entry/relay/exchange.go
@@ -26,7 +26,7 @@
 	writer  http.ResponseWriter
 	request *http.Request
 	ctx     context.Context
-	call    platform.Call
+	call    platform.RequestInfo
 	arrived time.Time
 	// deadline is the earlier of the caller's and the route's.
 	deadline time.Time
@@ -57,7 +57,7 @@
 func newExchange(r *Relay, w http.ResponseWriter, request *http.Request) *exchange {
 	return &exchange{
 		relay: r, writer: w, request: request, ctx: request.Context(), arrived: time.Now(),
-		call: platform.DecodeCall(request.Header), table: r.deps.Table(),
+		call: platform.DecodeRequest(request.Header), table: r.deps.Table(),
 	}
 }
 
@@ -100,8 +100,8 @@
 		return e.refuse(NoKey, http.StatusUnauthorized, 0, "no team holds this key")
 	}
 	e.deadline = e.arrived.Add(found.Timeout)
-	if e.call.Left > 0 && e.call.Left < found.Timeout {
-		e.deadline = e.arrived.Add(e.call.Left)
+	if e.call.Remaining > 0 && e.call.Remaining < found.Timeout {
+		e.deadline = e.arrived.Add(e.call.Remaining)
 	}
 	e.service = e.pickService()
 	return true
@@ -200,7 +200,7 @@
 	firstTokenBudget, maxWait := turns.WaitBounds(e.route.LatencyTarget, time.Since(e.arrived), retrying)
 	request := turn.Request{
 		Service: e.service, Model: e.call.Model, Priority: e.priority, Retry: retrying, Tried: e.tried,
-		PromptTokens: e.call.PromptTokens, OutputTokens: e.call.ExpectedAnswer(),
+		PromptTokens: e.call.PromptTokens, OutputTokens: e.call.ExpectedAnswerTokens(),
 		FirstTokenBudget: firstTokenBudget, MaxWait: maxWait, Fingerprint: contract.ShortFingerprint(e.fingerprint),
 	}
 	if e.attempts > 0 {
@@ -227,7 +227,7 @@
 		e.checkForCrash(t, err)
 		return e.doneAfterFailure("no answer: " + err.Error())
 	}
-	decoded := platform.DecodeAnswer(answer.Status, answer.Header)
+	decoded := platform.DecodeResponse(answer.Status, answer.Header)
 	if decoded.Load != nil {
 		t.ReportLoad(decoded.Load.Running, decoded.Load.Waiting, decoded.Load.Slots)
 	}
@@ -269,10 +269,10 @@
 	answer, err := e.relay.deps.Pool.Send(ctx, upstream.EndpointOf(t.Server), &upstream.Request{
 		Method: e.request.Method, Target: e.request.RequestURI, Host: e.request.Host,
 		Header: platform.ForwardHeader(e.request.Header, platform.Forward{
-			Server: t.Server.ID, Team: e.team, Left: time.Until(e.deadline), LastEvent: lastEvent,
+			Server: t.Server.ID, Team: e.team, Remaining: time.Until(e.deadline), LastEvent: lastEvent,
 		}),
 		Body:    e.body,
-		Matches: func(header http.Header) bool { return platform.Belongs(e.call.ID, header) },
+		Matches: func(header http.Header) bool { return platform.MatchesID(e.call.ID, header) },
 	})
 	if err != nil {
 		e.endAttempt()
@@ -350,7 +350,7 @@
 		return false
 	}
 	e.summary.TimeToFirstByte = time.Since(e.arrived)
-	e.writeAnswer(answer.Status, platform.AnswerHeader(answer.Header), body)
+	e.writeAnswer(answer.Status, platform.ResponseHeader(answer.Header), body)
 	e.summary.Outcome = Served
 	return true
 }
--- a/entry/relay/relay_test.go
+++ b/entry/relay/relay_test.go
@@ -70,7 +70,7 @@
 }
 
 type harness struct {
-	world    *replica.World
+	world    *replica.Cluster
 	api      *objects.API
 	servers  []*replica.Server
 	turns    *inOrder
@@ -111,7 +111,7 @@
 }
 
 func newHarness(config replica.Config, count int) *harness {
-	r := &harness{world: replica.NewWorld(), api: objects.New(), turns: &inOrder{}, suspects: &fakeSuspects{}}
+	r := &harness{world: replica.NewCluster(), api: objects.New(), turns: &inOrder{}, suspects: &fakeSuspects{}}
 	DeferCleanup(r.api.Close)
 	for i := range count {
 		config.ID = fmt.Sprintf("i-%d", i)
@@ -183,7 +183,7 @@
 	return r.reports[len(r.reports)-1]
 }
 
-func (r *harness) set(i int, faults replica.Faults) { r.servers[i].Set(faults) }
+func (r *harness) set(i int, faults replica.Faults) { r.servers[i].SetFaults(faults) }
 
 var _ = Describe("Retries", func() {
 	take := func(r *relay.Retries, most int) int {
@@ -267,7 +267,7 @@
 		r.set(0, replica.Faults{LoseAnswer: true})
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusBadGateway))
-		Expect(r.world.Runs("a1")).To(Equal(1))
+		Expect(r.world.RunCount("a1")).To(Equal(1))
 		Expect(r.last().Outcome).To(Equal(relay.Unknown))
 	})
 
@@ -277,7 +277,7 @@
 		r.set(0, replica.Faults{Shed: true})
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusOK))
-		Expect(r.world.Runs("a1")).To(Equal(1))
+		Expect(r.world.RunCount("a1")).To(Equal(1))
 		Expect(r.turns.ended()[0].Rejected).To(BeTrue())
 	})
 
@@ -288,14 +288,14 @@
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header.Get("Retry-After")).To(Equal("60.000"))
-		Expect(r.world.Runs("a1")).To(BeZero())
+		Expect(r.world.RunCount("a1")).To(BeZero())
 		Expect(r.last().Outcome).To(Equal(relay.Quarantined))
 	})
 
 	It("has a server checked that closed its connection in the middle of a request", func() {
 		r := newHarness(replica.Config{Events: 4}, 3)
 		r.set(0, replica.Faults{LoseAnswer: true})
-		r.set(1, replica.Faults{Cut: 1})
+		r.set(1, replica.Faults{ResetAfter: 1})
 		Expect(r.send(r.request(http.MethodPost, "/look/x", "a1")).status).To(Equal(http.StatusBadGateway))
 		Eventually(func() []backend.ID { _, lost := r.suspects.calls(); return lost }).Should(ConsistOf(BeEquivalentTo("i-0"), BeEquivalentTo("i-1")))
 		r.set(0, replica.Faults{})
@@ -311,11 +311,11 @@
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
-		Expect(r.world.Runs("a1")).To(BeZero())
+		Expect(r.world.RunCount("a1")).To(BeZero())
 	})
 
 	It("retries a repeatable request after a lost answer and after a server's failure", func() {
-		for _, faults := range []replica.Faults{{LoseAnswer: true}, {Fail: 500}} {
+		for _, faults := range []replica.Faults{{LoseAnswer: true}, {FailStatus: 500}} {
 			r := newHarness(replica.Config{}, 2)
 			r.set(0, faults)
 			got := r.send(r.request(http.MethodGet, "/look/x", "a1"))
@@ -326,7 +326,7 @@
 
 	It("returns a server's failure if no further attempt is allowed", func() {
 		r := newHarness(replica.Config{}, 1)
-		r.set(0, replica.Faults{Fail: 500})
+		r.set(0, replica.Faults{FailStatus: 500})
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusInternalServerError))
 		Expect(got.header.Get(platform.HeaderSignature)).To(Equal("signed.i-0"))
@@ -347,7 +347,7 @@
 		r.turns.servers[0].ID = "i-gone"
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusOK))
-		Expect(r.world.Runs("a1")).To(Equal(1))
+		Expect(r.world.RunCount("a1")).To(Equal(1))
 		Expect(r.servers[0].Runs()).To(BeEmpty())
 	})
 
@@ -367,7 +367,7 @@
 	// request did not run.
 	It("ends a request at the route's timeout", func() {
 		r := newHarness(replica.Config{}, 1)
-		r.set(0, replica.Faults{Mute: true})
+		r.set(0, replica.Faults{Unresponsive: true})
 		began := time.Now()
 		got := r.send(r.request(http.MethodPost, "/book/x", "a1"))
 		Expect(got.status).To(Equal(http.StatusGatewayTimeout))
@@ -375,7 +375,7 @@
 		Expect(r.last().Outcome).To(Equal(relay.TimedOut))
 	})
 
-	stream := replica.Config{Events: 6, EventTakes: 10 * time.Millisecond}
+	stream := replica.Config{Events: 6, EventInterval: 10 * time.Millisecond}
 	// whole returns the stream events numbered from through to as a server sends them in answer to request a1.
 	whole := func(from, to int) string {
 		text := ""
@@ -405,15 +405,15 @@
 			Expect(r.servers[1].Runs()).To(ConsistOf(HaveField("From", "3")))
 			Expect(r.last().Resumed).To(BeTrue())
 		},
-		Entry("cut in the middle of an event", replica.Faults{Cut: 3}),
-		Entry("silent", replica.Faults{Stall: 3}),
+		Entry("cut in the middle of an event", replica.Faults{ResetAfter: 3}),
+		Entry("silent", replica.Faults{StallAfter: 3}),
 	)
 
 	// A group has lost a member, and a request is sent to its head before the loss is noticed. The head accepts the request and sends
 	// nothing. The caller leaves after two seconds.
 	DescribeTable("sends a repeatable request to another server when its server does not begin to answer", func(path string) {
 		r := newHarness(stream, 2)
-		r.set(0, replica.Faults{Mute: true})
+		r.set(0, replica.Faults{Unresponsive: true})
 		began := time.Now()
 		got := r.send(r.request(http.MethodPost, path, "a1"))
 		Expect(got.status).To(Equal(http.StatusOK))
@@ -432,14 +432,14 @@
 
 	It("waits for the server of a request that may not be repeated", func() {
 		r := newHarness(stream, 2)
-		r.set(0, replica.Faults{Mute: true})
+		r.set(0, replica.Faults{Unresponsive: true})
 		Expect(r.send(r.request(http.MethodPost, "/book/x", "a1")).status).To(Equal(http.StatusGatewayTimeout))
 		Expect(r.servers[1].Runs()).To(BeEmpty())
 	})
 
 	It("reports a stalled server before it abandons the stream", func() {
 		r := newHarness(stream, 2)
-		r.set(0, replica.Faults{Stall: 3})
+		r.set(0, replica.Faults{StallAfter: 3})
 		r.send(r.request(http.MethodPost, "/chat/x", "a1"))
 		r.turns.mu.Lock()
 		defer r.turns.mu.Unlock()
@@ -450,11 +450,11 @@
 	// A stream that may not be repeated breaks off. If it ended like a complete one, the caller would act on a part.
 	It("aborts the connection if a stream can't be resumed", func() {
 		r := newHarness(stream, 2)
-		r.set(0, replica.Faults{Cut: 3})
+		r.set(0, replica.Faults{ResetAfter: 3})
 		got := r.send(r.request(http.MethodPost, "/once/x", "a1"))
 		Expect(got.err).To(HaveOccurred())
 		Expect(got.body).To(Equal(whole(1, 3)))
-		Expect(r.world.Runs("a1")).To(Equal(1))
+		Expect(r.world.RunCount("a1")).To(Equal(1))
 		Eventually(func() relay.Outcome { return r.last().Outcome }).Should(Equal(relay.Cut))
 	})
 
@@ -467,7 +467,7 @@
 
 	// The caller closes its connection in the middle of a stream. A server that is not told would continue for nobody.
 	It("cancels the request at the server when the caller disconnects", func() {
-		r := newHarness(replica.Config{Events: 1000, EventTakes: 20 * time.Millisecond}, 1)
+		r := newHarness(replica.Config{Events: 1000, EventInterval: 20 * time.Millisecond}, 1)
 		ctx, cancel := context.WithCancel(context.Background())
 		request := r.request(http.MethodPost, "/chat/x", "a1").WithContext(ctx)
 		response, err := http.DefaultTransport.RoundTrip(request)
--- a/entry/relay/stream.go
+++ b/entry/relay/stream.go
@@ -27,13 +27,13 @@
 // relayStream forwards the events of a stream as they arrive, resuming it at another server if it breaks off. It reports whether the
 // request is done.
 func (e *exchange) relayStream(t *turn.Turn, answer *upstream.Response) bool {
-	if !platform.Signed(answer.Header) {
+	if !platform.HasSignature(answer.Header) {
 		_ = answer.Body.Close()
 		e.endAttempt()
 		t.Done(turn.Result{Failed: true})
 		return e.doneAfterFailure("success without a signature")
 	}
-	head := platform.AnswerHeader(answer.Header)
+	head := platform.ResponseHeader(answer.Header)
 	last := e.call.LastEvent
 	for {
 		var err error
@@ -127,7 +127,7 @@
 			e.checkForCrash(t, err)
 			continue
 		}
-		if platform.DecodeAnswer(answer.Status, answer.Header).NotRun || answer.Status != http.StatusOK || !platform.Signed(answer.Header) {
+		if platform.DecodeResponse(answer.Status, answer.Header).NotRun || answer.Status != http.StatusOK || !platform.HasSignature(answer.Header) {
 			e.endRejected(t, answer)
 			continue
 		}
--- a/pondctl/pondctl_test.go
+++ b/pondctl/pondctl_test.go
@@ -24,8 +24,8 @@
 )
 
 var _ = Describe("pondctl", func() {
-	It("applies a checkout, sends nothing twice, and undoes by applying the old state", func() {
-		newRig()
+	It("applies a checkout, sends each change once, and undoes a change by applying the old state", func() {
+		newTestEntry()
 		dir := checkout()
 		Expect(expectOK("apply", dir)).To(Equal("accepted at revision 1, version 10\n"))
 		Expect(expectOK("apply", dir)).To(HavePrefix("unchanged"))
@@ -37,10 +37,10 @@
 		Expect(expectOK("history")).To(MatchRegexp(`(?s)REVISION.*\n3 .*chat\n2 .*chat\n1 .*and \d+ more|1 .*dev`))
 	})
 
-	// Two operators start from the same checkout. The late one has to see the other's side and must not
-	// undo it, neither by applying nor by pulling.
-	It("shows a conflict, changes nothing, and settles it as told", func() {
-		newRig()
+	// Two operators edit the same node, starting from the same checkout. The second one must be shown the first one's change
+	// and must not undo it, neither by apply nor by a failed pull.
+	It("reports a conflict without changing anything, and resolves it with --take", func() {
+		newTestEntry()
 		mine := checkout()
 		expectOK("apply", mine)
 		theirs := copyOf(mine)
@@ -66,8 +66,8 @@
 		Expect(expectOK("explain", string(chat))).To(MatchRegexp(`replicas +5 +` + string(chat)))
 	})
 
-	It("merges changes to different nodes, and pulls what others changed without losing own edits", func() {
-		newRig()
+	It("merges changes to different nodes, and pulls others' changes without losing local edits", func() {
+		newTestEntry()
 		mine := checkout()
 		expectOK("apply", mine)
 		theirs := copyOf(mine)
@@ -87,18 +87,18 @@
 		Expect(expectOK("apply", mine)).To(HavePrefix("accepted"))
 	})
 
-	// The entry takes the change and its answer is lost on the way. The operator runs the same command
-	// again, from the same checkout, and must be told that it is accepted, once.
-	It("takes an apply that is run again after a lost answer for the same apply", func() {
-		r := newRig()
+	// The entry accepts the change but its response is lost. The operator repeats the command from the same checkout and
+	// must be told that the change is accepted; it must not be applied twice.
+	It("recognizes an apply that is repeated after its response was lost", func() {
+		r := newTestEntry()
 		dir := checkout()
 		expectOK("apply", dir)
 		edit(dir, chat, "replicas: 2", "replicas: 3")
-		r.onAnswer(func(req *http.Request) bool { return req.URL.Path != admin.ApplyPath })
+		r.onResponse(func(req *http.Request) bool { return req.URL.Path != admin.ApplyPath })
 		code, _, progress := run("apply", dir)
 		Expect(code).To(Equal(pondctl.ExitFailure))
 		Expect(progress).To(ContainSubstring("running it again is safe"))
-		r.onAnswer(nil)
+		r.onResponse(nil)
 		late := copyOf(dir)
 		Expect(expectOK("apply", dir)).To(Equal("already applied at revision 2\n"))
 		Expect(expectOK("apply", dir)).To(HavePrefix("unchanged"))
@@ -111,11 +111,11 @@
 		Expect(expectOK("explain", string(chat))).To(MatchRegexp(`replicas +9 `))
 	})
 
-	// The commit that made a change holds the files and the lock file, and reverting it takes both back. The
-	// directory then looks like an old checkout without edits: an apply that said "unchanged" would let the
-	// operator believe that the undo is in force.
-	It("does not call a reverted checkout unchanged, and goes back to its state if told so", func() {
-		newRig()
+	// The commit of a change holds the files and the lock file, so a revert restores both. The directory then looks like an
+	// old checkout without edits. An apply that printed "unchanged" would let the operator believe that the revert is in
+	// force.
+	It("does not report a reverted checkout as unchanged, and restores its state with --exact", func() {
+		newTestEntry()
 		dir := checkout()
 		expectOK("apply", dir)
 		before := copyOf(dir)
@@ -138,21 +138,21 @@
 		Expect(expectOK("apply", before)).To(HavePrefix("accepted"), "the lock file is up to date again")
 	})
 
-	// Between the answer of the apply and the reading of the new revisions somebody else changes the same
-	// node. Were that revision taken for the base, the next apply would undo a change nobody here has seen.
-	It("does not take a revision for its base that it has not seen", func() {
-		r := newRig()
+	// Somebody else changes the same node between the response to the apply and the reading of the new revisions. If that
+	// revision were recorded as the base, the next apply would undo a change that this operator has not seen.
+	It("does not record the revision of a change that it has not seen", func() {
+		r := newTestEntry()
 		dir := checkout()
 		expectOK("apply", dir)
 		edit(dir, chat, "replicas: 2", "replicas: 3")
-		r.onAnswer(func(req *http.Request) bool {
+		r.onResponse(func(req *http.Request) bool {
 			if req.URL.Path == admin.ApplyPath {
-				r.side.changeReplicas(chat, 9)
+				r.fake.changeReplicas(chat, 9)
 			}
 			return true
 		})
 		Expect(expectOK("apply", dir)).To(HavePrefix("accepted"))
-		r.onAnswer(nil)
+		r.onResponse(nil)
 		edit(dir, chat, "replicas: 3", "replicas: 4")
 		code, out, _ := run("apply", dir)
 		Expect(code).To(Equal(pondctl.ExitConflict))
@@ -160,13 +160,13 @@
 	})
 
 	It("waits until every live entry has the version, and names those that lag", func() {
-		r := newRig()
+		r := newTestEntry()
 		dir := checkout()
 		_, _, progress := run("apply", "--wait", dir)
 		Expect(progress).To(SatisfyAll(
 			ContainSubstring("in force on 1 of 2 live entries; waiting for e2 (version 0"),
 			ContainSubstring("in force on 2 of 2 live entries")))
-		r.side.set(func() { r.side.lagging = true })
+		r.fake.set(func() { r.fake.lagging = true })
 		edit(dir, chat, "replicas: 2", "replicas: 3")
 		code, out, progress := run("apply", "--wait", "--wait-for", "100ms", dir)
 		Expect(code).To(Equal(pondctl.ExitNotInForce))
@@ -175,9 +175,9 @@
 		Expect(expectOK("status")).To(MatchRegexp(`e2 .*live +10 .*lags\n(.*\n)*e3 .*dead(.*\n)*desk .*loads are paced \(f1\)\n(.*\n)*fabric domain f2 is held up: the platform is out`))
 	})
 
-	DescribeTable("tells by its exit code what became of a command",
-		func(want int, prepare func(r *rig, dir string), args ...string) {
-			r := newRig()
+	DescribeTable("reports the outcome of a command by its exit code",
+		func(want int, prepare func(r *testEntry, dir string), args ...string) {
+			r := newTestEntry()
 			dir := checkout()
 			expectOK("apply", dir)
 			prepare(r, dir)
@@ -190,33 +190,33 @@
 			Expect(code).To(Equal(want), progress)
 			Expect(progress).NotTo(BeEmpty())
 		},
-		Entry("faults", pondctl.ExitRefused, func(_ *rig, dir string) { edit(dir, chat, "replicas: 2", "replicas: x") }, "validate", "DIR"),
-		Entry("faults, before anything is sent", pondctl.ExitRefused, func(_ *rig, dir string) { edit(dir, chat, "replicas: 2", "replicas: x") }, "apply", "DIR"),
-		Entry("faults that only the entry checks", pondctl.ExitRefused, func(_ *rig, dir string) { edit(dir, settings.Root, "operator_key_hashes", "#") }, "apply", "DIR"),
-		Entry("platform out", pondctl.ExitFailure, func(r *rig, dir string) {
-			r.side.set(func() { r.side.down = true })
+		Entry("faults", pondctl.ExitRefused, func(_ *testEntry, dir string) { edit(dir, chat, "replicas: 2", "replicas: x") }, "validate", "DIR"),
+		Entry("faults, before anything is sent", pondctl.ExitRefused, func(_ *testEntry, dir string) { edit(dir, chat, "replicas: 2", "replicas: x") }, "apply", "DIR"),
+		Entry("faults that only the entry checks", pondctl.ExitRefused, func(_ *testEntry, dir string) { edit(dir, settings.Root, "operator_key_hashes", "#") }, "apply", "DIR"),
+		Entry("platform out", pondctl.ExitFailure, func(r *testEntry, dir string) {
+			r.fake.set(func() { r.fake.down = true })
 			edit(dir, chat, "replicas: 2", "replicas: 3")
 		}, "apply", "DIR"),
-		Entry("wrong token", pondctl.ExitFailure, func(*rig, string) {}, "--token", "x", "status"),
-		Entry("no entry answers", pondctl.ExitFailure, func(r *rig, _ string) { r.onAnswer(func(*http.Request) bool { return false }) }, "status"),
-		Entry("no address", pondctl.ExitUsage, func(*rig, string) {}, "--entries", "", "status"),
-		Entry("no command", pondctl.ExitUsage, func(*rig, string) {}),
-		Entry("unknown flag", pondctl.ExitUsage, func(*rig, string) {}, "status", "--colour"),
-		Entry("unknown side", pondctl.ExitUsage, func(*rig, string) {}, "pull", "--take", "mine", "DIR"),
-		Entry("unknown node", pondctl.ExitFailure, func(*rig, string) {}, "explain", "/places/x"),
-		Entry("not in quarantine", pondctl.ExitFailure, func(*rig, string) {}, "quarantine", "lift", "desk", "f2"),
+		Entry("wrong token", pondctl.ExitFailure, func(*testEntry, string) {}, "--token", "x", "status"),
+		Entry("no entry answers", pondctl.ExitFailure, func(r *testEntry, _ string) { r.onResponse(func(*http.Request) bool { return false }) }, "status"),
+		Entry("no address", pondctl.ExitUsage, func(*testEntry, string) {}, "--entries", "", "status"),
+		Entry("no command", pondctl.ExitUsage, func(*testEntry, string) {}),
+		Entry("unknown flag", pondctl.ExitUsage, func(*testEntry, string) {}, "status", "--colour"),
+		Entry("unknown side", pondctl.ExitUsage, func(*testEntry, string) {}, "pull", "--take", "mine", "DIR"),
+		Entry("unknown node", pondctl.ExitFailure, func(*testEntry, string) {}, "explain", "/places/x"),
+		Entry("not in quarantine", pondctl.ExitFailure, func(*testEntry, string) {}, "quarantine", "lift", "desk", "f2"),
 	)
 
-	It("asks the next entry if the first does not answer", func() {
-		r := newRig()
+	It("tries the next entry if the first does not respond", func() {
+		r := newTestEntry()
 		Expect(expectOK("--entries", "127.0.0.1:1,"+r.address, "quarantine", "list")).To(ContainSubstring("f1"))
 		code, _, progress := run("quarantine", "lift", "desk", "f1")
 		Expect(code).To(Equal(pondctl.ExitOK))
 		Expect(progress).To(ContainSubstring("may run again"))
 	})
 
-	It("prints JSON that scripts and the contract's types can read", func() {
-		newRig()
+	It("prints JSON that decodes into the contract's types", func() {
+		newTestEntry()
 		dir := checkout()
 		into := func(v any, args ...string) {
 			GinkgoHelper()
@@ -242,9 +242,8 @@
 		Expect(len(fresh.Key)).To(BeNumerically(">=", 26))
 	})
 
-	// The entries that wrote the events are gone, one of them in the middle of a line; their clocks were
-	// seconds apart.
-	It("merges the files of entries that are gone, in order, by VM and time", func() {
+	// The entries that wrote the files no longer run. One stopped in the middle of a line, and their clocks were 6 s apart.
+	It("merges the files of stopped entries in causal order, and filters them by VM and time", func() {
 		dir := GinkgoT().TempDir()
 		write := func(name string, skew time.Duration) (*timeline.Recorder, string) {
 			path := filepath.Join(dir, name)
@@ -269,8 +268,8 @@
 		Expect(expectOK("timeline", "--file", fastFile, "--limit", "1")).To(ContainSubstring("vm2"))
 	})
 
-	It("fills an empty directory by pull, as declarations that pass their checks and change nothing", func() {
-		newRig()
+	It("fills an empty directory by pull with valid declarations that equal the settings", func() {
+		newTestEntry()
 		expectOK("apply", checkout())
 		fresh := GinkgoT().TempDir()
 		expectOK("pull", fresh)
--- a/pondctl/rig_test.go
+++ b/pondctl/rig_test.go
@@ -35,8 +35,8 @@
 	RunSpecs(t, "pondctl")
 }
 
-// fakeSide is a platform with one object and the rest of one entry.
-type fakeSide struct {
+// fakeEntry fakes the platform, which stores a single object, and the parts of an entry that the admin API uses.
+type fakeEntry struct {
 	platform.Store
 
 	mu       sync.Mutex
@@ -47,7 +47,7 @@
 	snapshot *settings.Snapshot
 }
 
-func (f *fakeSide) Get(context.Context, platform.Kind, string) (platform.Object, error) {
+func (f *fakeEntry) Get(context.Context, platform.Kind, string) (platform.Object, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
@@ -59,7 +59,7 @@
 	return f.object, nil
 }
 
-func (f *fakeSide) Put(_ context.Context, _ platform.Kind, _ string, version platform.Version, value json.RawMessage) (platform.Version, error) {
+func (f *fakeEntry) Put(_ context.Context, _ platform.Kind, _ string, version platform.Version, value json.RawMessage) (platform.Version, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if version != f.object.Version {
@@ -69,15 +69,15 @@
 	return f.object.Version, nil
 }
 
-// set changes the fake under its lock.
-func (f *fakeSide) set(change func()) {
+// set calls change with mu held.
+func (f *fakeEntry) set(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-// changeReplicas is another operator's change, made on what the platform holds.
-func (f *fakeSide) changeReplicas(path settings.Path, count int64) {
+// changeReplicas applies another operator's change to the settings that the platform holds.
+func (f *fakeEntry) changeReplicas(path settings.Path, count int64) {
 	tree, err := settings.ParseTree(f.object.Value)
 	if err != nil {
 		panic(err)
@@ -94,13 +94,13 @@
 	_, _ = f.Put(context.Background(), platform.KindSettings, platform.SettingsName, f.object.Version, value)
 }
 
-func (f *fakeSide) Snapshot() *settings.Snapshot {
+func (f *fakeEntry) Snapshot() *settings.Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.snapshot
 }
 
-func (f *fakeSide) Publish(object platform.Object) {
+func (f *fakeEntry) Publish(object platform.Object) {
 	tree, err := settings.ParseTree(object.Value)
 	if err != nil {
 		panic(err)
@@ -110,8 +110,8 @@
 	f.snapshot, _ = tree.Resolve(uint64(object.Version))
 }
 
-// Status has a second entry that lags for the first two looks, or for ever if lagging is set.
-func (f *fakeSide) Status(context.Context) (admin.Status, error) {
+// Status reports a second entry that lags for the first two calls, or always if lagging is set.
+func (f *fakeEntry) Status(context.Context) (admin.Status, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.asked++
@@ -130,71 +130,71 @@
 	}, nil
 }
 
-func (f *fakeSide) Timeline(_ context.Context, query admin.TimelineQuery) (admin.Timeline, error) {
+func (f *fakeEntry) Timeline(_ context.Context, query admin.TimelineQuery) (admin.Timeline, error) {
 	return admin.Timeline{
 		Events:  []timeline.Event{{Time: 1e18, Process: "e1", Kind: query.Kind, Version: 7, Detail: "why"}},
 		Missing: []string{"e9"},
 	}, nil
 }
 
-func (f *fakeSide) Quarantined(context.Context) ([]admin.QuarantinedRequest, error) {
+func (f *fakeEntry) Quarantined(context.Context) ([]admin.QuarantinedRequest, error) {
 	return []admin.QuarantinedRequest{{Service: "desk", Fingerprint: "f1", Crashes: 2}}, nil
 }
 
-func (f *fakeSide) Lift(_ context.Context, _, fingerprint string) error {
+func (f *fakeEntry) Lift(_ context.Context, _, fingerprint string) error {
 	if fingerprint != "f1" {
 		return operator.ErrNotQuarantined
 	}
 	return nil
 }
 
-func (f *fakeSide) VMLists(context.Context) ([]vm.List, error) { return nil, platform.ErrUnavailable }
-func (f *fakeSide) Record(timeline.Event)                      {}
+func (f *fakeEntry) VMLists(context.Context) ([]vm.List, error) { return nil, platform.ErrUnavailable }
+func (f *fakeEntry) Record(timeline.Event)                      {}
 
-// noCopies is an entry that has mirrored nothing.
-type noCopies struct{}
+// noMirror is the mirror of an entry that has not mirrored any object.
+type noMirror struct{}
 
-func (noCopies) Get(platform.Kind, string) (platform.Object, bool) { return platform.Object{}, false }
-func (noCopies) Version(platform.Kind, string) platform.Version    { return 0 }
+func (noMirror) Get(platform.Kind, string) (platform.Object, bool) { return platform.Object{}, false }
+func (noMirror) Version(platform.Kind, string) platform.Version    { return 0 }
 
-// rig is a checkout of the dev declarations and an entry to apply them to.
-type rig struct {
-	side    *fakeSide
+// testEntry is the admin API of an entry with a fake platform, served over HTTP.
+type testEntry struct {
+	fake    *fakeEntry
 	address string
 
-	mu       sync.Mutex // guards answered
-	answered func(r *http.Request) bool
+	mu             sync.Mutex // guards beforeResponse
+	beforeResponse func(r *http.Request) bool
 }
 
-// onAnswer has f called before each answer is sent; if it returns false the connection is dropped instead.
-func (r *rig) onAnswer(f func(r *http.Request) bool) {
+// onResponse sets a function to call before each response is sent. If it returns false, the connection is dropped instead.
+func (r *testEntry) onResponse(f func(r *http.Request) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.answered = f
+	r.beforeResponse = f
 }
 
-func (r *rig) answers(req *http.Request) bool {
+func (r *testEntry) allowsResponse(req *http.Request) bool {
 	r.mu.Lock()
-	f := r.answered
+	f := r.beforeResponse
 	r.mu.Unlock()
 	return f == nil || f(req)
 }
 
-func newRig() *rig {
-	r := &rig{side: &fakeSide{}}
+func newTestEntry() *testEntry {
+	r := &testEntry{fake: &fakeEntry{}}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	var nonce int
 	api := operator.New(operator.Deps{
-		Entry: "e1", Store: r.side, Snapshots: r.side, Mirror: noCopies{}, Publisher: r.side, Status: r.side, Timeline: r.side,
-		Quarantine: r.side, VMs: r.side, Recorder: r.side, Log: log, Clock: time.Now,
+		Entry: "e1", Store: r.fake, Snapshots: r.fake, Mirror: noMirror{}, Publisher: r.fake, Status: r.fake, Timeline: r.fake,
+		Quarantine: r.fake, VMs: r.fake, Recorder: r.fake, Log: log, Clock: time.Now,
 		NewNonce:         func() string { nonce++; return fmt.Sprint(nonce) },
 		BootstrapKeyHash: operator.HashKey(examples.DevOperatorKey),
 	}).Handler()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		recorder := httptest.NewRecorder()
 		api.ServeHTTP(recorder, req)
-		if !r.answers(req) {
+		if !r.allowsResponse(req) {
 			panic(http.ErrAbortHandler)
 		}
 		w.WriteHeader(recorder.Code)
@@ -207,7 +207,7 @@
 	return r
 }
 
-// checkout is a fresh copy of the dev declarations, without a lock file.
+// checkout returns a directory with a new copy of the dev declarations, without a lock file.
 func checkout() string {
 	GinkgoHelper()
 	dir := GinkgoT().TempDir()
@@ -215,7 +215,7 @@
 	return dir
 }
 
-// copyOf is another operator's checkout of what one has.
+// copyOf returns a copy of a checkout, which stands for another operator's or an older one.
 func copyOf(dir string) string {
 	GinkgoHelper()
 	other := GinkgoT().TempDir()
--- a/pondctl/yaml.go
+++ b/pondctl/yaml.go
@@ -9,12 +9,12 @@
 	"github.com/skylarkpond/skylarkpond/contract/settings"
 )
 
-// declaration writes values as a file of declarations. Comments and the order of the old file are kept;
-// keys that are new come behind, in the order of the table.
-func declaration(old []byte, values settings.Values) ([]byte, error) {
+// encodeDeclaration encodes values as a declaration file. Comments and the order of keys in the old file are kept; new
+// keys are appended in the order of settings.Keys.
+func encodeDeclaration(old []byte, values settings.Values) ([]byte, error) {
 	var document yaml.Node
 	if err := yaml.Unmarshal(old, &document); err != nil || len(document.Content) != 1 || document.Content[0].Kind != yaml.MappingNode {
-		// Nothing in it, or nothing that could be kept.
+		// The old file is empty, or is not a YAML mapping whose keys could be kept.
 		document = yaml.Node{Kind: yaml.DocumentNode, HeadComment: document.HeadComment, Content: []*yaml.Node{{Kind: yaml.MappingNode}}}
 	}
 	mapping := document.Content[0]
@@ -27,16 +27,16 @@
 		if !ok || set[key.Name] {
 			continue
 		}
-		node, err := valueNode(value)
+		node, err := encodeValue(value)
 		if err != nil {
 			return nil, err
 		}
 		mapping.Content = append(mapping.Content, &yaml.Node{Kind: yaml.ScalarNode, Value: key.Name}, node)
 	}
-	return encode(&document, mapping)
+	return encodeDocument(&document, mapping)
 }
 
-func encode(document, mapping *yaml.Node) ([]byte, error) {
+func encodeDocument(document, mapping *yaml.Node) ([]byte, error) {
 	if len(mapping.Content) == 0 {
 		return []byte("# Sets nothing of its own.\n"), nil
 	}
@@ -49,8 +49,8 @@
 	return out.Bytes(), nil
 }
 
-// keepKeys drops the keys that values don't set, replaces the values that differ, and returns the keys
-// that are there.
+// keepKeys removes the keys that are not in values, replaces the values that differ, and returns the keys that the
+// mapping then has.
 func keepKeys(mapping *yaml.Node, values settings.Values) (map[string]bool, error) {
 	set := make(map[string]bool)
 	kept := make([]*yaml.Node, 0, len(mapping.Content))
@@ -61,7 +61,7 @@
 			continue
 		}
 		set[key.Value] = true
-		node, err := valueNode(value)
+		node, err := encodeValue(value)
 		if err != nil {
 			return nil, err
 		}
@@ -75,7 +75,7 @@
 	return set, nil
 }
 
-func valueNode(value settings.Value) (*yaml.Node, error) {
+func encodeValue(value settings.Value) (*yaml.Node, error) {
 	node := new(yaml.Node)
 	if err := node.Encode(value.Native()); err != nil {
 		return nil, eris.Wrap(err, "encode a value")
--- a/test/cooperative/pond_test.go
+++ b/test/cooperative/pond_test.go
@@ -157,7 +157,7 @@
 	// proxies are the ways to the model servers, by id.
 	proxies map[string]*loopback.Proxy
 	api     *objects.API
-	world   *replica.World
+	world   *replica.Cluster
 	engines []*replica.Server
 	desks   []*replica.Server
 	entries []*gatewayProcess
@@ -175,7 +175,7 @@
 	subnet, err := loopback.Take(pondNetwork)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(subnet.Close)
-	p := &pond{subnet: subnet, api: objects.New(), world: replica.NewWorld(), proxies: make(map[string]*loopback.Proxy)}
+	p := &pond{subnet: subnet, api: objects.New(), world: replica.NewCluster(), proxies: make(map[string]*loopback.Proxy)}
 	DeferCleanup(p.api.Close)
 	for range engines {
 		p.addEngine("large")
@@ -204,9 +204,9 @@
 func (p *pond) newEngine(id string, staged ...string) *replica.Server {
 	return p.world.Start(p.api, replica.Config{
 		ID: id, Service: "chat", Zone: "z", Domain: "d", Slots: 8, Engine: true, Staged: staged,
-		JoinTakes: 150 * time.Millisecond, OpenTakes: 100 * time.Millisecond, ReportLag: 100 * time.Millisecond,
-		Events: streamEvents, EventTakes: 25 * time.Millisecond,
-		Via: func(address string) string { return p.proxyTo(id, address) },
+		JoinTime: 150 * time.Millisecond, OpenTime: 100 * time.Millisecond, ReportLag: 100 * time.Millisecond,
+		Events: streamEvents, EventInterval: 25 * time.Millisecond,
+		ProxyAddress: func(address string) string { return p.proxyTo(id, address) },
 	})
 }
 
@@ -252,21 +252,21 @@
 	p.version++
 	routes := []operator.Route{
 		{
-			Name: "chat", Host: "h.example", Prefix: "/chat/", Kind: operator.Streaming, Service: "chat", Timeout: 25000, FirstAnswer: 300,
-			MaxPause: 300, MaxAttempts: 2, Resumable: true,
+			Name: "chat", Host: "h.example", PathPrefix: "/chat/", Kind: operator.Streaming, Service: "chat", Timeout: 25000, LatencyTarget: 300,
+			EventGapTarget: 300, MaxAttempts: 2, Resumable: true,
 		},
 		{
-			Name: "book", Host: "h.example", Prefix: "/book/", Kind: operator.NonIdempotent, Service: "desk", Timeout: 2000, FirstAnswer: 150,
+			Name: "book", Host: "h.example", PathPrefix: "/book/", Kind: operator.NonIdempotent, Service: "desk", Timeout: 2000, LatencyTarget: 150,
 			MaxAttempts: 1,
 		},
 		{
-			Name: "look", Host: "h.example", Prefix: "/look/", Kind: operator.Idempotent, Service: "desk", Timeout: 2000, FirstAnswer: 150,
+			Name: "look", Host: "h.example", PathPrefix: "/look/", Kind: operator.Idempotent, Service: "desk", Timeout: 2000, LatencyTarget: 150,
 			MaxAttempts: 2,
 		},
 	}
 	for _, prefix := range extra {
 		routes = append(routes, operator.Route{
-			Name: prefix, Host: "h.example", Prefix: prefix, Kind: operator.Idempotent, Service: "desk", Timeout: 2000, MaxAttempts: 2,
+			Name: prefix, Host: "h.example", PathPrefix: prefix, Kind: operator.Idempotent, Service: "desk", Timeout: 2000, MaxAttempts: 2,
 		})
 	}
 	operator.Write(p.api, operator.Config{
@@ -275,10 +275,10 @@
 			{Name: "desk"},
 			{Name: "chat", Engine: &operator.Engine{
 				Slots: 8, LoadsPerSecond: 20, LoadsAtOnce: 6, OpenTime: 100, ReportLag: 100,
-				Models: []operator.Model{{Name: "large", Size: groupSize, Share: 1, Pace: 1, Load: 1, Warm: 0.2}},
+				Models: []operator.Model{{Name: "large", Size: groupSize, DemandShare: 1, TimeFactor: 1, LoadTime: 1, WarmLoadTime: 0.2}},
 			}},
 		},
-		Limits: operator.Limits{Body: 1 << 20},
+		Limits: operator.Limits{BodyBytes: 1 << 20},
 		Teams:  []operator.Team{{Name: "one", Keys: []string{"key"}}},
 	})
 }
