--- a/dev/dev.go
+++ b/dev/dev.go
@@ -1,6 +1,6 @@
-// Package dev runs the whole system on loopback: stand-ins for the platform and the backend servers, and
-// entries before them, so that a newcomer serves a request with one command. Tests use it to run the
-// stand-ins alone, as a process of their own.
+// Package dev runs the whole system on loopback addresses: stand-ins for the platform and the backend
+// servers, and entries in front of them, so that a developer can serve a request with one command. Tests
+// use it to run the stand-ins alone, in a separate process.
 package dev
 
 import (
@@ -25,7 +25,7 @@
 	"github.com/skylarkpond/skylarkpond/policy/shift"
 )
 
-// Role says what of the system to run.
+// Role selects the parts of the system to run.
 type Role string
 
 // The roles.
@@ -34,18 +34,18 @@
 	StandIns Role = "standins"
 )
 
-// Config is what dev is told by flag or environment variable.
+// Config holds the settings of dev, from flags and environment variables.
 type Config struct {
 	Role    Role   `arg:"--role,env:POND_DEV_ROLE" default:"all" help:"all, or standins alone"`
 	Entries int    `arg:"--entries,env:POND_DEV_ENTRIES" default:"3" help:"how many entries to run, 1 to 9"`
 	Port    uint16 `arg:"--port,env:POND_DEV_PORT" default:"8080" help:"the first entry's port for callers; the following hundred are used too"`
-	// The rest is for the role standins.
+	// The fields below are for the role standins.
 	Platform string `arg:"--platform-address,env:POND_DEV_PLATFORM" default:"127.0.0.1:0" help:"IP:port of the stand-in platform"`
 	Engines  string `arg:"--engines-address,env:POND_DEV_ENGINES" default:"127.0.0.1:0" help:"IP:port of the switches of the stand-in backend servers"`
 	World    string `arg:"--world,env:POND_DEV_WORLD" help:"JSON file with a stand-in configuration in place of the small one"`
 }
 
-// Check returns what is wrong with the settings.
+// Check returns an error if a setting is invalid.
 func (c *Config) Check() error {
 	if c.Role != All && c.Role != StandIns {
 		return eris.Errorf("--role: must be %s or %s, not %q", All, StandIns, c.Role)
@@ -61,22 +61,22 @@
 	return nil
 }
 
-// Run runs until ctx ends. It prints what a newcomer can try to out.
+// Run runs the system until ctx ends. It prints example requests to out.
 func Run(ctx context.Context, config Config, out io.Writer) error {
-	world, err := config.world()
+	standIns, err := config.standInConfig()
 	if err != nil {
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	// The stand-ins outlive the entries, which drain before they stop.
-	worldCtx, stopWorld := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopWorld()
-	running, err := standin.Start(worldCtx, world)
+	// The stand-ins must outlive the entries, which drain before they stop.
+	standInCtx, stopStandIns := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopStandIns()
+	running, err := standin.Start(standInCtx, standIns)
 	if err != nil {
 		return eris.Wrap(err, "starting the stand-ins")
 	}
 	if config.Role == StandIns {
-		announce(out, running)
+		printAddresses(out, running)
 		<-ctx.Done()
 		return nil
 	}
@@ -86,38 +86,38 @@
 	for i := range config.Entries {
 		group.Go(func() error { return entry.Serve(ctx, config.entryConfig(i, running.PlatformURL)) })
 	}
-	group.Go(func() error { return config.showWhenServing(ctx, out) })
+	group.Go(func() error { return config.printExamplesWhenServing(ctx, out) })
 	return group.Wait()
 }
 
-func (c *Config) world() (standin.Config, error) {
-	world := standin.DevConfig("desk")
+func (c *Config) standInConfig() (standin.Config, error) {
+	standIns := standin.DevConfig("desk")
 	if c.World != "" {
 		text, err := os.ReadFile(c.World)
 		if err != nil {
-			return world, eris.Wrap(err, "--world")
+			return standIns, eris.Wrap(err, "--world")
 		}
-		world = standin.Config{}
-		if err := json.Unmarshal(text, &world); err != nil {
-			return world, eris.Wrap(err, "--world")
+		standIns = standin.Config{}
+		if err := json.Unmarshal(text, &standIns); err != nil {
+			return standIns, eris.Wrap(err, "--world")
 		}
 	}
-	world.PlatformAddress = c.Platform
-	world.EnginesAddress = c.Engines
-	return world, nil
+	standIns.PlatformAddress = c.Platform
+	standIns.EnginesAddress = c.Engines
+	return standIns, nil
 }
 
-// addresses is what the role standins prints once it is ready, as one line of JSON.
+// addresses is the line of JSON that the role standins prints once it is ready.
 type addresses struct {
 	Platform string `json:"platform"`
 	Engines  string `json:"engines"`
 }
 
-func announce(out io.Writer, running *standin.Running) {
+func printAddresses(out io.Writer, running *standin.Running) {
 	_ = json.NewEncoder(out).Encode(addresses{Platform: running.PlatformURL, Engines: running.EnginesURL})
 }
 
-// applyExamples writes examples/dev as the tree of settings, as pondctl apply would.
+// applyExamples writes the settings in examples/dev to the platform, as pondctl apply would.
 func applyExamples(ctx context.Context, platformURL string) error {
 	declarations, err := settings.LoadFS(examples.Dev(), "examples/dev")
 	if err != nil {
@@ -133,7 +133,8 @@
 	return err
 }
 
-// Offsets of an entry's other ports from its port for callers, and between entries.
+// The offsets of an entry's admin and peer ports from its port for callers, and the distance between the
+// ports of successive entries.
 const (
 	adminOffset = 1
 	peerOffset  = 2
--- a/dev/show.go
+++ b/dev/show.go
@@ -12,29 +12,29 @@
 	"github.com/skylarkpond/skylarkpond/examples"
 )
 
-// serveWithin is how long the groups may take to load before dev says that something is wrong.
-const serveWithin = time.Minute
+// startTimeout is how long the groups may take to load before dev returns an error.
+const startTimeout = time.Minute
 
-// showWhenServing waits until every service of the examples has what its settings want, then prints
-// requests to try.
-func (c *Config) showWhenServing(ctx context.Context, out io.Writer) error {
+// printExamplesWhenServing waits until every service of the examples has as many serving groups as its settings
+// require, then prints example requests.
+func (c *Config) printExamplesWhenServing(ctx context.Context, out io.Writer) error {
 	fmt.Fprintln(out, "skylarkpond dev: starting; groups are formed and load their model ...")
-	deadline := time.Now().Add(serveWithin)
+	deadline := time.Now().Add(startTimeout)
 	for ctx.Err() == nil {
-		err := c.serving(ctx)
+		err := c.checkServing(ctx)
 		if err == nil {
-			c.show(out)
+			c.printExamples(out)
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("after %s: %w", serveWithin, err)
+			return fmt.Errorf("after %s: %w", startTimeout, err)
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 	return nil
 }
 
-func (c *Config) serving(ctx context.Context) error {
+func (c *Config) checkServing(ctx context.Context) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address(0, adminOffset)+admin.StatusPath, nil)
 	if err != nil {
 		return err
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func (c *Config) show(out io.Writer) {
+func (c *Config) printExamples(out io.Writer) {
 	fmt.Fprintf(out, `skylarkpond dev: serving. Try:
 
   curl -N http://%[1]s/v1/chat/completions -H 'Authorization: Bearer %[3]s' \
