--- a/dev/dev.go
+++ b/dev/dev.go
@@ -40,9 +40,9 @@
 	Entries int    `arg:"--entries,env:POND_DEV_ENTRIES" default:"3" help:"how many entries to run, 1 to 9"`
 	Port    uint16 `arg:"--port,env:POND_DEV_PORT" default:"8080" help:"the first entry's port for callers; the following hundred are used too"`
 	// The fields below are for the role standins.
-	Platform string `arg:"--platform-address,env:POND_DEV_PLATFORM" default:"127.0.0.1:0" help:"IP:port of the stand-in platform"`
-	Engines  string `arg:"--engines-address,env:POND_DEV_ENGINES" default:"127.0.0.1:0" help:"IP:port of the switches of the stand-in backend servers"`
-	World    string `arg:"--world,env:POND_DEV_WORLD" help:"JSON file with a stand-in configuration in place of the small one"`
+	Platform      string `arg:"--platform-address,env:POND_DEV_PLATFORM" default:"127.0.0.1:0" help:"IP:port of the stand-in platform"`
+	Engines       string `arg:"--engines-address,env:POND_DEV_ENGINES" default:"127.0.0.1:0" help:"IP:port of the switches of the stand-in backend servers"`
+	StandInConfig string `arg:"--world,env:POND_DEV_WORLD" help:"JSON file with a stand-in configuration in place of the small one"`
 }
 
 // Check returns an error if a setting is invalid.
@@ -92,8 +92,8 @@
 
 func (c *Config) standInConfig() (standin.Config, error) {
 	standIns := standin.DevConfig("desk")
-	if c.World != "" {
-		text, err := os.ReadFile(c.World)
+	if c.StandInConfig != "" {
+		text, err := os.ReadFile(c.StandInConfig)
 		if err != nil {
 			return standIns, eris.Wrap(err, "--world")
 		}
