--- a/cmd/pondctl/main.go
+++ b/cmd/pondctl/main.go
@@ -1,4 +1,4 @@
-// Command pondctl is the operators' command line.
+// Command pondctl is the command-line tool for operators.
 package main
 
 import (
--- a/cmd/skylarkpond/main.go
+++ b/cmd/skylarkpond/main.go
@@ -1,8 +1,8 @@
-// Command skylarkpond is the process of an entry VM.
+// Command skylarkpond runs on an entry VM.
 //
 //	skylarkpond serve   serves as one entry
-//	skylarkpond check   checks the flags and the platform, and starts nothing
-//	skylarkpond gateway serves callers of a platform whose backend servers register themselves; --check starts nothing
+//	skylarkpond check   checks the flags and the connection to the platform, then exits
+//	skylarkpond gateway serves callers of a platform whose backend servers register themselves; with --check it only checks
 //	skylarkpond dev     serves on loopback, with stand-ins for the platform and the backend servers
 package main
 
@@ -20,7 +20,7 @@
 	"github.com/skylarkpond/skylarkpond/entry/gateway"
 )
 
-// arguments are the subcommands.
+// arguments holds the settings of the selected subcommand; those of the others are nil.
 type arguments struct {
 	Serve   *entry.Config   `arg:"subcommand:serve" help:"serve as one entry"`
 	Check   *entry.Config   `arg:"subcommand:check" help:"check the settings of this process and whether the platform answers"`
@@ -28,12 +28,12 @@
 	Dev     *dev.Config     `arg:"subcommand:dev" help:"serve on loopback with stand-ins for the platform and the backend servers"`
 }
 
-// Description is shown by --help.
+// Description returns the text at the head of the output of --help.
 func (arguments) Description() string {
 	return "skylarkpond serves models whose replicas span several VMs."
 }
 
-// Epilogue is shown by --help.
+// Epilogue returns the text at the end of the output of --help.
 func (arguments) Epilogue() string {
 	return "Exit codes: 0 stopped in order, 1 failed, 2 wrong settings."
 }
@@ -50,37 +50,37 @@
 	defer stop()
 	switch {
 	case args.Serve != nil:
-		check(args.Serve.Check())
-		exit(entry.Serve(ctx, *args.Serve))
+		exitIfInvalid(args.Serve.Check())
+		exitIfFailed(entry.Serve(ctx, *args.Serve))
 	case args.Check != nil:
-		check(args.Check.Check())
-		exit(entry.CheckPlatform(ctx, *args.Check, os.Stdout))
+		exitIfInvalid(args.Check.Check())
+		exitIfFailed(entry.CheckPlatform(ctx, *args.Check, os.Stdout))
 	case args.Gateway != nil:
-		check(args.Gateway.Check())
+		exitIfInvalid(args.Gateway.Check())
 		if args.Gateway.CheckOnly {
-			exit(gateway.CheckPlatform(ctx, *args.Gateway, os.Stdout))
+			exitIfFailed(gateway.CheckPlatform(ctx, *args.Gateway, os.Stdout))
 			return
 		}
 		reload := make(chan os.Signal, 1)
 		signal.Notify(reload, syscall.SIGHUP)
-		exit(gateway.Serve(ctx, *args.Gateway, reload))
+		exitIfFailed(gateway.Serve(ctx, *args.Gateway, reload))
 	case args.Dev != nil:
-		check(args.Dev.Check())
-		exit(dev.Run(ctx, *args.Dev, os.Stdout))
+		exitIfInvalid(args.Dev.Check())
+		exitIfFailed(dev.Run(ctx, *args.Dev, os.Stdout))
 	default:
 		parser.WriteHelp(os.Stdout)
 		os.Exit(exitUsage)
 	}
 }
 
-func check(err error) {
+func exitIfInvalid(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "skylarkpond:", err)
 		os.Exit(exitUsage)
 	}
 }
 
-func exit(err error) {
+func exitIfFailed(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "skylarkpond:", err)
 		os.Exit(exitFailed)
