--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses for as long as a context lasts.
+// Package wait provides a sleep that ends early when a context is done.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Pause waits for d, or until ctx ends, and returns whether ctx still lasts.
+// Pause sleeps for d or until ctx is done. It returns false if ctx is done.
 func Pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
