--- a/internal/logqueue/logqueue.go
+++ b/internal/logqueue/logqueue.go
@@ -1,4 +1,4 @@
-// Package logqueue writes log lines without ever holding up whoever logs.
+// Package logqueue writes log lines asynchronously, so that logging never blocks.
 package logqueue
 
 import (
@@ -10,9 +10,8 @@
 	"github.com/skylarkpond/skylarkpond/logline"
 )
 
-// Queue writes lines to a reader that may be slow, or may not read at all. Written directly, a full pipe would hold up every request
-// that has something to report; here the line that finds the queue full is dropped and counted, and the count is written as soon as there
-// is room again.
+// Queue buffers lines for a reader that may be slow, or may have stopped reading. With direct writes, a full pipe would block every
+// request that logs. A Queue instead drops and counts lines while it is full, and writes the count as soon as the reader continues.
 type Queue struct {
 	lines   chan []byte
 	waiting atomic.Int64
@@ -20,7 +19,7 @@
 	total   atomic.Int64
 }
 
-// New starts writing to out. size is how many lines may wait.
+// New returns a Queue that writes to out and buffers up to size lines.
 func New(out io.Writer, size int) *Queue {
 	q := &Queue{lines: make(chan []byte, size)}
 	go q.run(out)
@@ -29,7 +28,7 @@
 
 // Write implements io.Writer. It never blocks.
 func (q *Queue) Write(line []byte) (int, error) {
-	copied := append([]byte(nil), line...) // the logger uses its buffer again
+	copied := append([]byte(nil), line...) // the logger reuses its buffer
 	q.waiting.Add(1)
 	select {
 	case q.lines <- copied:
@@ -41,7 +40,7 @@
 	return len(line), nil
 }
 
-// Flush waits until all lines are written, for limit at most, and reports whether they are.
+// Flush waits up to limit until all lines are written, and reports whether they are.
 func (q *Queue) Flush(limit time.Duration) bool {
 	for deadline := time.Now().Add(limit); q.waiting.Load() > 0; time.Sleep(flushPoll) {
 		if time.Now().After(deadline) {
@@ -51,10 +50,10 @@
 	return true
 }
 
-// flushPoll is how often Flush looks.
+// flushPoll is how often Flush checks the queue.
 const flushPoll = 5 * time.Millisecond
 
-// Dropped returns how many lines were dropped since the start.
+// Dropped returns how many lines were dropped, or failed to be written, since the start.
 func (q *Queue) Dropped() int64 { return q.total.Load() }
 
 func (q *Queue) run(out io.Writer) {
@@ -62,7 +61,7 @@
 		_, err := out.Write(line)
 		q.waiting.Add(-1)
 		if err != nil {
-			q.total.Add(1) // nobody reads any more, and there is nowhere to say so but the metrics
+			q.total.Add(1) // the reader is gone, so only the metrics can report the loss
 			continue
 		}
 		if n := q.dropped.Swap(0); n > 0 {
--- a/internal/logqueue/logqueue_test.go
+++ b/internal/logqueue/logqueue_test.go
@@ -19,8 +19,8 @@
 }
 
 var _ = Describe("Log queue", func() {
-	// Whoever collects the logs stops reading. A process that waits for him serves nobody.
-	It("never holds its writer up, and tells how many lines were dropped", func() {
+	// The log collector stops reading. A process that blocks on its log output would serve no requests.
+	It("never blocks the writer, and logs how many lines were dropped", func() {
 		reader, writer := io.Pipe()
 		q := logqueue.New(writer, 4)
 		for i := range 100 {
@@ -35,7 +35,7 @@
 		Expect(lines.Text()).To(ContainSubstring(`"msg":"log lines dropped"`))
 	})
 
-	It("is flushed before the process ends, but waits for no reader that has gone", func() {
+	It("is flushed before the process ends, but does not wait longer than the limit for a reader", func() {
 		reader, writer := io.Pipe()
 		q := logqueue.New(writer, 4)
 		_, err := fmt.Fprintln(q, "last line")
