--- a/internal/lateread/lateread.go
+++ b/internal/lateread/lateread.go
@@ -1,9 +1,9 @@
-// Package lateread makes a server read what has arrived although the deadline for it has passed.
+// Package lateread lets a server read data that has already arrived, although the read deadline has passed.
 //
-// What goes wrong without it: a process stands still for longer than a caller may take to send a header (its VM is suspended, or the
-// process is stopped and goes on). A caller's request arrived meanwhile. Deadlines are looked at before the socket, so the server
-// gives the connection up with the request unread, and the caller sees a reset from an entry that works. Here a read whose deadline has
-// passed looks at the socket once more.
+// It prevents the following failure: a process is paused for longer than the header timeout (its VM is suspended, or the process is
+// stopped and continued), and a client's request arrives during the pause. The runtime checks the deadline before the socket, so the
+// server would close the connection with the request unread, and the client would see a reset from a working entry. With this package,
+// a read whose deadline has passed tries the socket once more.
 package lateread
 
 import (
@@ -14,11 +14,12 @@
 	"time"
 )
 
-// extension is how much longer a read may take whose deadline has passed. What arrived is read at once; a header of several segments takes
-// some reads. A caller that sends nothing is given up this much later.
+// extension is how long a read may continue after its deadline has passed. Data that has arrived is read immediately, but a header of
+// several segments takes several reads. The connection of a client that sends nothing is closed this much later.
 const extension = 50 * time.Millisecond
 
-// Listen returns a listener whose connections read what has arrived. Those of inner are TCP connections.
+// Listen returns a listener whose connections extend a read deadline that has passed. It applies to the TCP connections of inner;
+// others are returned unchanged.
 func Listen(inner net.Listener) net.Listener { return listener{inner} }
 
 type listener struct{ net.Listener }
@@ -36,12 +37,12 @@
 	return &conn{TCPConn: tcp}, nil
 }
 
-// conn keeps the methods of its TCP connection, of which the HTTP server uses more than net.Conn has.
+// conn embeds the TCP connection because the HTTP server uses methods of it that net.Conn does not have.
 type conn struct {
 	*net.TCPConn
 
-	mu sync.Mutex // guards extendable and the order of deadlines; a leaf lock
-	// extendable says that the deadline was ahead when it was set, and was not extended yet.
+	mu sync.Mutex // guards extendable and serializes changes of the read deadline; a leaf lock
+	// extendable says that the deadline was in the future when it was set, and has not been extended yet.
 	extendable bool
 }
 
@@ -70,7 +71,7 @@
 	return c.TCPConn.Read(p)
 }
 
-// extend moves a deadline that has passed, once.
+// extend extends a deadline that has passed, at most once for each deadline. It reports whether it did.
 func (c *conn) extend() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lateread/lateread_test.go
+++ b/internal/lateread/lateread_test.go
@@ -20,70 +20,72 @@
 	RunSpecs(t, "reads after their deadline")
 }
 
-// passed is a deadline that is over by the time it is looked at.
-const passed = 30 * time.Millisecond
+// shortDeadline is a timeout that has expired when the test reads.
+const shortDeadline = 30 * time.Millisecond
 
 var _ = Describe("Listener", func() {
 	var (
-		ours   net.Conn
-		theirs net.Conn
+		serverConn   net.Conn
+		clientConn net.Conn
 	)
 	BeforeEach(func() {
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		listener := lateread.Listen(inner)
 		DeferCleanup(listener.Close)
-		theirs, err = net.Dial("tcp", inner.Addr().String())
+		clientConn, err = net.Dial("tcp", inner.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
-		DeferCleanup(theirs.Close)
-		ours, err = listener.Accept()
+		DeferCleanup(clientConn.Close)
+		serverConn, err = listener.Accept()
 		Expect(err).NotTo(HaveOccurred())
-		DeferCleanup(ours.Close)
+		DeferCleanup(serverConn.Close)
 	})
 
-	say := func(text string) {
+	send := func(text string) {
 		GinkgoHelper()
-		_, err := theirs.Write([]byte(text))
+		_, err := clientConn.Write([]byte(text))
 		Expect(err).NotTo(HaveOccurred())
 	}
 
-	// A process stands still, as a suspended VM does, for longer than callers may take to send a header. A caller sent its request meanwhile.
-	// When the process goes on, the deadline is over before it has looked, and the caller's connection is reset with the request unread.
-	It("reads what came before it could look", func() {
-		Expect(ours.SetReadDeadline(time.Now().Add(passed))).To(Succeed())
-		say("GET")
-		time.Sleep(2 * passed)
+	// A process is paused, as on a suspended VM, for longer than the header timeout, and a request arrives during the pause. When the
+	// process resumes, the deadline has passed before its first read, and the connection would be reset with the request unread.
+	It("reads data that arrived before the first read, after the deadline", func() {
+		Expect(serverConn.SetReadDeadline(time.Now().Add(shortDeadline))).To(Succeed())
+		send("GET")
+		time.Sleep(2 * shortDeadline)
 		buffer := make([]byte, 3)
-		_, err := io.ReadFull(ours, buffer)
+		_, err := io.ReadFull(serverConn, buffer)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(buffer)).To(Equal("GET"))
 	})
 
-	It("still ends the wait for a caller that sends nothing", func() {
-		Expect(ours.SetReadDeadline(time.Now().Add(passed))).To(Succeed())
-		_, err := ours.Read(make([]byte, 1))
+	It("still times out for a client that sends nothing", func() {
+		Expect(serverConn.SetReadDeadline(time.Now().Add(shortDeadline))).To(Succeed())
+		_, err := serverConn.Read(make([]byte, 1))
 		Expect(errors.Is(err, os.ErrDeadlineExceeded)).To(BeTrue(), "%v", err)
 	})
 
-	// A caller sends a byte now and then, for ever. Were each late byte to open another late read, it would hold its connection for ever.
-	It("gives a deadline no more than one extension", func() {
-		Expect(ours.SetReadDeadline(time.Now().Add(passed))).To(Succeed())
-		say("x")
-		time.Sleep(2 * passed)
-		_, err := ours.Read(make([]byte, 1))
+	// A client sends single bytes at long intervals. If each late byte allowed another late read, it could keep its connection open
+	// forever.
+	It("extends a deadline no more than once", func() {
+		Expect(serverConn.SetReadDeadline(time.Now().Add(shortDeadline))).To(Succeed())
+		send("x")
+		time.Sleep(2 * shortDeadline)
+		_, err := serverConn.Read(make([]byte, 1))
 		Expect(err).NotTo(HaveOccurred())
-		_, err = ours.Read(make([]byte, 1))
+		_, err = serverConn.Read(make([]byte, 1))
 		Expect(errors.Is(err, os.ErrDeadlineExceeded)).To(BeTrue(), "%v", err)
-		say("x")
-		_, err = ours.Read(make([]byte, 1))
+		send("x")
+		_, err = serverConn.Read(make([]byte, 1))
 		Expect(errors.Is(err, os.ErrDeadlineExceeded)).To(BeTrue(), "%v", err)
 	})
 
-	// The HTTP server ends its own read with a deadline that is long over. Were that read to go on, it would take the next request's bytes.
-	It("leaves a read alone that is to end at once", func() {
-		say("x")
-		Expect(ours.SetReadDeadline(time.Unix(1, 0))).To(Succeed())
-		_, err := ours.Read(make([]byte, 1))
+	// The HTTP server aborts its background read by setting a deadline in the past. If that read continued, it would consume bytes of
+	// the next request.
+	It("does not extend a deadline that is in the past when it is set", func() {
+		send("x")
+		Expect(serverConn.SetReadDeadline(time.Unix(1, 0))).To(Succeed())
+		_, err := serverConn.Read(make([]byte, 1))
 		Expect(errors.Is(err, os.ErrDeadlineExceeded)).To(BeTrue(), "%v", err)
 	})
 
