--- a/internal/lateread/lateread_test.go
+++ b/internal/lateread/lateread_test.go
@@ -25,7 +25,7 @@
 
 var _ = Describe("Listener", func() {
 	var (
-		serverConn   net.Conn
+		serverConn net.Conn
 		clientConn net.Conn
 	)
 	BeforeEach(func() {
