--- a/internal/standin/publish.go
+++ b/internal/standin/publish.go
@@ -15,25 +15,26 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// publisher plays the part of the platform that knows its VMs: it lists those that are live, and which
-// of them are leaving. A frozen VM is still listed; a dead one is not, until it starts again.
+// publisher simulates the platform's VM inventory: it publishes the list of live VMs and marks those that
+// are leaving. A frozen VM stays in the list; a dead one is absent until it starts again.
 type publisher struct {
-	host *engine.Host
-	set  func(context.Context, []vm.VM) error
-	last []vm.VM
+	host          *engine.Host
+	setVMs        func(context.Context, []vm.VM) error
+	lastPublished []vm.VM
 }
 
 func (r *Running) newPublisher() *publisher {
 	p := &publisher{host: r.Engines}
 	if r.Platform != nil {
-		p.set = func(_ context.Context, vms []vm.VM) error { return r.Platform.SetVMs(vms) }
+		p.setVMs = func(_ context.Context, vms []vm.VM) error { return r.Platform.SetVMs(vms) }
 		return p
 	}
-	p.set = func(ctx context.Context, vms []vm.VM) error { return post(ctx, r.PlatformURL+"/standin/vms", vms) }
+	p.setVMs = func(ctx context.Context, vms []vm.VM) error { return post(ctx, r.PlatformURL+"/standin/vms", vms) }
 	return p
 }
 
-// run publishes until ctx ends. A platform that can't be reached is tried again at the next turn.
+// run publishes the VM list at each interval until ctx ends. A failed attempt, such as when the platform is
+// unreachable, is retried at the next interval.
 func (p *publisher) run(ctx context.Context, interval time.Duration) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -47,21 +48,23 @@
 	}
 }
 
+// publish sends the VM list to the platform if it changed since the last successful call.
 func (p *publisher) publish(ctx context.Context) error {
 	vms := p.host.LiveVMs()
-	if p.last != nil && reflect.DeepEqual(vms, p.last) {
+	if p.lastPublished != nil && reflect.DeepEqual(vms, p.lastPublished) {
 		return nil
 	}
-	if err := p.set(ctx, vms); err != nil {
+	if err := p.setVMs(ctx, vms); err != nil {
 		return err
 	}
-	p.last = vms
+	p.lastPublished = vms
 	return nil
 }
 
-// postTimeout bounds one call of a stand-in.
+// postTimeout bounds one HTTP request to a stand-in.
 const postTimeout = 2 * time.Second
 
+// post sends body as JSON and returns an error for any status other than 200.
 func post(ctx context.Context, url string, body any) error {
 	ctx, cancel := context.WithTimeout(ctx, postTimeout)
 	defer cancel()
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin starts the stand-ins of the platform and of the backend servers, for `skylarkpond dev`
-// and for tests.
+// Package standin runs simulated versions (stand-ins) of the platform and of the backend servers, called
+// engines, for `skylarkpond dev` and for tests.
 package standin
 
 import (
@@ -18,64 +18,68 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// Config says what to start.
+// Config selects the stand-ins to start and describes the simulated VMs.
 type Config struct {
-	// PlatformAddress is where the platform listens, IP:port. Empty: it runs elsewhere, at PlatformURL.
+	// PlatformAddress is the IP:port on which the platform listens. If it is empty, the platform runs in
+	// another process, at PlatformURL.
 	PlatformAddress string
 	PlatformURL     string
-	// EnginesAddress is where the tests reach the switches and the log of the engines, IP:port. Empty: no
-	// engines here.
+	// EnginesAddress is the IP:port that serves the engines' fault switches and log to tests. If it is empty,
+	// this process runs no engines.
 	EnginesAddress string
-	// FirstIP is the address of the first VM; each further VM has the next one. VMPort is the port of all;
-	// 0 lets each have any free one.
+	// FirstIP is the IP address of the first VM; each further VM gets the next address. VMPort is the port of
+	// every VM; 0 assigns each VM any free port.
 	FirstIP netip.Addr
 	VMPort  uint16
 	Places  []Place
-	// Engines are the times of the engines, DefaultOptions where it is the zero value.
+	// Engines holds the timings of the engines; the zero value means engine.DefaultOptions.
 	Engines engine.Options
-	// WatchWait is how long a watch of the platform waits, HistoryLimit how many changes it keeps.
+	// WatchWait is how long a platform watch waits for a change. HistoryLimit is how many changes the platform
+	// keeps.
 	WatchWait    time.Duration
 	HistoryLimit int
-	// ListInterval is how often the platform's list of VMs takes in which are live and leaving.
+	// ListInterval is the interval at which the platform's VM list is updated with the VMs that are live or
+	// leaving.
 	ListInterval time.Duration
 }
 
-// Place is a region.
+// Place describes a region and its failure domains.
 type Place struct {
 	Name           domain.Place
 	FailureDomains []FailureDomain
 }
 
-// FailureDomain is a part of a place.
+// FailureDomain describes a failure domain of a place and its fabric domains.
 type FailureDomain struct {
 	Name          domain.FailureDomain
 	FabricDomains []FabricDomain
 }
 
-// FabricDomain is a part of a failure domain.
+// FabricDomain describes a fabric domain of a failure domain and the VMs in it.
 type FabricDomain struct {
 	Name domain.FabricDomain
-	// VMs is the number of VMs for model engines, each with Accelerators.
+	// VMs is the number of VMs for model engines; each has Accelerators accelerators.
 	VMs          int
 	Accelerators int
-	// Plain are VMs dedicated to plain services, on top of VMs.
+	// Plain lists the VMs dedicated to plain services, in addition to VMs.
 	Plain []PlainVMs
 }
 
-// PlainVMs are VMs dedicated to a plain service.
+// PlainVMs is a number of VMs dedicated to one plain service.
 type PlainVMs struct {
 	Service string
 	VMs     int
 }
 
-// Defaults of a Config.
+// Defaults for Config.
 const (
 	DefaultListInterval = 200 * time.Millisecond
 	loopback            = "127.0.16.1"
 )
 
-// DevConfig returns a small world on any free ports of loopback: a place with two failure domains of one
-// fabric domain each, in which a replica of four VMs and one VM of the plain service have room, and a spare.
+// DevConfig returns a small setup on free loopback ports: one place with two failure domains of one fabric
+// domain each. Each fabric domain has room for a replica of four VMs, a spare VM, and one VM of the plain
+// service.
 func DevConfig(plainService string) Config {
 	fabric := func(name domain.FabricDomain) []FabricDomain {
 		return []FabricDomain{{Name: name, VMs: 5, Accelerators: 2, Plain: []PlainVMs{{Service: plainService, VMs: 1}}}}
@@ -91,7 +95,8 @@
 	}
 }
 
-// Running is what Start started. Platform and Engines are nil if they run elsewhere.
+// Running holds the stand-ins that Start started. Platform and Engines are nil if this process does not run
+// them.
 type Running struct {
 	Platform    *platform.Platform
 	Engines     *engine.Host
@@ -101,11 +106,11 @@
 	group       *errgroup.Group
 }
 
-// Wait returns once everything has ended, with the first error.
+// Wait blocks until all stand-ins have stopped and returns the first error.
 func (r *Running) Wait() error { return r.group.Wait() }
 
-// Start starts what config says; it runs until ctx ends. The first list of VMs is at the platform when it
-// returns.
+// Start starts the stand-ins that config selects; they run until ctx ends. If it starts engines, the platform
+// has the initial VM list when Start returns.
 func Start(ctx context.Context, config Config) (*Running, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	group, ctx := errgroup.WithContext(ctx)
@@ -184,9 +189,9 @@
 	return nil
 }
 
-// vms lays the VMs out.
+// vms returns the VMs of all fabric domains, with names and addresses assigned.
 func (c Config) vms() []vm.VM {
-	layout := &layout{next: c.FirstIP, port: c.VMPort}
+	layout := &layout{nextIP: c.FirstIP, port: c.VMPort}
 	for _, place := range c.Places {
 		for _, failure := range place.FailureDomains {
 			for _, fabric := range failure.FabricDomains {
@@ -201,11 +206,11 @@
 	return layout.vms
 }
 
-// layout gives VMs their names and addresses.
+// layout assigns names and consecutive IP addresses to VMs.
 type layout struct {
-	next netip.Addr
-	port uint16
-	vms  []vm.VM
+	nextIP netip.Addr
+	port   uint16
+	vms    []vm.VM
 }
 
 func (l *layout) add(position domain.Position, fabric FabricDomain) {
@@ -222,10 +227,10 @@
 func (l *layout) addVM(position domain.Position, name, service string, accelerators int) {
 	l.vms = append(l.vms, vm.VM{
 		Name:         vm.Name(string(position.FabricDomain) + "-" + name),
-		Address:      netip.AddrPortFrom(l.next, l.port).String(),
+		Address:      netip.AddrPortFrom(l.nextIP, l.port).String(),
 		Position:     position,
 		Accelerators: accelerators,
 		Service:      service,
 	})
-	l.next = l.next.Next()
+	l.nextIP = l.nextIP.Next()
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -21,10 +21,10 @@
 	RunSpecs(t, "stand-ins")
 }
 
-const eventually = time.Minute
+const eventuallyTimeout = time.Minute
 
 var _ = Describe("Start", func() {
-	listed := func(client *platform.Client) (live, leaving []vm.Name) {
+	listVMs := func(client *platform.Client) (live, leaving []vm.Name) {
 		changes, err := client.List(context.Background(), platform.KindVMs)
 		Expect(err).NotTo(HaveOccurred())
 		for _, object := range changes.Objects {
@@ -41,24 +41,24 @@
 		return live, leaving
 	}
 
-	It("lists the VMs that are live and leaving, with engines here or elsewhere", func() {
+	It("publishes live and leaving VMs, with the engines in the same process or another one", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		config := standin.DevConfig("mostrador")
 		config.ListInterval = 5 * time.Millisecond
-		front := config
-		front.EnginesAddress = ""
-		platformOnly, err := standin.Start(ctx, front)
+		platformConfig := config
+		platformConfig.EnginesAddress = ""
+		platformOnly, err := standin.Start(ctx, platformConfig)
 		Expect(err).NotTo(HaveOccurred())
-		back := config
-		back.PlatformAddress, back.PlatformURL = "", platformOnly.PlatformURL
-		enginesOnly, err := standin.Start(ctx, back)
+		enginesConfig := config
+		enginesConfig.PlatformAddress, enginesConfig.PlatformURL = "", platformOnly.PlatformURL
+		enginesOnly, err := standin.Start(ctx, enginesConfig)
 		Expect(err).NotTo(HaveOccurred())
 		both, err := standin.Start(ctx, config)
 		Expect(err).NotTo(HaveOccurred())
 
 		for _, running := range []*standin.Running{enginesOnly, both} {
 			client := platform.NewClient(running.PlatformURL, platform.WithRates(platform.Rates{Shared: 1e6, Reserved: 1}))
-			live, leaving := listed(client)
+			live, leaving := listVMs(client)
 			Expect(live).To(HaveLen(12))
 			Expect(leaving).To(BeEmpty())
 			for _, v := range running.VMs {
@@ -70,10 +70,10 @@
 			Expect(running.Engines.Switch("local-a1-vm1", engine.Switches{Leaving: &yes})).To(Succeed())
 			Expect(running.Engines.Switch("local-a1-vm2", engine.Switches{Die: true})).To(Succeed())
 			Eventually(func(g Gomega) {
-				live, leaving := listed(client)
+				live, leaving := listVMs(client)
 				g.Expect(live).NotTo(ContainElement(vm.Name("local-a1-vm2")))
 				g.Expect(leaving).To(ConsistOf(vm.Name("local-a1-vm1")))
-			}, eventually).Should(Succeed())
+			}, eventuallyTimeout).Should(Succeed())
 		}
 		cancel()
 		for _, running := range []*standin.Running{platformOnly, enginesOnly, both} {
