--- a/internal/standin/platform/controls.go
+++ b/internal/standin/platform/controls.go
@@ -34,7 +34,7 @@
 	}))
 	service.Route(service.GET("/held").To(func(_ *restful.Request, response *restful.Response) {
 		encoder := json.NewEncoder(response)
-		for _, call := range p.Held() {
+		for _, call := range p.HeldCalls() {
 			_ = encoder.Encode(call)
 		}
 	}))
@@ -84,8 +84,8 @@
 // Calls returns the calls so far.
 func (p *Platform) Calls() []CallCount { return p.calls.list() }
 
-// Held returns the calls that wait at a Hold.
-func (p *Platform) Held() []Held { return p.holds.list() }
+// HeldCalls returns the calls that wait at a Hold.
+func (p *Platform) HeldCalls() []HeldCall { return p.holds.list() }
 
 // SetVMs replaces the list of VMs: one object per fabric domain. A domain that is left without VMs keeps
 // an empty one; a domain whose VMs did not change keeps its version.
--- a/internal/standin/platform/hold.go
+++ b/internal/standin/platform/hold.go
@@ -21,8 +21,8 @@
 	Drop bool `json:"drop,omitempty"`
 }
 
-// Held is a call that waits.
-type Held struct {
+// HeldCall is a call that waits.
+type HeldCall struct {
 	Call
 	Name  string `json:"name"`
 	After bool   `json:"after,omitempty"`
@@ -37,7 +37,7 @@
 type hold struct {
 	Hold
 	released chan struct{}
-	waiting  []Held
+	waiting  []HeldCall
 }
 
 func (h *holds) add(wanted Hold) {
@@ -61,7 +61,7 @@
 
 // wait returns once no hold keeps the call, and says whether one did, and whether its connection is to be
 // dropped.
-func (h *holds) wait(call Held) (held, drop bool) {
+func (h *holds) wait(call HeldCall) (held, drop bool) {
 	at := h.join(call)
 	if at == nil {
 		return false, false
@@ -70,7 +70,7 @@
 	return true, at.Drop
 }
 
-func (h *holds) join(call Held) *hold {
+func (h *holds) join(call HeldCall) *hold {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, held := range h.all {
@@ -90,10 +90,10 @@
 	return nil
 }
 
-func (h *holds) list() []Held {
+func (h *holds) list() []HeldCall {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	list := make([]Held, 0)
+	list := make([]HeldCall, 0)
 	for _, held := range h.all {
 		list = append(list, held.waiting...)
 	}
--- a/internal/standin/platform/objects.go
+++ b/internal/standin/platform/objects.go
@@ -47,7 +47,7 @@
 		call := Call{Kind: kind, Verb: verb}
 		p.calls.count(call)
 		takeBody(request.Request)
-		if _, drop := p.holds.wait(Held{Call: call, Name: name}); drop {
+		if _, drop := p.holds.wait(HeldCall{Call: call, Name: name}); drop {
 			dropConnection()
 		}
 		arrival := p.faults.arrive()
@@ -181,7 +181,7 @@
 	if !json.Valid(value) {
 		return nil, errBadValue
 	}
-	call := Held{Call: Call{Kind: kind, Verb: VerbPut}, Name: name, After: true}
+	call := HeldCall{Call: Call{Kind: kind, Verb: VerbPut}, Name: name, After: true}
 	return p.effect(request, call, func() (platform.Version, error) {
 		return p.table.put(kind, name, version, value)
 	})
@@ -192,14 +192,14 @@
 	if err != nil {
 		return nil, err
 	}
-	call := Held{Call: Call{Kind: kind, Verb: VerbDelete}, Name: name, After: true}
+	call := HeldCall{Call: Call{Kind: kind, Verb: VerbDelete}, Name: name, After: true}
 	return p.effect(request, call, func() (platform.Version, error) {
 		return p.table.delete(kind, name, version)
 	})
 }
 
 // effect lets a write take effect, now or late, and answers it unless the answer is to be lost.
-func (p *Platform) effect(request *http.Request, call Held, apply func() (platform.Version, error)) (any, error) {
+func (p *Platform) effect(request *http.Request, call HeldCall, apply func() (platform.Version, error)) (any, error) {
 	if call.Kind == platform.KindVMs {
 		return nil, errReadOnly
 	}
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -9,7 +9,7 @@
 //
 //	GET    /standin/history    every change, as JSON lines
 //	GET    /standin/calls      calls by kind and verb
-//	GET    /standin/held       Held, as JSON lines: the calls that wait at a Hold
+//	GET    /standin/held       the calls waiting at a Hold, as JSON lines of HeldCall
 //	POST   /standin/switches   Switches
 //	POST   /standin/vms        the VMs, as a list of vm.VM
 package platform
--- a/test/settings_faults_test.go
+++ b/test/settings_faults_test.go
@@ -66,8 +66,8 @@
 // waitHeld waits until a write of the tree is held.
 func (c *cluster) waitHeld() {
 	GinkgoHelper()
-	Eventually(func() []standinplatform.Held {
-		return lines[standinplatform.Held](c.platform + "/standin/held")
+	Eventually(func() []standinplatform.HeldCall {
+		return lines[standinplatform.HeldCall](c.platform + "/standin/held")
 	}, generous, "20ms").ShouldNot(BeEmpty())
 }
 
--- a/test/trail_test.go
+++ b/test/trail_test.go
@@ -24,7 +24,7 @@
 	events  map[string][]timeline.Event
 	records map[string][]contract.AttemptRecord
 	runs    map[string][]standinengine.Run
-	held    []standinplatform.Held
+	held    []standinplatform.HeldCall
 	// accepted are the requests that entries have accepted, in the order in which that was read.
 	accepted []string
 }
@@ -69,7 +69,7 @@
 	index.starts += len(runs)
 	return trail{
 		events: maps.Clone(index.events), records: maps.Clone(index.records), runs: maps.Clone(index.runs),
-		held: lines[standinplatform.Held](c.platform + "/standin/held"), accepted: index.accepted,
+		held: lines[standinplatform.HeldCall](c.platform + "/standin/held"), accepted: index.accepted,
 	}
 }
 
