--- a/internal/standin/platform/calls.go
+++ b/internal/standin/platform/calls.go
@@ -8,10 +8,10 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// Verb names a call.
+// Verb is the operation of an API call.
 type Verb string
 
-// The verbs.
+// Verbs of the object API.
 const (
 	VerbGet    Verb = "get"
 	VerbList   Verb = "list"
@@ -20,32 +20,35 @@
 	VerbWatch  Verb = "watch"
 )
 
-// Call identifies what calls are counted by.
+// Call is the key by which calls are counted.
 type Call struct {
 	Kind platform.Kind `json:"kind"`
 	Verb Verb          `json:"verb"`
 }
 
-// CallCount is how often a call came, the refused ones included. A waiting watch is one call.
+// CallCount is the number of times a call was received, including refused ones. A watch counts as one call
+// however long it waits.
 type CallCount struct {
 	Call
 	Count int `json:"count"`
 }
 
-type calls struct {
-	mu     sync.Mutex // guards counts; a leaf lock
+// callCounter counts received calls by kind and verb.
+type callCounter struct {
+	mu     sync.Mutex // guards counts; no other lock is taken while it is held
 	counts map[Call]int
 }
 
-func newCalls() *calls { return &calls{counts: make(map[Call]int)} }
+func newCallCounter() *callCounter { return &callCounter{counts: make(map[Call]int)} }
 
-func (c *calls) count(call Call) {
+func (c *callCounter) count(call Call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[call]++
 }
 
-func (c *calls) list() []CallCount {
+// list returns the counts sorted by kind and verb.
+func (c *callCounter) list() []CallCount {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := make([]CallCount, 0, len(c.counts))
--- a/internal/standin/platform/controls.go
+++ b/internal/standin/platform/controls.go
@@ -15,22 +15,22 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// maxControlBytes bounds the body of a control call.
+// maxControlBytes is the maximum size of a control request's body.
 const maxControlBytes = 16 << 20
 
-// controls returns the calls of tests.
-func (p *Platform) controls() *restful.WebService {
+// controlService returns the /standin endpoints, with which tests control and inspect the stand-in.
+func (p *Platform) controlService() *restful.WebService {
 	service := new(restful.WebService).Path("/standin")
 	service.Route(service.GET("/history").To(func(request *restful.Request, response *restful.Response) {
 		encoder := json.NewEncoder(response)
-		skip, _ := strconv.Atoi(request.QueryParameter("skip")) // those that a test has read already
+		skip, _ := strconv.Atoi(request.QueryParameter("skip")) // number of changes that the test has already read
 		history := p.History()
 		for _, change := range history[min(skip, len(history)):] {
 			_ = encoder.Encode(change)
 		}
 	}))
 	service.Route(service.GET("/calls").To(func(_ *restful.Request, response *restful.Response) {
-		write(response, p.Calls(), nil)
+		writeResponse(response, p.Calls(), nil)
 	}))
 	service.Route(service.GET("/held").To(func(_ *restful.Request, response *restful.Response) {
 		encoder := json.NewEncoder(response)
@@ -38,13 +38,13 @@
 			_ = encoder.Encode(call)
 		}
 	}))
-	service.Route(service.POST("/switches").To(control(p.Switch)))
-	service.Route(service.POST("/vms").To(control(p.SetVMs)))
+	service.Route(service.POST("/switches").To(controlHandler(p.Switch)))
+	service.Route(service.POST("/vms").To(controlHandler(p.SetVMs)))
 	return service
 }
 
-// control decodes a body strictly and hands it on.
-func control[T any](apply func(T) error) restful.RouteFunction {
+// controlHandler decodes a JSON body, rejecting unknown fields, and passes it to apply.
+func controlHandler[T any](apply func(T) error) restful.RouteFunction {
 	return func(request *restful.Request, response *restful.Response) {
 		var body T
 		decoder := json.NewDecoder(io.LimitReader(request.Request.Body, maxControlBytes))
@@ -53,19 +53,19 @@
 			http.Error(response, err.Error(), http.StatusBadRequest)
 			return
 		}
-		write(response, struct{}{}, apply(body))
+		writeResponse(response, struct{}{}, apply(body))
 	}
 }
 
 var errUnknownOutage = eris.New("outage: want none, refuse, drop or hang")
 
-// Switch changes the faults.
+// Switch changes the simulated faults.
 func (p *Platform) Switch(s Switches) error {
 	known := []Outage{OutageNone, OutageRefuse, OutageDrop, OutageHang}
 	if s.Outage != nil && !slices.Contains(known, *s.Outage) {
 		return errUnknownOutage
 	}
-	p.faults.set(s)
+	p.faults.update(s)
 	if s.Hold != nil {
 		p.holds.add(*s.Hold)
 	}
@@ -78,17 +78,17 @@
 	return nil
 }
 
-// History returns every change so far, the first first.
-func (p *Platform) History() []Change { return p.table.past() }
+// History returns the retained changes, oldest first.
+func (p *Platform) History() []Change { return p.table.fullHistory() }
 
-// Calls returns the calls so far.
+// Calls returns the number of calls received so far, by kind and verb.
 func (p *Platform) Calls() []CallCount { return p.calls.list() }
 
 // HeldCalls returns the calls that wait at a Hold.
 func (p *Platform) HeldCalls() []HeldCall { return p.holds.list() }
 
-// SetVMs replaces the list of VMs: one object per fabric domain. A domain that is left without VMs keeps
-// an empty one; a domain whose VMs did not change keeps its version.
+// SetVMs replaces the VM list, which is stored as one object per fabric domain. A domain that no longer has
+// VMs keeps an object with an empty list; a domain whose VMs did not change keeps its version.
 func (p *Platform) SetVMs(vms []vm.VM) error {
 	domains := make(map[string][]vm.VM)
 	for _, object := range p.table.list(platform.KindVMs).Objects {
@@ -99,14 +99,14 @@
 		domains[name] = append(domains[name], v)
 	}
 	for name, list := range domains {
-		if err := p.setDomain(name, vm.List{VMs: list}); err != nil {
+		if err := p.setFabricDomain(name, vm.List{VMs: list}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *Platform) setDomain(name string, list vm.List) error {
+func (p *Platform) setFabricDomain(name string, list vm.List) error {
 	current, err := p.table.get(platform.KindVMs, name)
 	var before vm.List
 	if err == nil && json.Unmarshal(current.Value, &before) == nil && reflect.DeepEqual(before, list) {
--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -10,43 +10,44 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// Outage says how the platform fails to answer.
+// Outage is the way in which the platform fails to answer calls.
 type Outage string
 
-// The outages.
+// Outage values.
 const (
-	// OutageNone: it answers.
+	// OutageNone answers calls normally.
 	OutageNone Outage = "none"
-	// OutageRefuse: it answers 503 and does nothing.
+	// OutageRefuse answers 503 without executing the call.
 	OutageRefuse Outage = "refuse"
-	// OutageDrop: it closes the connection and does nothing, so that a writer can't tell.
+	// OutageDrop closes the connection without executing the call, so a writer can't tell whether its write took
+	// effect.
 	OutageDrop Outage = "drop"
-	// OutageHang: it does not answer until the caller gives up.
+	// OutageHang leaves the call unanswered until the caller gives up.
 	OutageHang Outage = "hang"
 )
 
-// Prefix selects the writes of a kind (empty: any) whose names start with Name.
+// Prefix selects calls on objects of Kind (empty: any kind) whose names start with Name.
 type Prefix struct {
 	Kind platform.Kind `json:"kind,omitempty"`
 	Name string        `json:"name,omitempty"`
 }
 
-// LoseAnswers drops the connection after a write took effect.
+// LoseAnswers drops the connection after a write has taken effect.
 type LoseAnswers struct {
 	Prefix
 	// Count is how many writes it applies to; 0 switches it off, below 0 it stays on.
 	Count int `json:"count"`
 }
 
-// LateEffects lets a write take effect only DelayMillis after it came, also if its caller is gone.
+// LateEffects applies a write DelayMillis after it would otherwise take effect, even if its caller has
+// disconnected, and then drops the connection.
 type LateEffects struct {
 	Prefix
 	Count       int   `json:"count"`
 	DelayMillis int64 `json:"delay_ms"`
 }
 
-// StaleReads answers reads and lists with the state at an old revision, as a replica of the platform that
-// lags does.
+// StaleReads answers reads and lists with the state at an old revision, as a lagging platform replica does.
 type StaleReads struct {
 	Prefix
 	Revision platform.Version `json:"revision"`
@@ -54,48 +55,49 @@
 	Count int `json:"count"`
 }
 
-// Switches is a change of the faults. What is absent stays as it is.
+// Switches is an update of the simulated faults. Fields that are absent leave the current setting unchanged.
 type Switches struct {
 	Outage *Outage `json:"outage,omitempty"`
-	// DelayMillis slows down each call.
+	// DelayMillis is added to the duration of each call.
 	DelayMillis *int64 `json:"delay_ms,omitempty"`
-	// CallsPerSecond throttles; 0 switches it off.
+	// CallsPerSecond limits the rate of calls; 0 removes the limit.
 	CallsPerSecond *float64     `json:"calls_per_second,omitempty"`
 	LoseAnswers    *LoseAnswers `json:"lose_answers,omitempty"`
 	LateEffects    *LateEffects `json:"late_effects,omitempty"`
 	StaleReads     *StaleReads  `json:"stale_reads,omitempty"`
-	// DropWatches closes the connections of the watches that wait, without an answer.
+	// DropWatches closes the connections of waiting watches without an answer.
 	DropWatches bool `json:"drop_watches,omitempty"`
-	// RepeatChanges lets this many answers of watches begin from revision 0 again: old changes come twice.
+	// RepeatChanges is the number of watch answers that also repeat the retained history of the kind, so the
+	// watcher receives old changes twice.
 	RepeatChanges *int `json:"repeat_changes,omitempty"`
-	// VMsLagMillis is by how much reads of kind vms lag.
+	// VMsLagMillis is how far reads, lists and watches of kind vms lag behind the current state.
 	VMsLagMillis *int64 `json:"vms_lag_ms,omitempty"`
-	// Hold adds a hold; Release ends those of a kind and a beginning of names.
+	// Hold adds a hold; Release ends the holds whose kind and name prefix match.
 	Hold    *Hold   `json:"hold,omitempty"`
 	Release *Prefix `json:"release,omitempty"`
-	// Compact forgets the history, so that each watch from before starts with the whole kind.
+	// Compact discards the history, so a watch from an earlier revision first receives every object of the kind.
 	Compact bool `json:"compact,omitempty"`
 }
 
-// faults is the state of the switches.
+// faults holds the current fault settings.
 type faults struct {
-	mu       sync.Mutex // guards what follows; a leaf lock
-	outage   Outage
-	delay    time.Duration
-	throttle *rate.Limiter
-	lose     LoseAnswers
-	late     LateEffects
-	stale    StaleReads
-	repeats  int
-	lag      time.Duration
-	drop     chan struct{} // closed and replaced to drop the waiting watches
+	mu          sync.Mutex // guards the fields below; no other lock is taken while it is held
+	outage      Outage
+	delay       time.Duration
+	throttle    *rate.Limiter
+	loseAnswers LoseAnswers
+	lateEffects LateEffects
+	staleReads  StaleReads
+	repeats     int
+	vmListLag   time.Duration
+	dropWatches chan struct{} // closed and replaced to drop waiting watches
 }
 
 func newFaults() *faults {
-	return &faults{outage: OutageNone, drop: make(chan struct{})}
+	return &faults{outage: OutageNone, dropWatches: make(chan struct{})}
 }
 
-func (f *faults) set(s Switches) {
+func (f *faults) update(s Switches) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s.Outage != nil {
@@ -108,23 +110,23 @@
 		f.throttle = newThrottle(*s.CallsPerSecond)
 	}
 	if s.LoseAnswers != nil {
-		f.lose = *s.LoseAnswers
+		f.loseAnswers = *s.LoseAnswers
 	}
 	if s.LateEffects != nil {
-		f.late = *s.LateEffects
+		f.lateEffects = *s.LateEffects
 	}
 	if s.StaleReads != nil {
-		f.stale = *s.StaleReads
+		f.staleReads = *s.StaleReads
 	}
 	if s.RepeatChanges != nil {
 		f.repeats = *s.RepeatChanges
 	}
 	if s.VMsLagMillis != nil {
-		f.lag = millis(*s.VMsLagMillis)
+		f.vmListLag = millis(*s.VMsLagMillis)
 	}
 	if s.DropWatches || f.outage != OutageNone {
-		close(f.drop)
-		f.drop = make(chan struct{})
+		close(f.dropWatches)
+		f.dropWatches = make(chan struct{})
 	}
 }
 
@@ -135,81 +137,82 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// arrival is what befalls a call when it comes.
-type arrival struct {
+// callFaults holds the faults that apply to one incoming call.
+type callFaults struct {
 	outage    Outage
 	delay     time.Duration
 	throttled bool
 }
 
-func (f *faults) arrive() arrival {
+func (f *faults) forCall() callFaults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return arrival{
+	return callFaults{
 		outage:    f.outage,
 		delay:     f.delay,
 		throttled: f.throttle != nil && !f.throttle.Allow(),
 	}
 }
 
-func (f *faults) outageNow() Outage {
+func (f *faults) currentOutage() Outage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.outage
 }
 
-// losesAnswer says whether the answer of a write is lost, and counts it.
-func (f *faults) losesAnswer(kind platform.Kind, name string) bool {
+// takeLostAnswer reports whether the answer to a write is to be lost, and uses up one count if so.
+func (f *faults) takeLostAnswer(kind platform.Kind, name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lose.matches(kind, name) && take(&f.lose.Count)
+	return f.loseAnswers.matches(kind, name) && takeOne(&f.loseAnswers.Count)
 }
 
-// lateness returns how much later a write takes effect, and counts it.
-func (f *faults) lateness(kind platform.Kind, name string) time.Duration {
+// takeWriteDelay returns the delay before a write takes effect, 0 for none, and uses up one count if it matches.
+func (f *faults) takeWriteDelay(kind platform.Kind, name string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.late.matches(kind, name) || !take(&f.late.Count) {
+	if !f.lateEffects.matches(kind, name) || !takeOne(&f.lateEffects.Count) {
 		return 0
 	}
-	return millis(f.late.DelayMillis)
+	return millis(f.lateEffects.DelayMillis)
 }
 
-// staleness returns the revision that a read is answered at, 0 for the present one, and counts it.
-func (f *faults) staleness(kind platform.Kind, name string) platform.Version {
+// takeStaleRevision returns the revision at which to answer a read, 0 for the current one, and uses up one count
+// if it matches.
+func (f *faults) takeStaleRevision(kind platform.Kind, name string) platform.Version {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.stale.matches(kind, name) || !take(&f.stale.Count) {
+	if !f.staleReads.matches(kind, name) || !takeOne(&f.staleReads.Count) {
 		return 0
 	}
-	return f.stale.Revision
+	return f.staleReads.Revision
 }
 
-// repeatsChanges says whether this answer of a watch repeats old changes, and counts it.
-func (f *faults) repeatsChanges() bool {
+// takeRepeat reports whether a watch answer is to repeat old changes, and uses up one count if so.
+func (f *faults) takeRepeat() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return take(&f.repeats)
+	return takeOne(&f.repeats)
 }
 
 func (f *faults) vmsLag() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lag
+	return f.vmListLag
 }
 
-func (f *faults) dropped() <-chan struct{} {
+func (f *faults) watchesDropped() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.drop
+	return f.dropWatches
 }
 
 func (p Prefix) matches(kind platform.Kind, name string) bool {
 	return (p.Kind == "" || p.Kind == kind) && strings.HasPrefix(name, p.Name)
 }
 
-// take uses up one of count and returns whether there was one; below 0 there always is.
-func take(count *int) bool {
+// takeOne decrements a positive count and reports whether it was nonzero. A negative count is unlimited.
+func takeOne(count *int) bool {
 	if *count > 0 {
 		*count--
 		return true
--- a/internal/standin/platform/hold.go
+++ b/internal/standin/platform/hold.go
@@ -6,71 +6,74 @@
 	"sync"
 )
 
-// Hold keeps calls waiting until it is released, so that a test can bring about a fault at a step that
-// otherwise lasts microseconds. A held call goes on when it is released, whether or not its caller is
-// still there, and meets the outage that there is by then.
+// Hold blocks matching calls until it is released, so that a test can inject a fault at a step that otherwise
+// lasts microseconds. A released call continues even if its caller has disconnected, and is subject to the
+// outage in force at that time.
 type Hold struct {
 	Prefix
 	Verb Verb `json:"verb"`
-	// After holds a write behind its effect, in front of its answer; else a call is held before all.
+	// After holds a write after it took effect and before it is answered; otherwise a call is held before it is
+	// processed.
 	After bool `json:"after,omitempty"`
-	// Skip lets this many calls pass first; Count is how many are held then, 0: all.
+	// Skip is the number of matching calls to let pass first; Count is the number to hold after them, 0 for all.
 	Skip  int `json:"skip,omitempty"`
 	Count int `json:"count,omitempty"`
-	// Drop drops the connection of a released call, behind the effect if After is set.
+	// Drop closes the connection of a released call: after its effect if After is set, else without executing it.
 	Drop bool `json:"drop,omitempty"`
 }
 
-// HeldCall is a call that waits.
+// HeldCall is a call that waits at a Hold.
 type HeldCall struct {
 	Call
 	Name  string `json:"name"`
 	After bool   `json:"after,omitempty"`
 }
 
-// holds is the set of Holds and what waits at them.
+// holds is the set of active holds and the calls that wait at them.
 type holds struct {
-	mu  sync.Mutex // guards all; a leaf lock
+	mu  sync.Mutex // guards all and the holds in it; no other lock is taken while it is held
 	all []*hold
 }
 
+// hold is an active Hold; released is closed when it ends.
 type hold struct {
 	Hold
 	released chan struct{}
 	waiting  []HeldCall
 }
 
-func (h *holds) add(wanted Hold) {
+func (h *holds) add(spec Hold) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.all = append(h.all, &hold{Hold: wanted, released: make(chan struct{})})
+	h.all = append(h.all, &hold{Hold: spec, released: make(chan struct{})})
 }
 
-// release ends the holds of a kind (empty: any) on names that start with the given one.
-func (h *holds) release(which Prefix) {
+// release ends the holds whose kind matches (empty: any kind) and whose name prefix starts with prefix.Name.
+func (h *holds) release(prefix Prefix) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.all = slices.DeleteFunc(h.all, func(held *hold) bool {
-		ends := (which.Kind == "" || which.Kind == held.Kind) && strings.HasPrefix(held.Name, which.Name)
-		if ends {
+		matches := (prefix.Kind == "" || prefix.Kind == held.Kind) && strings.HasPrefix(held.Name, prefix.Name)
+		if matches {
 			close(held.released)
 		}
-		return ends
+		return matches
 	})
 }
 
-// wait returns once no hold keeps the call, and says whether one did, and whether its connection is to be
+// wait blocks while a hold applies to the call. It reports whether one did and whether the connection is to be
 // dropped.
 func (h *holds) wait(call HeldCall) (held, drop bool) {
-	at := h.join(call)
-	if at == nil {
+	blocking := h.enqueue(call)
+	if blocking == nil {
 		return false, false
 	}
-	<-at.released
-	return true, at.Drop
+	<-blocking.released
+	return true, blocking.Drop
 }
 
-func (h *holds) join(call HeldCall) *hold {
+// enqueue adds the call to the first hold that applies to it and returns that hold, or nil if none does.
+func (h *holds) enqueue(call HeldCall) *hold {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, held := range h.all {
--- a/internal/standin/platform/hold_test.go
+++ b/internal/standin/platform/hold_test.go
@@ -34,8 +34,8 @@
 	release := func(outage platform.Outage) {
 		Expect(standin.Switch(platform.Switches{Outage: &outage, Release: &platform.Prefix{Kind: link.KindEntry}})).To(Succeed())
 	}
-	// written names the objects in the order in which they were written.
-	written := func() string {
+	// writtenNames names the objects in the order in which they were writtenNames.
+	writtenNames := func() string {
 		var names []string
 		for _, change := range standin.History() {
 			names = append(names, change.Name)
@@ -49,61 +49,61 @@
 		server := httptest.NewServer(standin.Handler())
 		DeferCleanup(server.Close)
 		base = server.URL
-		client = link.NewClient(base, link.WithCallTimeout(patience))
+		client = link.NewClient(base, link.WithCallTimeout(longTimeout))
 	})
 
-	It("keeps a write in front of its effect, or behind it, until it is released", func() {
+	It("holds a write before or after its effect until it is released", func() {
 		hold(false, 1)
 		put("h1")
-		Eventually(results, eventually).Should(Receive(BeNil()), "the first is skipped")
+		Eventually(results, eventuallyTimeout).Should(Receive(BeNil()), "the first is skipped")
 		put("h2")
-		Eventually(standin.HeldCalls, eventually).Should(ConsistOf(HaveField("Name", "h2")))
-		Expect(written()).To(Equal("h1"))
+		Eventually(standin.HeldCalls, eventuallyTimeout).Should(ConsistOf(HaveField("Name", "h2")))
+		Expect(writtenNames()).To(Equal("h1"))
 		release(platform.OutageNone)
-		Eventually(results, eventually).Should(Receive(BeNil()))
+		Eventually(results, eventuallyTimeout).Should(Receive(BeNil()))
 
 		hold(true, 0)
 		put("h3")
-		Eventually(standin.HeldCalls, eventually).Should(ConsistOf(HaveField("Name", "h3")))
-		Expect(written()).To(Equal("h1 h2 h3"))
+		Eventually(standin.HeldCalls, eventuallyTimeout).Should(ConsistOf(HaveField("Name", "h3")))
+		Expect(writtenNames()).To(Equal("h1 h2 h3"))
 		Expect(results).NotTo(Receive())
 		release(platform.OutageNone)
-		Eventually(results, eventually).Should(Receive(BeNil()))
+		Eventually(results, eventuallyTimeout).Should(Receive(BeNil()))
 		Expect(standin.HeldCalls()).To(BeEmpty())
 	})
 
-	It("lets a released write meet the outage: refused before its effect, unanswered behind it", func() {
+	It("applies the outage to a released write: refused before its effect, unanswered after it", func() {
 		hold(false, 0)
 		put("h1")
-		Eventually(standin.HeldCalls, eventually).Should(HaveLen(1))
+		Eventually(standin.HeldCalls, eventuallyTimeout).Should(HaveLen(1))
 		release(platform.OutageRefuse)
-		Eventually(results, eventually).Should(Receive(MatchError(link.ErrUnavailable)))
+		Eventually(results, eventuallyTimeout).Should(Receive(MatchError(link.ErrUnavailable)))
 		release(platform.OutageNone)
 
 		hold(true, 0)
 		put("h2")
-		Eventually(standin.HeldCalls, eventually).Should(HaveLen(1))
+		Eventually(standin.HeldCalls, eventuallyTimeout).Should(HaveLen(1))
 		release(platform.OutageRefuse)
-		Eventually(results, eventually).Should(Receive(MatchError(link.ErrUnconfirmed)))
-		Expect(written()).To(Equal("h2"))
+		Eventually(results, eventuallyTimeout).Should(Receive(MatchError(link.ErrUnconfirmed)))
+		Expect(writtenNames()).To(Equal("h2"))
 		release(platform.OutageNone)
 
 		hold(true, 0, true)
 		put("h3")
-		Eventually(standin.HeldCalls, eventually).Should(HaveLen(1))
+		Eventually(standin.HeldCalls, eventuallyTimeout).Should(HaveLen(1))
 		put("h4")
-		Eventually(results, eventually).Should(Receive(BeNil()), "one is held")
+		Eventually(results, eventuallyTimeout).Should(Receive(BeNil()), "one is held")
 		release(platform.OutageNone)
-		Eventually(results, eventually).Should(Receive(MatchError(link.ErrUnconfirmed)), "and dropped")
+		Eventually(results, eventuallyTimeout).Should(Receive(MatchError(link.ErrUnconfirmed)), "and dropped")
 	})
 
-	It("lets a held write take effect although its caller gave it up", func() {
+	It("applies a held write although its caller gave up", func() {
 		hold(false, 0)
-		client = link.NewClient(base, link.WithCallTimeout(haste))
+		client = link.NewClient(base, link.WithCallTimeout(shortTimeout))
 		put("h1")
-		Eventually(results, eventually).Should(Receive(MatchError(link.ErrUnconfirmed)))
-		Expect(written()).To(BeEmpty())
+		Eventually(results, eventuallyTimeout).Should(Receive(MatchError(link.ErrUnconfirmed)))
+		Expect(writtenNames()).To(BeEmpty())
 		release(platform.OutageNone)
-		Eventually(written, eventually).Should(Equal("h1"))
+		Eventually(writtenNames, eventuallyTimeout).Should(Equal("h1"))
 	})
 })
--- a/internal/standin/platform/objects.go
+++ b/internal/standin/platform/objects.go
@@ -15,63 +15,63 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// Handler returns the API.
+// Handler returns the HTTP handler of the object API and of the control endpoints.
 func (p *Platform) Handler() http.Handler {
 	objects := new(restful.WebService).Path("/v1").Produces(restful.MIME_JSON)
-	objects.Route(objects.GET("/objects/{kind}").To(p.counted(VerbList, p.list)))
-	objects.Route(objects.GET("/objects/{kind}/{name}").To(p.counted(VerbGet, p.get)))
-	objects.Route(objects.PUT("/objects/{kind}/{name}").To(p.counted(VerbPut, p.put)))
-	objects.Route(objects.DELETE("/objects/{kind}/{name}").To(p.counted(VerbDelete, p.delete)))
-	objects.Route(objects.GET("/watch/{kind}").To(p.counted(VerbWatch, p.watch)))
+	objects.Route(objects.GET("/objects/{kind}").To(p.withFaults(VerbList, p.list)))
+	objects.Route(objects.GET("/objects/{kind}/{name}").To(p.withFaults(VerbGet, p.get)))
+	objects.Route(objects.PUT("/objects/{kind}/{name}").To(p.withFaults(VerbPut, p.put)))
+	objects.Route(objects.DELETE("/objects/{kind}/{name}").To(p.withFaults(VerbDelete, p.delete)))
+	objects.Route(objects.GET("/watch/{kind}").To(p.withFaults(VerbWatch, p.watch)))
 
 	container := restful.NewContainer()
 	container.Add(objects)
-	container.Add(p.controls())
+	container.Add(p.controlService())
 	return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
-		// Routes see the path as it was sent, since a name may hold any characters, "/" included. Dispatch, not
-		// ServeHTTP, for the latter cleans paths.
+		// Route on the escaped path, since a name may contain any character, including "/". Use Dispatch because
+		// ServeHTTP cleans paths.
 		request.URL.Path = request.URL.EscapedPath()
 		request.URL.RawPath = ""
 		container.Dispatch(response, request)
 	})
 }
 
-// answer is a handler's result: an error, or what is written as JSON.
-type answer func(*http.Request, platform.Kind, string) (any, error)
+// objectHandler handles a call on an object or a kind and returns a value to encode as JSON, or an error.
+type objectHandler func(*http.Request, platform.Kind, string) (any, error)
 
-// counted wraps a handler with what befalls every call.
-func (p *Platform) counted(verb Verb, answer answer) restful.RouteFunction {
+// withFaults wraps a handler: it counts the call, waits at holds and applies the faults that concern every call.
+func (p *Platform) withFaults(verb Verb, handle objectHandler) restful.RouteFunction {
 	return func(request *restful.Request, response *restful.Response) {
-		kind := platform.Kind(unescape(request.PathParameter("kind")))
-		name := unescape(request.PathParameter("name"))
+		kind := platform.Kind(unescapeSegment(request.PathParameter("kind")))
+		name := unescapeSegment(request.PathParameter("name"))
 		call := Call{Kind: kind, Verb: verb}
 		p.calls.count(call)
-		takeBody(request.Request)
+		bufferBody(request.Request)
 		if _, drop := p.holds.wait(HeldCall{Call: call, Name: name}); drop {
 			dropConnection()
 		}
-		arrival := p.faults.arrive()
-		pause(request.Request, arrival.delay)
+		faults := p.faults.forCall()
+		sleep(request.Request, faults.delay)
 		switch {
-		case arrival.outage == OutageDrop:
+		case faults.outage == OutageDrop:
 			dropConnection()
-		case arrival.outage == OutageHang:
+		case faults.outage == OutageHang:
 			<-request.Request.Context().Done()
 			dropConnection()
-		case arrival.outage == OutageRefuse:
+		case faults.outage == OutageRefuse:
 			http.Error(response, "outage", http.StatusServiceUnavailable)
-		case arrival.throttled:
+		case faults.throttled:
 			http.Error(response, "too many calls", http.StatusTooManyRequests)
 		default:
-			reply, err := answer(request.Request, kind, name)
-			write(response, reply, err)
+			reply, err := handle(request.Request, kind, name)
+			writeResponse(response, reply, err)
 		}
 	}
 }
 
-// takeBody reads the body ahead. net/http notices that a caller is gone only once its body was read, and a
-// handler that holds a request must notice.
-func takeBody(request *http.Request) {
+// bufferBody reads the whole request body into memory. net/http detects that a caller has disconnected only after
+// the body was read, and a handler that holds a request must detect it.
+func bufferBody(request *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(request.Body, platform.MaxValueBytes+1))
 	if err != nil {
 		dropConnection()
@@ -79,7 +79,7 @@
 	request.Body = io.NopCloser(bytes.NewReader(body))
 }
 
-func unescape(segment string) string {
+func unescapeSegment(segment string) string {
 	text, err := url.PathUnescape(segment)
 	if err != nil {
 		return segment
@@ -90,7 +90,8 @@
 // dropConnection closes the connection without an answer.
 func dropConnection() { panic(http.ErrAbortHandler) }
 
-func pause(request *http.Request, d time.Duration) {
+// sleep waits for d or until the request's context ends.
+func sleep(request *http.Request, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -100,14 +101,14 @@
 	}
 }
 
-// Errors beside those of link/platform.
+// Errors in addition to those of link/platform.
 var (
 	errBadVersion = eris.New("query: want version or after, an unsigned number")
 	errBadValue   = eris.New("value is not JSON")
 	errReadOnly   = eris.New("kind is read only")
 )
 
-func write(response http.ResponseWriter, reply any, err error) {
+func writeResponse(response http.ResponseWriter, reply any, err error) {
 	if err != nil {
 		http.Error(response, err.Error(), statusOf(err))
 		return
@@ -131,16 +132,16 @@
 }
 
 func (p *Platform) get(_ *http.Request, kind platform.Kind, name string) (any, error) {
-	if lag := p.lagOf(kind); lag > 0 {
-		return find(p.table.asOf(kind, time.Now().Add(-lag)), name)
+	if lag := p.listLag(kind); lag > 0 {
+		return findObject(p.table.atTime(kind, time.Now().Add(-lag)), name)
 	}
-	if stale := p.faults.staleness(kind, name); stale > 0 {
-		return find(p.table.at(kind, stale), name)
+	if staleRevision := p.faults.takeStaleRevision(kind, name); staleRevision > 0 {
+		return findObject(p.table.atRevision(kind, staleRevision), name)
 	}
 	return p.table.get(kind, name)
 }
 
-func find(changes platform.Changes, name string) (any, error) {
+func findObject(changes platform.Changes, name string) (any, error) {
 	for _, object := range changes.Objects {
 		if object.Name == name {
 			return object, nil
@@ -150,16 +151,16 @@
 }
 
 func (p *Platform) list(_ *http.Request, kind platform.Kind, _ string) (any, error) {
-	if lag := p.lagOf(kind); lag > 0 {
-		return p.table.asOf(kind, time.Now().Add(-lag)), nil
+	if lag := p.listLag(kind); lag > 0 {
+		return p.table.atTime(kind, time.Now().Add(-lag)), nil
 	}
-	if stale := p.faults.staleness(kind, ""); stale > 0 {
-		return p.table.at(kind, stale), nil
+	if stale := p.faults.takeStaleRevision(kind, ""); stale > 0 {
+		return p.table.atRevision(kind, stale), nil
 	}
 	return p.table.list(kind), nil
 }
 
-func (p *Platform) lagOf(kind platform.Kind) time.Duration {
+func (p *Platform) listLag(kind platform.Kind) time.Duration {
 	if kind != platform.KindVMs {
 		return 0
 	}
@@ -167,7 +168,7 @@
 }
 
 func (p *Platform) put(request *http.Request, kind platform.Kind, name string) (any, error) {
-	version, err := number(request, "version")
+	version, err := versionParameter(request, "version")
 	if err != nil {
 		return nil, err
 	}
@@ -182,32 +183,32 @@
 		return nil, errBadValue
 	}
 	call := HeldCall{Call: Call{Kind: kind, Verb: VerbPut}, Name: name, After: true}
-	return p.effect(request, call, func() (platform.Version, error) {
+	return p.applyWrite(request, call, func() (platform.Version, error) {
 		return p.table.put(kind, name, version, value)
 	})
 }
 
 func (p *Platform) delete(request *http.Request, kind platform.Kind, name string) (any, error) {
-	version, err := number(request, "version")
+	version, err := versionParameter(request, "version")
 	if err != nil {
 		return nil, err
 	}
 	call := HeldCall{Call: Call{Kind: kind, Verb: VerbDelete}, Name: name, After: true}
-	return p.effect(request, call, func() (platform.Version, error) {
+	return p.applyWrite(request, call, func() (platform.Version, error) {
 		return p.table.delete(kind, name, version)
 	})
 }
 
-// effect lets a write take effect, now or late, and answers it unless the answer is to be lost.
-func (p *Platform) effect(request *http.Request, call HeldCall, apply func() (platform.Version, error)) (any, error) {
+// applyWrite lets a write take applyWrite, now or late, and answers it unless the answer is to be lost.
+func (p *Platform) applyWrite(request *http.Request, call HeldCall, apply func() (platform.Version, error)) (any, error) {
 	if call.Kind == platform.KindVMs {
 		return nil, errReadOnly
 	}
-	loses := p.faults.losesAnswer(call.Kind, call.Name)
-	if late := p.faults.lateness(call.Kind, call.Name); late > 0 {
+	loseAnswer := p.faults.takeLostAnswer(call.Kind, call.Name)
+	if delay := p.faults.takeWriteDelay(call.Kind, call.Name); delay > 0 {
 		done := make(chan struct{})
-		now := apply
-		time.AfterFunc(late, func() { defer close(done); _, _ = now() })
+		delayedApply := apply
+		time.AfterFunc(delay, func() { defer close(done); _, _ = delayedApply() })
 		select {
 		case <-done:
 		case <-request.Context().Done():
@@ -216,14 +217,14 @@
 	}
 	version, err := apply()
 	held, drop := p.holds.wait(call)
-	// Behind the effect an outage can only lose the answer: a refusal would deny the effect.
-	if loses || drop || held && p.faults.outageNow() != OutageNone {
+	// After the write took effect, an outage can only lose the answer: a refusal would deny the effect.
+	if loseAnswer || drop || held && p.faults.currentOutage() != OutageNone {
 		dropConnection()
 	}
 	return platform.WriteResult{Version: version}, err
 }
 
-func number(request *http.Request, key string) (platform.Version, error) {
+func versionParameter(request *http.Request, key string) (platform.Version, error) {
 	n, err := strconv.ParseUint(request.URL.Query().Get(key), 10, 64)
 	if err != nil {
 		return 0, errBadVersion
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -26,10 +26,10 @@
 }
 
 const (
-	eventually = time.Minute
-	// patience is for calls that must be answered, haste for those that must not be in time.
-	patience = time.Minute
-	haste    = 100 * time.Millisecond
+	eventuallyTimeout = time.Minute
+	// longTimeout is for calls that must be answered, haste for calls that must time out.
+	longTimeout  = time.Minute
+	shortTimeout = 100 * time.Millisecond
 )
 
 var value = json.RawMessage(`{"nonce":"n"}`)
@@ -45,11 +45,11 @@
 		server := httptest.NewServer(standin.Handler())
 		DeferCleanup(server.Close)
 		base = server.URL
-		client = link.NewClient(base, link.WithCallTimeout(patience), link.WithRates(link.Rates{Shared: 1e6, Reserved: 1e6}))
+		client = link.NewClient(base, link.WithCallTimeout(longTimeout), link.WithRates(link.Rates{Shared: 1e6, Reserved: 1e6}))
 	})
 
-	// switches go over HTTP, as tests over separate processes set them.
-	post := func(path, body string) int {
+	// postControl sets faults over HTTP, as tests with separate processes do.
+	postControl := func(path, body string) int {
 		response, err := http.Post(base+path, "application/json", bytes.NewReader([]byte(body)))
 		Expect(err).NotTo(HaveOccurred())
 		defer response.Body.Close()
@@ -60,7 +60,7 @@
 		return err
 	}
 
-	It("fails as it is switched to, and tells by the effect what a lost answer leaves open", func() {
+	It("simulates each fault, and the history shows whether an unconfirmed write took effect", func() {
 		Expect(put("old")).To(Succeed())
 		for _, c := range []struct {
 			switches    string
@@ -68,15 +68,15 @@
 			read, write error
 			effects     int
 		}{
-			{`{"outage":"refuse"}`, patience, link.ErrUnavailable, link.ErrUnavailable, 0},
-			{`{"outage":"drop"}`, patience, link.ErrUnavailable, link.ErrUnconfirmed, 0},
-			{`{"outage":"hang"}`, haste, link.ErrUnavailable, link.ErrUnconfirmed, 0},
-			{`{"outage":"none","delay_ms":1000}`, haste, link.ErrUnavailable, link.ErrUnconfirmed, 1},
-			{`{"delay_ms":0,"lose_answers":{"kind":"entry","name":"new","count":1}}`, patience, nil, link.ErrUnconfirmed, 1},
-			{`{"late_effects":{"count":1,"delay_ms":300}}`, haste, nil, link.ErrUnconfirmed, 1},
-			{`{"calls_per_second":0.001}`, patience, nil, link.ErrThrottled, 0},
+			{`{"outage":"refuse"}`, longTimeout, link.ErrUnavailable, link.ErrUnavailable, 0},
+			{`{"outage":"drop"}`, longTimeout, link.ErrUnavailable, link.ErrUnconfirmed, 0},
+			{`{"outage":"hang"}`, shortTimeout, link.ErrUnavailable, link.ErrUnconfirmed, 0},
+			{`{"outage":"none","delay_ms":1000}`, shortTimeout, link.ErrUnavailable, link.ErrUnconfirmed, 1},
+			{`{"delay_ms":0,"lose_answers":{"kind":"entry","name":"new","count":1}}`, longTimeout, nil, link.ErrUnconfirmed, 1},
+			{`{"late_effects":{"count":1,"delay_ms":300}}`, shortTimeout, nil, link.ErrUnconfirmed, 1},
+			{`{"calls_per_second":0.001}`, longTimeout, nil, link.ErrThrottled, 0},
 		} {
-			Expect(post("/standin/switches", c.switches)).To(Equal(http.StatusOK))
+			Expect(postControl("/standin/switches", c.switches)).To(Equal(http.StatusOK))
 			before := len(standin.History())
 			caller := link.NewClient(base, link.WithCallTimeout(c.timeout))
 			if c.read == nil {
@@ -88,41 +88,41 @@
 			}
 			_, err := caller.Put(ctx, link.KindEntry, "new"+c.switches, 0, value)
 			Expect(err).To(MatchError(c.write), c.switches)
-			Eventually(func() int { return len(standin.History()) - before }, eventually).Should(Equal(c.effects), c.switches)
-			Consistently(func() int { return len(standin.History()) - before }, haste).Should(Equal(c.effects), c.switches)
+			Eventually(func() int { return len(standin.History()) - before }, eventuallyTimeout).Should(Equal(c.effects), c.switches)
+			Consistently(func() int { return len(standin.History()) - before }, shortTimeout).Should(Equal(c.effects), c.switches)
 		}
-		Expect(post("/standin/switches", `{"outrage":"refuse"}`)).To(Equal(http.StatusBadRequest))
-		Expect(post("/standin/switches", `{"outage":"often"}`)).To(Equal(http.StatusBadRequest))
+		Expect(postControl("/standin/switches", `{"outrage":"refuse"}`)).To(Equal(http.StatusBadRequest))
+		Expect(postControl("/standin/switches", `{"outage":"often"}`)).To(Equal(http.StatusBadRequest))
 	})
 
-	It("wakes watches by changes, ends them by time, drops and repeats them", func() {
+	It("wakes a watch on a change, ends it on timeout, drops it, and repeats old changes", func() {
 		Expect(put("a")).To(Succeed())
 		seen, err := client.Watch(ctx, link.KindEntry, 1)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seen).To(Equal(link.Changes{Objects: []link.Object{}, Revision: 1}))
 
-		woken := make(chan link.Changes, 1)
+		received := make(chan link.Changes, 1)
 		go func() {
 			defer GinkgoRecover()
 			for after := link.Version(1); ; {
 				changes, err := client.Watch(ctx, link.KindEntry, after)
 				Expect(err).NotTo(HaveOccurred())
 				if len(changes.Objects) > 0 {
-					woken <- changes
+					received <- changes
 					return
 				}
 				after = changes.Revision
 			}
 		}()
 		Expect(put("b")).To(Succeed())
-		Eventually(woken, eventually).Should(Receive(HaveField("Objects", ConsistOf(HaveField("Name", "b")))))
+		Eventually(received, eventuallyTimeout).Should(Receive(HaveField("Objects", ConsistOf(HaveField("Name", "b")))))
 
-		Expect(post("/standin/switches", `{"repeat_changes":1}`)).To(Equal(http.StatusOK))
+		Expect(postControl("/standin/switches", `{"repeat_changes":1}`)).To(Equal(http.StatusOK))
 		seen, err = client.Watch(ctx, link.KindEntry, 1)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seen.Objects).To(HaveLen(3), "a and b once more, before b")
 
-		Expect(post("/standin/switches", `{"compact":true}`)).To(Equal(http.StatusOK))
+		Expect(postControl("/standin/switches", `{"compact":true}`)).To(Equal(http.StatusOK))
 		seen, err = client.Watch(ctx, link.KindEntry, 1)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seen.Complete).To(BeTrue())
@@ -140,10 +140,10 @@
 		Eventually(func() chan error {
 			Expect(standin.Switch(platform.Switches{DropWatches: true})).To(Succeed())
 			return dropped
-		}, eventually).Should(Receive(MatchError(link.ErrUnavailable)))
+		}, eventuallyTimeout).Should(Receive(MatchError(link.ErrUnavailable)))
 	})
 
-	It("lets the list of VMs lag, and nobody but itself write it", func() {
+	It("lets the VM list lag, and rejects writes to it by clients", func() {
 		vms := func(names ...vm.Name) (list []vm.VM) {
 			for _, name := range names {
 				list = append(list, vm.VM{Name: name, Position: domain.Position{FabricDomain: "f"}})
@@ -165,20 +165,20 @@
 		quiet, err := client.Watch(ctx, link.KindVMs, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(quiet.Objects).To(BeEmpty())
-		Expect(quiet.Revision).To(BeZero(), "so that the next watch does not pass over what lags")
+		Expect(quiet.Revision).To(BeZero(), "so that the next watch does not skip the changes that lag")
 
 		lag = 1
 		Expect(standin.Switch(platform.Switches{VMsLagMillis: &lag})).To(Succeed())
 		Eventually(func() ([]link.Object, error) {
 			changes, err := client.Watch(ctx, link.KindVMs, first.Revision)
 			return changes.Objects, err
-		}, eventually).Should(ConsistOf(HaveField("Value", ContainSubstring("vm2"))))
+		}, eventuallyTimeout).Should(ConsistOf(HaveField("Value", ContainSubstring("vm2"))))
 	})
 
-	It("answers reads with an old state, as often as it is switched to", func() {
+	It("answers the configured number of reads with an old state", func() {
 		Expect(put("a")).To(Succeed())
 		Expect(put("b")).To(Succeed())
-		Expect(post("/standin/switches", `{"stale_reads":{"kind":"entry","revision":1,"count":2}}`)).To(Equal(http.StatusOK))
+		Expect(postControl("/standin/switches", `{"stale_reads":{"kind":"entry","revision":1,"count":2}}`)).To(Equal(http.StatusOK))
 		Expect(client.List(ctx, link.KindEntry)).To(And(
 			HaveField("Objects", ConsistOf(HaveField("Name", "a"))), HaveField("Revision", link.Version(1))))
 		_, err := client.Get(ctx, link.KindEntry, "b")
@@ -186,7 +186,7 @@
 		Expect(client.Get(ctx, link.KindEntry, "b")).To(HaveField("Version", link.Version(2)))
 	})
 
-	It("keeps the history and the calls for the tests", func() {
+	It("reports the history and the call counts", func() {
 		Expect(put("a")).To(Succeed())
 		Expect(client.Delete(ctx, link.KindEntry, "a", 1)).To(Succeed())
 		_, err := client.Watch(ctx, link.KindEntry, 2)
--- a/internal/standin/platform/table.go
+++ b/internal/standin/platform/table.go
@@ -10,7 +10,7 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// Change is one line of the history.
+// Change is one entry of the history.
 type Change struct {
 	Time time.Time `json:"time"`
 	// Replaced is the version that the change replaced, 0 for a creation.
@@ -18,15 +18,15 @@
 	platform.Object
 }
 
-// table holds the objects and the history of their changes, over all kinds.
+// table holds the objects of all kinds and the history of their changes.
 type table struct {
-	limit int // fixed before use
+	limit int // history limit, 0 for none; set before use
 
-	mu        sync.Mutex // guards what follows; a leaf lock
+	mu        sync.Mutex // guards the fields below; no other lock is taken while it is held
 	revision  platform.Version
 	objects   map[platform.Kind]map[string]platform.Object
-	history   []Change         // in the order of Version
-	compacted platform.Version // changes up to here are no longer in history
+	history   []Change         // in order of Version
+	compacted platform.Version // changes up to this version are no longer in history
 	changed   chan struct{}    // closed and replaced at each change
 }
 
@@ -47,20 +47,20 @@
 func (t *table) list(kind platform.Kind) platform.Changes {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.whole(kind)
+	return t.snapshot(kind)
 }
 
-// whole must be called with mu held.
-func (t *table) whole(kind platform.Kind) platform.Changes {
-	all := make([]platform.Object, 0, len(t.objects[kind]))
+// snapshot returns every object of a kind at the current revision. It must be called with mu held.
+func (t *table) snapshot(kind platform.Kind) platform.Changes {
+	objects := make([]platform.Object, 0, len(t.objects[kind]))
 	for _, object := range t.objects[kind] {
-		all = append(all, object)
+		objects = append(objects, object)
 	}
-	sortByVersion(all)
-	return platform.Changes{Objects: all, Revision: t.revision, Complete: true}
+	sortByVersion(objects)
+	return platform.Changes{Objects: objects, Revision: t.revision, Complete: true}
 }
 
-// put writes value if the object is at version, and returns the new version.
+// put writes value if the object is at version (0: does not exist) and returns the new version.
 func (t *table) put(kind platform.Kind, name string, version platform.Version, value json.RawMessage) (platform.Version, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,6 +76,7 @@
 	return object.Version, nil
 }
 
+// delete removes the object if it is at version and returns the version of the deletion.
 func (t *table) delete(kind platform.Kind, name string, version platform.Version) (platform.Version, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,11 +93,11 @@
 	return object.Version, nil
 }
 
-// record must be called with mu held.
+// record appends a change to the history and wakes watches. It must be called with mu held.
 func (t *table) record(replaced platform.Version, object platform.Object) {
 	t.revision = object.Version
 	t.history = append(t.history, Change{Time: time.Now(), Replaced: replaced, Object: object})
-	// Twice the limit, so that the moving of what is kept is paid for by as many changes.
+	// Cutting at twice the limit amortizes the copy of the kept changes over as many new ones.
 	if t.limit > 0 && len(t.history) > 2*t.limit {
 		t.compacted = t.history[len(t.history)-t.limit-1].Version
 		t.history = slices.Clone(t.history[len(t.history)-t.limit:])
@@ -105,48 +106,48 @@
 	t.changed = make(chan struct{})
 }
 
-// after returns the changes of a kind after a revision, and a channel that closes at the next change of
+// changesAfter returns the changes of a kind changesAfter a revision, and a channel that closes at the next change of
 // any kind.
-func (t *table) after(kind platform.Kind, revision platform.Version) (platform.Changes, <-chan struct{}) {
+func (t *table) changesAfter(kind platform.Kind, revision platform.Version) (platform.Changes, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if revision < t.compacted {
-		return t.whole(kind), t.changed
+		return t.snapshot(kind), t.changed
 	}
-	return platform.Changes{Objects: latest(t.since(revision), kind), Revision: t.revision}, t.changed
+	return platform.Changes{Objects: latestPerObject(t.historySince(revision), kind), Revision: t.revision}, t.changed
 }
 
-// since must be called with mu held.
-func (t *table) since(revision platform.Version) []Change {
+// historySince returns the retained changes after a revision. It must be called with mu held.
+func (t *table) historySince(revision platform.Version) []Change {
 	first, _ := slices.BinarySearchFunc(t.history, revision+1, func(c Change, v platform.Version) int {
 		return cmp.Compare(c.Version, v)
 	})
 	return t.history[first:]
 }
 
-// asOf returns the kind as it was at a time, as far back as the history goes.
-func (t *table) asOf(kind platform.Kind, at time.Time) platform.Changes {
+// atTime returns the kind as it was at a time, as far back as the history goes.
+func (t *table) atTime(kind platform.Kind, at time.Time) platform.Changes {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	end, _ := slices.BinarySearchFunc(t.history, at, func(c Change, at time.Time) int { return c.Time.Compare(at) })
-	return t.state(kind, end)
+	return t.stateAfter(kind, end)
 }
 
-// at returns the kind as it was at a revision, as far back as the history goes.
-func (t *table) at(kind platform.Kind, revision platform.Version) platform.Changes {
+// atRevision returns the kind as it was atRevision a revision, as far back as the history goes.
+func (t *table) atRevision(kind platform.Kind, revision platform.Version) platform.Changes {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.state(kind, len(t.history)-len(t.since(revision)))
+	return t.stateAfter(kind, len(t.history)-len(t.historySince(revision)))
 }
 
-// state returns the kind after the first end changes of the history. It must be called with mu held.
-func (t *table) state(kind platform.Kind, end int) platform.Changes {
-	past := t.history[:end]
+// stateAfter returns the kind after the first end changes of the history. It must be called with mu held.
+func (t *table) stateAfter(kind platform.Kind, end int) platform.Changes {
+	applied := t.history[:end]
 	revision := t.compacted
 	if end > 0 {
-		revision = past[end-1].Version
+		revision = applied[end-1].Version
 	}
-	live := slices.DeleteFunc(latest(past, kind), func(o platform.Object) bool { return o.Deleted })
+	live := slices.DeleteFunc(latestPerObject(applied, kind), func(o platform.Object) bool { return o.Deleted })
 	for _, object := range t.objects[kind] {
 		if object.Version <= t.compacted {
 			live = append(live, object)
@@ -155,7 +156,7 @@
 	return platform.Changes{Objects: live, Revision: revision, Complete: true}
 }
 
-// compact forgets the history.
+// compact discards the history.
 func (t *table) compact() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -163,14 +164,14 @@
 	t.history = nil
 }
 
-func (t *table) past() []Change {
+func (t *table) fullHistory() []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.history)
 }
 
-// latest returns the last state of each object of a kind in changes.
-func latest(changes []Change, kind platform.Kind) []platform.Object {
+// latestPerObject returns the last state of each object of a kind in changes.
+func latestPerObject(changes []Change, kind platform.Kind) []platform.Object {
 	seen := make(map[string]bool)
 	objects := make([]platform.Object, 0)
 	for _, change := range slices.Backward(changes) {
--- a/internal/standin/platform/watch.go
+++ b/internal/standin/platform/watch.go
@@ -8,25 +8,26 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// lagStep is how often a watch of lagging objects looks again.
-const lagStep = 10 * time.Millisecond
+// lagPollInterval is the interval at which a watch of a lagging kind checks for changes.
+const lagPollInterval = 10 * time.Millisecond
 
+// watch answers with the changes of a kind after a revision, waiting up to watchWait for one.
 func (p *Platform) watch(request *http.Request, kind platform.Kind, _ string) (any, error) {
-	after, err := number(request, "after")
+	after, err := versionParameter(request, "after")
 	if err != nil {
 		return nil, err
 	}
-	dropped := p.faults.dropped()
+	dropped := p.faults.watchesDropped()
 	ctx, cancel := context.WithTimeout(request.Context(), p.watchWait)
 	defer cancel()
 	for {
-		changes, next := p.changes(kind, after)
+		changes, next := p.visibleChanges(kind, after)
 		if len(changes.Objects) > 0 || changes.Complete {
-			return p.perhapsRepeated(kind, changes), nil
+			return p.withRepeats(kind, changes), nil
 		}
 		select {
 		case <-next:
-		case <-p.lagTick(kind):
+		case <-p.lagTimer(kind):
 		case <-dropped:
 			dropConnection()
 		case <-ctx.Done():
@@ -35,35 +36,35 @@
 	}
 }
 
-// changes returns what a watch sees now, and a channel that closes when it may see more.
-func (p *Platform) changes(kind platform.Kind, after platform.Version) (platform.Changes, <-chan struct{}) {
-	changes, next := p.table.after(kind, after)
-	lag := p.lagOf(kind)
+// visibleChanges returns the changes visible to a watch now, and a channel that closes at the next change.
+func (p *Platform) visibleChanges(kind platform.Kind, after platform.Version) (platform.Changes, <-chan struct{}) {
+	changes, next := p.table.changesAfter(kind, after)
+	lag := p.listLag(kind)
 	if lag <= 0 {
 		return changes, next
 	}
-	seen := p.table.asOf(kind, time.Now().Add(-lag))
+	seen := p.table.atTime(kind, time.Now().Add(-lag))
 	if seen.Revision <= after {
 		return platform.Changes{Revision: after}, next
 	}
 	return seen, next
 }
 
-// lagTick returns a channel that fires soon if the kind lags, else never.
-func (p *Platform) lagTick(kind platform.Kind) <-chan time.Time {
-	if p.lagOf(kind) <= 0 {
+// lagTimer returns a channel that fires after lagPollInterval if the kind lags, and nil otherwise.
+func (p *Platform) lagTimer(kind platform.Kind) <-chan time.Time {
+	if p.listLag(kind) <= 0 {
 		return nil
 	}
-	return time.After(lagStep)
+	return time.After(lagPollInterval)
 }
 
-// perhapsRepeated puts old changes before the new ones, if that switch is on.
-func (p *Platform) perhapsRepeated(kind platform.Kind, changes platform.Changes) platform.Changes {
-	if !p.faults.repeatsChanges() {
+// withRepeats prepends the retained history of the kind if RepeatChanges applies to this answer.
+func (p *Platform) withRepeats(kind platform.Kind, changes platform.Changes) platform.Changes {
+	if !p.faults.takeRepeat() {
 		return changes
 	}
 	repeated := make([]platform.Object, 0, len(changes.Objects))
-	for _, change := range p.table.past() {
+	for _, change := range p.table.fullHistory() {
 		if change.Kind == kind {
 			repeated = append(repeated, change.Object)
 		}
