--- a/internal/standin/platform/controls.go
+++ b/internal/standin/platform/controls.go
@@ -79,7 +79,7 @@
 }
 
 // History returns the retained changes, oldest first.
-func (p *Platform) History() []Change { return p.table.fullHistory() }
+func (p *Platform) History() []Change { return p.table.retainedHistory() }
 
 // Calls returns the number of calls received so far, by kind and verb.
 func (p *Platform) Calls() []CallCount { return p.calls.list() }
@@ -106,6 +106,7 @@
 	return nil
 }
 
+// setFabricDomain writes the VM list of one fabric domain if it differs from the stored one.
 func (p *Platform) setFabricDomain(name string, list vm.List) error {
 	current, err := p.table.get(platform.KindVMs, name)
 	var before vm.List
--- a/internal/standin/platform/hold_test.go
+++ b/internal/standin/platform/hold_test.go
@@ -34,7 +34,7 @@
 	release := func(outage platform.Outage) {
 		Expect(standin.Switch(platform.Switches{Outage: &outage, Release: &platform.Prefix{Kind: link.KindEntry}})).To(Succeed())
 	}
-	// writtenNames names the objects in the order in which they were writtenNames.
+	// writtenNames returns the names of the changed objects, in the order of the changes.
 	writtenNames := func() string {
 		var names []string
 		for _, change := range standin.History() {
--- a/internal/standin/platform/objects.go
+++ b/internal/standin/platform/objects.go
@@ -69,8 +69,9 @@
 	}
 }
 
-// bufferBody reads the whole request body into memory. net/http detects that a caller has disconnected only after
-// the body was read, and a handler that holds a request must detect it.
+// bufferBody reads the request body, up to one byte more than the maximum size of a value, into
+// memory. net/http detects that a caller has disconnected only after the body was read, and a handler that holds a
+// request must detect it.
 func bufferBody(request *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(request.Body, platform.MaxValueBytes+1))
 	if err != nil {
@@ -154,12 +155,13 @@
 	if lag := p.listLag(kind); lag > 0 {
 		return p.table.atTime(kind, time.Now().Add(-lag)), nil
 	}
-	if stale := p.faults.takeStaleRevision(kind, ""); stale > 0 {
-		return p.table.atRevision(kind, stale), nil
+	if staleRevision := p.faults.takeStaleRevision(kind, ""); staleRevision > 0 {
+		return p.table.atRevision(kind, staleRevision), nil
 	}
 	return p.table.list(kind), nil
 }
 
+// listLag returns how far reads of a kind lag behind the current state; only the VM list can lag.
 func (p *Platform) listLag(kind platform.Kind) time.Duration {
 	if kind != platform.KindVMs {
 		return 0
@@ -199,7 +201,8 @@
 	})
 }
 
-// applyWrite lets a write take applyWrite, now or late, and answers it unless the answer is to be lost.
+// applyWrite executes a write, delayed if LateEffects matches it, and returns its result unless the answer is to
+// be lost.
 func (p *Platform) applyWrite(request *http.Request, call HeldCall, apply func() (platform.Version, error)) (any, error) {
 	if call.Kind == platform.KindVMs {
 		return nil, errReadOnly
@@ -224,6 +227,7 @@
 	return platform.WriteResult{Version: version}, err
 }
 
+// versionParameter parses a query parameter as a version.
 func versionParameter(request *http.Request, key string) (platform.Version, error) {
 	n, err := strconv.ParseUint(request.URL.Query().Get(key), 10, 64)
 	if err != nil {
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -27,7 +27,7 @@
 
 const (
 	eventuallyTimeout = time.Minute
-	// longTimeout is for calls that must be answered, haste for calls that must time out.
+	// longTimeout is for calls that must be answered, shortTimeout for calls that must time out.
 	longTimeout  = time.Minute
 	shortTimeout = 100 * time.Millisecond
 )
--- a/internal/standin/platform/table.go
+++ b/internal/standin/platform/table.go
@@ -106,8 +106,8 @@
 	t.changed = make(chan struct{})
 }
 
-// changesAfter returns the changes of a kind changesAfter a revision, and a channel that closes at the next change of
-// any kind.
+// changesAfter returns the latest change of each object of a kind after a revision, or every object of the kind
+// if the history no longer reaches back that far. The channel closes at the next change of any kind.
 func (t *table) changesAfter(kind platform.Kind, revision platform.Version) (platform.Changes, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -125,7 +125,7 @@
 	return t.history[first:]
 }
 
-// atTime returns the kind as it was at a time, as far back as the history goes.
+// atTime returns the objects of the kind as they were at a time, as far back as the history goes.
 func (t *table) atTime(kind platform.Kind, at time.Time) platform.Changes {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,14 +133,14 @@
 	return t.stateAfter(kind, end)
 }
 
-// atRevision returns the kind as it was atRevision a revision, as far back as the history goes.
+// atRevision returns the objects of the kind as they were at a revision, as far back as the history goes.
 func (t *table) atRevision(kind platform.Kind, revision platform.Version) platform.Changes {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.stateAfter(kind, len(t.history)-len(t.historySince(revision)))
 }
 
-// stateAfter returns the kind after the first end changes of the history. It must be called with mu held.
+// stateAfter returns the objects of the kind after the first end changes of the history. It must be called with mu held.
 func (t *table) stateAfter(kind platform.Kind, end int) platform.Changes {
 	applied := t.history[:end]
 	revision := t.compacted
@@ -164,7 +164,8 @@
 	t.history = nil
 }
 
-func (t *table) fullHistory() []Change {
+// retainedHistory returns a copy of the retained history.
+func (t *table) retainedHistory() []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.history)
--- a/internal/standin/platform/watch.go
+++ b/internal/standin/platform/watch.go
@@ -11,7 +11,7 @@
 // lagPollInterval is the interval at which a watch of a lagging kind checks for changes.
 const lagPollInterval = 10 * time.Millisecond
 
-// watch answers with the changes of a kind after a revision, waiting up to watchWait for one.
+// watch returns the changes of a kind after a revision. If there are none, it waits up to watchWait for one.
 func (p *Platform) watch(request *http.Request, kind platform.Kind, _ string) (any, error) {
 	after, err := versionParameter(request, "after")
 	if err != nil {
@@ -64,7 +64,7 @@
 		return changes
 	}
 	repeated := make([]platform.Object, 0, len(changes.Objects))
-	for _, change := range p.table.fullHistory() {
+	for _, change := range p.table.retainedHistory() {
 		if change.Kind == kind {
 			repeated = append(repeated, change.Object)
 		}
