--- a/internal/standin/engine/controls.go
+++ b/internal/standin/engine/controls.go
@@ -30,7 +30,7 @@
 		writeLines(response, h.Arrivals())
 	}))
 	service.Route(service.GET("/lives").To(func(_ *restful.Request, response *restful.Response) {
-		writeLines(response, h.Lives())
+		writeLines(response, h.Lifecycle())
 	}))
 	service.Route(service.POST("/vms/{vm}/switches").To(switching(func(name string, s Switches) error {
 		return h.Switch(vm.Name(name), s)
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -215,7 +215,7 @@
 	It("spoils the events it is told to", func() {
 		r := form(engine.DefaultOptions, "", 1)
 		for _, c := range []struct {
-			kind engine.Mangling
+			kind engine.MangleKind
 			seqs []uint64
 			id   string
 		}{
@@ -248,11 +248,11 @@
 		Expect(r.host.Runs()).To(BeEmpty())
 		Expect(r.host.Arrivals()[0]).To(And(HaveField("RequestID", "r1"), HaveField("Group", vm.GroupID("g"))))
 		r.set("vm1", engine.Switches{Freeze: &no, Restart: true})
-		var turns []engine.Turn
-		for _, life := range r.host.Lives() {
-			turns = append(turns, life.Turn)
+		var turns []engine.LifecycleEvent
+		for _, life := range r.host.Lifecycle() {
+			turns = append(turns, life.Event)
 		}
-		Expect(turns).To(Equal([]engine.Turn{engine.Booted, engine.Frozen, engine.Thawed, engine.Died, engine.Booted}))
+		Expect(turns).To(Equal([]engine.LifecycleEvent{engine.Booted, engine.Frozen, engine.Thawed, engine.Died, engine.Booted}))
 	})
 
 	It("obeys over HTTP and shows its logs", func() {
--- a/internal/standin/engine/host.go
+++ b/internal/standin/engine/host.go
@@ -69,7 +69,7 @@
 	runs     *runLog
 	orders   lines[OrderRecord]
 	arrivals lines[Arrival]
-	lives    lines[LifeRecord]
+	lives    lines[LifecycleRecord]
 	stopped  atomic.Bool // no VM starts any more
 
 	mu       sync.RWMutex // guards machines
@@ -154,8 +154,8 @@
 // Arrivals returns the requests of callers that reached a VM so far.
 func (h *Host) Arrivals() []Arrival { return h.arrivals.list() }
 
-// Lives returns the turns in the lives of the VMs so far.
-func (h *Host) Lives() []LifeRecord { return h.lives.list() }
+// Lifecycle returns the turns in the lives of the VMs so far.
+func (h *Host) Lifecycle() []LifecycleRecord { return h.lives.list() }
 
 var errUnknownVM = eris.New("stand-in has no such VM")
 
--- a/internal/standin/engine/log.go
+++ b/internal/standin/engine/log.go
@@ -77,23 +77,23 @@
 	Epoch     uint64     `json:"epoch"`
 }
 
-// Turn is a step in the life of a VM.
-type Turn string
+// LifecycleEvent is a step in the life of a VM.
+type LifecycleEvent string
 
 // The turns.
 const (
-	Booted Turn = "booted"
-	Died   Turn = "died"
-	Frozen Turn = "frozen"
-	Thawed Turn = "thawed"
+	Booted LifecycleEvent = "booted"
+	Died   LifecycleEvent = "died"
+	Frozen LifecycleEvent = "frozen"
+	Thawed LifecycleEvent = "thawed"
 )
 
-// LifeRecord is one turn in the life of a VM. BootID is empty for a VM that is dead.
-type LifeRecord struct {
+// LifecycleRecord is one turn in the life of a VM. BootID is empty for a VM that is dead.
+type LifecycleRecord struct {
 	Time   time.Time `json:"time"`
 	VM     vm.Name   `json:"vm"`
 	BootID vm.BootID `json:"boot_id,omitempty"`
-	Turn   Turn      `json:"turn"`
+	Event   LifecycleEvent      `json:"turn"`
 }
 
 // lines is a log that grows in the order of time. The zero value is empty.
--- a/internal/standin/engine/machine.go
+++ b/internal/standin/engine/machine.go
@@ -153,12 +153,12 @@
 }
 
 // note logs a turn of the VM's life. It must be called with mu held.
-func (m *machine) note(turn Turn) {
-	record := LifeRecord{VM: m.spec.Name, Turn: turn}
+func (m *machine) note(turn LifecycleEvent) {
+	record := LifecycleRecord{VM: m.spec.Name, Event: turn}
 	if m.boot != nil {
 		record.BootID = m.boot.id
 	}
-	m.host.lives.add(func(now time.Time) LifeRecord { record.Time = now; return record })
+	m.host.lives.add(func(now time.Time) LifecycleRecord { record.Time = now; return record })
 }
 
 // gate waits until the VM isn't frozen, and returns whether this life still goes on. It doesn't look at
--- a/internal/standin/engine/switches.go
+++ b/internal/standin/engine/switches.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Mangling is a way to spoil one event of a stream.
-type Mangling string
+// MangleKind is a way to spoil one event of a stream.
+type MangleKind string
 
 // The manglings.
 const (
 	// MangleDrop leaves the event out.
-	MangleDrop Mangling = "drop"
+	MangleDrop MangleKind = "drop"
 	// MangleDuplicate sends it twice.
-	MangleDuplicate Mangling = "duplicate"
+	MangleDuplicate MangleKind = "duplicate"
 	// MangleCross sends in its place an event of another request.
-	MangleCross Mangling = "cross"
+	MangleCross MangleKind = "cross"
 )
 
 // Mangle spoils the event Seq of the next Count streams; Count below 0: of all.
 type Mangle struct {
-	Kind  Mangling `json:"kind"`
+	Kind  MangleKind `json:"kind"`
 	Seq   uint64   `json:"seq"`
 	Count int      `json:"count"`
 }
--- a/test/groups_judge_test.go
+++ b/test/groups_judge_test.go
@@ -74,7 +74,7 @@
 			e.fabrics[v.Name] = string(v.Position.FabricDomain)
 		}
 	}
-	for _, life := range lines[standinengine.LifeRecord](c.engines + "/standin/lives") {
+	for _, life := range lines[standinengine.LifecycleRecord](c.engines + "/standin/lives") {
 		e.takeLife(life)
 	}
 	for _, order := range e.orders {
@@ -104,14 +104,14 @@
 	}
 }
 
-func (e *evidence) takeLife(life standinengine.LifeRecord) {
-	apply := map[standinengine.Turn]func(*condition){
+func (e *evidence) takeLife(life standinengine.LifecycleRecord) {
+	apply := map[standinengine.LifecycleEvent]func(*condition){
 		standinengine.Booted: func(c *condition) { *c = condition{boot: life.BootID, frozen: c.frozen} },
 		standinengine.Died:   func(c *condition) { c.boot = "" },
 		standinengine.Frozen: func(c *condition) { c.frozen = true },
 		standinengine.Thawed: func(c *condition) { c.frozen = false },
-	}[life.Turn]
-	e.turns[life.VM] = append(e.turns[life.VM], turn{at: life.Time, apply: apply, reason: string(life.Turn)})
+	}[life.Event]
+	e.turns[life.VM] = append(e.turns[life.VM], turn{at: life.Time, apply: apply, reason: string(life.Event)})
 }
 
 func (e *evidence) takeOrder(o standinengine.OrderRecord) {
