--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -7,16 +7,16 @@
 	"github.com/skylarkpond/skylarkpond/link/engine"
 )
 
-// batch is the running and the waiting requests of one boot. Those that wait go by priority, and by
-// arrival among equals.
+// batch holds the running and the queued requests of one boot. Queued requests start by descending
+// priority, and in order of arrival within a priority.
 type batch struct {
 	slots      int
 	maxWaiting int
 
-	mu      sync.Mutex // guards what follows; a leaf lock
+	mu      sync.Mutex // guards the fields below; no other lock is taken while it is held
 	running int
 	waiting []*waiter // in the order of arrival
-	samples []sample  // the load at each change, oldest first, never empty
+	samples []sample  // load after each change, oldest first; never empty
 }
 
 type waiter struct {
@@ -33,7 +33,8 @@
 	return &batch{slots: slots, maxWaiting: maxWaiting, samples: []sample{{at: time.Now()}}}
 }
 
-// enter returns a waiter whose channel closes when it may run, or nil if too many wait.
+// enter queues a request and returns a waiter whose channel closes when the request may run. It returns
+// nil if the queue is full.
 func (b *batch) enter(priority int) *waiter {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -42,27 +43,28 @@
 	}
 	w := &waiter{priority: priority, ready: make(chan struct{})}
 	b.waiting = append(b.waiting, w)
-	b.advance()
+	b.startWaiting()
 	return w
 }
 
-// leave ends a run, or the wait for one.
+// leave removes a request that is running or still queued.
 func (b *batch) leave(w *waiter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i, other := range b.waiting {
 		if other == w {
 			b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
-			b.note()
+			b.recordLoad()
 			return
 		}
 	}
 	b.running--
-	b.advance()
+	b.startWaiting()
 }
 
-// advance must be called with mu held.
-func (b *batch) advance() {
+// startWaiting starts queued requests while slots are free, and records the load. It must be called with
+// mu held.
+func (b *batch) startWaiting() {
 	for b.running < b.slots && len(b.waiting) > 0 {
 		best := 0
 		for i, w := range b.waiting {
@@ -74,14 +76,15 @@
 		b.waiting = append(b.waiting[:best], b.waiting[best+1:]...)
 		b.running++
 	}
-	b.note()
+	b.recordLoad()
 }
 
-// maxSamples bounds the kept loads; at more changes within the lag than this, it gets shorter.
+// maxSamples bounds the load history. If the load changes more often than this within the configured lag,
+// the reported load is more recent than the lag says.
 const maxSamples = 4096
 
-// note must be called with mu held.
-func (b *batch) note() {
+// recordLoad appends the current load to the history. It must be called with mu held.
+func (b *batch) recordLoad() {
 	load := engine.Load{
 		Running:   b.running,
 		Waiting:   len(b.waiting),
@@ -93,7 +96,7 @@
 	}
 }
 
-// load returns the load as it was lag ago.
+// load returns the load as of lag ago.
 func (b *batch) load(lag time.Duration) engine.Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,7 +113,7 @@
 	return load
 }
 
-func (b *batch) size() int {
+func (b *batch) runningCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.running
--- a/internal/standin/engine/completion.go
+++ b/internal/standin/engine/completion.go
@@ -13,11 +13,11 @@
 	"github.com/skylarkpond/skylarkpond/link/engine"
 )
 
-// DefaultMaxTokens is the length of an answer whose request names none.
+// DefaultMaxTokens is the length of the answer to a request that sets no max_tokens.
 const DefaultMaxTokens = 16
 
-// Token returns the text of token seq of the answer to a request. It depends on the request and on its
-// prompt, so that a test can tell an answer that was crossed with another.
+// Token returns the text of token seq of the answer to a request. The text depends on the request ID and
+// the prompt, so that a test can detect that answers of two requests were mixed up.
 func Token(requestID string, messages []engine.Message, seq uint64) string {
 	var prompt strings.Builder
 	for _, m := range messages {
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("%s-%d ", hash([]byte(requestID + "\n" + prompt.String()))[:8], seq)
 }
 
-// Answer returns the whole answer of a number of tokens.
+// Answer returns the complete text of an answer that has the given number of tokens.
 func Answer(requestID string, messages []engine.Message, tokens int) string {
 	var text strings.Builder
 	for seq := range tokens {
@@ -35,18 +35,18 @@
 	return text.String()
 }
 
-// completion is one run of a completion.
+// completion is one execution of a chat completion request.
 type completion struct {
 	machine   *machine
 	boot      *boot
-	asked     asked
+	headers   requestHeaders
 	order     engine.Order
 	body      engine.Completion
 	run       Run
 	session   *sse.Session
-	ctx       context.Context // ends when the caller leaves
+	ctx       context.Context // done when the client disconnects
 	cancelled chan struct{}
-	settings  settings // at the start of the run
+	settings  settings // as of the start of streaming
 	cut       bool
 	mangle    bool
 }
@@ -61,8 +61,8 @@
 		parsed.MaxTokens = DefaultMaxTokens
 	}
 	a := parseHeader(request.Header)
-	order, refused := m.refuses(b, a)
-	if refused == nil && m.host.weakest(order) == lost {
+	order, refused := m.checkRequest(b, a)
+	if refused == nil && m.host.worstPresence(order) == lost {
 		refused = &refusal{http.StatusServiceUnavailable, "a member of the group is lost"}
 	}
 	if refused != nil {
@@ -76,7 +76,7 @@
 	}
 	defer b.batch.leave(w)
 	c := &completion{
-		machine: m, boot: b, asked: a, order: order, body: parsed,
+		machine: m, boot: b, headers: a, order: order, body: parsed,
 		run: m.newRun(b, a, order, body), ctx: request.Context(),
 	}
 	c.cancelled = m.addCancel(b, a.requestID)
@@ -85,14 +85,14 @@
 		abort()
 	}
 	m.host.runs.add(c.run, Started)
-	if m.crashes(body) {
+	if m.containsCrashMarker(body) {
 		m.crash()
 		abort()
 	}
 	c.stream()
 }
 
-// open sends the head of the answer, so that the caller knows that the request was taken.
+// open sends the response headers, which tell the client that the request was accepted.
 func (c *completion) open(response http.ResponseWriter, request *http.Request) bool {
 	session, err := sse.Upgrade(response, request)
 	if err != nil {
@@ -104,7 +104,8 @@
 	return session.Flush() == nil
 }
 
-// await waits for a channel and returns false if the request ends before.
+// await waits until ready closes. It returns false if the client disconnects, the request is cancelled or
+// the VM stops first.
 func (c *completion) await(ready <-chan struct{}) bool {
 	select {
 	case <-ready:
@@ -129,35 +130,36 @@
 	return false
 }
 
-// stream writes the events.
+// stream sends the events of the answer, one per token.
 func (c *completion) stream() {
-	c.settings = c.machine.draw()
+	c.settings = c.machine.consumeStreamFaults()
 	c.cut = c.settings.cut.Count != 0
 	c.mangle = c.settings.mangle.Count != 0
 	wait := c.machine.host.options.FirstToken
-	for seq := c.asked.resumeFrom; seq < uint64(c.body.MaxTokens); seq++ {
-		if !c.sleep(scale(wait, c.machine.host.slowest(c.order))) {
+	for seq := c.headers.resumeFrom; seq < uint64(c.body.MaxTokens); seq++ {
+		if !c.sleep(scale(wait, c.machine.host.maxSlowFactor(c.order))) {
 			c.end(Cancelled)
 		}
-		if !c.whole() || c.cut && seq-c.asked.resumeFrom >= c.settings.cut.After || !c.send(seq) {
+		if !c.awaitMembers() || c.cut && seq-c.headers.resumeFrom >= c.settings.cut.After || !c.send(seq) {
 			c.end(Broken)
 		}
-		wait = c.gap()
+		wait = c.tokenGap()
 	}
 	c.machine.host.runs.add(c.run, Finished)
 }
 
-// draw returns the switches, and counts down those that hold for a number of streams.
-func (m *machine) draw() settings {
+// consumeStreamFaults returns the current settings and decrements the counters of the faults that apply to
+// a limited number of streams.
+func (m *machine) consumeStreamFaults() settings {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	drawn := m.faults
-	take(&m.faults.cut.Count)
-	take(&m.faults.mangle.Count)
+	consume(&m.faults.cut.Count)
+	consume(&m.faults.mangle.Count)
 	return drawn
 }
 
-// end logs how the run ended early, and breaks the connection.
+// end logs the phase in which the run ended early, unless the VM has stopped, and aborts the connection.
 func (c *completion) end(phase Phase) {
 	if alive(c.boot) {
 		c.machine.host.runs.add(c.run, phase)
@@ -165,38 +167,39 @@
 	abort()
 }
 
-// stallStep is how often a stalled head looks for its members again.
-const stallStep = 2 * time.Millisecond
+// stallPollInterval is how often the head of a stalled group checks the state of its members.
+const stallPollInterval = 2 * time.Millisecond
 
-// whole waits while the VM or a member of its group is paused, and returns false once one is lost.
-func (c *completion) whole() bool {
+// awaitMembers waits while the VM or a member of its group is frozen. It returns false if a member is lost
+// or the request ends.
+func (c *completion) awaitMembers() bool {
 	for {
-		if !c.machine.gate(c.boot) {
+		if !c.machine.awaitThaw(c.boot) {
 			return false
 		}
-		switch c.machine.host.weakest(c.order) {
+		switch c.machine.host.worstPresence(c.order) {
 		case present:
 			return true
 		case lost:
 			return false
 		}
-		if !c.sleep(stallStep) {
+		if !c.sleep(stallPollInterval) {
 			return false
 		}
 	}
 }
 
-func (c *completion) gap() time.Duration {
-	others := c.boot.batch.size() - 1
+func (c *completion) tokenGap() time.Duration {
+	others := c.boot.batch.runningCount() - 1
 	return c.machine.settings().tokenGap + time.Duration(max(0, others))*c.machine.host.options.GapSlope
 }
 
-// send writes one event, spoiled if a switch says so.
+// send writes one event, altered or left out if a Mangle fault applies to it.
 func (c *completion) send(seq uint64) bool {
 	event := engine.Event{
-		RequestID: c.asked.requestID,
+		RequestID: c.headers.requestID,
 		Seq:       seq,
-		Text:      Token(c.asked.requestID, c.body.Messages, seq),
+		Text:      Token(c.headers.requestID, c.body.Messages, seq),
 		Tokens:    1,
 	}
 	if seq+1 == uint64(c.body.MaxTokens) {
--- a/internal/standin/engine/controls.go
+++ b/internal/standin/engine/controls.go
@@ -12,14 +12,14 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// Handler returns the calls of the tests.
+// Handler returns the HTTP API with which tests control and inspect the VMs.
 func (h *Host) Handler() http.Handler {
 	service := new(restful.WebService).Path("/standin").Produces(restful.MIME_JSON)
 	service.Route(service.GET("/vms").To(func(_ *restful.Request, response *restful.Response) {
 		writeJSON(response, h.VMs())
 	}))
 	service.Route(service.GET("/runs").To(func(request *restful.Request, response *restful.Response) {
-		skip, _ := strconv.Atoi(request.QueryParameter("skip")) // those that a test has read already
+		skip, _ := strconv.Atoi(request.QueryParameter("skip")) // number of lines that the test has already read
 		runs := h.Runs()
 		writeLines(response, runs[min(skip, len(runs)):])
 	}))
@@ -32,10 +32,10 @@
 	service.Route(service.GET("/lives").To(func(_ *restful.Request, response *restful.Response) {
 		writeLines(response, h.Lifecycle())
 	}))
-	service.Route(service.POST("/vms/{vm}/switches").To(switching(func(name string, s Switches) error {
+	service.Route(service.POST("/vms/{vm}/switches").To(switchHandler(func(name string, s Switches) error {
 		return h.Switch(vm.Name(name), s)
 	}, "vm")))
-	service.Route(service.POST("/domains/{domain}/switches").To(switching(func(name string, s Switches) error {
+	service.Route(service.POST("/domains/{domain}/switches").To(switchHandler(func(name string, s Switches) error {
 		h.SwitchDomain(domain.FabricDomain(name), s)
 		return nil
 	}, "domain")))
@@ -44,8 +44,9 @@
 	return container
 }
 
-// switching decodes switches strictly and applies them to what the path names.
-func switching(apply func(string, Switches) error, parameter string) restful.RouteFunction {
+// switchHandler decodes Switches, rejecting unknown fields, and applies them to the VM or fabric domain that
+// the path parameter names.
+func switchHandler(apply func(string, Switches) error, parameter string) restful.RouteFunction {
 	return func(request *restful.Request, response *restful.Response) {
 		var s Switches
 		decoder := json.NewDecoder(io.LimitReader(request.Request.Body, maxBodyBytes))
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -37,14 +37,14 @@
 	no     = false
 )
 
-// replica is a group that was ordered and is ready.
+// replica is a group whose members have loaded their service and are ready.
 type replica struct {
 	host *engine.Host
 	vms  []vm.VM
 	send link.Target
 }
 
-func form(options engine.Options, service string, size int) *replica {
+func newReplica(options engine.Options, service string, size int) *replica {
 	r := &replica{host: engine.NewHost(options)}
 	DeferCleanup(r.host.Stop)
 	var names []vm.Name
@@ -99,7 +99,7 @@
 	return ids
 }
 
-func rest(stream link.Stream) (seqs []uint64, ids []string, err error) {
+func readAll(stream link.Stream) (seqs []uint64, ids []string, err error) {
 	for {
 		event, err := stream.Next()
 		if err != nil {
@@ -110,10 +110,10 @@
 }
 
 var _ = Describe("Host", func() {
-	// A VM is paused after it took a booking's connection. Its caller gives up; when the VM wakes it books all
-	// the same. Whoever told "not run" meanwhile told an untruth.
-	It("runs what a frozen VM held, although its caller has left", func() {
-		r := form(engine.DefaultOptions, "s", 1)
+	// A VM freezes after it accepted the connection of a call, and the caller gives up. Once thawed, the VM
+	// runs the call all the same, so it would be wrong to report the call as not run in the meantime.
+	It("runs a request that a frozen VM held, although its caller has left", func() {
+		r := newReplica(engine.DefaultOptions, "s", 1)
 		r.set("vm1", engine.Switches{Freeze: &yes})
 		_, err := client.Probe(ctx, r.vms[0].Address)
 		Expect(err).To(MatchError(link.ErrInterrupted))
@@ -126,20 +126,20 @@
 		Expect(err).To(MatchError(link.ErrInterrupted))
 		Expect(r.host.Runs()).To(BeEmpty())
 
-		time.Sleep(time.Second) // far beyond the order's deadline, which the engine counts from its arrival
+		time.Sleep(time.Second) // far beyond the order's deadline, which the engine counts from the order's arrival
 		r.set("vm1", engine.Switches{Freeze: &no})
 		Eventually(func() []string { return r.phases(engine.Finished) }, eventually).Should(Equal([]string{"r"}))
 		Eventually(r.host.Orders, eventually).Should(ContainElement(
 			And(HaveField("Order.ID", "late"), HaveField("Refused", "deadline passed"))))
 	})
 
-	It("stalls a replica while a member is paused, and breaks it once one is lost", func() {
-		r := form(engine.DefaultOptions, "", 3)
+	It("stalls a replica while a member is frozen, and breaks its streams once a member is lost", func() {
+		r := newReplica(engine.DefaultOptions, "", 3)
 		r.set("vm3", engine.Switches{Freeze: &yes})
 		stream := r.open("r1", 0)
 		Consistently(func() []string { return r.phases(engine.Finished) }, 50*time.Millisecond).Should(BeEmpty())
 		r.set("vm3", engine.Switches{Freeze: &no})
-		seqs, _, err := rest(stream)
+		seqs, _, err := readAll(stream)
 		Expect(err).To(Equal(io.EOF))
 		Expect(seqs).To(HaveLen(6))
 
@@ -149,15 +149,15 @@
 		_, err = stream.Next()
 		Expect(err).NotTo(HaveOccurred())
 		r.set("vm2", engine.Switches{Restart: true})
-		_, _, err = rest(stream)
+		_, _, err = readAll(stream)
 		Expect(err).To(MatchError(link.ErrInterrupted))
 		_, err = r.complete("r3", 0)
 		Expect(err).To(MatchError(link.ErrRefused))
 		Expect(r.phases(engine.Broken)).To(Equal([]string{"r2"}))
 	})
 
-	It("goes at the pace of the slowest member, which alone reports it", func() {
-		r := form(engine.DefaultOptions, "", 3)
+	It("runs at the pace of the slowest member, and only that member reports the longer step time", func() {
+		r := newReplica(engine.DefaultOptions, "", 3)
 		slow := 1e6
 		r.set("vm2", engine.Switches{Slow: &slow})
 		r.open("r1", 0)
@@ -168,12 +168,12 @@
 		Expect(probe(r.vms[1]).Load.StepMicros).To(Equal(usual * int64(slow)))
 	})
 
-	It("dies of a prompt, and comes back with another boot id and empty", func() {
-		r := form(engine.DefaultOptions, "", 1)
+	It("crashes on a marked prompt, and restarts with a new boot id and no order", func() {
+		r := newReplica(engine.DefaultOptions, "", 1)
 		before := probe(r.vms[0])
 		marker := "cream"
 		r.set("vm1", engine.Switches{CrashMarker: &marker})
-		_, _, err := rest(r.open("r1", 0))
+		_, _, err := readAll(r.open("r1", 0))
 		Expect(err).To(MatchError(link.ErrInterrupted))
 		Eventually(func() vm.BootID { return probe(r.vms[0]).BootID }, eventually).
 			ShouldNot(Or(BeEmpty(), Equal(before.BootID)))
@@ -181,8 +181,8 @@
 		Expect(r.phases(engine.Started)).To(Equal([]string{"r1"}))
 	})
 
-	It("comes back as if nothing had happened, if it remembers", func() {
-		r := form(engine.DefaultOptions, "", 1)
+	It("restarts with its order and readiness if it remembers", func() {
+		r := newReplica(engine.DefaultOptions, "", 1)
 		before := probe(r.vms[0])
 		r.set("vm1", engine.Switches{Remembers: &yes, Restart: true})
 		after := probe(r.vms[0])
@@ -191,10 +191,10 @@
 		Expect(after).To(Equal(before))
 	})
 
-	It("runs those of higher priority first, and reports its load late", func() {
+	It("runs requests of higher priority first, and reports its load with a lag", func() {
 		options := engine.DefaultOptions
 		options.Slots = 1
-		r := form(options, "", 1)
+		r := newReplica(options, "", 1)
 		gap, lag := time.Hour.Milliseconds(), int64(0)
 		r.set("vm1", engine.Switches{TokenGapMillis: &gap, LoadLagMillis: &lag})
 		first := r.open("first", 0)
@@ -212,8 +212,8 @@
 		Eventually(func() []string { return r.phases(engine.Started) }, eventually).Should(Equal([]string{"first", "high"}))
 	})
 
-	It("spoils the events it is told to", func() {
-		r := form(engine.DefaultOptions, "", 1)
+	It("mangles the selected event", func() {
+		r := newReplica(engine.DefaultOptions, "", 1)
 		for _, c := range []struct {
 			kind engine.MangleKind
 			seqs []uint64
@@ -224,16 +224,17 @@
 			{engine.MangleCross, []uint64{0, 1, 2, 3, 4, 5}, "another-r"},
 		} {
 			r.set("vm1", engine.Switches{Mangle: &engine.Mangle{Kind: c.kind, Seq: 2, Count: 1}})
-			seqs, ids, err := rest(r.open("r", 0))
+			seqs, ids, err := readAll(r.open("r", 0))
 			Expect(err).To(Equal(io.EOF))
 			Expect(seqs).To(Equal(c.seqs))
 			Expect(ids[2]).To(Equal(c.id))
 		}
 	})
 
-	// The way from one caller to a VM is cut. The caller can't tell that from a dead VM; others still reach it.
-	It("does not hear those it is cut from, and logs who arrived and how it lived", func() {
-		r := form(engine.DefaultOptions, "", 1)
+	// The network path from one caller to a VM is cut. That caller can't distinguish this from a dead VM, while
+	// other callers still reach the VM.
+	It("ignores callers that it is cut from, and logs arrivals and lifecycle events", func() {
+		r := newReplica(engine.DefaultOptions, "", 1)
 		r.set("vm1", engine.Switches{CutFrom: &[]netip.Addr{netip.MustParseAddr("127.0.0.1")}})
 		_, err := client.Probe(ctx, r.vms[0].Address)
 		Expect(err).To(MatchError(link.ErrInterrupted))
@@ -255,8 +256,8 @@
 		Expect(turns).To(Equal([]engine.LifecycleEvent{engine.Booted, engine.Frozen, engine.Thawed, engine.Died, engine.Booted}))
 	})
 
-	It("obeys over HTTP and shows its logs", func() {
-		r := form(engine.DefaultOptions, "s", 1)
+	It("accepts switches and serves its logs over HTTP", func() {
+		r := newReplica(engine.DefaultOptions, "s", 1)
 		server := httptest.NewServer(r.host.Handler())
 		DeferCleanup(server.Close)
 		post := func(path, body string) int {
@@ -285,7 +286,8 @@
 		Expect(post("/standin/vms/vm1/switches", `{"leaving":true}`)).To(Equal(http.StatusOK))
 		Expect(probe(r.vms[0]).Leaving).To(BeTrue())
 		Expect(post("/standin/domains/f/switches", `{"die":true}`)).To(Equal(http.StatusOK))
-		// A client that still keeps a connection can't tell whether its request went out on it.
+		// A client that still holds a pooled connection can't tell whether its request was sent on it, so this
+		// uses a new client.
 		_, err = link.NewHTTPClient(nil).Probe(ctx, r.vms[0].Address)
 		Expect(err).To(MatchError(link.ErrNotSent))
 		Expect(r.host.LiveVMs()).To(BeEmpty())
--- a/internal/standin/engine/host.go
+++ b/internal/standin/engine/host.go
@@ -1,12 +1,12 @@
-// Package engine is a small stand-in of backend servers, for `skylarkpond dev` and for tests: many VMs in
-// one process, each with an address of its own, which speak the wire of link/engine. Switches bring about
-// their faults. A Host's own address serves the tests:
+// Package engine simulates backend servers for `skylarkpond dev` and for tests: many VMs in one process,
+// each with its own address, that speak the protocol of link/engine. Switches inject faults into them.
+// A Host serves a control API for tests on an address of its own:
 //
 //	GET  /standin/vms                          the VMs, as a list of vm.VM
 //	GET  /standin/runs                         Run, as JSON lines: what ran, where, and how it ended
 //	GET  /standin/orders                       OrderRecord, as JSON lines
-//	GET  /standin/arrivals                     Arrival, as JSON lines: each request of a caller
-//	GET  /standin/lives                        LifeRecord, as JSON lines: boots, deaths, freezes
+//	GET  /standin/arrivals                     Arrival, as JSON lines: every client request that reached a VM
+//	GET  /standin/lives                        LifecycleRecord, as JSON lines: boots, deaths, freezes, thaws
 //	POST /standin/vms/{vm}/switches            Switches for one VM
 //	POST /standin/domains/{domain}/switches    Switches for each VM of a fabric domain
 package engine
@@ -27,28 +27,29 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// Options are the times and sizes of the engines of a Host.
+// Options are the timings and limits of the engines of a Host.
 type Options struct {
-	// FirstToken is the time to the first token, TokenGap that between tokens of a request that runs alone.
+	// FirstToken is the time to the first token. TokenGap is the time between tokens of a request that runs
+	// alone.
 	FirstToken time.Duration
 	TokenGap   time.Duration
-	// GapSlope is what each further running request adds to the gap.
+	// GapSlope is added to the gap for each other running request.
 	GapSlope time.Duration
-	// Slots is how many requests run at once; further ones wait, MaxWaiting of them.
+	// Slots is the number of requests that run at once. MaxWaiting more may be queued.
 	Slots      int
 	MaxWaiting int
-	// Loading is the time from an order to load until a model is ready; PlainLoading, a plain service.
+	// Loading is the time from a load order until a model is ready, PlainLoading until a plain service is.
 	Loading      time.Duration
 	PlainLoading time.Duration
-	// PlainTime is how long a call of a plain service takes.
+	// PlainTime is the duration of a call of a plain service.
 	PlainTime time.Duration
-	// LoadLag is by how much the reported load is old.
+	// LoadLag is the age of the reported load.
 	LoadLag time.Duration
 	// CrashRestart is the time from a crash to the next boot.
 	CrashRestart time.Duration
 }
 
-// DefaultOptions are quick, for tests.
+// DefaultOptions are short timings for tests.
 var DefaultOptions = Options{
 	FirstToken:   5 * time.Millisecond,
 	TokenGap:     2 * time.Millisecond,
@@ -62,15 +63,15 @@
 	CrashRestart: 200 * time.Millisecond,
 }
 
-// Host runs the VMs of one process. It is safe for concurrent use. Lock order: mu before any machine's
-// lock; never two machines' locks at once.
+// Host runs the VMs of one process. It is safe for concurrent use. Lock order: mu before the lock of any
+// machine; the locks of two machines are never held together.
 type Host struct {
-	options  Options
-	runs     *runLog
-	orders   lines[OrderRecord]
-	arrivals lines[Arrival]
-	lives    lines[LifecycleRecord]
-	stopped  atomic.Bool // no VM starts any more
+	options   Options
+	runs      *runLog
+	orders    recordLog[OrderRecord]
+	arrivals  recordLog[Arrival]
+	lifecycle recordLog[LifecycleRecord]
+	stopped   atomic.Bool // set by Stop; VMs no longer restart
 
 	mu       sync.RWMutex // guards machines
 	machines map[vm.Name]*machine
@@ -81,14 +82,15 @@
 	return &Host{options: options, runs: newRunLog(), machines: make(map[vm.Name]*machine)}
 }
 
-var errVMTwice = eris.New("stand-in has this VM already")
+var errDuplicateVM = eris.New("stand-in has this VM already")
 
-// Add starts a VM at spec.Address and returns spec with the port it got, if it asked for port 0.
+// Add starts a VM at spec.Address. It returns spec with the actual address, which differs if port 0 was
+// requested.
 func (h *Host) Add(spec vm.VM) (vm.VM, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.machines[spec.Name] != nil {
-		return spec, eris.Wrapf(errVMTwice, "%s", spec.Name)
+		return spec, eris.Wrapf(errDuplicateVM, "%s", spec.Name)
 	}
 	listener, err := net.Listen("tcp", spec.Address)
 	if err != nil {
@@ -101,19 +103,19 @@
 	return spec, nil
 }
 
-// Stop ends all VMs.
+// Stop shuts down all VMs and prevents restarts.
 func (h *Host) Stop() {
 	h.stopped.Store(true)
 	for _, m := range h.all() {
-		m.die()
+		m.shutDown()
 	}
 }
 
-// VMs returns all VMs, by name.
+// VMs returns all VMs, sorted by name.
 func (h *Host) VMs() []vm.VM { return h.list(func(*machine) bool { return true }) }
 
-// LiveVMs returns those that are not dead.
-func (h *Host) LiveVMs() []vm.VM { return h.list((*machine).lives) }
+// LiveVMs returns the VMs that are running, sorted by name. Frozen VMs are included.
+func (h *Host) LiveVMs() []vm.VM { return h.list((*machine).isRunning) }
 
 func (h *Host) list(wanted func(*machine) bool) []vm.VM {
 	list := make([]vm.VM, 0)
@@ -148,18 +150,18 @@
 // Runs returns the run log so far.
 func (h *Host) Runs() []Run { return h.runs.list() }
 
-// Orders returns the orders that came so far.
+// Orders returns the orders received so far, including refused ones.
 func (h *Host) Orders() []OrderRecord { return h.orders.list() }
 
-// Arrivals returns the requests of callers that reached a VM so far.
+// Arrivals returns the client requests that have reached a VM so far.
 func (h *Host) Arrivals() []Arrival { return h.arrivals.list() }
 
-// Lifecycle returns the turns in the lives of the VMs so far.
-func (h *Host) Lifecycle() []LifecycleRecord { return h.lives.list() }
+// Lifecycle returns the lifecycle events of all VMs so far.
+func (h *Host) Lifecycle() []LifecycleRecord { return h.lifecycle.list() }
 
 var errUnknownVM = eris.New("stand-in has no such VM")
 
-// Switch changes the faults of one VM.
+// Switch changes the injected faults of one VM.
 func (h *Host) Switch(name vm.Name, s Switches) error {
 	m := h.machine(name)
 	if m == nil {
@@ -169,7 +171,7 @@
 	return nil
 }
 
-// SwitchDomain changes the faults of every VM of a fabric domain.
+// SwitchDomain changes the injected faults of every VM in a fabric domain.
 func (h *Host) SwitchDomain(name domain.FabricDomain, s Switches) {
 	for _, m := range h.all() {
 		if m.spec.Position.FabricDomain == name {
@@ -178,7 +180,7 @@
 	}
 }
 
-// Serve answers the tests on listener until ctx ends, and then stops the VMs.
+// Serve serves the control API on listener until ctx ends, and then stops the VMs.
 func (h *Host) Serve(ctx context.Context, listener net.Listener) error {
 	server := &http.Server{Handler: h.Handler(), ReadHeaderTimeout: readHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
@@ -190,5 +192,5 @@
 	return nil
 }
 
-// readHeaderTimeout bounds how long a connection may take to send a request's header.
+// readHeaderTimeout bounds the time that a client may take to send the headers of a request.
 const readHeaderTimeout = 10 * time.Second
--- a/internal/standin/engine/log.go
+++ b/internal/standin/engine/log.go
@@ -11,10 +11,10 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// Phase is a step in the run of a request.
+// Phase is a stage in the execution of a request.
 type Phase string
 
-// The phases. A run has one Started and at most one other; a VM that dies writes none.
+// A run has one Started line and at most one other; a VM that dies logs no further phase of its runs.
 const (
 	Started   Phase = "started"
 	Finished  Phase = "finished"
@@ -22,8 +22,8 @@
 	Broken    Phase = "broken"
 )
 
-// Run is one line of the run log. It is kept by the host, not by the VM, so that tests can judge by it
-// what ran, whatever happened to the VM. Group and Epoch are the engine's own.
+// Run is one line of the run log. The host keeps the log, so that tests can check what ran even if the VM
+// has crashed since. Group and Epoch are those of the engine, not those that the request asked for.
 type Run struct {
 	Time       time.Time  `json:"time"`
 	VM         vm.Name    `json:"vm"`
@@ -40,14 +40,14 @@
 }
 
 type runLog struct {
-	mu     sync.Mutex // guards what follows; a leaf lock
+	mu     sync.Mutex // guards the fields below; no other lock is taken while it is held
 	lines  []Run
 	starts map[string]int
 }
 
 func newRunLog() *runLog { return &runLog{starts: make(map[string]int)} }
 
-// add writes a line and returns how often the request has been started by now.
+// add appends a line and returns how often the request has started so far.
 func (l *runLog) add(run Run, phase Phase) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,8 +66,8 @@
 	return slices.Clone(l.lines)
 }
 
-// Arrival is one request of a caller as it reached a VM, before anything else: whether the VM then ran,
-// refused or held it. Group and Epoch are those that the request asked for.
+// Arrival records that a client request reached a VM. It is logged before any other processing, whether the
+// VM then runs, refuses or holds the request. Group and Epoch are those that the request asked for.
 type Arrival struct {
 	Time      time.Time  `json:"time"`
 	VM        vm.Name    `json:"vm"`
@@ -77,10 +77,10 @@
 	Epoch     uint64     `json:"epoch"`
 }
 
-// LifecycleEvent is a step in the life of a VM.
+// LifecycleEvent is a boot, death, freeze or thaw of a VM.
 type LifecycleEvent string
 
-// The turns.
+// The lifecycle events of a VM.
 const (
 	Booted LifecycleEvent = "booted"
 	Died   LifecycleEvent = "died"
@@ -88,34 +88,35 @@
 	Thawed LifecycleEvent = "thawed"
 )
 
-// LifecycleRecord is one turn in the life of a VM. BootID is empty for a VM that is dead.
+// LifecycleRecord is one lifecycle event of a VM. BootID is empty if the VM is dead.
 type LifecycleRecord struct {
-	Time   time.Time `json:"time"`
-	VM     vm.Name   `json:"vm"`
-	BootID vm.BootID `json:"boot_id,omitempty"`
-	Event   LifecycleEvent      `json:"turn"`
+	Time   time.Time      `json:"time"`
+	VM     vm.Name        `json:"vm"`
+	BootID vm.BootID      `json:"boot_id,omitempty"`
+	Event  LifecycleEvent `json:"turn"`
 }
 
-// lines is a log that grows in the order of time. The zero value is empty.
-type lines[T any] struct {
-	mu  sync.Mutex // guards all; a leaf lock
+// recordLog is an append-only log in chronological order. The zero value is an empty log.
+type recordLog[T any] struct {
+	mu  sync.Mutex // guards all; no other lock is taken while it is held
 	all []T
 }
 
-// add appends what stamp makes of the time.
-func (l *lines[T]) add(stamp func(time.Time) T) {
+// add appends the record that stamp returns for the current time. stamp is called with the lock held, which
+// keeps the log in chronological order.
+func (l *recordLog[T]) add(stamp func(time.Time) T) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.all = append(l.all, stamp(time.Now()))
 }
 
-func (l *lines[T]) list() []T {
+func (l *recordLog[T]) list() []T {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.all)
 }
 
-// OrderRecord is one order and what became of it.
+// OrderRecord is one received order. Refused is the reason of a refusal, empty if the order was applied.
 type OrderRecord struct {
 	Time    time.Time    `json:"time"`
 	VM      vm.Name      `json:"vm"`
--- a/internal/standin/engine/machine.go
+++ b/internal/standin/engine/machine.go
@@ -13,29 +13,29 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// machine is one VM over all its boots.
+// machine is one VM across all its boots.
 type machine struct {
 	host *Host
-	spec vm.VM // never changes
+	spec vm.VM // immutable
 
-	mu     sync.Mutex // guards what follows and the fields of boots that say so
+	mu     sync.Mutex // guards the fields below, and the fields of boot that are marked so
 	boot   *boot      // nil while dead
-	last   *boot      // the latest that ended, nil before
+	last   *boot      // the most recent boot that ended; nil before the first one ends
 	thawed chan struct{}
 	frozen bool
 	faults settings
 }
 
-// boot is one life of the engine.
+// boot is one run of the engine process, from its start until the VM dies.
 type boot struct {
 	id     vm.BootID
 	server *http.Server
-	dead   chan struct{} // closed at the end of this life
+	dead   chan struct{} // closed when this boot ends
 	batch  *batch
 
-	// What follows is guarded by the machine's mu.
-	order   engine.Order // the last one taken
-	fence   uint64       // the highest seen
+	// The fields below are guarded by the machine's mu.
+	order   engine.Order // the last one applied
+	fence   uint64       // of the last order applied; the highest so far unless checksFence was off
 	readyAt time.Time
 	cancels map[string][]chan struct{}
 }
@@ -46,7 +46,7 @@
 	return &machine{host: h, spec: spec, thawed: thawed, faults: newSettings(h.options, spec.Service != "")}
 }
 
-// start begins a life on listener.
+// start boots the VM on listener.
 func (m *machine) start(listener net.Listener) {
 	b := &boot{
 		id:      vm.BootID(fmt.Sprintf("%s-%08x", m.spec.Name, rand.Uint32())),
@@ -60,20 +60,20 @@
 		b.order, b.fence, b.readyAt = m.last.order, m.last.fence, m.last.readyAt
 	}
 	m.boot = b
-	m.note(Booted)
+	m.recordEvent(Booted)
 	m.mu.Unlock()
 	go func() { _ = b.server.Serve(listener) }()
 }
 
-// die ends the present life, if there is one.
-func (m *machine) die() {
+// shutDown ends the current boot, if there is one, and breaks its connections.
+func (m *machine) shutDown() {
 	m.mu.Lock()
 	b := m.boot
 	m.boot = nil
 	if b != nil {
 		m.last = b
 		close(b.dead)
-		m.note(Died)
+		m.recordEvent(Died)
 	}
 	m.mu.Unlock()
 	if b != nil {
@@ -81,22 +81,23 @@
 	}
 }
 
-// listenPatience is how long a restart tries to get its port again. listenPause lies between two tries.
+// listenTimeout is how long a restart tries to listen on the VM's port again, listenRetryInterval the delay
+// between attempts.
 const (
-	listenPatience = 10 * time.Second
-	listenPause    = 10 * time.Millisecond
+	listenTimeout       = 10 * time.Second
+	listenRetryInterval = 10 * time.Millisecond
 )
 
-// restart begins a new life with a new boot id.
+// restart boots the VM again, with a new boot ID.
 func (m *machine) restart() {
-	m.die()
-	m.revive()
+	m.shutDown()
+	m.bootIfStopped()
 }
 
-// revive begins a new life unless there is one.
-func (m *machine) revive() {
-	for deadline := time.Now().Add(listenPatience); time.Now().Before(deadline); time.Sleep(listenPause) {
-		if m.host.stopped.Load() || m.lives() {
+// bootIfStopped boots the VM unless it is running or the host has been stopped.
+func (m *machine) bootIfStopped() {
+	for deadline := time.Now().Add(listenTimeout); time.Now().Before(deadline); time.Sleep(listenRetryInterval) {
+		if m.host.stopped.Load() || m.isRunning() {
 			return
 		}
 		listener, err := net.Listen("tcp", m.spec.Address)
@@ -107,16 +108,16 @@
 	}
 }
 
-func (m *machine) lives() bool {
+func (m *machine) isRunning() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.boot != nil
 }
 
-// crash is a death that the VM recovers from by itself.
+// crash shuts the VM down and boots it again after Options.CrashRestart.
 func (m *machine) crash() {
-	m.die()
-	time.AfterFunc(m.host.options.CrashRestart, m.revive)
+	m.shutDown()
+	time.AfterFunc(m.host.options.CrashRestart, m.bootIfStopped)
 }
 
 func (m *machine) apply(s Switches) {
@@ -127,17 +128,17 @@
 	}
 	m.mu.Unlock()
 	if s.Die {
-		m.die()
+		m.shutDown()
 	}
 	if s.Restart {
 		m.restart()
 	}
 	if s.Die && s.RestartAfterMillis > 0 {
-		time.AfterFunc(time.Duration(s.RestartAfterMillis)*time.Millisecond, m.revive)
+		time.AfterFunc(time.Duration(s.RestartAfterMillis)*time.Millisecond, m.bootIfStopped)
 	}
 }
 
-// freeze must be called with mu held.
+// freeze freezes or thaws the VM. It must be called with mu held.
 func (m *machine) freeze(on bool) {
 	if on == m.frozen {
 		return
@@ -145,25 +146,25 @@
 	m.frozen = on
 	if on {
 		m.thawed = make(chan struct{})
-		m.note(Frozen)
+		m.recordEvent(Frozen)
 		return
 	}
 	close(m.thawed)
-	m.note(Thawed)
+	m.recordEvent(Thawed)
 }
 
-// note logs a turn of the VM's life. It must be called with mu held.
-func (m *machine) note(turn LifecycleEvent) {
+// recordEvent logs a lifecycle event of the VM. It must be called with mu held.
+func (m *machine) recordEvent(turn LifecycleEvent) {
 	record := LifecycleRecord{VM: m.spec.Name, Event: turn}
 	if m.boot != nil {
 		record.BootID = m.boot.id
 	}
-	m.host.lives.add(func(now time.Time) LifecycleRecord { record.Time = now; return record })
+	m.host.lifecycle.add(func(now time.Time) LifecycleRecord { record.Time = now; return record })
 }
 
-// gate waits until the VM isn't frozen, and returns whether this life still goes on. It doesn't look at
-// the caller: a frozen process does not notice that its caller has gone, and goes on when it wakes.
-func (m *machine) gate(b *boot) bool {
+// awaitThaw waits while the VM is frozen, and returns whether the boot is still running. It ignores a client
+// that disconnects: a frozen process doesn't notice this, and continues with the request when it thaws.
+func (m *machine) awaitThaw(b *boot) bool {
 	for {
 		m.mu.Lock()
 		frozen, thawed := m.frozen, m.thawed
@@ -194,7 +195,7 @@
 	return m.faults
 }
 
-// presence is what a head sees of a member of its group.
+// presence is the state of a group member as its head sees it. Higher values are worse.
 type presence int
 
 const (
@@ -215,9 +216,9 @@
 	return present
 }
 
-// weakest returns the worst presence among the members of an order that live in this process. A lost
-// member kills the replica: the head breaks off; a paused one stalls it.
-func (h *Host) weakest(order engine.Order) presence {
+// worstPresence returns the worst presence among the members of an order that run in this process. A lost
+// member breaks the replica, so the head aborts its streams; a paused member only stalls it.
+func (h *Host) worstPresence(order engine.Order) presence {
 	worst := present
 	for _, name := range order.Members {
 		if m := h.machine(name); m != nil {
@@ -227,9 +228,9 @@
 	return worst
 }
 
-// slowest returns the largest factor among the members of an order: a decoding step ends with its last
-// member.
-func (h *Host) slowest(order engine.Order) float64 {
+// maxSlowFactor returns the largest slow factor among the members of an order that run in this process,
+// because a decoding step takes as long as its slowest member.
+func (h *Host) maxSlowFactor(order engine.Order) float64 {
 	factor := 0.0
 	for _, name := range order.Members {
 		if m := h.machine(name); m != nil {
@@ -239,7 +240,7 @@
 	return factor
 }
 
-// addCancel returns a channel that closes when the request is cancelled by its id.
+// addCancel registers a run and returns a channel that closes when the run is cancelled.
 func (m *machine) addCancel(b *boot, requestID string) chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -259,7 +260,7 @@
 	b.cancels[requestID] = rest
 }
 
-// cancel ends the runs of a request, and returns whether there were any.
+// cancel cancels all runs of a request, and returns whether there were any.
 func (m *machine) cancel(b *boot, requestID string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -9,7 +9,7 @@
 	"github.com/skylarkpond/skylarkpond/link/engine"
 )
 
-// refusal is an answer that says that nothing was done.
+// refusal is a response that guarantees that the request or order had no effect.
 type refusal struct {
 	status int
 	reason string
@@ -38,7 +38,7 @@
 	}
 }
 
-// load must be called with mu held.
+// load returns the load that the VM reports. It must be called with mu held.
 func (m *machine) load(b *boot) engine.Load {
 	load := b.batch.load(m.faults.loadLag)
 	if ready(b) && m.spec.Service == "" {
@@ -47,7 +47,7 @@
 	return load
 }
 
-// ready must be called with the machine's mu held.
+// ready returns whether the load order is complete. It must be called with the machine's mu held.
 func ready(b *boot) bool {
 	return b.order.Kind == engine.OrderLoad && !time.Now().Before(b.readyAt)
 }
@@ -58,7 +58,7 @@
 		http.Error(response, err.Error(), http.StatusBadRequest)
 		return
 	}
-	refused := m.take(b, order, arrived)
+	refused := m.applyOrder(b, order, arrived)
 	record := OrderRecord{VM: m.spec.Name, BootID: b.id, Order: order}
 	if refused != nil {
 		record.Refused = refused.reason
@@ -71,8 +71,8 @@
 	writeJSON(response, m.state(b))
 }
 
-// take carries an order out, or refuses it.
-func (m *machine) take(b *boot, order engine.Order, arrived time.Time) *refusal {
+// applyOrder applies an order, or returns why it is refused.
+func (m *machine) applyOrder(b *boot, order engine.Order, arrived time.Time) *refusal {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	deadline := time.Duration(order.DeadlineMillis) * time.Millisecond
@@ -91,12 +91,12 @@
 		m.breakRuns(b)
 	}
 	b.order = order
-	// An engine that ignores fencing numbers reports that of its last order, so that reading back shows it.
+	// With checksFence off, this may lower the fencing number, so that the reported state reveals it.
 	b.fence = order.Fence
 	return nil
 }
 
-// keepsModel says whether an order leaves what is loaded, and in which group, as it is.
+// keepsModel returns whether an order changes neither the loaded model or service nor the group.
 func keepsModel(before, after engine.Order) bool {
 	return before.Kind == engine.OrderLoad && after.Kind == engine.OrderLoad &&
 		before.Group == after.Group && before.Rank == after.Rank &&
@@ -104,7 +104,8 @@
 		before.ModelVersion == after.ModelVersion && slices.Equal(before.Members, after.Members)
 }
 
-// breakRuns ends all runs, since what they use is unloaded. It must be called with mu held.
+// breakRuns cancels all completions, because the model that they use is unloaded. It must be called with mu
+// held.
 func (m *machine) breakRuns(b *boot) {
 	for id, running := range b.cancels {
 		delete(b.cancels, id)
--- a/internal/standin/engine/plain.go
+++ b/internal/standin/engine/plain.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// PlainAnswer is what a plain service answers. Runs counts how often the request has run in this process,
-// this time included.
+// PlainAnswer is the response of a plain service. Runs counts how often the request has run in this process,
+// including this time.
 type PlainAnswer struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
@@ -17,11 +17,11 @@
 	Padding string `json:"padding,omitempty"`
 }
 
-// call runs a call of a plain service. Once it has begun it goes on to its end, also if its caller
-// leaves: what it books is booked.
-func (m *machine) call(b *boot, body []byte, request *http.Request, response http.ResponseWriter) {
+// callPlain runs a call of a plain service. Once queued, a call continues even if its client disconnects, as
+// a real service completes a booking whose client has left.
+func (m *machine) callPlain(b *boot, body []byte, request *http.Request, response http.ResponseWriter) {
 	a := parseHeader(request.Header)
-	order, refused := m.refuses(b, a)
+	order, refused := m.checkRequest(b, a)
 	if refused != nil {
 		refused.write(response)
 		return
@@ -40,12 +40,12 @@
 	run := m.newRun(b, a, order, body)
 	run.Method, run.Path = request.Method, request.URL.RequestURI()
 	runs := m.host.runs.add(run, Started)
-	if m.crashes(body) {
+	if m.containsCrashMarker(body) {
 		m.crash()
 		abort()
 	}
 	s := m.settings()
-	if !sleepUntilDead(b, scale(s.plainTime, s.slow)) || !m.gate(b) {
+	if !sleepUntilDead(b, scale(s.plainTime, s.slow)) || !m.awaitThaw(b) {
 		abort()
 	}
 	m.host.runs.add(run, Finished)
--- a/internal/standin/engine/serve.go
+++ b/internal/standin/engine/serve.go
@@ -15,10 +15,10 @@
 	"github.com/skylarkpond/skylarkpond/vm"
 )
 
-// maxBodyBytes bounds a request's body.
+// maxBodyBytes bounds the part of a request's body that is read.
 const maxBodyBytes = 16 << 20
 
-// handler returns what one boot of a VM serves.
+// handler returns the HTTP handler of one boot of the VM.
 func (m *machine) handler(b *boot) http.Handler {
 	container := restful.NewContainer()
 	container.Add(m.controlService(b))
@@ -26,7 +26,7 @@
 	return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		path := request.URL.Path
 		if m.isCutFrom(request.RemoteAddr) {
-			unheard(request)
+			blockUntilCallerLeaves(request)
 		}
 		if !strings.HasPrefix(path, "/engine/") {
 			m.noteArrival(b, request.Header)
@@ -39,7 +39,7 @@
 		if !ok {
 			abort()
 		}
-		m.call(b, body, request, response)
+		m.callPlain(b, body, request, response)
 	})
 }
 
@@ -74,7 +74,7 @@
 	return service
 }
 
-// gated admits a request before it handles it.
+// gated wraps a handler so that it runs only after the request was admitted.
 func (m *machine) gated(b *boot, handle func([]byte, *restful.Request, http.ResponseWriter)) restful.RouteFunction {
 	return func(request *restful.Request, response *restful.Response) {
 		body, ok := m.admit(b, request.Request)
@@ -85,10 +85,11 @@
 	}
 }
 
-// admit reads a request's body and holds the request while the VM is frozen.
+// admit reads the request's body and holds the request while the VM is frozen. It returns false if the body
+// can't be read or the boot has ended.
 func (m *machine) admit(b *boot, request *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(io.LimitReader(request.Body, maxBodyBytes))
-	return body, err == nil && m.gate(b)
+	return body, err == nil && m.awaitThaw(b)
 }
 
 func (m *machine) isCutFrom(remote string) bool {
@@ -96,9 +97,9 @@
 	return err == nil && slices.Contains(m.settings().cutFrom, from.Addr().Unmap())
 }
 
-// unheard holds a request until its caller gives up. The body is read first, for only then does net/http
-// notice that the caller is gone.
-func unheard(request *http.Request) {
+// blockUntilCallerLeaves holds a request until its client disconnects. It reads the body first, because
+// net/http detects a closed connection only after that.
+func blockUntilCallerLeaves(request *http.Request) {
 	_, _ = io.Copy(io.Discard, request.Body)
 	<-request.Context().Done()
 	abort()
@@ -111,11 +112,11 @@
 	})
 }
 
-// abort breaks the connection without a further word.
+// abort closes the connection without completing the response.
 func abort() { panic(http.ErrAbortHandler) }
 
-// asked is what the headers of a request say.
-type asked struct {
+// requestHeaders holds the parsed link headers of a request.
+type requestHeaders struct {
 	requestID  string
 	service    string
 	group      vm.GroupID
@@ -124,11 +125,11 @@
 	resumeFrom uint64
 }
 
-func parseHeader(header http.Header) asked {
+func parseHeader(header http.Header) requestHeaders {
 	epoch, _ := strconv.ParseUint(header.Get(engine.HeaderEpoch), 10, 64)
 	priority, _ := strconv.Atoi(header.Get(engine.HeaderPriority))
 	resumeFrom, _ := strconv.ParseUint(header.Get(engine.HeaderResumeFrom), 10, 64)
-	return asked{
+	return requestHeaders{
 		requestID:  header.Get(engine.HeaderRequest),
 		service:    header.Get(engine.HeaderService),
 		group:      vm.GroupID(header.Get(engine.HeaderGroup)),
@@ -138,8 +139,8 @@
 	}
 }
 
-// refuses says why a request can't run here, or nil, and by which order it runs.
-func (m *machine) refuses(b *boot, a asked) (engine.Order, *refusal) {
+// checkRequest returns the order under which a request runs, and a refusal if it can't run here.
+func (m *machine) checkRequest(b *boot, a requestHeaders) (engine.Order, *refusal) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	order := b.order
@@ -158,7 +159,7 @@
 	return order, nil
 }
 
-func (m *machine) newRun(b *boot, a asked, order engine.Order, body []byte) Run {
+func (m *machine) newRun(b *boot, a requestHeaders, order engine.Order, body []byte) Run {
 	return Run{
 		VM:         m.spec.Name,
 		BootID:     b.id,
@@ -171,8 +172,8 @@
 	}
 }
 
-// crashes says whether a request is one that kills the VM.
-func (m *machine) crashes(body []byte) bool {
+// containsCrashMarker returns whether the body contains the text that makes the VM crash.
+func (m *machine) containsCrashMarker(body []byte) bool {
 	marker := m.settings().crashMarker
 	return marker != "" && strings.Contains(string(body), marker)
 }
--- a/internal/standin/engine/switches.go
+++ b/internal/standin/engine/switches.go
@@ -5,71 +5,74 @@
 	"time"
 )
 
-// MangleKind is a way to spoil one event of a stream.
+// MangleKind is a way to corrupt one event of a stream.
 type MangleKind string
 
-// The manglings.
+// The kinds of corruption.
 const (
-	// MangleDrop leaves the event out.
+	// MangleDrop omits the event.
 	MangleDrop MangleKind = "drop"
-	// MangleDuplicate sends it twice.
+	// MangleDuplicate sends the event twice.
 	MangleDuplicate MangleKind = "duplicate"
-	// MangleCross sends in its place an event of another request.
+	// MangleCross replaces the event with one of another request.
 	MangleCross MangleKind = "cross"
 )
 
-// Mangle spoils the event Seq of the next Count streams; Count below 0: of all.
+// Mangle corrupts event Seq in each of the next Count streams, or in all streams if Count is negative.
 type Mangle struct {
 	Kind  MangleKind `json:"kind"`
-	Seq   uint64   `json:"seq"`
-	Count int      `json:"count"`
+	Seq   uint64     `json:"seq"`
+	Count int        `json:"count"`
 }
 
-// Cut breaks the connection of the next Count streams after After events; Count below 0: of all.
+// Cut breaks the connection of each of the next Count streams after After events, or of all streams if Count
+// is negative.
 type Cut struct {
 	After uint64 `json:"after"`
 	Count int    `json:"count"`
 }
 
-// Switches is a change of the faults of a VM. What is absent stays as it is.
+// Switches changes the injected faults and the settings of a VM. Absent fields leave theirs unchanged.
 type Switches struct {
 	// Die breaks all connections and refuses new ones, until Restart or RestartAfterMillis.
 	Die bool `json:"die,omitempty"`
-	// Restart is a new boot at once; all state is lost, unless the VM remembers.
+	// Restart boots the VM again at once. All state is lost unless Remembers is set.
 	Restart bool `json:"restart,omitempty"`
-	// Remembers lets a boot begin with the order and the readiness of the last one, as if nothing had
-	// happened: only the boot id tells.
+	// Remembers makes a boot start with the order and the readiness of the previous one, so that only the boot
+	// ID shows that the VM restarted.
 	Remembers *bool `json:"remembers,omitempty"`
-	// RestartAfterMillis goes with Die.
+	// RestartAfterMillis is the time after which a VM that was stopped by Die boots again. It has no effect
+	// without Die.
 	RestartAfterMillis int64 `json:"restart_after_ms,omitempty"`
-	// Freeze accepts connections but answers nothing; false thaws, and what was held goes on, whether or not
-	// its caller is still there.
+	// Freeze makes the VM accept connections but answer nothing. False thaws it; it then continues with the
+	// requests that it held, even if their clients have disconnected.
 	Freeze *bool `json:"freeze,omitempty"`
-	// Slow is a factor on all token times of the VM's group, and on the step time that the VM itself reports;
-	// 1 is the usual speed.
+	// Slow multiplies all token times of the VM's group, the step time that the VM itself reports, and the
+	// duration of its plain calls; 1 is normal speed.
 	Slow *float64 `json:"slow,omitempty"`
-	// CrashMarker kills the VM when it begins a request whose body holds this text; "" for none.
+	// CrashMarker crashes the VM when it starts a request whose body contains this text; "" disables this.
 	CrashMarker *string `json:"crash_marker,omitempty"`
 	Leaving     *bool   `json:"leaving,omitempty"`
-	// ChecksFence refuses orders with an old fencing number; else they are carried out.
+	// ChecksFence makes the VM refuse orders with an old fencing number; if false, it applies them.
 	ChecksFence *bool `json:"checks_fence,omitempty"`
-	// ChecksEpoch refuses requests of another group or epoch than the engine's own.
+	// ChecksEpoch makes the VM refuse requests for a group or epoch other than its own.
 	ChecksEpoch *bool   `json:"checks_epoch,omitempty"`
 	CanResume   *bool   `json:"can_resume,omitempty"`
 	Cut         *Cut    `json:"cut,omitempty"`
 	Mangle      *Mangle `json:"mangle,omitempty"`
-	// LoadLagMillis, LoadingMillis, PlainMillis and TokenGapMillis replace the host's options for this VM.
+	// LoadLagMillis, LoadingMillis, PlainMillis and TokenGapMillis override the host's Options for this VM.
 	LoadLagMillis  *int64 `json:"load_lag_ms,omitempty"`
 	LoadingMillis  *int64 `json:"loading_ms,omitempty"`
 	PlainMillis    *int64 `json:"plain_ms,omitempty"`
 	TokenGapMillis *int64 `json:"token_gap_ms,omitempty"`
-	// CutFrom lets the VM not hear what these source IPs ask, as if the way from there were cut.
+	// CutFrom makes the VM ignore requests from these source IPs, as if the network path from them were cut.
 	CutFrom *[]netip.Addr `json:"cut_from,omitempty"`
-	// PlainBytes pads the answers of a plain service to at least this size.
+	// PlainBytes is the size of the padding in the answers of a plain service, which are thus at least this
+	// long.
 	PlainBytes *int `json:"plain_bytes,omitempty"`
 }
 
-// settings is the state of the switches that a VM keeps over its boots.
+// settings holds the switches of a VM that persist across boots.
 type settings struct {
 	slow        float64
 	crashMarker string
@@ -135,8 +138,8 @@
 	}
 }
 
-// take uses up one of count and returns whether there was one; below 0 there always is.
-func take(count *int) bool {
+// consume decrements a positive count, and returns whether the fault applies: a negative count always does.
+func consume(count *int) bool {
 	if *count > 0 {
 		*count--
 		return true
