--- a/internal/standin/engine/completion.go
+++ b/internal/standin/engine/completion.go
@@ -62,7 +62,7 @@
 	}
 	a := parseHeader(request.Header)
 	order, refused := m.checkRequest(b, a)
-	if refused == nil && m.host.worstPresence(order) == lost {
+	if refused == nil && m.host.worstPresence(order) == lostMember {
 		refused = &refusal{http.StatusServiceUnavailable, "a member of the group is lost"}
 	}
 	if refused != nil {
@@ -178,9 +178,9 @@
 			return false
 		}
 		switch c.machine.host.worstPresence(c.order) {
-		case present:
+		case presentMember:
 			return true
-		case lost:
+		case lostMember:
 			return false
 		}
 		if !c.sleep(stallPollInterval) {
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -249,11 +249,11 @@
 		Expect(r.host.Runs()).To(BeEmpty())
 		Expect(r.host.Arrivals()[0]).To(And(HaveField("RequestID", "r1"), HaveField("Group", vm.GroupID("g"))))
 		r.set("vm1", engine.Switches{Freeze: &no, Restart: true})
-		var turns []engine.LifecycleEvent
-		for _, life := range r.host.Lifecycle() {
-			turns = append(turns, life.Event)
+		var events []engine.LifecycleEvent
+		for _, record := range r.host.Lifecycle() {
+			events = append(events, record.Event)
 		}
-		Expect(turns).To(Equal([]engine.LifecycleEvent{engine.Booted, engine.Frozen, engine.Thawed, engine.Died, engine.Booted}))
+		Expect(events).To(Equal([]engine.LifecycleEvent{engine.Booted, engine.Frozen, engine.Thawed, engine.Died, engine.Booted}))
 	})
 
 	It("accepts switches and serves its logs over HTTP", func() {
--- a/internal/standin/engine/machine.go
+++ b/internal/standin/engine/machine.go
@@ -26,7 +26,7 @@
 	faults settings
 }
 
-// boot is one run of the engine process, from its start until the VM dies.
+// boot is one lifetime of the engine process, from its start until the VM dies.
 type boot struct {
 	id     vm.BootID
 	server *http.Server
@@ -154,8 +154,8 @@
 }
 
 // recordEvent logs a lifecycle event of the VM. It must be called with mu held.
-func (m *machine) recordEvent(turn LifecycleEvent) {
-	record := LifecycleRecord{VM: m.spec.Name, Event: turn}
+func (m *machine) recordEvent(event LifecycleEvent) {
+	record := LifecycleRecord{VM: m.spec.Name, Event: event}
 	if m.boot != nil {
 		record.BootID = m.boot.id
 	}
@@ -199,9 +199,9 @@
 type presence int
 
 const (
-	present presence = iota
-	paused
-	lost
+	presentMember presence = iota
+	frozenMember
+	lostMember
 )
 
 func (m *machine) presence(group vm.GroupID) presence {
@@ -209,17 +209,17 @@
 	defer m.mu.Unlock()
 	switch {
 	case m.boot == nil || m.boot.order.Group != group:
-		return lost
+		return lostMember
 	case m.frozen:
-		return paused
+		return frozenMember
 	}
-	return present
+	return presentMember
 }
 
 // worstPresence returns the worst presence among the members of an order that run in this process. A lost
-// member breaks the replica, so the head aborts its streams; a paused member only stalls it.
+// member breaks the replica, so the head aborts its streams; a frozen member only stalls it.
 func (h *Host) worstPresence(order engine.Order) presence {
-	worst := present
+	worst := presentMember
 	for _, name := range order.Members {
 		if m := h.machine(name); m != nil {
 			worst = max(worst, m.presence(order.Group))
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -91,7 +91,8 @@
 		m.breakRuns(b)
 	}
 	b.order = order
-	// With checksFence off, this may lower the fencing number, so that the reported state reveals it.
+	// An engine that doesn't check fencing numbers reports that of the last order it applied, even if it is
+	// lower, so that whoever reads the state back can see the fault.
 	b.fence = order.Fence
 	return nil
 }
