--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -12,8 +12,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrNoneFree is returned when every subnet is in use.
-var ErrNoneFree = eris.New("no free loopback subnet")
+// ErrNoFreeSubnet is returned when every subnet is in use.
+var ErrNoFreeSubnet = eris.New("no free loopback subnet")
 
 const (
 	// lockPort is bound on the last address of a subnet by whoever uses it.
@@ -29,15 +29,15 @@
 	lock    net.Listener
 }
 
-// Take holds a subnet of a network that no other process holds. It returns ErrNoneFree if there is none.
-func Take(network int) (*Subnet, error) {
+// Acquire holds a subnet of a network that no other process holds. It returns ErrNoFreeSubnet if there is none.
+func Acquire(network int) (*Subnet, error) {
 	for number := 1; number < subnets; number++ {
 		lock, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.254:%d", network, number, lockPort))
 		if err == nil {
 			return &Subnet{Network: network, Number: number, lock: lock}, nil
 		}
 	}
-	return nil, ErrNoneFree
+	return nil, ErrNoFreeSubnet
 }
 
 // IP returns an address of the subnet; host is 1 to 253.
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -24,13 +24,13 @@
 
 var _ = Describe("Take", func() {
 	It("gives no subnet to two at once, and gives it again when it was let go", func() {
-		first, err := loopback.Take(network)
+		first, err := loopback.Acquire(network)
 		Expect(err).NotTo(HaveOccurred())
-		second, err := loopback.Take(network)
+		second, err := loopback.Acquire(network)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(second.IP(1)).NotTo(Equal(first.IP(1)))
 		Expect(second.Close()).To(Succeed())
-		third, err := loopback.Take(network)
+		third, err := loopback.Acquire(network)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(third.IP(1)).To(Equal(second.IP(1)))
 		Expect(third.Close()).To(Succeed())
@@ -66,17 +66,17 @@
 	}
 
 	It("passes connections on, and again after each weather", func() {
-		for _, weather := range []loopback.Weather{{Silent: true}, {Deaf: true}, {Refuse: true}} {
+		for _, weather := range []loopback.Faults{{StallAll: true}, {StallResponses: true}, {Refuse: true}} {
 			Expect(ask(time.Minute)).To(Equal("words"))
-			proxy.Set(weather)
+			proxy.SetFaults(weather)
 			proxy.Reset()
 			_, err := ask(200 * time.Millisecond)
 			Expect(err).To(HaveOccurred())
-			proxy.Set(loopback.Weather{})
+			proxy.SetFaults(loopback.Faults{})
 			proxy.Reset()
 		}
 		began := time.Now()
-		proxy.Set(loopback.Weather{Delay: 50 * time.Millisecond})
+		proxy.SetFaults(loopback.Faults{Delay: 50 * time.Millisecond})
 		Expect(ask(time.Minute)).To(Equal("words"))
 		Expect(time.Since(began)).To(BeNumerically(">=", 100*time.Millisecond))
 	})
--- a/internal/loopback/proxy.go
+++ b/internal/loopback/proxy.go
@@ -8,14 +8,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// Weather is what a Proxy does to what passes it.
-type Weather struct {
+// Faults is what a Proxy does to what passes it.
+type Faults struct {
 	// Delay holds each piece up, both ways.
 	Delay time.Duration
-	// Silent lets nothing pass, in connections that are open and in new ones, without a sign to either side.
-	Silent bool
-	// Deaf lets nothing pass back to whoever connected.
-	Deaf bool
+	// StallAll lets nothing pass, in connections that are open and in new ones, without a sign to either side.
+	StallAll bool
+	// StallResponses lets nothing pass back to whoever connected.
+	StallResponses bool
 	// Refuse ends new connections at once.
 	Refuse bool
 }
@@ -26,7 +26,7 @@
 	target   string
 
 	mu      sync.Mutex // guards what follows; a leaf lock
-	weather Weather
+	weather Faults
 	open    map[*net.TCPConn]bool
 }
 
@@ -44,8 +44,8 @@
 // Address is where it listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the weather, also for open connections.
-func (p *Proxy) Set(weather Weather) {
+// SetFaults changes the weather, also for open connections.
+func (p *Proxy) SetFaults(weather Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.weather = weather
@@ -104,8 +104,8 @@
 	p.hold(conn, onward)
 	defer p.release(conn, onward)
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(onward, conn, func(w Weather) bool { return w.Silent }) })
-	both.Go(func() { p.copy(conn, onward, func(w Weather) bool { return w.Silent || w.Deaf }) })
+	both.Go(func() { p.copy(onward, conn, func(w Faults) bool { return w.StallAll }) })
+	both.Go(func() { p.copy(conn, onward, func(w Faults) bool { return w.StallAll || w.StallResponses }) })
 	both.Wait()
 }
 
@@ -126,7 +126,7 @@
 	}
 }
 
-func (p *Proxy) now() Weather {
+func (p *Proxy) now() Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.weather
@@ -139,7 +139,7 @@
 )
 
 // copy passes pieces on until either side ends. An end is passed on as it came: a reset as a reset, else as an end of what is sent.
-func (p *Proxy) copy(to, from *net.TCPConn, held func(Weather) bool) {
+func (p *Proxy) copy(to, from *net.TCPConn, held func(Faults) bool) {
 	buffer := make([]byte, pieceBytes)
 	for {
 		n, err := from.Read(buffer)
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -32,7 +32,7 @@
 // takeSubnet gives the cluster loopback addresses of its own, until the end of the spec.
 func takeSubnet() int {
 	GinkgoHelper()
-	subnet, err := loopback.Take(clusterNetwork)
+	subnet, err := loopback.Acquire(clusterNetwork)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(subnet.Close)
 	return subnet.Number
--- a/test/cooperative/leaving_test.go
+++ b/test/cooperative/leaving_test.go
@@ -87,7 +87,7 @@
 		p.awaitServing(2)
 		leader, rest := p.leaderAndRest()
 		p.api.Set(objects.Faults{RefuseWrites: 503})
-		leader.toPlatform.Set(loopback.Weather{Silent: true})
+		leader.toPlatform.SetFaults(loopback.Faults{StallAll: true})
 		p.openHeads()[0].Leave()
 		sendFor(rest, 5*time.Second)
 		Expect(p.world.ToLeaving(0)).NotTo(BeEmpty(), "requests reach it before its leaving is known")
--- a/test/cooperative/pond_test.go
+++ b/test/cooperative/pond_test.go
@@ -172,7 +172,7 @@
 
 func newPond(entries, engines int) *pond {
 	GinkgoHelper()
-	subnet, err := loopback.Take(pondNetwork)
+	subnet, err := loopback.Acquire(pondNetwork)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(subnet.Close)
 	p := &pond{subnet: subnet, api: objects.New(), world: replica.NewWorld(), proxies: make(map[string]*loopback.Proxy)}
--- a/test/cooperative/troubles_test.go
+++ b/test/cooperative/troubles_test.go
@@ -67,9 +67,9 @@
 }
 
 // weather draws what a proxy does.
-func (s *soak) weather() loopback.Weather {
-	return []loopback.Weather{
-		{Delay: 100 * time.Millisecond}, {Delay: 500 * time.Millisecond}, {Silent: true}, {Deaf: true}, {Refuse: true},
+func (s *soak) weather() loopback.Faults {
+	return []loopback.Faults{
+		{Delay: 100 * time.Millisecond}, {Delay: 500 * time.Millisecond}, {StallAll: true}, {StallResponses: true}, {Refuse: true},
 	}[s.draw(5)]
 }
 
@@ -82,12 +82,12 @@
 	defer s.faulty(proxy)()
 	weather := s.weather()
 	s.note("%s: %+v", what, weather)
-	proxy.Set(weather)
+	proxy.SetFaults(weather)
 	if weather.Refuse {
 		proxy.Reset()
 	}
 	time.Sleep(s.some())
-	proxy.Set(loopback.Weather{})
+	proxy.SetFaults(loopback.Faults{})
 	s.note("%s is over", what)
 }
 
@@ -153,10 +153,10 @@
 	defer s.release(leader.toPlatform)
 	defer s.faulty(leader.toPlatform)()
 	s.note("%s, the leader, can't read the platform", leader.name)
-	leader.toPlatform.Set(loopback.Weather{Silent: true})
+	leader.toPlatform.SetFaults(loopback.Faults{StallAll: true})
 	time.Sleep(s.some() / 10)
 	s.drain(heads[s.draw(len(heads))])
-	leader.toPlatform.Set(loopback.Weather{})
+	leader.toPlatform.SetFaults(loopback.Faults{})
 }
 
 // drain lets a model server leave; another one comes, with weights on its host.
--- a/test/relay_test.go
+++ b/test/relay_test.go
@@ -117,7 +117,7 @@
 
 // cutOff breaks what passes a proxy and refuses what is new, or mends it.
 func cutOff(proxy *loopback.Proxy, cut bool) {
-	proxy.Set(loopback.Weather{Refuse: cut})
+	proxy.SetFaults(loopback.Faults{Refuse: cut})
 	if cut {
 		proxy.Reset()
 	}
