--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -19,11 +19,11 @@
 	RunSpecs(t, "loopback addresses")
 }
 
-// network is used by these specs alone.
+// network is used by the tests of this package only.
 const network = 9
 
-var _ = Describe("Take", func() {
-	It("gives no subnet to two at once, and gives it again when it was let go", func() {
+var _ = Describe("Acquire", func() {
+	It("reserves each subnet once, and again after it was released", func() {
 		first, err := loopback.Acquire(network)
 		Expect(err).NotTo(HaveOccurred())
 		second, err := loopback.Acquire(network)
@@ -54,7 +54,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(proxy.Close)
 	})
-	ask := func(timeout time.Duration) (string, error) {
+	post := func(timeout time.Duration) (string, error) {
 		client := &http.Client{Timeout: timeout}
 		response, err := client.Post("http://"+proxy.Address(), "text/plain", strings.NewReader("words"))
 		if err != nil {
@@ -65,19 +65,19 @@
 		return string(body), err
 	}
 
-	It("passes connections on, and again after each weather", func() {
-		for _, weather := range []loopback.Faults{{StallAll: true}, {StallResponses: true}, {Refuse: true}} {
-			Expect(ask(time.Minute)).To(Equal("words"))
-			proxy.SetFaults(weather)
+	It("forwards connections, and does so again after each fault has ended", func() {
+		for _, faults := range []loopback.Faults{{StallAll: true}, {StallResponses: true}, {Refuse: true}} {
+			Expect(post(time.Minute)).To(Equal("words"))
+			proxy.SetFaults(faults)
 			proxy.Reset()
-			_, err := ask(200 * time.Millisecond)
+			_, err := post(200 * time.Millisecond)
 			Expect(err).To(HaveOccurred())
 			proxy.SetFaults(loopback.Faults{})
 			proxy.Reset()
 		}
 		began := time.Now()
 		proxy.SetFaults(loopback.Faults{Delay: 50 * time.Millisecond})
-		Expect(ask(time.Minute)).To(Equal("words"))
+		Expect(post(time.Minute)).To(Equal("words"))
 		Expect(time.Since(began)).To(BeNumerically(">=", 100*time.Millisecond))
 	})
 })
--- a/internal/loopback/proxy.go
+++ b/internal/loopback/proxy.go
@@ -8,29 +8,29 @@
 	"github.com/rotisserie/eris"
 )
 
-// Faults is what a Proxy does to what passes it.
+// Faults are the network faults that a Proxy injects.
 type Faults struct {
-	// Delay holds each piece up, both ways.
+	// Delay delays each chunk of data, in both directions.
 	Delay time.Duration
-	// StallAll lets nothing pass, in connections that are open and in new ones, without a sign to either side.
+	// StallAll holds back all data, on open and new connections, without closing them, until the fault ends.
 	StallAll bool
-	// StallResponses lets nothing pass back to whoever connected.
+	// StallResponses holds back all data from the target to the client until the fault ends.
 	StallResponses bool
-	// Refuse ends new connections at once.
+	// Refuse resets new connections immediately.
 	Refuse bool
 }
 
-// Proxy passes TCP connections on to one address, and spoils them. It is safe for concurrent use.
+// Proxy forwards TCP connections to one address and injects faults. It is safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 	target   string
 
-	mu      sync.Mutex // guards what follows; a leaf lock
-	weather Faults
-	open    map[*net.TCPConn]bool
+	mu     sync.Mutex // guards the fields below; a leaf lock
+	faults Faults
+	open   map[*net.TCPConn]bool
 }
 
-// NewProxy listens at address, IP:port, and passes connections on to target.
+// NewProxy listens at address (IP:port) and forwards connections to target.
 func NewProxy(address, target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -41,14 +41,14 @@
 	return p, nil
 }
 
-// Address is where it listens.
+// Address returns the address at which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// SetFaults changes the weather, also for open connections.
-func (p *Proxy) SetFaults(weather Faults) {
+// SetFaults replaces the injected faults, also for open connections.
+func (p *Proxy) SetFaults(faults Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.weather = weather
+	p.faults = faults
 }
 
 // Reset resets the connections that are open.
@@ -60,7 +60,7 @@
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() error {
 	err := p.listener.Close()
 	p.Reset()
@@ -82,34 +82,34 @@
 		if !ok {
 			continue
 		}
-		go p.pass(conn)
+		go p.forward(conn)
 	}
 }
 
-func (p *Proxy) pass(conn *net.TCPConn) {
-	if p.now().Refuse {
+func (p *Proxy) forward(conn *net.TCPConn) {
+	if p.currentFaults().Refuse {
 		reset(conn)
 		return
 	}
 	dialled, err := net.Dial("tcp", p.target)
 	if err != nil {
-		reset(conn) // as the target itself would
+		reset(conn) // as the target itself would refuse it
 		return
 	}
-	onward, ok := dialled.(*net.TCPConn)
+	targetConn, ok := dialled.(*net.TCPConn)
 	if !ok {
 		reset(conn)
 		return
 	}
-	p.hold(conn, onward)
-	defer p.release(conn, onward)
+	p.track(conn, targetConn)
+	defer p.closeAll(conn, targetConn)
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(onward, conn, func(w Faults) bool { return w.StallAll }) })
-	both.Go(func() { p.copy(conn, onward, func(w Faults) bool { return w.StallAll || w.StallResponses }) })
+	both.Go(func() { p.copy(targetConn, conn, func(w Faults) bool { return w.StallAll }) })
+	both.Go(func() { p.copy(conn, targetConn, func(w Faults) bool { return w.StallAll || w.StallResponses }) })
 	both.Wait()
 }
 
-func (p *Proxy) hold(conns ...*net.TCPConn) {
+func (p *Proxy) track(conns ...*net.TCPConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range conns {
@@ -117,7 +117,7 @@
 	}
 }
 
-func (p *Proxy) release(conns ...*net.TCPConn) {
+func (p *Proxy) closeAll(conns ...*net.TCPConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range conns {
@@ -126,29 +126,30 @@
 	}
 }
 
-func (p *Proxy) now() Faults {
+func (p *Proxy) currentFaults() Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.weather
+	return p.faults
 }
 
 const (
-	pieceBytes = 16 << 10
-	// heldLook is how often a connection through which nothing passes looks at the weather.
-	heldLook = 20 * time.Millisecond
+	bufferBytes = 16 << 10
+	// blockedPoll is how often a stalled connection checks whether the fault has ended.
+	blockedPoll = 20 * time.Millisecond
 )
 
-// copy passes pieces on until either side ends. An end is passed on as it came: a reset as a reset, else as an end of what is sent.
-func (p *Proxy) copy(to, from *net.TCPConn, held func(Faults) bool) {
-	buffer := make([]byte, pieceBytes)
+// copy forwards data until either side closes the connection. A reset is forwarded as a reset, any other end as a close of the sending
+// direction.
+func (p *Proxy) copy(to, from *net.TCPConn, blocked func(Faults) bool) {
+	buffer := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buffer)
-		weather := p.now()
-		for held(weather) && p.holds(from) {
-			time.Sleep(heldLook)
-			weather = p.now()
+		faults := p.currentFaults()
+		for blocked(faults) && p.isOpen(from) {
+			time.Sleep(blockedPoll)
+			faults = p.currentFaults()
 		}
-		time.Sleep(weather.Delay)
+		time.Sleep(faults.Delay)
 		if n > 0 {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				reset(from)
@@ -156,19 +157,19 @@
 			}
 		}
 		if err != nil {
-			p.end(to, err)
+			p.propagateClose(to, err)
 			return
 		}
 	}
 }
 
-func (p *Proxy) holds(conn *net.TCPConn) bool {
+func (p *Proxy) isOpen(conn *net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open[conn]
 }
 
-func (p *Proxy) end(to *net.TCPConn, err error) {
+func (p *Proxy) propagateClose(to *net.TCPConn, err error) {
 	var reason net.Error
 	if eris.As(err, &reason) {
 		reset(to)
