--- a/pondctl/compare.go
+++ b/pondctl/compare.go
@@ -27,10 +27,10 @@
 	}
 	return c.print(compared, func(w io.Writer) {
 		verdict := "not told from chance"
-		if compared.Told() {
+		if compared.Significant() {
 			verdict = "more than chance"
 		}
 		fmt.Fprintf(w, "%s %.3f, %s %.3f: %+.3f, spread %.3f over %d pairs, chance %.3f: %s\n", args.Before, compared.Before, args.After,
-			compared.After, compared.Difference, compared.Spread, compared.Pairs, compared.Chance, verdict)
+			compared.After, compared.Difference, compared.StdDev, compared.Pairs, compared.PValue, verdict)
 	})
 }
