--- a/logline/find.go
+++ b/logline/find.go
@@ -68,8 +68,8 @@
 )
 
 // Find returns the lines that explain how one request ended, ordered by time: its own lines, events of the servers that it was sent to
-// and of their groups, the demand for its model, changes of the leader, and lost connections of its entry. It returns nothing if no line
-// records the end of the request: it was then served, or never arrived.
+// and of their groups, the demand for its model, who was the leader, and the state and lost connections of its entry. It returns nothing
+// if no line records the end of the request: it was then served, or never arrived.
 func Find(lines []Line, request string) []Line {
 	i := slices.IndexFunc(lines, func(l Line) bool { return l.Message == RequestEnded && l.fields.Request == request })
 	if i < 0 {
--- a/timeline/event.go
+++ b/timeline/event.go
@@ -34,7 +34,7 @@
 	RequestRefused     Kind = "request-refused"     // Request, Group, Detail: code, and whether a claim is given up
 	RequestClaimed     Kind = "request-claimed"     // Request
 	ClaimUnconfirmed   Kind = "claim-unconfirmed"   // Request, Group, Detail: verdict
-	HomeLost           Kind = "home-lost"           // Request, Group, Detail: how the front lost its connection to the home
+	HomeLost           Kind = "home-lost"           // Request, Group, Detail: how the front lost the home that it had dispatched to
 	ClaimReleased      Kind = "claim-released"      // Request, Group
 	ReleaseUnconfirmed Kind = "release-unconfirmed" // Request, Group, Detail: verdict
 	RequestSealed      Kind = "request-sealed"      // Request
