--- a/test/cooperative/leaving_test.go
+++ b/test/cooperative/leaving_test.go
@@ -87,7 +87,7 @@
 		p.awaitServing(2)
 		leader, rest := p.leaderAndRest()
 		p.api.SetFaults(objects.Faults{FailWrites: 503})
-		leader.toPlatform.SetFaults(loopback.Faults{DropAll: true})
+		leader.toPlatform.SetFaults(loopback.Faults{StallAll: true})
 		p.openHeads()[0].StartLeaving()
 		sendFor(rest, 5*time.Second)
 		Expect(p.world.LateArrivals(0)).NotTo(BeEmpty(), "requests reach it before its leaving is known")
--- a/test/cooperative/troubles_test.go
+++ b/test/cooperative/troubles_test.go
@@ -69,7 +69,7 @@
 // weather draws what a proxy does.
 func (s *soak) weather() loopback.Faults {
 	return []loopback.Faults{
-		{Delay: 100 * time.Millisecond}, {Delay: 500 * time.Millisecond}, {DropAll: true}, {DropResponses: true}, {Refuse: true},
+		{Delay: 100 * time.Millisecond}, {Delay: 500 * time.Millisecond}, {StallAll: true}, {StallResponses: true}, {Refuse: true},
 	}[s.draw(5)]
 }
 
@@ -153,7 +153,7 @@
 	defer s.release(leader.toPlatform)
 	defer s.faulty(leader.toPlatform)()
 	s.note("%s, the leader, can't read the platform", leader.name)
-	leader.toPlatform.SetFaults(loopback.Faults{DropAll: true})
+	leader.toPlatform.SetFaults(loopback.Faults{StallAll: true})
 	time.Sleep(s.some() / 10)
 	s.drain(heads[s.draw(len(heads))])
 	leader.toPlatform.SetFaults(loopback.Faults{})
