--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -25,7 +25,7 @@
 }
 
 // ErrInvalidRuns means that the runs can't be parsed, or don't form at least two pairs.
-var ErrInvalidRuns = eris.New("no runs to compare")
+var ErrInvalidRuns = eris.New("no plays to compare")
 
 // Read parses runs in CSV, one a line: version,case,seed,score.
 func Read(r io.Reader) ([]Run, error) {
--- a/pondctl/show.go
+++ b/pondctl/show.go
@@ -146,7 +146,7 @@
 func writeBlockedDomains(w io.Writer, blocked []admin.BlockedAction) {
 	for _, action := range blocked {
 		if action.Service == "" {
-			fmt.Fprintf(w, "fabric domain %s is blocked up: %s\n", action.FabricDomain, action.Reason)
+			fmt.Fprintf(w, "fabric domain %s is held up: %s\n", action.FabricDomain, action.Reason)
 		}
 	}
 }
