--- a/entry/catalog/catalog_test.go
+++ b/entry/catalog/catalog_test.go
@@ -32,7 +32,7 @@
 	api            *objects.API
 	catalog        *catalog.Catalog
 	fedByLeader    atomic.Bool
-	news           chan catalog.News
+	changes        chan catalog.ChangeSet
 	configVersions chan uint64
 	leaving        chan leavingServer
 }
@@ -44,11 +44,11 @@
 }
 
 func newFixture() *fixture {
-	f := &fixture{api: objects.New(), news: make(chan catalog.News, 1000), configVersions: make(chan uint64, 1000), leaving: make(chan leavingServer, 1000)}
-	client := store.NewClient("http://"+f.api.Address(), store.WithWire(platform.Objects{}), store.WithCallTimeout(300*time.Millisecond))
+	f := &fixture{api: objects.New(), changes: make(chan catalog.ChangeSet, 1000), configVersions: make(chan uint64, 1000), leaving: make(chan leavingServer, 1000)}
+	client := store.NewClient("http://"+f.api.Address(), store.WithCodec(platform.ObjectCodec{}), store.WithCallTimeout(300*time.Millisecond))
 	f.catalog = catalog.New(catalog.Deps{
 		Store: client, FedByLeader: f.fedByLeader.Load, IsLeader: func() bool { return false },
-		OnNews:         func(news catalog.News) { f.news <- news },
+		OnChanges:      func(changes catalog.ChangeSet) { f.changes <- changes },
 		OnPlatformLost: func(store.Kind, error) {}, OnPlatformRegained: func(store.Kind, time.Duration) {}, OnUnreadable: func(store.Object, error) {},
 		OnConfig:        func(table *route.Table) { f.configVersions <- table.Version },
 		OnServerLeaving: func(server *backend.Server, fromLeader bool) { f.leaving <- leavingServer{server.ID, fromLeader} },
@@ -83,7 +83,7 @@
 	f.fedByLeader.Store(true)
 	f.catalog.LeaderChanged()
 	known := f.catalog.Revisions()[platform.KindServers]
-	f.catalog.ApplyNews(catalog.News{Kind: platform.KindServers, From: known, To: known})
+	f.catalog.ApplyChanges(catalog.ChangeSet{Kind: platform.KindServers, From: known, To: known})
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
 	go func() {
@@ -98,8 +98,8 @@
 // serversSince returns the changes of the servers since a revision, as an entry that connects late receives them.
 func (f *fixture) serversSince(since store.Version) func() []catalog.Change {
 	return func() []catalog.Change {
-		news, _ := f.catalog.NewsSince(platform.KindServers, since)
-		return news.Changes
+		changes, _ := f.catalog.ChangesSince(platform.KindServers, since)
+		return changes.Changes
 	}
 }
 
@@ -111,7 +111,7 @@
 		f := newFixture()
 		Expect(f.catalog.Table()).To(BeNil())
 		operator.Write(f.api, operator.Config{Version: 2})
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(2)))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		operator.Write(f.api, operator.Config{Version: 5})
@@ -140,15 +140,15 @@
 				reported <- false
 			}
 		})
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(reported, waitFor).Should(Receive(BeTrue()))
 	})
 
 	It("leaves out objects that can't be decoded, and keeps the others", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		f.api.Write("servers", "i-2", "nonsense")
-		f.api.Write("servers", "i-3", replica.Registered("s"))
+		f.api.Write("servers", "i-3", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(2))
 	})
 
@@ -159,7 +159,7 @@
 		operator.Write(f.api, operator.Config{Version: 2})
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(2)))
 		Eventually(f.api.Calls, waitFor).Should(HaveKeyWithValue("GET config", BeNumerically(">=", 2)))
-		f.api.Set(objects.Faults{Deaf: true})
+		f.api.SetFaults(objects.Faults{SkipWatchEvents: true})
 		operator.Write(f.api, operator.Config{Version: 3})
 		f.api.Compact()
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(3)))
@@ -171,9 +171,9 @@
 		f := newFixture()
 		operator.Write(f.api, operator.Config{Version: 2})
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(2)))
-		f.api.Set(objects.Faults{Silent: true})
+		f.api.SetFaults(objects.Faults{Unresponsive: true})
 		Consistently(f.configVersion, "1s").Should(Equal(uint64(2)))
-		f.api.Set(objects.Faults{})
+		f.api.SetFaults(objects.Faults{})
 		operator.Write(f.api, operator.Config{Version: 4})
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(4)))
 	})
@@ -184,16 +184,16 @@
 		f := newFixture()
 		operator.Write(f.api, operator.Config{Version: 2})
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(2)))
-		f.api.Set(objects.Faults{Refuse: 503})
+		f.api.SetFaults(objects.Faults{FailAll: 503})
 		time.Sleep(time.Second) // pending watches have ended
 		before := f.api.Calls()
 		time.Sleep(3 * time.Second)
 		after := f.api.Calls()
 		calls := after["GET config"] + after["GET servers"] - before["GET config"] - before["GET servers"]
 		Expect(calls).To(BeNumerically("<=", 7), "%v", after)
-		f.api.Set(objects.Faults{})
+		f.api.SetFaults(objects.Faults{})
 		operator.Write(f.api, operator.Config{Version: 3})
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.configVersion, waitFor).Should(Equal(uint64(3)))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 	})
@@ -214,7 +214,7 @@
 	// This entry can't reach the platform, but another one can.
 	It("accepts the configuration from another entry", func() {
 		f := newFixture()
-		f.api.Set(objects.Faults{Refuse: 503})
+		f.api.SetFaults(objects.Faults{FailAll: 503})
 		f.catalog.UpdateConfig([]byte(`{"version":9}`))
 		Expect(f.configVersion()).To(Equal(uint64(9)))
 	})
@@ -224,14 +224,14 @@
 	It("keeps servers whose registrations lapse all at once for as long as re-registration may take", func() {
 		f := newFixture()
 		for i := range 6 {
-			f.api.Write("servers", fmt.Sprint("i-", i), replica.Registered("s"))
+			f.api.Write("servers", fmt.Sprint("i-", i), replica.ReadyRegistration("s"))
 		}
 		Eventually(f.servers, waitFor).Should(Equal(6))
 		for i := range 6 {
 			f.api.Delete("servers", fmt.Sprint("i-", i))
 		}
 		Consistently(f.servers, "1s").Should(Equal(6))
-		f.api.Write("servers", "i-0", replica.Registered("s"))
+		f.api.Write("servers", "i-0", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		Consistently(f.servers, "500ms").Should(Equal(1))
 	})
@@ -240,14 +240,14 @@
 	// the traffic.
 	It("forwards only the last of several changes of a server, and the end of a registration", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		since := f.catalog.Revisions()[platform.KindServers]
-		f.api.Set(objects.Faults{Silent: true})
-		f.api.Write("servers", "i-2", replica.Registered("s"))
-		f.api.Write("servers", "i-2", replica.Registered("t"))
+		f.api.SetFaults(objects.Faults{Unresponsive: true})
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("t"))
 		f.api.Delete("servers", "i-1")
-		f.api.Set(objects.Faults{})
+		f.api.SetFaults(objects.Faults{})
 		Eventually(f.serversSince(since), waitFor).Should(ConsistOf(HaveField("Server.Service", "t"), HaveField("Removal.Server", BeEquivalentTo("i-1"))))
 	})
 
@@ -256,46 +256,46 @@
 	It("forwards what changed although the platform has dropped its history", func() {
 		f := newFixture()
 		for _, name := range []string{"i-1", "i-2", "i-3"} {
-			f.api.Write("servers", name, replica.Registered("s"))
+			f.api.Write("servers", name, replica.ReadyRegistration("s"))
 		}
 		Eventually(f.servers, waitFor).Should(Equal(3))
 		since := f.catalog.Revisions()[platform.KindServers]
-		f.api.Set(objects.Faults{Silent: true})
-		f.api.Write("servers", "i-2", replica.Registered("t"))
-		f.api.Write("servers", "i-4", replica.Registered("s"))
+		f.api.SetFaults(objects.Faults{Unresponsive: true})
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("t"))
+		f.api.Write("servers", "i-4", replica.ReadyRegistration("s"))
 		f.api.Delete("servers", "i-1")
 		f.api.Compact()
-		f.api.Set(objects.Faults{})
+		f.api.SetFaults(objects.Faults{})
 		Eventually(f.serversSince(since), waitFor).Should(ConsistOf(
 			HaveField("Server.Service", "t"), HaveField("Server.ID", BeEquivalentTo("i-4")), HaveField("Removal.Server", BeEquivalentTo("i-1"))))
 		reported := store.Version(0)
-		for len(f.news) > 0 {
-			news := <-f.news
-			if news.Kind == platform.KindServers && reported > 0 {
-				Expect(news.From).To(And(BeNumerically(">", 0), BeNumerically("<=", reported)), "no gap")
+		for len(f.changes) > 0 {
+			changes := <-f.changes
+			if changes.Kind == platform.KindServers && reported > 0 {
+				Expect(changes.From).To(And(BeNumerically(">", 0), BeNumerically("<=", reported)), "no gap")
 			}
-			if news.Kind == platform.KindServers {
-				reported = news.To
+			if changes.Kind == platform.KindServers {
+				reported = changes.To
 			}
 		}
 	})
 
 	It("does not watch while the leader feeds it, and resumes its own watch when that ends", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		f.followLeader()
 		before := f.api.Calls()["GET servers"]
 		from := f.catalog.Revisions()[platform.KindServers]
-		f.api.Write("servers", "i-2", replica.Registered("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
 		Consistently(f.servers, "2s").Should(Equal(1))
 		Expect(f.api.Calls()["GET servers"]).To(Equal(before))
-		f.catalog.ApplyNews(catalog.News{Kind: platform.KindServers, From: from, To: from + 1, Changes: []catalog.Change{
+		f.catalog.ApplyChanges(catalog.ChangeSet{Kind: platform.KindServers, From: from, To: from + 1, Changes: []catalog.Change{
 			{Server: &backend.Server{ID: "i-2", Service: "s", Address: "10.0.0.2:1", Revision: uint64(from + 1)}},
 		}})
 		Eventually(f.servers, waitFor).Should(Equal(2))
 		f.fedByLeader.Store(false)
-		f.api.Write("servers", "i-3", replica.Registered("s"))
+		f.api.Write("servers", "i-3", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(3))
 	})
 
@@ -305,18 +305,18 @@
 		f := newFixture()
 		ages := make(chan time.Duration, 100)
 		f.catalog.OnServersChange(func() { ages <- f.catalog.ServersAge() })
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(ages, waitFor).Should(Receive())
 	})
 
 	It("reports once that a server is leaving, and whether the leader reported it", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Leaving("s"))
+		f.api.Write("servers", "i-1", replica.LeavingRegistration("s"))
 		Eventually(f.leaving, waitFor).Should(Receive(Equal(leavingServer{"i-1", false})))
 		f.followLeader()
 		from := f.catalog.Revisions()[platform.KindServers]
 		for revision := uint64(from + 1); revision <= uint64(from+2); revision++ {
-			f.catalog.ApplyNews(catalog.News{Kind: platform.KindServers, From: from, To: store.Version(revision), Changes: []catalog.Change{
+			f.catalog.ApplyChanges(catalog.ChangeSet{Kind: platform.KindServers, From: from, To: store.Version(revision), Changes: []catalog.Change{
 				{Server: &backend.Server{ID: "i-2", Service: "s", Address: "10.0.0.2:1", Leaving: true, Revision: revision}},
 			}})
 		}
@@ -325,16 +325,16 @@
 		Expect(f.catalog.ServersAge()).To(And(BeNumerically(">", 0), BeNumerically("<", time.Second)))
 	})
 
-	// News was lost, for example while a connection was down. If later news were applied to the old state, a server that is
-	// gone would remain listed.
-	It("reads from the platform if news was missed", func() {
+	// Changes were lost, for example while a connection was down. If later changes were applied to the old state, a server
+	// that is gone would remain listed.
+	It("reads from the platform if changes were missed", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		f.followLeader()
-		f.api.Write("servers", "i-2", replica.Registered("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
 		from := f.catalog.Revisions()[platform.KindServers]
-		f.catalog.ApplyNews(catalog.News{Kind: platform.KindServers, From: from + 5, To: from + 6})
+		f.catalog.ApplyChanges(catalog.ChangeSet{Kind: platform.KindServers, From: from + 5, To: from + 6})
 		Eventually(f.servers, waitFor).Should(Equal(2))
 	})
 
@@ -342,10 +342,10 @@
 	// changes.
 	It("reads from the platform when the leader no longer confirms that its list is current", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		stop := f.followLeader()
-		f.api.Write("servers", "i-2", replica.Registered("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
 		Consistently(f.servers, "2s").Should(Equal(1))
 		stop()
 		Eventually(f.servers, waitFor).Should(Equal(2))
@@ -355,25 +355,25 @@
 	// it missed.
 	It("does not accept a new leader's confirmation before it has received what it missed", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		f.followLeader()
 		f.catalog.LeaderChanged()
-		f.api.Write("servers", "i-2", replica.Registered("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(2))
 	})
 
-	It("keeps the latest news for entries that connect late", func() {
+	It("keeps the latest changes for entries that connect late", func() {
 		f := newFixture()
-		f.api.Write("servers", "i-1", replica.Registered("s"))
+		f.api.Write("servers", "i-1", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(1))
 		since := f.catalog.Revisions()[platform.KindServers]
-		f.api.Write("servers", "i-2", replica.Registered("s"))
+		f.api.Write("servers", "i-2", replica.ReadyRegistration("s"))
 		Eventually(f.servers, waitFor).Should(Equal(2))
-		news, ok := f.catalog.NewsSince(platform.KindServers, since)
+		changes, ok := f.catalog.ChangesSince(platform.KindServers, since)
 		Expect(ok).To(BeTrue())
-		Expect(news.Changes).To(ConsistOf(HaveField("Server.ID", BeEquivalentTo("i-2"))))
-		_, ok = f.catalog.NewsSince(platform.KindServers, 0)
+		Expect(changes.Changes).To(ConsistOf(HaveField("Server.ID", BeEquivalentTo("i-2"))))
+		_, ok = f.catalog.ChangesSince(platform.KindServers, 0)
 		Expect(ok).To(BeFalse())
 	})
 })
--- a/entry/fleet/fleet_test.go
+++ b/entry/fleet/fleet_test.go
@@ -30,9 +30,9 @@
 }
 
 var _ = Describe("Table", func() {
-	// Entries come and go, also between two looks and in the same number. A home that is remembered from before
-	// would send requests to an entry that is gone, or keep one that is not the home probing.
-	It("names the homes by the entries of the moment, for groups that are placed later too", func() {
+	// Entries join and leave between two lookups, possibly without a change in their number. An outdated home
+	// would send requests to an entry that is gone, or keep an entry probing that is no longer the home.
+	It("computes homes from the current entries, also for groups that are placed later", func() {
 		live := []string{"a", "b", "c"}
 		table := fleet.New(func() []string { return live }, time.Now)
 		groups := []vm.GroupID{"g1", "g2", "g3", "g4", "g5", "g6", "g7"}
@@ -45,7 +45,7 @@
 				candidate, _ := table.Candidate(id)
 				Expect(candidate.Home).To(Equal(home))
 				if home != "" {
-					Expect(table.Homed(home)).To(ContainElement(HaveField("ID", id)))
+					Expect(table.GroupsHomedAt(home)).To(ContainElement(HaveField("ID", id)))
 				}
 			}
 		}
--- a/entry/grouping/schedules_test.go
+++ b/entry/grouping/schedules_test.go
@@ -44,17 +44,17 @@
 				vm := f.vms[r.IntN(len(f.vms))]
 				switch r.IntN(9) {
 				case 0:
-					vm.Die()
+					vm.Crash()
 					f.addVM("large")
 				case 1:
-					vm.Set(replica.Faults{LateOrders: time.Duration(200+r.IntN(900)) * time.Millisecond})
+					vm.SetFaults(replica.Faults{OrderDelay: time.Duration(200+r.IntN(900)) * time.Millisecond})
 				case 2:
-					vm.Set(replica.Faults{Mute: true})
+					vm.SetFaults(replica.Faults{Unresponsive: true})
 				case 3:
-					vm.Set(replica.Faults{Unregistered: true})
+					vm.SetFaults(replica.Faults{Unregistered: true})
 				case 4:
 					for _, other := range f.vms {
-						other.Set(replica.Faults{})
+						other.SetFaults(replica.Faults{})
 					}
 				case 5:
 					controllers[r.IntN(2)].leader.Store(r.IntN(2) == 0)
@@ -71,7 +71,7 @@
 			for _, controller := range controllers {
 				controller.stop()
 			}
-			Expect(strings.Join(f.world.Broken(), "\n")).To(BeEmpty(), fmt.Sprint("seed ", seed+uint64(i)))
+			Expect(strings.Join(f.world.Violations(), "\n")).To(BeEmpty(), fmt.Sprint("seed ", seed+uint64(i)))
 		}
 	})
 })
--- a/entry/member/member_test.go
+++ b/entry/member/member_test.go
@@ -15,24 +15,24 @@
 	RunSpecs(t, "entry/member")
 }
 
-// Bounds in virtual time.
+// Limits in virtual time.
 const (
-	joinBound = 10 * time.Second
-	deadBound = 8 * time.Second
-	healBound = 25 * time.Second
+	joinBound      = 10 * time.Second
+	detectionBound = 8 * time.Second
+	recoveryBound  = 25 * time.Second
 )
 
-// sizes are the numbers of entries played, and how many schedules of each.
+// sizes lists the numbers of entries simulated and the number of seeds for each.
 var sizes = []struct{ entries, schedules int }{{4, 3}, {8, 3}, {16, 2}, {32, 1}, {64, 1}}
 
 func startedSim(seed uint64, n int) *sim {
 	s := newSim(seed, n)
-	took := s.until(joinBound, func() bool { return s.agreed(everybody) })
+	took := s.runUntil(joinBound, func() bool { return s.viewsAgree(allNodes) })
 	Expect(took).To(BeNumerically("<", joinBound), "n=%d seed=%d never agreed", n, seed)
 	return s
 }
 
-// forSizes plays a schedule at each size and prints the slowest.
+// forSizes runs a schedule at each size and prints the slowest result.
 func forSizes(what string, schedule func(s *sim) time.Duration) {
 	for _, size := range sizes {
 		var worst time.Duration
@@ -44,47 +44,48 @@
 }
 
 var _ = Describe("membership in virtual time", func() {
-	It("finds everybody and loses nobody while nothing fails", func() {
+	It("finds all entries and loses none while nothing fails", func() {
 		forSizes("start", func(s *sim) time.Duration {
 			for range 20 {
 				s.run(time.Second)
-				Expect(s.agreed(everybody)).To(BeTrue())
+				Expect(s.viewsAgree(allNodes)).To(BeTrue())
 			}
 			return 0
 		})
 	})
 
-	// An entry's process is killed. Until the others drop it, callers are sent to a dead address and
-	// the groups it was home of serve nobody.
+	// An entry's process is killed. Until the other entries drop it, callers are sent to a dead address
+	// and the groups it was home of are not served.
 	It("drops a killed entry everywhere within seconds", func() {
 		forSizes("killed", func(s *sim) time.Duration {
 			s.kill(s.nodes[s.rand.IntN(len(s.nodes))])
-			took := s.until(deadBound, func() bool { return s.agreed(everybody) })
-			Expect(took).To(BeNumerically("<", deadBound))
+			took := s.runUntil(detectionBound, func() bool { return s.viewsAgree(allNodes) })
+			Expect(took).To(BeNumerically("<", detectionBound))
 			return took
 		})
 	})
 
-	// An entry is stopped (SIGSTOP, a VM migration) and goes on as if nothing had happened. It still
-	// believes in what it owned; a caller would wait on work that another entry does by now.
-	It("drops a frozen entry, which owns nothing on waking until it has spoken with a peer", func() {
+	// An entry is stopped (SIGSTOP, a VM migration) and then resumes. It still believes that it owns
+	// what another entry took over meanwhile, and a caller would wait for work that the other entry
+	// does.
+	It("drops a frozen entry, which owns nothing after resuming until it has been in contact with a peer", func() {
 		forSizes("frozen", func(s *sim) time.Duration {
 			n := s.nodes[s.rand.IntN(len(s.nodes))]
 			before := n.self.Counter
 			s.freeze(n)
-			took := s.until(deadBound, func() bool { return s.agreed(everybody) })
-			Expect(took).To(BeNumerically("<", deadBound))
+			took := s.runUntil(detectionBound, func() bool { return s.viewsAgree(allNodes) })
+			Expect(took).To(BeNumerically("<", detectionBound))
 			s.run(15 * time.Second)
 			n.frozen = false
 			Expect(n.Paused()).To(BeTrue())
 			Expect(liveNames(n)).NotTo(ContainElement(n.entry.Name))
 			Expect(liveNames(n)).To(HaveLen(len(s.nodes) - 1))
 			s.wake(n)
-			back := s.until(healBound, func() bool {
-				Expect(len(liveNames(n))).To(BeNumerically(">=", len(s.nodes)-1), "the waking entry blamed others")
-				return s.agreed(everybody)
+			back := s.runUntil(recoveryBound, func() bool {
+				Expect(len(liveNames(n))).To(BeNumerically(">=", len(s.nodes)-1), "the resumed entry declared others dead")
+				return s.viewsAgree(allNodes)
 			})
-			Expect(back).To(BeNumerically("<", healBound))
+			Expect(back).To(BeNumerically("<", recoveryBound))
 			Expect(n.self.Counter).To(BeNumerically(">", before))
 			return took
 		})
@@ -92,9 +93,9 @@
 })
 
 var _ = Describe("single steps", func() {
-	// An entry suspects another, is frozen itself, and wakes when the time to refute is long over. The
-	// refutation lies unread in its socket; blaming the other would move homes for nothing.
-	It("gives a suspect its time again after an own pause", func() {
+	// An entry suspects another, is frozen itself, and resumes after the suspicion has timed out. The
+	// refutation is still unread in its socket; declaring the other dead would move homes for nothing.
+	It("restarts a suspicion timeout after a pause of the local process", func() {
 		s := convergedSim(1, 4)
 		a, b := s.nodes[0], s.nodes[1]
 		suspect := a.peers[b.entry.Name].status
@@ -110,27 +111,28 @@
 		Expect(a.peers[b.entry.Name].status.State).To(Equal(Dead))
 	})
 
-	// What is held against an entry may not reach it by rumour, when all copies were lost or spent.
-	It("tells an entry with each ping what is held against it", func() {
+	// Gossip of a suspicion or death may never reach the entry concerned, if all copies were lost or the
+	// send limit is used up.
+	It("includes in each ping a suspicion or death recorded for its target", func() {
 		for _, state := range []State{Suspect, Dead} {
 			s := convergedSim(1, 4)
 			a, b := s.nodes[0], s.nodes[1]
 			held := a.peers[b.entry.Name].status
 			held.State = state
 			a.setStatus(s.now, a.peers[b.entry.Name], held, false)
-			ack, err := b.receivePing(s.now, a.entry.Name, a.pingCall(b.entry.Name).ping)
+			ack, err := b.handlePing(s.now, a.entry.Name, a.pingCall(b.entry.Name).ping)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(ack.Self.Counter).To(BeNumerically(">", held.Counter))
-			Expect(b.Paused()).To(Equal(state == Dead), "one that is held dead has lost what it owned")
+			Expect(b.Paused()).To(Equal(state == Dead), "an entry that was declared dead has lost what it owned")
 		}
 	})
 
 	It("refuses a ping under another's name or for another entry", func() {
 		s := convergedSim(1, 4)
 		ping := s.nodes[0].pingCall(s.nodes[1].entry.Name).ping
-		_, err := s.nodes[1].receivePing(s.now, s.nodes[2].entry.Name, ping)
-		Expect(err).To(MatchError(ErrOtherName))
-		_, err = s.nodes[2].receivePing(s.now, s.nodes[0].entry.Name, ping)
+		_, err := s.nodes[1].handlePing(s.now, s.nodes[2].entry.Name, ping)
+		Expect(err).To(MatchError(ErrNameMismatch))
+		_, err = s.nodes[2].handlePing(s.now, s.nodes[0].entry.Name, ping)
 		Expect(err).To(MatchError(ErrWrongTarget))
 	})
 
@@ -142,39 +144,39 @@
 		Expect(a.rumours[key].rumour.Version).To(Equal(uint64(5)))
 		a.expireRumours(a.clock().Add(time.Second))
 		Expect(a.rumours).NotTo(HaveKey(key))
-		Expect(a.queue.pieces).NotTo(HaveKey(key.String()))
+		Expect(a.queue.items).NotTo(HaveKey(key.String()))
 	})
 
-	// Most copies of a rumour reach entries that have it, and take the place of news.
-	It("stops sending what its receivers knew, but not the newer version of it", func() {
+	// Most copies of a rumour reach entries that already have it, and take the space of new items.
+	It("stops sending an item that its receivers knew, but not a newer version of it", func() {
 		q := newQueue()
 		old := item{Rumour: &Rumour{Topic: "t", Name: "x", Version: 1}}
 		fresh := item{Rumour: &Rumour{Topic: "t", Name: "x", Version: 2}}
 		q.put(old.key(), old)
-		q.boring([]item{old}, []byte{0, 9})
+		q.countDuplicates([]item{old}, []byte{0, 9})
 		q.put(old.key(), fresh)
-		for range maxKnown {
-			q.boring([]item{old}, []byte{0})
+		for range maxDuplicates {
+			q.countDuplicates([]item{old}, []byte{0})
 		}
-		Expect(q.pieces).To(HaveKey(fresh.key()))
-		for range maxKnown {
-			q.boring([]item{fresh}, []byte{0})
+		Expect(q.items).To(HaveKey(fresh.key()))
+		for range maxDuplicates {
+			q.countDuplicates([]item{fresh}, []byte{0})
 		}
-		Expect(q.pieces).To(BeEmpty())
+		Expect(q.items).To(BeEmpty())
 	})
 
-	It("sends each piece a limited number of times, those on liveness first, within the budget", func() {
+	It("sends each item a limited number of times, liveness first, within the budget", func() {
 		q := newQueue()
 		for i := range 20 {
 			q.put(fmt.Sprint(i), item{Rumour: &Rumour{Name: fmt.Sprint(i), Body: make([]byte, 100)}})
 		}
 		q.put("status", item{Status: &Status{Name: "a"}})
 		sent := map[string]int{}
-		for len(q.pieces) > 0 {
-			items, keys := q.pick("b", gossipBytes, 3)
+		for len(q.items) > 0 {
+			items, keys := q.pick("b", maxGossipBytes, 3)
 			encoded, err := cbor.Marshal(items)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(len(encoded)).To(BeNumerically("<=", gossipBytes+1))
+			Expect(len(encoded)).To(BeNumerically("<=", maxGossipBytes+1))
 			Expect(sent["status"] == 3 || keys[0] == "status").To(BeTrue())
 			for _, key := range keys {
 				sent[key]++
--- a/entry/member/rumours.go
+++ b/entry/member/rumours.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// inlineBytes is the largest body that is pushed with pings. A larger one would be sent many times over
-// by each entry; it is announced instead, and each entry fetches it once.
-const inlineBytes = 200
+// maxInlineBytes is the largest body that is pushed with pings. Pushed, a larger one would be sent many
+// times over by each entry; it is announced instead, and each entry fetches it once.
+const maxInlineBytes = 200
 
-// held is a rumour in the store.
-type held struct {
+// storedRumour is a rumour and its expiry.
+type storedRumour struct {
 	rumour  Rumour
 	expires time.Time // zero: never
 }
@@ -23,85 +23,88 @@
 
 func keyOf(r Rumour) rumourKey { return rumourKey{r.Topic, r.Name} }
 
-// want is a rumour whose body is to be fetched.
-type want struct {
-	version uint64
-	sources []string
-	asked   bool
+// bodyFetch tracks the fetch of an announced body.
+type bodyFetch struct {
+	version  uint64
+	sources  []string
+	inFlight bool
 }
 
 const maxSources = 3
 
-// Broadcast hands a rumour to all entries, in time. One that is not newer than what is known of its
-// Topic and Name is ignored.
+// Broadcast gossips a rumour to all entries, eventually. It is ignored unless it is newer than the known
+// version of its Topic and Name.
 func (m *Members) Broadcast(r Rumour) {
 	m.mu.Lock()
 	defer m.unlock()
 	now := m.clock()
 	r.Announced = 0
-	m.keepRumour(now, r, true)
+	m.storeRumour(now, r, true)
 }
 
-// Handle registers the handler of a topic, before Run. It is called for each rumour of other entries
-// that is newer than what was known, one at a time, without a lock held.
+// Handle registers the handler of a topic; it must be called before Run. The handler is called for each
+// rumour from another entry that is newer than the known version, one at a time and without a lock held.
+// A rumour that is replaced before its handler runs is skipped.
 func (m *Members) Handle(topic string, handler func(Rumour)) {
 	m.mu.Lock()
 	defer m.unlock()
 	m.handlers[topic] = handler
 }
 
-// keepRumour stores r if it is newer and reports whether it was. Called with mu held.
-func (m *Members) keepRumour(now time.Time, r Rumour, spread bool) bool {
+// storeRumour stores r if it is newer and reports whether it was. Called with mu held.
+func (m *Members) storeRumour(now time.Time, r Rumour, spread bool) bool {
 	key := keyOf(r)
 	if old, ok := m.rumours[key]; ok && old.rumour.Version >= r.Version {
 		return false
 	}
-	kept := held{rumour: r}
+	stored := storedRumour{rumour: r}
 	if r.TTL > 0 {
-		kept.expires = now.Add(r.TTL)
+		stored.expires = now.Add(r.TTL)
 	}
-	m.rumours[key] = kept
-	if w := m.wants[key]; w != nil && w.version <= r.Version {
-		delete(m.wants, key)
+	m.rumours[key] = stored
+	if w := m.bodyFetches[key]; w != nil && w.version <= r.Version {
+		delete(m.bodyFetches, key)
 	}
 	if spread {
-		m.queue.put(key.String(), item{Rumour: announced(r)})
+		m.queue.put(key.String(), item{Rumour: inlineOrAnnounced(r)})
 	}
 	return true
 }
 
-// announced returns r as it is pushed: without its body if that is large.
-func announced(r Rumour) *Rumour {
-	if len(r.Body) > inlineBytes {
+// inlineOrAnnounced returns r in the form in which it is pushed: without its body if that exceeds
+// maxInlineBytes.
+func inlineOrAnnounced(r Rumour) *Rumour {
+	if len(r.Body) > maxInlineBytes {
 		r.Announced = len(r.Body)
 		r.Body = nil
 	}
 	return &r
 }
 
-// hearRumour takes in a rumour from another entry and reports whether it was news. Called with mu held.
-func (m *Members) hearRumour(now time.Time, from string, r Rumour, spread bool) bool {
+// receiveRumour processes a rumour from another entry and reports whether it was new. Called with mu
+// held.
+func (m *Members) receiveRumour(now time.Time, from string, r Rumour, spread bool) bool {
 	if r.Announced > 0 {
-		return m.noteWant(from, r)
+		return m.scheduleFetch(from, r)
 	}
-	if !m.keepRumour(now, r, spread) {
+	if !m.storeRumour(now, r, spread) {
 		return false
 	}
 	m.deliver(r)
 	return true
 }
 
-// noteWant remembers who can give the body of an announced rumour, and reports whether it is wanted.
-// Called with mu held.
-func (m *Members) noteWant(from string, r Rumour) bool {
+// scheduleFetch records a source for the body of an announced rumour and reports whether the body is
+// needed. Called with mu held.
+func (m *Members) scheduleFetch(from string, r Rumour) bool {
 	key := keyOf(r)
 	if m.rumours[key].rumour.Version >= r.Version {
 		return false
 	}
-	w := m.wants[key]
+	w := m.bodyFetches[key]
 	if w == nil || w.version < r.Version {
-		w = &want{version: r.Version}
-		m.wants[key] = w
+		w = &bodyFetch{version: r.Version}
+		m.bodyFetches[key] = w
 	}
 	if len(w.sources) < maxSources {
 		w.sources = append(w.sources, from)
@@ -109,16 +112,16 @@
 	return true
 }
 
-// fetches returns the calls that fetch wanted bodies, one for each. Called with mu held.
-func (m *Members) fetches() []call {
+// fetchCalls returns the calls that fetch missing bodies, one per rumour. Called with mu held.
+func (m *Members) fetchCalls() []call {
 	var calls []call
-	for _, key := range sortedKeys(m.wants) {
-		w := m.wants[key]
-		if w.asked {
+	for _, key := range sortedKeys(m.bodyFetches) {
+		w := m.bodyFetches[key]
+		if w.inFlight {
 			continue
 		}
 		if len(w.sources) == 0 {
-			delete(m.wants, key) // the exchange of digests will find it again
+			delete(m.bodyFetches, key) // the exchange of digests will find it again
 			continue
 		}
 		source := w.sources[0]
@@ -127,31 +130,32 @@
 		if p == nil {
 			continue
 		}
-		w.asked = true
-		ask := Exchange{WantRumours: []version{{Topic: key.topic, Name: key.name, Version: w.version}}}
-		calls = append(calls, call{kind: callExchange, to: source, address: p.entry.PeerAddress, exchange: ask, fetch: key})
+		w.inFlight = true
+		request := Exchange{WantRumours: []rumourVersion{{Topic: key.topic, Name: key.name, Version: w.version}}}
+		calls = append(calls, call{kind: callExchange, to: source, address: p.entry.PeerAddress, exchange: request, fetch: key})
 	}
 	return calls
 }
 
-// expireRumours drops what is past its time. Called with mu held.
+// expireRumours removes rumours whose TTL has passed. Called with mu held.
 func (m *Members) expireRumours(now time.Time) {
 	for key, h := range m.rumours {
 		if !h.expires.IsZero() && !now.Before(h.expires) {
 			delete(m.rumours, key)
-			m.queue.drop(key.String())
+			m.queue.remove(key.String())
 		}
 	}
 }
 
-// sortedKeys gives maps an order, so that a run can be played again.
+// sortedKeys returns the keys in a fixed order, so that simulations are reproducible.
 func sortedKeys[V any](table map[rumourKey]V) []rumourKey {
 	return slices.SortedFunc(maps.Keys(table), func(a, b rumourKey) int {
 		return cmp.Or(cmp.Compare(a.topic, b.topic), cmp.Compare(a.name, b.name))
 	})
 }
 
-// deliver queues r for its handler; only the newest of a topic and name waits. Called with mu held.
+// deliver queues r for its handler. Only the newest version of a topic and name is queued. Called with
+// mu held.
 func (m *Members) deliver(r Rumour) {
 	if m.handlers[r.Topic] == nil {
 		return
@@ -160,7 +164,7 @@
 	signal(m.inboxReady)
 }
 
-// dispatch calls the handlers of all rumours that wait.
+// dispatch calls the handlers of all queued rumours.
 func (m *Members) dispatch() {
 	m.mu.Lock()
 	waiting := m.inbox
@@ -172,7 +176,7 @@
 	}
 }
 
-// signal wakes whoever waits on a channel of capacity 1, without waiting itself.
+// signal wakes the receiver of a channel of capacity 1, without blocking.
 func signal(ready chan struct{}) {
 	select {
 	case ready <- struct{}{}:
--- a/entry/member/sim_test.go
+++ b/entry/member/sim_test.go
@@ -14,8 +14,8 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// sim plays entries in virtual time: one heap of events, no goroutine, one seed. Messages pass through
-// CBOR, so that nothing is shared by accident and bytes are counted as they would be sent.
+// sim simulates entries in virtual time, with one event heap, no goroutines and one seed. Messages are
+// encoded in CBOR, so that entries share no memory by accident and bytes are counted as sent.
 type sim struct {
 	now    time.Time
 	rand   *rand.Rand
@@ -23,7 +23,7 @@
 	order  int
 	nodes  []*node
 	loss   float64
-	// cut tells whether messages from one entry to another are dropped.
+	// cut reports whether messages from one entry to another are dropped.
 	cut      func(from, to int) bool
 	messages int
 	bytes    int
@@ -37,7 +37,7 @@
 	*Members
 	dead    bool
 	frozen  bool
-	waiting []func() // what the kernel keeps for a frozen process
+	backlog []func() // work held back while the process is frozen, as the kernel would keep it
 	heard   map[string]uint64
 }
 
@@ -64,7 +64,7 @@
 	return last
 }
 
-var errLost = eris.New("no answer in time")
+var errTimeout = eris.New("no answer in time")
 
 func newSim(seed uint64, n int) *sim {
 	s := &sim{
@@ -77,7 +77,7 @@
 	}
 	for _, a := range s.nodes {
 		for _, b := range s.nodes {
-			a.Know(b.entry, b.generation)
+			a.Upsert(b.entry, b.generation)
 		}
 		s.start(a)
 	}
@@ -99,7 +99,7 @@
 		Clock: func() time.Time { return s.now },
 	})
 	n.Handle("test", func(r Rumour) {
-		Expect(r.Version).To(BeNumerically(">", n.heard[r.Name]), "a version went down")
+		Expect(r.Version).To(BeNumerically(">", n.heard[r.Name]), "a version decreased")
 		n.heard[r.Name] = r.Version
 	})
 	return n
@@ -110,7 +110,7 @@
 }
 
 func (s *sim) tickLoop(n *node) {
-	s.on(n, func() {
+	s.runOn(n, func() {
 		for _, c := range n.tick(s.now) {
 			s.perform(n, c, timeoutOf(c.kind), func(r result) { s.finish(n, c, r) })
 		}
@@ -130,12 +130,12 @@
 	heap.Push(&s.events, event{at: s.now.Add(d), order: s.order, run: run})
 }
 
-// on runs something at a node: never if it is dead, after its wake if it is frozen.
-func (s *sim) on(n *node, run func()) {
+// runOn runs a function on a node: never if the node is dead, and after its wake if it is frozen.
+func (s *sim) runOn(n *node, run func()) {
 	switch {
 	case n.dead:
 	case n.frozen:
-		n.waiting = append(n.waiting, run)
+		n.backlog = append(n.backlog, run)
 	default:
 		run()
 	}
@@ -151,8 +151,9 @@
 	s.now = end
 }
 
-// until runs until ok or the limit, and returns how long that took.
-func (s *sim) until(limit time.Duration, ok func() bool) time.Duration {
+// runUntil advances the simulation until ok returns true or limit has passed, and returns the time
+// taken.
+func (s *sim) runUntil(limit time.Duration, ok func() bool) time.Duration {
 	start := s.now
 	for !ok() && s.now.Sub(start) < limit {
 		s.run(tickPeriod)
@@ -169,7 +170,7 @@
 	return nil
 }
 
-// send carries a message from one entry to another, or loses it.
+// send delivers a message from one entry to another, or loses it.
 func send[T any](s *sim, from, to *node, message T, arrive func(T)) {
 	encoded, err := cbor.Marshal(message)
 	Expect(err).NotTo(HaveOccurred())
@@ -181,7 +182,7 @@
 	}
 	latency := time.Millisecond + time.Duration(s.rand.Int64N(int64(4*time.Millisecond)))
 	s.after(latency, func() {
-		s.on(to, func() {
+		s.runOn(to, func() {
 			var decoded T
 			Expect(cbor.Unmarshal(encoded, &decoded)).To(Succeed())
 			arrive(decoded)
@@ -190,46 +191,46 @@
 	})
 }
 
-// perform makes a call and gives its result, or errLost at the timeout, exactly once.
+// perform makes a call and passes on its result, or errTimeout at the timeout, exactly once.
 func (s *sim) perform(from *node, c call, timeout time.Duration, done func(result)) {
 	if c.kind == callDisconnect {
 		return
 	}
 	to := s.byAddress(c.address)
 	over := false
-	settle := func(r result) {
+	complete := func(r result) {
 		if !over {
 			over = true
-			s.on(from, func() { done(r) })
+			s.runOn(from, func() { done(r) })
 		}
 	}
-	s.after(timeout, func() { settle(result{err: errLost}) })
+	s.after(timeout, func() { complete(result{err: errTimeout}) })
 	name := from.entry.Name
 	switch c.kind {
 	case callPing:
 		send(s, from, to, c.ping, func(m Ping) {
-			ack, err := to.receivePing(s.now, name, m)
-			send(s, to, from, ack, func(ack Ack) { settle(result{ack: ack, err: err}) })
+			ack, err := to.handlePing(s.now, name, m)
+			send(s, to, from, ack, func(ack Ack) { complete(result{ack: ack, err: err}) })
 		})
 	case callRelay:
 		send(s, from, to, c.relay, func(m Relay) {
-			ping, err := to.relayPing(s.now, m)
+			ping, err := to.prepareRelay(s.now, m)
 			if err != nil {
 				return
 			}
 			s.perform(to, ping, relayedPingTimeout, func(r result) {
-				send(s, to, from, to.relayed(s.now, ping, r), func(m Relayed) { settle(result{relayed: m}) })
+				send(s, to, from, to.completeRelay(s.now, ping, r), func(m RelayReply) { complete(result{relayReply: m}) })
 			})
 		})
 	case callDigest:
 		send(s, from, to, c.digest, func(m Digest) {
-			listing, err := to.receiveDigest(s.now, name, m)
-			send(s, to, from, listing, func(l Listing) { settle(result{listing: l, err: err}) })
+			reply, err := to.handleDigest(s.now, name, m)
+			send(s, to, from, reply, func(l DigestReply) { complete(result{digestReply: l, err: err}) })
 		})
 	case callExchange:
 		send(s, from, to, c.exchange, func(m Exchange) {
-			answer, err := to.receiveExchange(s.now, name, m)
-			send(s, to, from, answer, func(e Exchanged) { settle(result{exchanged: e, err: err}) })
+			answer, err := to.handleExchange(s.now, name, m)
+			send(s, to, from, answer, func(e ExchangeReply) { complete(result{exchangeReply: e, err: err}) })
 		})
 	}
 }
@@ -240,29 +241,30 @@
 
 func (s *sim) wake(n *node) {
 	n.frozen = false
-	waiting := n.waiting
-	n.waiting = nil
+	waiting := n.backlog
+	n.backlog = nil
 	for _, run := range waiting {
-		s.on(n, run)
+		s.runOn(n, run)
 	}
 }
 
-// restart puts a new process in the place of a dead one; the platform tells a few entries of it.
+// restart replaces an entry's process with a new one, killing the old. At most a third of the other
+// entries learn of it from the platform.
 func (s *sim) restart(id int) *node {
 	s.kill(s.nodes[id])
 	n := s.newNode(id)
 	s.nodes[id] = n
 	for i, other := range s.nodes {
-		n.Know(other.entry, other.generation)
+		n.Upsert(other.entry, other.generation)
 		if other != n && i%3 == id%3 && !other.dead && !other.frozen {
-			other.Know(n.entry, n.generation)
+			other.Upsert(n.entry, n.generation)
 		}
 	}
 	s.start(n)
 	return n
 }
 
-// running returns the names of those that run and are not leaving, within side.
+// running returns the names of the entries of side that are running and not leaving.
 func (s *sim) running(side func(id int) bool) []string {
 	var names []string
 	for _, n := range s.nodes {
@@ -273,16 +275,17 @@
 	return names
 }
 
-func everybody(int) bool { return true }
+func allNodes(int) bool { return true }
 
-// agreed reports whether every running entry of side sees exactly the running entries of side.
-func (s *sim) agreed(side func(id int) bool) bool {
-	want := s.running(side)
+// viewsAgree reports whether the live entries of every running entry of side are exactly the running
+// entries of side.
+func (s *sim) viewsAgree(side func(id int) bool) bool {
+	expected := s.running(side)
 	for _, n := range s.nodes {
 		if n.dead || n.frozen || !side(n.id) {
 			continue
 		}
-		if !slices.Equal(liveNames(n), want) {
+		if !slices.Equal(liveNames(n), expected) {
 			return false
 		}
 	}
@@ -297,8 +300,8 @@
 	return names
 }
 
-// seenBy counts the running entries that hold name in Live.
-func (s *sim) seenBy(name string) int {
+// liveViewsOf counts the running entries whose Live includes name.
+func (s *sim) liveViewsOf(name string) int {
 	count := 0
 	for _, n := range s.nodes {
 		if !n.dead && !n.frozen && slices.Contains(liveNames(n), name) {
--- a/entry/member/table.go
+++ b/entry/member/table.go
@@ -10,19 +10,19 @@
 	"github.com/skylarkpond/skylarkpond/link/platform"
 )
 
-// table is the entries that are known, and what follows from their states: who is live, and the ring.
-// Those are computed anew only when they are asked for after a change, since news come in bursts.
+// table holds the known entries and the views derived from their states: the live entries and the ring.
+// The views are recomputed only when they are needed after a change, since changes come in bursts.
 type table struct {
 	peers   map[string]*peerState
 	order   []*peerState      // by name
 	trusted map[string]string // fingerprint to name
 
-	dirty bool     // live and ring are older than the states
-	live  []Peer   // what Live returns; replaced, never changed
-	ring  []string // self and all who are not dead, by the hash of their names
+	dirty bool     // live and ring are out of date
+	live  []Peer   // returned by Live; replaced, never modified
+	ring  []string // self and all peers that are not dead, by the hash of their names
 }
 
-// put adds p, in place of an earlier process of its name.
+// put adds p, replacing an earlier process of the same name.
 func (t *table) put(p *peerState) {
 	t.peers[p.status.Name] = p
 	at, found := slices.BinarySearchFunc(t.order, p.status.Name, compareName)
@@ -33,7 +33,7 @@
 	t.order = slices.Insert(t.order, at, p)
 }
 
-func (t *table) drop(name string) {
+func (t *table) deletePeer(name string) {
 	delete(t.peers, name)
 	if at, found := slices.BinarySearchFunc(t.order, name, compareName); found {
 		t.order = slices.Delete(t.order, at, at+1)
@@ -42,10 +42,10 @@
 
 func compareName(p *peerState, name string) int { return cmp.Compare(p.status.Name, name) }
 
-// changed notes that live or ring may have changed. Called with mu held.
-func (m *Members) changed() { m.dirty = true }
+// markDirty records that live or ring may have changed. Called with mu held.
+func (m *Members) markDirty() { m.dirty = true }
 
-// refresh brings live and ring up to date and tells the watchers. Called with mu held.
+// refresh updates live and ring and signals the subscribers. Called with mu held.
 func (m *Members) refresh() {
 	if !m.dirty {
 		return
@@ -57,19 +57,19 @@
 		return
 	}
 	m.live = live
-	for _, watcher := range m.watchers {
-		signal(watcher)
+	for _, subscriber := range m.subscribers {
+		signal(subscriber)
 	}
 }
 
-// unlock ends a locked section that may have changed states.
+// unlock updates the views and releases mu. It ends every locked section that may have changed states.
 func (m *Members) unlock() {
 	m.refresh()
 	m.mu.Unlock()
 }
 
-// places returns the ring up to date. Called with mu held.
-func (m *Members) places() []string {
+// currentRing returns the up-to-date ring. Called with mu held.
+func (m *Members) currentRing() []string {
 	m.refresh()
 	return m.ring
 }
@@ -81,7 +81,7 @@
 			live = append(live, p.peer())
 		}
 	}
-	if !m.owns() {
+	if !m.canOwn() {
 		return live
 	}
 	at, _ := slices.BinarySearchFunc(live, m.self.Name, func(p Peer, name string) int {
@@ -91,40 +91,40 @@
 }
 
 func (m *Members) newRing() []string {
-	type place struct {
+	type position struct {
 		hash uint64
 		name string
 	}
-	places := []place{{xxhash.Sum64String(m.self.Name), m.self.Name}}
+	positions := []position{{xxhash.Sum64String(m.self.Name), m.self.Name}}
 	for _, p := range m.order {
 		if p.status.State != Dead {
-			places = append(places, place{p.hash, p.status.Name})
+			positions = append(positions, position{p.hash, p.status.Name})
 		}
 	}
-	slices.SortFunc(places, func(a, b place) int {
+	slices.SortFunc(positions, func(a, b position) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.name, b.name))
 	})
-	ring := make([]string, len(places))
-	for i, at := range places {
+	ring := make([]string, len(positions))
+	for i, at := range positions {
 		ring[i] = at.name
 	}
 	return ring
 }
 
-// peerState is what this entry holds of another.
+// peerState is this entry's state of one peer.
 type peerState struct {
 	status Status
 	entry  platform.Entry
 	hash   uint64 // of the name
-	// suspectUntil is when a suspicion becomes a death, diedAt when it did.
+	// suspectUntil is when a suspicion becomes a death; diedAt is when the peer was declared dead.
 	suspectUntil time.Time
 	diedAt       time.Time
-	// heard is the last time the peer itself answered or called.
-	heard time.Time
-	// strikes counts failed pings in a row for which no helper answered either.
-	strikes int
-	// failed counts failed pings in a row, whatever the helpers say.
-	failed      int
+	// lastContact is the last time the peer itself answered or called.
+	lastContact time.Time
+	// failedProbes counts the pings in a row that failed both directly and through every helper.
+	failedProbes int
+	// failedPings counts the direct pings in a row that failed, whatever the helpers replied.
+	failedPings int
 	unreachable bool
 }
 
--- a/entry/member/wire_test.go
+++ b/entry/member/wire_test.go
@@ -11,31 +11,32 @@
 	. "github.com/onsi/gomega"
 )
 
-// udpHeader is the size of the headers of IP and UDP.
+// udpHeader is the size of the IP and UDP headers.
 const udpHeader = 28
 
-// countedSocket counts what passes a server's socket. Each packet between two entries passes exactly one.
-type countedSocket struct {
+// countingConn counts the packets and bytes of a server's socket. Each packet between two entries passes
+// exactly one such socket.
+type countingConn struct {
 	net.PacketConn
 	packets, bytes *atomic.Int64
 }
 
-func (c *countedSocket) ReadFrom(p []byte) (int, net.Addr, error) {
+func (c *countingConn) ReadFrom(p []byte) (int, net.Addr, error) {
 	n, from, err := c.PacketConn.ReadFrom(p)
 	c.packets.Add(1)
 	c.bytes.Add(int64(n + udpHeader))
 	return n, from, err
 }
 
-func (c *countedSocket) WriteTo(p []byte, to net.Addr) (int, error) {
+func (c *countingConn) WriteTo(p []byte, to net.Addr) (int, error) {
 	c.packets.Add(1)
 	c.bytes.Add(int64(len(p) + udpHeader))
 	return c.PacketConn.WriteTo(p, to)
 }
 
-// BenchmarkWire measures what membership costs over the real link on loopback, per entry and second: bytes
-// and packets sent (as many are received), headers of IP and UDP included, and processor time. Nothing
-// happens meanwhile but one small rumour a second.
+// BenchmarkWire measures the cost of membership over the real transport on loopback, per entry and
+// second: bytes and packets sent (as many are received), IP and UDP headers included, and processor
+// time. The only load is one small rumour a second.
 func BenchmarkWire(b *testing.B) {
 	RegisterTestingT(b)
 	for _, n := range []int{4, 8, 16, 32} {
@@ -47,18 +48,18 @@
 	}
 }
 
-const wireTime = 20 * time.Second
+const measuredTime = 20 * time.Second
 
 func measureWire(b *testing.B, n int) {
 	var packets, bytes atomic.Int64
 	var all []*process
 	for i := range n {
 		p := newProcess(fmt.Sprintf("entry-%03d", i), uint64(i+1), func(s net.PacketConn) net.PacketConn {
-			return &countedSocket{s, &packets, &bytes}
+			return &countingConn{s, &packets, &bytes}
 		})
 		for j, other := range all {
-			p.Know(other.entry, uint64(j+1))
-			other.Know(p.entry, uint64(i+1))
+			p.Upsert(other.entry, uint64(j+1))
+			other.Upsert(p.entry, uint64(i+1))
 		}
 		all = append(all, p)
 		defer p.stop()
@@ -67,13 +68,13 @@
 		p.start()
 	}
 	for _, p := range all {
-		Eventually(func() int { return len(p.Live()) }, patience).Should(Equal(n))
+		Eventually(func() int { return len(p.Live()) }, pollTimeout).Should(Equal(n))
 	}
-	time.Sleep(learningTime)
+	time.Sleep(warmupTime)
 	packets.Store(0)
 	bytes.Store(0)
 	cpu, start := cpuTime(), time.Now()
-	for second := uint64(1); time.Since(start) < wireTime; second++ {
+	for second := uint64(1); time.Since(start) < measuredTime; second++ {
 		all[int(second)%n].Broadcast(Rumour{Topic: "load", Name: "x", Version: second, Body: make([]byte, 100)})
 		time.Sleep(time.Second)
 	}
@@ -83,7 +84,7 @@
 	b.ReportMetric((cpuTime()-cpu).Seconds()*100/per, "%core")
 }
 
-// cpuTime is the processor time of the process so far.
+// cpuTime returns the processor time used by the process so far.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/pondctl/compare.go
+++ b/pondctl/compare.go
@@ -10,7 +10,7 @@
 	"github.com/skylarkpond/skylarkpond/internal/experiment"
 )
 
-// compare says whether one version plays better than another.
+// compare reports whether the difference between the results of two versions is more than chance.
 func (c *command) compare(args *CompareArgs) error {
 	file, err := os.Open(args.File)
 	if err != nil {
@@ -25,12 +25,12 @@
 	if err != nil {
 		return err
 	}
-	return c.print(compared, func(w io.Writer) {
+	return c.printResult(compared, func(w io.Writer) {
 		verdict := "not told from chance"
-		if compared.Told() {
+		if compared.Significant() {
 			verdict = "more than chance"
 		}
 		fmt.Fprintf(w, "%s %.3f, %s %.3f: %+.3f, spread %.3f over %d pairs, chance %.3f: %s\n", args.Before, compared.Before, args.After,
-			compared.After, compared.Difference, compared.Spread, compared.Pairs, compared.Chance, verdict)
+			compared.After, compared.Difference, compared.StdDev, compared.Pairs, compared.PValue, verdict)
 	})
 }
--- a/pondctl/run.go
+++ b/pondctl/run.go
@@ -13,14 +13,14 @@
 	"github.com/skylarkpond/skylarkpond/contract/settings"
 )
 
-// Streams are where a command reads and writes.
+// Streams are the standard streams of a command.
 type Streams struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
 }
 
-// Errors that have an exit code of their own.
+// Errors that determine the exit code of a command.
 var (
 	ErrConflict   = eris.New("conflict")
 	ErrRefused    = eris.New("refused by the checks")
@@ -28,14 +28,14 @@
 	ErrUsage      = eris.New("usage")
 )
 
-// command is one run of pondctl.
+// command is one invocation of pondctl.
 type command struct {
 	Streams
 	args   Args
 	client *client
 }
 
-// Run runs one command and returns its exit code.
+// Run runs the command given by args and returns its exit code.
 func Run(ctx context.Context, args []string, streams Streams) int {
 	c := &command{Streams: streams}
 	parser, err := arg.NewParser(arg.Config{Program: "pondctl", Out: streams.Err}, &c.args)
@@ -57,7 +57,7 @@
 	if errors.Is(err, ErrUsage) {
 		_ = parser.WriteUsageForSubcommand(streams.Err, parser.SubcommandNames()...)
 	}
-	return c.report(err)
+	return c.reportError(err)
 }
 
 func (c *command) run(ctx context.Context) error {
@@ -93,12 +93,12 @@
 	return eris.Wrap(ErrUsage, "no command given; see pondctl --help")
 }
 
-// report prints an error and returns its exit code.
-func (c *command) report(err error) int {
+// reportError prints an error to standard error and returns the matching exit code.
+func (c *command) reportError(err error) int {
 	if err == nil {
 		return ExitOK
 	}
-	c.progress("error: %s", err)
+	c.logf("error: %s", err)
 	var faults settings.Faults
 	switch {
 	case errors.Is(err, ErrUsage):
@@ -113,13 +113,13 @@
 	return ExitFailure
 }
 
-// progress tells on standard error what goes on.
-func (c *command) progress(format string, args ...any) {
+// logf prints a line of progress to standard error.
+func (c *command) logf(format string, args ...any) {
 	fmt.Fprintf(c.Err, format+"\n", args...)
 }
 
-// print writes a result: as JSON if asked for, else by text.
-func (c *command) print(result any, text func(w io.Writer)) error {
+// printResult writes a result to standard output: as JSON with --json, otherwise by calling text.
+func (c *command) printResult(result any, text func(w io.Writer)) error {
 	if !c.args.JSON {
 		text(c.Out)
 		return nil
--- a/pondctl/wait.go
+++ b/pondctl/wait.go
@@ -12,28 +12,29 @@
 	"github.com/skylarkpond/skylarkpond/internal/wait"
 )
 
-// wait looks at the status until every live entry works by the version or a later one.
+// wait polls the status until the version, or a later one, is in force on every live entry. It prints each change of the
+// progress.
 func (c *command) wait(ctx context.Context, version uint64, longest time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, longest)
 	defer cancel()
-	told := ""
+	printed := ""
 	for {
-		text, done := c.inForce(ctx, version)
-		if text != told && ctx.Err() == nil {
-			c.progress("%s", text)
-			told = text
+		text, done := c.checkInForce(ctx, version)
+		if text != printed && ctx.Err() == nil {
+			c.logf("%s", text)
+			printed = text
 		}
 		if done {
 			return nil
 		}
-		if !wait.Pause(ctx, pollPause) {
-			return eris.Wrapf(ErrNotInForce, "after %s: %s", longest, told)
+		if !wait.Pause(ctx, statusPollInterval) {
+			return eris.Wrapf(ErrNotInForce, "after %s: %s", longest, printed)
 		}
 	}
 }
 
-// inForce says in words how far the version has come.
-func (c *command) inForce(ctx context.Context, version uint64) (text string, done bool) {
+// checkInForce reports whether the version is in force on every live entry, and describes the progress.
+func (c *command) checkInForce(ctx context.Context, version uint64) (text string, done bool) {
 	status, err := get[admin.Status](ctx, c.client, admin.StatusPath, nil)
 	if err != nil {
 		return "no status: " + err.Error(), false
@@ -46,7 +47,7 @@
 		}
 		live++
 		if entry.SettingsVersion < version {
-			lagging = append(lagging, lag(entry))
+			lagging = append(lagging, formatLag(entry))
 		}
 	}
 	text = fmt.Sprintf("version %d is in force on %d of %d live entries", version, live-len(lagging), live)
@@ -56,11 +57,11 @@
 	return text, live > 0 && len(lagging) == 0
 }
 
-// lag names an entry that works by an older version.
-func lag(entry admin.EntryStatus) string {
+// formatLag describes an entry on which an older version is in force.
+func formatLag(entry admin.EntryStatus) string {
 	text := fmt.Sprintf("%s (version %d", entry.Name, entry.SettingsVersion)
 	if entry.SettingsSince > 0 {
-		text += " since " + clock(entry.SettingsSince)
+		text += " since " + formatTime(entry.SettingsSince)
 	}
 	if entry.Problem != "" {
 		text += ": " + entry.Problem
--- a/test/cooperative/cooperative_test.go
+++ b/test/cooperative/cooperative_test.go
@@ -28,10 +28,10 @@
 		for i := range 9 {
 			id := fmt.Sprint("booking-", i)
 			Expect(p.entries[i%3].send("/book/x", id).status).To(Equal(http.StatusOK))
-			Expect(p.world.Runs(id)).To(Equal(1))
+			Expect(p.world.RunCount(id)).To(Equal(1))
 		}
 		Eventually(p.entries[0].named, generous).Should(HaveLen(3))
-		Expect(p.world.Broken()).To(BeEmpty())
+		Expect(p.world.Violations()).To(BeEmpty())
 	})
 
 	// The entry in charge is killed while streams run, and a member of a group dies before another entry has taken over. Callers of the
@@ -46,7 +46,7 @@
 		leader.signal(syscall.SIGKILL)
 		for _, engine := range p.engines {
 			if group := engine.Group(); group != nil && group.State == "ready" && group.Rank == 1 {
-				engine.Die()
+				engine.Crash()
 				break
 			}
 		}
@@ -56,7 +56,7 @@
 		p.entries = rest
 		Eventually(p.leader, generous).ShouldNot(BeNil())
 		p.awaitServing(2)
-		Expect(p.world.Broken()).To(BeEmpty())
+		Expect(p.world.Violations()).To(BeEmpty())
 	})
 
 	// An entry is stopped for an upgrade while callers read their answers from it.
@@ -146,7 +146,7 @@
 			p.desks = append(p.desks, desk)
 		}
 		for _, desk := range p.desks {
-			desk.Set(replica.Faults{CrashOn: poison})
+			desk.SetFaults(replica.Faults{CrashOn: poison})
 		}
 		refused := 0
 		Eventually(func() int {
@@ -156,7 +156,7 @@
 			}
 			return refused
 		}, generous, "300ms").Should(Equal(6))
-		Expect(p.world.Runs("poison")).To(BeNumerically("<=", 5))
+		Expect(p.world.RunCount("poison")).To(BeNumerically("<=", 5))
 		for i := range 6 {
 			Expect(p.entries[i%3].send("/book/x", fmt.Sprint("after-", i)).status).To(Equal(http.StatusOK))
 		}
@@ -181,17 +181,17 @@
 	It("serve on while the platform is away, and take the next configuration when it is back", func() {
 		p := newPond(3, 7)
 		p.awaitServing(2)
-		p.api.Set(objects.Faults{Silent: true})
+		p.api.SetFaults(objects.Faults{Unresponsive: true})
 		for round := range 3 {
 			for _, got := range streams(p.entries, 6, fmt.Sprint("away", round)) {
 				Expect(got.whole()).To(BeTrue(), "%+v", got)
 			}
 		}
-		p.api.Set(objects.Faults{})
+		p.api.SetFaults(objects.Faults{})
 		p.configure("/added/")
 		for _, e := range p.entries {
 			Eventually(func() int { return e.send("/added/x", "added-"+e.name).status }, generous).Should(Equal(http.StatusOK))
 		}
-		Expect(p.world.Broken()).To(BeEmpty())
+		Expect(p.world.Violations()).To(BeEmpty())
 	})
 })
--- a/test/cooperative/leaving_test.go
+++ b/test/cooperative/leaving_test.go
@@ -47,7 +47,7 @@
 func (s *soak) judgeLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, late := range s.world.ToLeaving(leavingKnown) {
+	for _, late := range s.world.LateArrivals(leavingKnown) {
 		entry := s.senderOf(late.Request)
 		excused := entry == nil || !s.calmFrom(s.api, late.At.Add(-late.After), late.At) || !s.calmFrom(entry, late.At, late.At) ||
 			!s.calmFrom(entry.toPlatform, late.At, late.At) || !s.calmFrom(s.proxies[late.Server], late.At, late.At)
@@ -86,11 +86,11 @@
 		p := newPond(3, 7)
 		p.awaitServing(2)
 		leader, rest := p.leaderAndRest()
-		p.api.Set(objects.Faults{RefuseWrites: 503})
-		leader.toPlatform.Set(loopback.Weather{Silent: true})
-		p.openHeads()[0].Leave()
+		p.api.SetFaults(objects.Faults{FailWrites: 503})
+		leader.toPlatform.SetFaults(loopback.Faults{StallAll: true})
+		p.openHeads()[0].StartLeaving()
 		sendFor(rest, 5*time.Second)
-		Expect(p.world.ToLeaving(0)).NotTo(BeEmpty(), "requests reach it before its leaving is known")
-		Expect(p.world.ToLeaving(leavingKnown)).To(BeEmpty())
+		Expect(p.world.LateArrivals(0)).NotTo(BeEmpty(), "requests reach it before its leaving is known")
+		Expect(p.world.LateArrivals(leavingKnown)).To(BeEmpty())
 	})
 })
--- a/test/cooperative/troubles_test.go
+++ b/test/cooperative/troubles_test.go
@@ -67,9 +67,9 @@
 }
 
 // weather draws what a proxy does.
-func (s *soak) weather() loopback.Weather {
-	return []loopback.Weather{
-		{Delay: 100 * time.Millisecond}, {Delay: 500 * time.Millisecond}, {Silent: true}, {Deaf: true}, {Refuse: true},
+func (s *soak) weather() loopback.Faults {
+	return []loopback.Faults{
+		{Delay: 100 * time.Millisecond}, {Delay: 500 * time.Millisecond}, {StallAll: true}, {StallResponses: true}, {Refuse: true},
 	}[s.draw(5)]
 }
 
@@ -82,12 +82,12 @@
 	defer s.faulty(proxy)()
 	weather := s.weather()
 	s.note("%s: %+v", what, weather)
-	proxy.Set(weather)
+	proxy.SetFaults(weather)
 	if weather.Refuse {
 		proxy.Reset()
 	}
 	time.Sleep(s.some())
-	proxy.Set(loopback.Weather{})
+	proxy.SetFaults(loopback.Faults{})
 	s.note("%s is over", what)
 }
 
@@ -119,12 +119,12 @@
 	}
 	defer s.release(s.api)
 	defer s.faulty(s.api)()
-	faults := []objects.Faults{{Silent: true}, {Refuse: 503}, {Refuse: 429}, {LoseAnswers: true}, {Deaf: true}}[s.draw(5)]
+	faults := []objects.Faults{{Unresponsive: true}, {FailAll: 503}, {FailAll: 429}, {LoseAnswers: true}, {SkipWatchEvents: true}}[s.draw(5)]
 	s.note("platform: %+v", faults)
-	s.api.Set(faults)
+	s.api.SetFaults(faults)
 	time.Sleep(s.some())
-	s.api.Set(objects.Faults{})
-	if faults.Deaf || s.draw(3) == 0 {
+	s.api.SetFaults(objects.Faults{})
+	if faults.SkipWatchEvents || s.draw(3) == 0 {
 		s.api.Compact()
 	}
 	s.note("platform is well")
@@ -137,7 +137,7 @@
 		return
 	}
 	s.note("lose %s", engine.ID())
-	engine.Die()
+	engine.Crash()
 	time.Sleep(s.some() / 2)
 	s.replaceEngine(engine, "large")
 }
@@ -153,10 +153,10 @@
 	defer s.release(leader.toPlatform)
 	defer s.faulty(leader.toPlatform)()
 	s.note("%s, the leader, can't read the platform", leader.name)
-	leader.toPlatform.Set(loopback.Weather{Silent: true})
+	leader.toPlatform.SetFaults(loopback.Faults{StallAll: true})
 	time.Sleep(s.some() / 10)
 	s.drain(heads[s.draw(len(heads))])
-	leader.toPlatform.Set(loopback.Weather{})
+	leader.toPlatform.SetFaults(loopback.Faults{})
 }
 
 // drain lets a model server leave; another one comes, with weights on its host.
@@ -165,9 +165,9 @@
 		return
 	}
 	s.note("drain %s", engine.ID())
-	engine.Leave()
+	engine.StartLeaving()
 	time.Sleep(leavingKnown + s.some()) // it serves on until its leaving must be known, and a little longer
-	engine.Die()
+	engine.Crash()
 	s.replaceEngine(engine, "large")
 }
 
@@ -184,12 +184,12 @@
 	}
 	defer s.release(server)
 	faults := []replica.Faults{
-		{Mute: true}, {Stall: 5}, {Cut: 3}, {LoseAnswer: true}, {Shed: true}, {Fail: 500}, {LateOrders: 1500 * time.Millisecond}, {Unregistered: true},
+		{Unresponsive: true}, {StallAfter: 5}, {ResetAfter: 3}, {LoseAnswer: true}, {Shed: true}, {FailStatus: 500}, {OrderDelay: 1500 * time.Millisecond}, {Unregistered: true},
 	}[s.draw(8)]
 	s.note("%s: %+v", server.ID(), faults)
-	server.Set(faults)
+	server.SetFaults(faults)
 	time.Sleep(s.some())
-	server.Set(replica.Faults{})
+	server.SetFaults(replica.Faults{})
 	s.note("%s is well", server.ID())
 }
 
